--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -114,7 +114,7 @@
 enum class Outcome { served, error, notTaken, timedOut, noConnection, broken, cancelled, notSent, noCopy };
 
 // How the answer came about or why the fill failed, where that is told.
-enum class Note {
+enum class CacheStatus {
     none,
     hit,
     filled,
@@ -139,7 +139,7 @@
     Time elapsed{};
     bool over = false;       // the request is closed
     bool blameless = false;  // it says nothing of its host that another end has not said
-    Note note = Note::none;
+    CacheStatus note = CacheStatus::none;
     double sizeKb = 0;  // of what was served; zero: not told, negative: no bytes, since the client had them
     LoadReport load;
 };
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -68,12 +68,14 @@
     throw Malformed("unknown outcome '" + std::string(code) + "'");
 }
 
-Note noteOf(std::int64_t number) {
-    constexpr std::array notes{
-        Note::none,        Note::hit,         Note::filled,        Note::filledByOrigin,
-        Note::joined,      Note::stale,       Note::sourceRefused, Note::sourceUnreached,
-        Note::sourceLacks, Note::noFillPlace, Note::originFailed};
-    if (number < 0 || number >= static_cast<std::int64_t>(notes.size())) return Note::none;
+CacheStatus noteOf(std::int64_t number) {
+    constexpr std::array notes{CacheStatus::none,          CacheStatus::hit,
+                               CacheStatus::filled,        CacheStatus::filledByOrigin,
+                               CacheStatus::joined,        CacheStatus::stale,
+                               CacheStatus::sourceRefused, CacheStatus::sourceUnreached,
+                               CacheStatus::sourceLacks,   CacheStatus::noFillPlace,
+                               CacheStatus::originFailed};
+    if (number < 0 || number >= static_cast<std::int64_t>(notes.size())) return CacheStatus::none;
     return notes[static_cast<std::size_t>(number)];
 }
 
--- a/src/core/decisions.hpp
+++ b/src/core/decisions.hpp
@@ -64,7 +64,7 @@
     int attempt = 0;
     Outcome outcome = Outcome::error;
     Micros elapsed{};
-    Note note = Note::none;
+    CacheStatus note = CacheStatus::none;
     bool blameless = false;
     std::size_t bytes = 0;  // served
     bool unchanged = false;
--- a/src/core/requests.hpp
+++ b/src/core/requests.hpp
@@ -36,7 +36,7 @@
     RequestId request = 0;
     int attempt = 0;
     Outcome outcome = Outcome::error;
-    Note note = Note::none;
+    CacheStatus note = CacheStatus::none;
     bool blameless = false;  // it says nothing of its host that another end has not said
     bool own = false;        // served from a copy of the gateway's own: no host was asked
     Payload payload;
--- a/src/disk/before.cpp
+++ b/src/disk/before.cpp
@@ -124,7 +124,7 @@
     if (end.payload.unchanged) ++counters_.unchanged;
     end.own = true;
     end.outcome = Outcome::served;
-    end.note = Note::hit;
+    end.note = CacheStatus::hit;
     end.payload.mintedMs = copy->mintedMs;
     end.payload.facts = std::move(copy->facts);
     if (!end.payload.unchanged) end.payload.body = std::move(copy->body);
--- a/src/platform/store_words.hpp
+++ b/src/platform/store_words.hpp
@@ -14,20 +14,21 @@
 
 namespace lotuslead::platform {
 
-inline Note noteOf(std::string_view word) {
-    constexpr std::array<std::pair<std::string_view, Note>, 10> notes{{{"local", Note::hit},
-                                                                       {"pulled", Note::filled},
-                                                                       {"pulled_far", Note::filledByOrigin},
-                                                                       {"rode", Note::joined},
-                                                                       {"expired", Note::stale},
-                                                                       {"turned_away", Note::sourceRefused},
-                                                                       {"cut_off", Note::sourceUnreached},
-                                                                       {"not_there", Note::sourceLacks},
-                                                                       {"no_place", Note::noFillPlace},
-                                                                       {"far_fault", Note::originFailed}}};
+inline CacheStatus noteOf(std::string_view word) {
+    constexpr std::array<std::pair<std::string_view, CacheStatus>, 10> notes{
+        {{"local", CacheStatus::hit},
+         {"pulled", CacheStatus::filled},
+         {"pulled_far", CacheStatus::filledByOrigin},
+         {"rode", CacheStatus::joined},
+         {"expired", CacheStatus::stale},
+         {"turned_away", CacheStatus::sourceRefused},
+         {"cut_off", CacheStatus::sourceUnreached},
+         {"not_there", CacheStatus::sourceLacks},
+         {"no_place", CacheStatus::noFillPlace},
+         {"far_fault", CacheStatus::originFailed}}};
     for (const auto& [name, note] : notes)
         if (name == word) return note;
-    return Note::none;
+    return CacheStatus::none;
 }
 
 inline std::optional<Outcome> outcomeOf(std::string_view word) {
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -377,7 +377,7 @@
     void learnFromAnswer(Pending& p, const Attempt& a, const AttemptEnded& e) {
         if (p.request.sizeKb > 0 || e.sizeKb < 0) return;
         const bool told = e.sizeKb > 0 && set_->paceKb > 0;
-        if (!told && (e.note != Note::hit || !a.alone)) return;
+        if (!told && (e.note != CacheStatus::hit || !a.alone)) return;
         const double work = told ? e.sizeKb / set_->paceKb : seconds(e.elapsed);
         learnWork(p.request.classIndex, work);
         if (!told) return;
@@ -651,7 +651,9 @@
     void tellGates(Time now, const Pending& p, const Attempt& a, const AttemptEnded& e) {
         if (a.reaches == Tier::caches || a.late || e.outcome == Outcome::notSent || e.blameless) return;
         if (hosts_[a.host].entry.role == Role::cache) {
-            if (e.note == Note::hit || e.note == Note::stale || e.note == Note::noFillPlace) return;
+            if (e.note == CacheStatus::hit || e.note == CacheStatus::stale ||
+                e.note == CacheStatus::noFillPlace)
+                return;
             if (e.outcome == Outcome::noConnection) return;
         }
         const bool silent = e.outcome == Outcome::timedOut || e.outcome == Outcome::cancelled ||
@@ -661,10 +663,10 @@
         // In time means: had it been asked for at once; what the request lost before is not this tier's.
         const bool inTime = e.elapsed <= p.aim - p.arrived || zoneLinkFill(now) > 1;
         // A prompt error is its host's own trouble, and a cancelled attempt was not yet late.
-        const bool prompt = e.outcome == Outcome::error && e.note != Note::originFailed;
+        const bool prompt = e.outcome == Outcome::error && e.note != CacheStatus::originFailed;
         if (inTime && (prompt || e.outcome == Outcome::cancelled)) return;
         const bool good = e.outcome == Outcome::noCopy || (served && inTime);
-        const bool atParent = a.reaches == Tier::parents || e.note == Note::filled;
+        const bool atParent = a.reaches == Tier::parents || e.note == CacheStatus::filled;
         const HostIndex upper = a.source != kNone ? a.source : a.host;
         if (good && hosts_[upper].entry.role == Role::origin) origin_.earn(kOriginReturn);
 
@@ -882,8 +884,8 @@
         switch (e.outcome) {
             case Outcome::served: {
                 recordSuccess(a.host);
-                const bool fetched =
-                    e.note == Note::filled || e.note == Note::filledByOrigin || e.note == Note::joined;
+                const bool fetched = e.note == CacheStatus::filled || e.note == CacheStatus::filledByOrigin ||
+                                     e.note == CacheStatus::joined;
                 const Time trip = roundTrip(p);
                 if (p.work > seconds(trip) && seconds(e.elapsed - trip) < kSendSlack * p.work) {
                     hosts_[a.host].fullPaceAt = now;
@@ -909,9 +911,9 @@
                 break;
         }
         const double weight = e.blameless ? 0 : a.slow ? 1 - kSlowIsFailure : 1;
-        if (e.note >= Note::sourceRefused) {  // it and those after it say why a fill failed
-            const bool atSource = hasSource && e.note != Note::noFillPlace;
-            const bool itsOwn = atSource && e.note != Note::originFailed;
+        if (e.note >= CacheStatus::sourceRefused) {  // it and those after it say why a fill failed
+            const bool atSource = hasSource && e.note != CacheStatus::noFillPlace;
+            const bool itsOwn = atSource && e.note != CacheStatus::originFailed;
             return blame(now, p, atSource ? a.source : a.host, itsOwn ? weight : 0);
         }
         blame(now, p, a.host, hasSource ? weight / 2 : weight);
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -185,7 +185,7 @@
             ++owner_.counters_.tooOld;
             end.outcome = Outcome::noCopy;
         }
-        end.note = age > 0 ? Note::hit : Note::none;
+        end.note = age > 0 ? CacheStatus::hit : CacheStatus::none;
         // It can't be older: Age was counted after the request was sent, and cuts off less than a second
         // (RFC 9111 4.2.3).
         const Micros held = field ? std::chrono::seconds{age + 1} : Micros{0};
--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -38,7 +38,7 @@
     // One that the caches hold.
     void askHeld(const std::string& object) {
         const RequestId id = harness_.ask(object);
-        harness_.end(id, 0, Outcome::served, Note::hit);
+        harness_.end(id, 0, Outcome::served, CacheStatus::hit);
     }
 
     int fills = 0, refused = 0;
@@ -146,7 +146,7 @@
         std::vector<RequestId> fills;
         for (const char* name : {"a", "b", "c"}) fills.push_back(harness.ask(name, 0, 0, 500, 10s));
         harness.now += harness.took;
-        for (const RequestId id : fills) harness.end(id, 0, Outcome::served, Note::filled);
+        for (const RequestId id : fills) harness.end(id, 0, Outcome::served, CacheStatus::filled);
     }
     static Settings settings(double transfers) {
         Settings s = settingsFor(10);
@@ -181,7 +181,7 @@
     EXPECT_FALSE(zone.fills("known"));
     const RequestId small = zone.harness.ask("known", 1, 0, 100, 10s);
     zone.harness.took = 150ms;  // 0.1 s of sending, and the way
-    zone.harness.end(small, 0, Outcome::served, Note::filled);
+    zone.harness.end(small, 0, Outcome::served, CacheStatus::filled);
     EXPECT_TRUE(zone.fills("known"));
     zone.harness.now += 500ms;
     EXPECT_FALSE(zone.fills("known"));
@@ -200,7 +200,7 @@
         }
         if (!sent || sent->source == sent->host) continue;
         from += sent->source == parent ? 1 : 0;
-        h.end(id, attempt, Outcome::served, Note::filled);
+        h.end(id, attempt, Outcome::served, CacheStatus::filled);
     }
     return from;
 }
@@ -297,7 +297,8 @@
             const bool isFill = sent->source != sent->host;
             const bool found = cold == "c1" || isFill;
             if (sent->host == cold || (isFill && sent->source == cold)) times.push_back(at);
-            h.end(id, attempt, found ? Outcome::served : Outcome::noCopy, isFill ? Note::filled : Note::hit);
+            h.end(id, attempt, found ? Outcome::served : Outcome::noCopy,
+                  isFill ? CacheStatus::filled : CacheStatus::hit);
         }
     }
 };
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -101,7 +101,7 @@
         return r.id;
     }
 
-    void end(RequestId id, int attempt, Outcome outcome, Note note = Note::none,
+    void end(RequestId id, int attempt, Outcome outcome, CacheStatus note = CacheStatus::none,
              std::optional<double> linkFill = std::nullopt, bool blameless = false, double sizeKb = 0) {
         AttemptEnded e;
         e.sizeKb = sizeKb;
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -179,7 +179,8 @@
         for (std::size_t k = 0; k < sent.size(); ++k) {
             const bool fill = sent[k].source != sent[k].host && !sent[k].heldOnly;
             ++(fill ? upward : held);
-            h.end(id, static_cast<int>(k), fill ? Outcome::error : Outcome::noCopy, Note::originFailed);
+            h.end(id, static_cast<int>(k), fill ? Outcome::error : Outcome::noCopy,
+                  CacheStatus::originFailed);
             for (const Send& more : h.all<Send>()) sent.push_back(more);
         }
         h.now += 20ms;
@@ -342,7 +343,7 @@
     const RequestId id = h.ask("a");
     EXPECT_EQ(h.one<Send>()->oldest, 8s);
     EXPECT_TRUE(h.one<Send>()->renew);
-    h.end(id, 0, Outcome::error, Note::sourceUnreached);
+    h.end(id, 0, Outcome::error, CacheStatus::sourceUnreached);
     ASSERT_TRUE(h.one<Send>());
     EXPECT_EQ(h.one<Send>()->oldest, 18s);
 }
@@ -452,7 +453,7 @@
     for (int i = 0; i < 30; ++i) {
         h.know("a");
         const RequestId id = h.ask("a");
-        h.end(id, 0, Outcome::served, Note::none, 30.0);
+        h.end(id, 0, Outcome::served, CacheStatus::none, 30.0);
     }
     const RequestId id = h.ask("big", 0, 0, 500);
     const auto sent = h.one<Send>();
@@ -470,7 +471,7 @@
     h.growUp();
     h.know("a");
     const RequestId id = h.ask("a");
-    h.end(id, 0, Outcome::served, Note::none, 30.0);
+    h.end(id, 0, Outcome::served, CacheStatus::none, 30.0);
     h.now += 10s;
     h.ask("big", 0, 0, 500);
     EXPECT_TRUE(startsWith(h.one<Send>()->host, 'p'));
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -30,7 +30,8 @@
     h.know("a");
     std::vector<RequestId> ids;
     for (int i = 0; i < 5; ++i) ids.push_back(h.ask("a"));
-    for (std::size_t i = 0; i < ids.size(); ++i) h.end(ids[i], 0, Outcome::broken, Note::none, {}, i > 0);
+    for (std::size_t i = 0; i < ids.size(); ++i)
+        h.end(ids[i], 0, Outcome::broken, CacheStatus::none, {}, i > 0);
     h.ask("a");
     ASSERT_EQ(h.all<Send>().size(), 1u);
     EXPECT_EQ(h.all<Send>().front().host, "c1");
@@ -48,7 +49,7 @@
         const RequestId id = h.ask(object, 0, 1, 0);
         h.now += took;
         h.took = took;
-        h.end(id, 0, Outcome::served, Note::filledByOrigin, {}, false, 300);  // 300 ms to send
+        h.end(id, 0, Outcome::served, CacheStatus::filledByOrigin, {}, false, 300);  // 300 ms to send
         return id;
     };
     for (int i = 0; i < 60; ++i) askAndEnd("large" + std::to_string(i), 700ms);  // all within 200 + 600 ms
@@ -58,7 +59,7 @@
         const auto send = h.one<Send>();
         ASSERT_TRUE(send);
         sent += send->source == send->host ? 0 : 1;  // else only what is held there is asked for
-        h.end(id, 0, Outcome::served, Note::filledByOrigin, {}, false, 300);
+        h.end(id, 0, Outcome::served, CacheStatus::filledByOrigin, {}, false, 300);
         h.now += 10ms;
     }
     EXPECT_EQ(sent, 60);
@@ -80,7 +81,7 @@
             const RequestId other = h.ask("b" + std::to_string(i));
             const bool same = h.one<Send>()->host == host;
             h.now += 1ms;
-            h.end(other, 0, Outcome::served, Note::hit);
+            h.end(other, 0, Outcome::served, CacheStatus::hit);
             if (same) break;
             h.know("b" + std::to_string(i + 1));
         }
@@ -299,13 +300,13 @@
     h.usualList();
     h.took = 300ms;
     for (int i = 0; i < 300; ++i, h.now += 20ms)
-        h.end(h.ask("warm" + std::to_string(i % 20), 0, 0, 0), 0, Outcome::served, Note::hit);
+        h.end(h.ask("warm" + std::to_string(i % 20), 0, 0, 0), 0, Outcome::served, CacheStatus::hit);
     h.list({Harness::cache("c1", h.now), Harness::cache("c2")}, false);
     int sent = 0;
     for (int i = 0; i < 200; ++i, h.now += 1ms) {
         const RequestId id = h.ask("warm" + std::to_string(i % 20), i, 0, 0);
         for (const Send& s : h.all<Send>()) sent += s.host == "c1" ? 1 : 0;
-        h.end(id, 0, Outcome::served, Note::hit);
+        h.end(id, 0, Outcome::served, CacheStatus::hit);
     }
     // Guessed low, its link carries 2 transfers: 0.2 of them times 4 over 1.5 s is 2.4 s of work.
     EXPECT_LT(sent * 0.3, 2.4);
