--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -21,7 +21,7 @@
 // What may happen when a request is run more than once.
 enum class Effect { safe, keyed, unsafe };
 // The hosts that together drop repeats of a keyed request.
-enum class RepeatGroup { all, zone, cell };
+enum class DeduplicationScope { all, zone, cell };
 enum class Role { cache, parent, origin };
 enum class Readiness { gone, ready, draining };
 // What a host's weight in the list means; `none` and `live` are no measure of its link.
@@ -36,7 +36,7 @@
     double worth = 1;
     double lateWorth = 0;  // share of the worth that a late answer earns
     Effect effect = Effect::unsafe;
-    RepeatGroup group = RepeatGroup::all;
+    DeduplicationScope group = DeduplicationScope::all;
     Time repeatWindow{};  // how long a keyed request's repeats are dropped
     bool streamed = false;
     bool inParts = false;
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -836,8 +836,8 @@
             if (c.effect == Effect::unsafe) return false;
             const HostEntry& before = hosts_[a.host].entry;
             if (now - a.sentAt >= c.repeatWindow) return false;
-            if (c.group == RepeatGroup::zone && before.zone != host.entry.zone) return false;
-            if (c.group == RepeatGroup::cell && before.cell != host.entry.cell) return false;
+            if (c.group == DeduplicationScope::zone && before.zone != host.entry.zone) return false;
+            if (c.group == DeduplicationScope::cell && before.cell != host.entry.cell) return false;
         }
         return true;
     }
@@ -847,7 +847,7 @@
         if (c.effect == Effect::safe) return true;
         const bool perhapsRun = std::any_of(p.attempts.begin(), p.attempts.end(),
                                             [](const Attempt& a) { return a.out || a.mayHaveRun; });
-        return !perhapsRun || (c.effect == Effect::keyed && c.group == RepeatGroup::all);
+        return !perhapsRun || (c.effect == Effect::keyed && c.group == DeduplicationScope::all);
     }
 
     void giveUp(Pending& p, GiveUp why, Actions& out) {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -21,10 +21,10 @@
     throw Malformed("unknown effect '" + word + "'");
 }
 
-RepeatGroup groupOf(const std::string& word) {
-    if (word == "all") return RepeatGroup::all;
-    if (word == "zone") return RepeatGroup::zone;
-    if (word == "cell") return RepeatGroup::cell;
+DeduplicationScope groupOf(const std::string& word) {
+    if (word == "all") return DeduplicationScope::all;
+    if (word == "zone") return DeduplicationScope::zone;
+    if (word == "cell") return DeduplicationScope::cell;
     throw Malformed("unknown group '" + word + "'");
 }
 
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -533,7 +533,7 @@
                                                [](Settings& s) {
                                                    for (auto& c : s.classes) {
                                                        c.effect = Effect::keyed;
-                                                       c.group = RepeatGroup::cell;
+                                                       c.group = DeduplicationScope::cell;
                                                        c.repeatWindow = 1s;
                                                    }
                                                }},
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -156,7 +156,7 @@
 
 // --- 2: no effect twice ---
 
-Settings withEffect(Effect effect, RepeatGroup group = RepeatGroup::all) {
+Settings withEffect(Effect effect, DeduplicationScope group = DeduplicationScope::all) {
     Settings s = basicSettings();
     for (ClassSettings& c : s.classes) {
         c.effect = effect;
@@ -197,7 +197,7 @@
 }
 
 TEST(Effects, KeyedStaysInItsZoneAndWindow) {
-    Harness h(withEffect(Effect::keyed, RepeatGroup::zone));
+    Harness h(withEffect(Effect::keyed, DeduplicationScope::zone));
     h.usualList();
     h.growUp(3);
     const RequestId id = h.ask("a");
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-ClassSettings classOf(Effect effect, RepeatGroup group = RepeatGroup::all) {
+ClassSettings classOf(Effect effect, DeduplicationScope group = DeduplicationScope::all) {
     ClassSettings rules;
     rules.effect = effect;
     rules.group = group;
@@ -49,10 +49,14 @@
     EXPECT_EQ(mayRepeat(classOf(Effect::safe), earlier, 99s, {2, 8}), Denial::none);
     EXPECT_EQ(mayRepeat(classOf(Effect::keyed), earlier, 10s, {2, 8}), Denial::none);
     EXPECT_EQ(mayRepeat(classOf(Effect::keyed), earlier, 11s, {1, 7}), Denial::windowPassed);
-    EXPECT_EQ(mayRepeat(classOf(Effect::keyed, RepeatGroup::zone), earlier, 10s, {1, 8}), Denial::none);
-    EXPECT_EQ(mayRepeat(classOf(Effect::keyed, RepeatGroup::zone), earlier, 10s, {2, 7}), Denial::otherGroup);
-    EXPECT_EQ(mayRepeat(classOf(Effect::keyed, RepeatGroup::cell), earlier, 10s, {2, 7}), Denial::none);
-    EXPECT_EQ(mayRepeat(classOf(Effect::keyed, RepeatGroup::cell), earlier, 10s, {1, 8}), Denial::otherGroup);
+    EXPECT_EQ(mayRepeat(classOf(Effect::keyed, DeduplicationScope::zone), earlier, 10s, {1, 8}),
+              Denial::none);
+    EXPECT_EQ(mayRepeat(classOf(Effect::keyed, DeduplicationScope::zone), earlier, 10s, {2, 7}),
+              Denial::otherGroup);
+    EXPECT_EQ(mayRepeat(classOf(Effect::keyed, DeduplicationScope::cell), earlier, 10s, {2, 7}),
+              Denial::none);
+    EXPECT_EQ(mayRepeat(classOf(Effect::keyed, DeduplicationScope::cell), earlier, 10s, {1, 8}),
+              Denial::otherGroup);
 }
 
 TEST(Rules, ARefusalPromisesThatNothingHasHappened) {
@@ -60,8 +64,8 @@
     EXPECT_EQ(mayRefuse(classOf(Effect::unsafe), true), Denial::promisesNoEffect);
     EXPECT_EQ(mayRefuse(classOf(Effect::safe), true), Denial::none);
     EXPECT_EQ(mayRefuse(classOf(Effect::keyed), true), Denial::none);
-    EXPECT_EQ(mayRefuse(classOf(Effect::keyed, RepeatGroup::zone), true), Denial::promisesNoEffect);
-    EXPECT_EQ(mayRefuse(classOf(Effect::keyed, RepeatGroup::cell), true), Denial::promisesNoEffect);
+    EXPECT_EQ(mayRefuse(classOf(Effect::keyed, DeduplicationScope::zone), true), Denial::promisesNoEffect);
+    EXPECT_EQ(mayRefuse(classOf(Effect::keyed, DeduplicationScope::cell), true), Denial::promisesNoEffect);
 }
 
 TEST(Rules, AnswersAreGivenOnceAndCopiesConfirmedOnlyWhenNamed) {
