--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -177,21 +177,21 @@
     Time timeout{};
 };
 // Why a request was given up, which means answered at once; a refusal tells the client when to come back.
-enum class GiveUp {
-    noTime,        // left for another attempt
-    mostAttempts,  // as many as the settings allow
-    noRoute,       // no host that may be used now
-    noAllowance,   // for retries
-    cancelled      // its attempt was
+enum class GiveUpReason {
+    noTime,         // left for another attempt
+    attemptLimit,   // as many as the settings allow
+    noRoute,        // no host that may be used now
+    noRetryBudget,  // for retries
+    cancelled       // its attempt was
 };
 struct Refuse {
     RequestId request = 0;
     Time retryIn{};
-    GiveUp why = GiveUp::noRoute;
+    GiveUpReason why = GiveUpReason::noRoute;
 };
 struct Fail {
     RequestId request = 0;
-    GiveUp why = GiveUp::noRoute;
+    GiveUpReason why = GiveUpReason::noRoute;
 };
 struct Cancel {
     RequestId request = 0;
--- a/src/core/decisions.hpp
+++ b/src/core/decisions.hpp
@@ -39,9 +39,9 @@
 struct Verdict {
     Verb verb = Verb::fail;
     RequestId request = 0;
-    int attempt = 0;               // send and cancel
-    Micros pause{};                // refuse: the client may come back after this
-    GiveUp why = GiveUp::noRoute;  // refuse and fail
+    int attempt = 0;                           // send and cancel
+    Micros pause{};                            // refuse: the client may come back after this
+    GiveUpReason why = GiveUpReason::noRoute;  // refuse and fail
     // send:
     std::string host;
     std::string source;  // where a miss is filled from; empty: no fill
--- a/src/core/requests.cpp
+++ b/src/core/requests.cpp
@@ -13,7 +13,7 @@
     return names[static_cast<std::size_t>(outcome)];
 }
 
-const char* nameOf(GiveUp why) {
+const char* nameOf(GiveUpReason why) {
     constexpr std::array<const char*, kGiveUps> names{"no_time", "most_attempts", "no_route", "no_allowance",
                                                       "cancelled"};
     return names[static_cast<std::size_t>(why)];
--- a/src/core/requests.hpp
+++ b/src/core/requests.hpp
@@ -55,14 +55,14 @@
 inline constexpr std::size_t kOutcomes = 9;
 inline constexpr std::size_t kGiveUps = 5;
 const char* nameOf(Outcome outcome);
-const char* nameOf(GiveUp why);
+const char* nameOf(GiveUpReason why);
 
 struct Counters {
     std::uint64_t taken = 0, served = 0, unchanged = 0, refused = 0, failed = 0, gone = 0, overdue = 0;
     std::uint64_t own = 0;  // served from a copy of the gateway's own
     std::uint64_t sent = 0, cancelled = 0;
     std::array<std::uint64_t, kOutcomes> outcomes{};  // by Outcome
-    std::array<std::uint64_t, kGiveUps> gaveUp{};     // refused or failed without an answer, by GiveUp
+    std::array<std::uint64_t, kGiveUps> gaveUp{};     // refused or failed without an answer, by GiveUpReason
 };
 
 class Requests {
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -75,7 +75,7 @@
     printFigures(name, "attempts", attempts);
     std::vector<Figure> gaveUp;
     for (std::size_t i = 0; i < kGiveUps; ++i)
-        gaveUp.emplace_back(nameOf(static_cast<GiveUp>(i)), r.gaveUp[i]);
+        gaveUp.emplace_back(nameOf(static_cast<GiveUpReason>(i)), r.gaveUp[i]);
     printFigures(name, "gave_up", gaveUp);
     std::vector<Figure> rules{{"violations", requests.checks().violations()}};
     const RuleChecks::Counts& heldBack = requests.checks().heldBack();
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -230,7 +230,7 @@
             else if (e.outcome != Outcome::cancelled || p.retryAfterCancel)
                 retryOrGiveUp(now, p, e.blameless, out);
             else
-                giveUp(p, GiveUp::cancelled, out);
+                giveUp(p, GiveUpReason::cancelled, out);
         }
         forgetIfDone(e.request);
     }
@@ -698,9 +698,9 @@
     void sendOrGiveUp(Time now, Pending& p, Actions& out) {
         const bool late = p.request.deadline - now <= fromSeconds(p.work);
         if (late || static_cast<int>(p.attempts.size()) >= p.set->mostTries)
-            return giveUp(p, late ? GiveUp::noTime : GiveUp::mostAttempts, out);
+            return giveUp(p, late ? GiveUpReason::noTime : GiveUpReason::attemptLimit, out);
         const Route route = chooseRoute(now, p);
-        route.ok() ? send(now, p, route, out) : giveUp(p, GiveUp::noRoute, out);
+        route.ok() ? send(now, p, route, out) : giveUp(p, GiveUpReason::noRoute, out);
     }
 
     void send(Time now, Pending& p, const Route& route, Actions& out) {
@@ -821,7 +821,8 @@
     }
 
     void retryOrGiveUp(Time now, Pending& p, bool blameless, Actions& out) {
-        if (!p.retryAfterCancel && !blameless && !extra_.spend()) return giveUp(p, GiveUp::noAllowance, out);
+        if (!p.retryAfterCancel && !blameless && !extra_.spend())
+            return giveUp(p, GiveUpReason::noRetryBudget, out);
         p.retryAfterCancel = false;
         p.staleWillDo = true;
         sendOrGiveUp(now, p, out);
@@ -850,7 +851,7 @@
         return !perhapsRun || (c.effect == Effect::keyed && c.group == DeduplicationScope::all);
     }
 
-    void giveUp(Pending& p, GiveUp why, Actions& out) {
+    void giveUp(Pending& p, GiveUpReason why, Actions& out) {
         const Time hint = p.set->retryHints ? std::min(kRetryHint, p.set->maxRetryHint) : Time{0};
         refusalAllowed(p) ? out.push_back(Refuse{p.request.id, hint, why})
                           : out.push_back(Fail{p.request.id, why});
