--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -212,26 +212,26 @@
 
 // --- what a router that takes another's place should know ---
 
-struct KnownObject {  // of a name in the filter
+struct LearnedObject {  // of a name in the filter
     std::int64_t lastPart = -1;
     bool manyViewers = false;
     double work = 0;  // of one part, as last seen, in seconds of sending time; zero: not known
 };
-struct KnownHost {
+struct LearnedHost {
     double failures = 0;  // fading share
     bool out = false;     // left out; comes back by trials
     Time outUntil{}, pause{};
     double link = 0;  // the most transfers at a time that it has served: its link carries this much at least
 };
-struct NamedHost : KnownHost {
+struct NamedLearnedHost : LearnedHost {
     std::string name;
     double coldWork = 0;  // sent to it lately, in seconds of sending time
 };
-struct Warmth {
+struct LearnedState {
     Time startedAt{};
-    std::vector<double> meanWork;                                // per class; zero: not known
-    std::vector<std::pair<std::uint64_t, KnownObject>> objects;  // oldest first
-    std::vector<NamedHost> hosts;
+    std::vector<double> meanWork;                                  // per class; zero: not known
+    std::vector<std::pair<std::uint64_t, LearnedObject>> objects;  // oldest first
+    std::vector<NamedLearnedHost> hosts;
 };
 
 // One router: fed with events in the order they came, it appends what is to be done.
@@ -256,9 +256,9 @@
     void handle(Time now, const ProbeEnded& event, Actions& out);
     void handleClientGone(Time now, RequestId request, Actions& out);
     void handleTimer(Time now, TimerId timer, Actions& out);
-    Warmth warmth(Time now);
-    void warm(Time now, const Warmth& known);  // hosts that are not listed are passed over
-    std::size_t places() const;                // held for hosts, also those that are gone
+    LearnedState learnedState(Time now);
+    void warm(Time now, const LearnedState& known);  // hosts that are not listed are passed over
+    std::size_t places() const;                      // held for hosts, also those that are gone
 
 private:
     class Impl;
--- a/src/core/decisions.cpp
+++ b/src/core/decisions.cpp
@@ -45,29 +45,29 @@
 
 nlohmann::json Decisions::handOver(Micros now) {
     using nlohmann::json;
-    const Warmth known = router_.warmth(moduleTime(now));
+    const LearnedState known = router_.learnedState(moduleTime(now));
     json work = json::object(), objects = json::array(), hosts = json::object();
     for (std::size_t i = 0; i < known.meanWork.size(); ++i) work[words_.classNames[i]] = known.meanWork[i];
     for (const auto& [name, object] : known.objects)
         objects.push_back({name, object.lastPart, object.manyViewers, object.work});
-    for (const NamedHost& h : known.hosts)
+    for (const NamedLearnedHost& h : known.hosts)
         hosts[h.name] = {h.failures, h.out, h.outUntil.count(), h.pause.count(), h.link, h.coldWork};
     return {{"startedAt", known.startedAt.count()}, {"work", work}, {"objects", objects}, {"hosts", hosts}};
 }
 
 // Both read the same machine's monotonic clock.
 void Decisions::takeOver(Micros now, const nlohmann::json& known) {
-    Warmth warmth;
+    LearnedState learnedState;
     const auto time = [](const nlohmann::json& value) { return Time{value.get<std::int64_t>()}; };
-    warmth.startedAt = time(known.at("startedAt"));
+    learnedState.startedAt = time(known.at("startedAt"));
     for (const std::string& name : words_.classNames)
-        warmth.meanWork.push_back(known.at("work").value(name, 0.0));
+        learnedState.meanWork.push_back(known.at("work").value(name, 0.0));
     for (const auto& o : known.at("objects"))
-        warmth.objects.push_back({o.at(0), {o.at(1), o.at(2).get<bool>(), o.at(3)}});
+        learnedState.objects.push_back({o.at(0), {o.at(1), o.at(2).get<bool>(), o.at(3)}});
     for (const auto& [name, h] : known.at("hosts").items())
-        warmth.hosts.push_back(
+        learnedState.hosts.push_back(
             {{h.at(0), h.at(1).get<bool>(), time(h.at(2)), time(h.at(3)), h.at(4)}, name, h.at(5)});
-    router_.warm(moduleTime(now), warmth);
+    router_.warm(moduleTime(now), learnedState);
 }
 
 // The list's clock and ours may be far apart: ours is read once, at the start, and may have been stepped.
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -77,7 +77,7 @@
 double seconds(Time t) { return std::chrono::duration<double>(t).count(); }
 Time fromSeconds(double s) { return Time{static_cast<std::int64_t>(s * 1e9)}; }
 
-struct Host : KnownHost {
+struct Host : LearnedHost {
     Host() { pause = kFirstPause; }
     HostEntry entry;
     std::uint64_t hash = 0;
@@ -93,7 +93,7 @@
     Time heardAt = -1h;  // when it last gave an answer of any kind
 };
 
-struct ObjectRecord : KnownObject {
+struct ObjectRecord : LearnedObject {
     FadingRate bytes;
 };
 
@@ -285,22 +285,22 @@
 
     // --- taking another's place ---
 
-    Warmth warmth(Time now) {
-        Warmth known{startedAt_, meanWork_, {}, {}};
+    LearnedState learnedState(Time now) {
+        LearnedState known{startedAt_, meanWork_, {}, {}};
         filter_.fromOldest([&](auto name, auto& record) { known.objects.emplace_back(name, record); });
         for (Host& h : hosts_)
             if (h.listed) known.hosts.push_back({h, h.entry.name, h.coldWork.over(now, set_->fallWindow)});
         return known;
     }
 
-    void warm(Time now, const Warmth& known) {
+    void warm(Time now, const LearnedState& known) {
         (meanWork_ = known.meanWork).resize(set_->classes.size(), 0);
         for (const auto& [name, object] : known.objects) filter_.touch(name).first = {object, {}};
         startedAt_ = std::min(startedAt_, known.startedAt);
-        for (const NamedHost& from : known.hosts) {
+        for (const NamedLearnedHost& from : known.hosts) {
             const auto it = byName_.find(from.name);
             if (it == byName_.end()) continue;
-            static_cast<KnownHost&>(hosts_[it->second]) = from;
+            static_cast<LearnedHost&>(hosts_[it->second]) = from;
             hosts_[it->second].coldWork.add(now, from.coldWork);
         }
     }
@@ -1002,8 +1002,8 @@
 void Router::handle(Time, const ProbeEnded&, Actions&) {}
 void Router::handleClientGone(Time, RequestId request, Actions& out) { impl_->clientGone(request, out); }
 void Router::handleTimer(Time now, TimerId timer, Actions& out) { impl_->timer(now, timer, out); }
-Warmth Router::warmth(Time now) { return impl_->warmth(now); }
-void Router::warm(Time now, const Warmth& known) { impl_->warm(now, known); }
+LearnedState Router::learnedState(Time now) { return impl_->learnedState(now); }
+void Router::warm(Time now, const LearnedState& known) { impl_->warm(now, known); }
 std::size_t Router::places() const { return impl_->places(); }
 
 }  // namespace lotuslead
