--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -257,7 +257,7 @@
     void handleClientGone(Time now, RequestId request, Actions& out);
     void handleTimer(Time now, TimerId timer, Actions& out);
     LearnedState learnedState(Time now);
-    void warm(Time now, const LearnedState& known);  // hosts that are not listed are passed over
+    void restore(Time now, const LearnedState& known);  // hosts that are not listed are passed over
     std::size_t places() const;                      // held for hosts, also those that are gone
 
 private:
--- a/src/core/decisions.cpp
+++ b/src/core/decisions.cpp
@@ -67,7 +67,7 @@
     for (const auto& [name, h] : known.at("hosts").items())
         learnedState.hosts.push_back(
             {{h.at(0), h.at(1).get<bool>(), time(h.at(2)), time(h.at(3)), h.at(4)}, name, h.at(5)});
-    router_.warm(moduleTime(now), learnedState);
+    router_.restore(moduleTime(now), learnedState);
 }
 
 // The list's clock and ours may be far apart: ours is read once, at the start, and may have been stepped.
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -293,7 +293,7 @@
         return known;
     }
 
-    void warm(Time now, const LearnedState& known) {
+    void restore(Time now, const LearnedState& known) {
         (meanWork_ = known.meanWork).resize(set_->classes.size(), 0);
         for (const auto& [name, object] : known.objects) filter_.touch(name).first = {object, {}};
         startedAt_ = std::min(startedAt_, known.startedAt);
@@ -1003,7 +1003,7 @@
 void Router::handleClientGone(Time, RequestId request, Actions& out) { impl_->clientGone(request, out); }
 void Router::handleTimer(Time now, TimerId timer, Actions& out) { impl_->timer(now, timer, out); }
 LearnedState Router::learnedState(Time now) { return impl_->learnedState(now); }
-void Router::warm(Time now, const LearnedState& known) { impl_->warm(now, known); }
+void Router::restore(Time now, const LearnedState& known) { impl_->restore(now, known); }
 std::size_t Router::places() const { return impl_->places(); }
 
 }  // namespace lotuslead
