--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -258,7 +258,7 @@
     void handleTimer(Time now, TimerId timer, Actions& out);
     LearnedState learnedState(Time now);
     void restore(Time now, const LearnedState& known);  // hosts that are not listed are passed over
-    std::size_t places() const;                      // held for hosts, also those that are gone
+    std::size_t hostSlots() const;                      // held for hosts, also those that are gone
 
 private:
     class Impl;
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -281,7 +281,7 @@
         }
     }
 
-    std::size_t places() const { return hosts_.size(); }
+    std::size_t hostSlots() const { return hosts_.size(); }
 
     // --- taking another's place ---
 
@@ -1004,6 +1004,6 @@
 void Router::handleTimer(Time now, TimerId timer, Actions& out) { impl_->timer(now, timer, out); }
 LearnedState Router::learnedState(Time now) { return impl_->learnedState(now); }
 void Router::restore(Time now, const LearnedState& known) { impl_->restore(now, known); }
-std::size_t Router::places() const { return impl_->places(); }
+std::size_t Router::hostSlots() const { return impl_->hostSlots(); }
 
 }  // namespace lotuslead
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -171,7 +171,7 @@
         end(id, 0, Outcome::served);
     }
 
-    std::size_t places() const { return router_.places(); }
+    std::size_t hostSlots() const { return router_.hostSlots(); }
 
     Time now = 1000s;
     Time took{};  // by the attempts that end
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -20,7 +20,7 @@
         h.end(id, 0, Outcome::served);
         h.now += 6s;
     }
-    EXPECT_LE(h.places(), 9u);
+    EXPECT_LE(h.hostSlots(), 9u);
 }
 
 TEST(Health, TheEndOfOneConnectionIsOneWordOnItsHost) {
