--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -14,7 +14,7 @@
 #include "../net/loop.hpp"
 #include "../net/resp.hpp"
 #include "../net/stream.hpp"
-#include "../support/running_mean.hpp"
+#include "../support/moving_average.hpp"
 
 namespace lotuslead::platform {
 
--- a/src/platform/silence.hpp
+++ b/src/platform/silence.hpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <chrono>
 
-#include "../support/running_mean.hpp"
+#include "../support/moving_average.hpp"
 
 namespace lotuslead::platform {
 
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -11,9 +11,9 @@
 #include <utility>
 
 #include "lotuslead/router.hpp"
-#include "support/allowance.hpp"
 #include "support/hash.hpp"
 #include "support/lru_map.hpp"
+#include "support/token_bucket.hpp"
 #include "support/window_sum.hpp"
 
 namespace lotuslead {
