--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -192,8 +192,8 @@
     // --- requests ---
 
     void take(Time now, const Request& request, Actions& out) {
-        extra_.earn(kExtraShare);
-        origin_.earn(kOriginShare);
+        extra_.deposit(kExtraShare);
+        origin_.deposit(kOriginShare);
         Pending& p = pending_[request.id];
         p.request = request;
         p.set = set_;
@@ -617,9 +617,9 @@
         if (upward && parent != kNone) return {parent, write ? top : kNone, 0, false};
         const HostIndex cache = pickCache(now, p);
         if (cache != kNone && source != kNone && (!upward || top == kNone))
-            if (source != top || origin_.spend()) return {cache, source, p.keepRank, false};
+            if (source != top || origin_.tryTake()) return {cache, source, p.keepRank, false};
         if (set_->direct && parent != kNone) return {parent, kNone, 0, false};
-        if (set_->direct && top != kNone && origin_.spend()) return {top, kNone, 0};
+        if (set_->direct && top != kNone && origin_.tryTake()) return {top, kNone, 0};
         return write ? Route{} : oldCopy(now, p, kNone);
     }
 
@@ -668,7 +668,7 @@
         const bool good = e.outcome == Outcome::noCopy || (served && inTime);
         const bool atParent = a.reaches == Tier::parents || e.note == CacheStatus::filled;
         const HostIndex upper = a.source != kNone ? a.source : a.host;
-        if (good && hosts_[upper].entry.role == Role::origin) origin_.earn(kOriginReturn);
+        if (good && hosts_[upper].entry.role == Role::origin) origin_.deposit(kOriginReturn);
 
         const double bad = good ? 0 : silent ? kSilenceSays : 1;
         // Answers well in time open more than those that only just made it.
@@ -799,7 +799,7 @@
         avoid(p, a.host);
         if (a.source != kNone) avoid(p, a.source);
         const Route route = chooseRoute(now, p);
-        if (!route.ok() || !extra_.spend()) return;
+        if (!route.ok() || !extra_.tryTake()) return;
         if (p.set->secondCopies) return send(now, p, route, out);
         p.retryAfterCancel = true;
         out.push_back(Cancel{p.request.id, number});
@@ -821,7 +821,7 @@
     }
 
     void retryOrGiveUp(Time now, Pending& p, bool blameless, Actions& out) {
-        if (!p.retryAfterCancel && !blameless && !extra_.spend())
+        if (!p.retryAfterCancel && !blameless && !extra_.tryTake())
             return giveUp(p, GiveUpReason::noRetryBudget, out);
         p.retryAfterCancel = false;
         p.staleWillDo = true;
@@ -972,8 +972,8 @@
     std::unordered_map<std::uint64_t, Time> objectPurges_, groupPurges_;
     std::deque<std::pair<Time, Purge>> purgeOrder_;
     Gate gates_[2];  // before the parents, and before the origin
-    Allowance extra_{kExtraBurst, kExtraBurst};
-    Allowance origin_{kOriginBurst, kOriginBurst};
+    TokenBucket extra_{kExtraBurst, kExtraBurst};
+    TokenBucket origin_{kOriginBurst, kOriginBurst};
     Time startedAt_{};
     TimerId nextTimer_ = 1;
     TimerId watchTimer_ = 0;
--- a/src/support/token_bucket.hpp
+++ b/src/support/token_bucket.hpp
@@ -5,10 +5,10 @@
 
 namespace lotuslead {
 
-struct Allowance {
-    double burst, left;
-    void earn(double by) { left = std::min(burst, left + by); }
-    bool spend() { return left >= 1 ? (left -= 1, true) : false; }
+struct TokenBucket {
+    double capacity, tokens;
+    void deposit(double amount) { tokens = std::min(capacity, tokens + amount); }
+    bool tryTake() { return tokens >= 1 ? (tokens -= 1, true) : false; }
 };
 
 }  // namespace lotuslead
