--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -350,7 +350,7 @@
         release(tag);
         if (reply.word == Reply::Word::served) {
             strikes_ = 0;
-            owner_.answer_.learn(static_cast<double>(reply.payload.body.size()));
+            owner_.answer_.add(static_cast<double>(reply.payload.body.size()));
             if (reply.payload.unchanged) {
                 answer(tag, "SERVED", "keep=1", {});
             } else if (owner_.unsent_ + reply.payload.body.size() > owner_.mostFor(counted_)) {
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -84,7 +84,7 @@
     std::size_t mostBytes_ = 0;
     std::size_t unsent_ = 0;  // bytes of answers that clients have not yet read, and of calls not yet taken
     // Bytes of the last fifty answers or so; before any, a quarter of the largest.
-    RunningMean answer_{0.02, 0.02, 60'000};
+    MovingAverage answer_{0.02, 0.02, 60'000};
     bool leaving_ = false;
     bool lastCall_ = false;
     bool yielding_ = false;
--- a/src/platform/silence.hpp
+++ b/src/platform/silence.hpp
@@ -21,7 +21,7 @@
     void bound(Micros most) { most_ = std::clamp(most, kLeast, kMost); }
     void learn(Micros silence) {
         const auto seen = static_cast<double>(std::clamp(silence, Micros{0}, kMost).count());
-        if (known_.mean > 0) return known_.learn(seen);
+        if (known_.mean > 0) return known_.add(seen);
         known_.mean = seen;
         known_.deviation = seen / 2;
     }
@@ -32,7 +32,7 @@
 
 private:
     Micros most_ = kMost;
-    RunningMean known_{1.0 / 8, 1.0 / 4};
+    MovingAverage known_{1.0 / 8, 1.0 / 4};
 };
 
 }  // namespace lotuslead::platform
--- a/src/support/moving_average.hpp
+++ b/src/support/moving_average.hpp
@@ -5,11 +5,11 @@
 
 namespace lotuslead {
 
-struct RunningMean {
+struct MovingAverage {
     double meanWeight, deviationWeight;  // of one more
     double mean = 0, deviation = 0;
 
-    void learn(double seen) {
+    void add(double seen) {
         deviation += deviationWeight * (std::abs(seen - mean) - deviation);
         mean += meanWeight * (seen - mean);
     }
