--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -88,13 +88,13 @@
     Time reportedAt = -1h;
     Time fullPaceAt = -1h;  // when an answer last came at full pace
     WindowSum coldWork;     // sent lately, in seconds of sending time
-    FadingRate served;      // transfers at a time, in what it answers here
+    DecayingRate served;    // transfers at a time, in what it answers here
     Time goneAt{};
     Time heardAt = -1h;  // when it last gave an answer of any kind
 };
 
 struct ObjectRecord : LearnedObject {
-    FadingRate bytes;
+    DecayingRate bytes;
 };
 
 enum class Tier { caches, parents, origin };  // how far up an attempt may reach
@@ -138,7 +138,7 @@
     double window = kGateOpen;  // below one: one at a time, with pauses
     int out = 0;
     Time cutAt = -1h, closedUntil{};
-    FadingRate good, bad;
+    DecayingRate good, bad;
     bool open(Time now) const { return out < std::max(1.0, window) && (window >= 1 || now >= closedUntil); }
     bool tight(Time now) const { return now - cutAt < kGateSpan || !open(now); }
 };
@@ -979,7 +979,7 @@
     TimerId watchTimer_ = 0;
     double linkFill_ = 0;  // transfers over those that fit at full pace
     Time linkReportAt_ = -kReportLasts;
-    FadingMean fills_;               // own ones out
+    DecayingMean fills_;             // own ones out
     Time linkPaceAt_ = -kPaceLasts;  // when a fill last came at full pace
 };
 
--- a/src/support/window_sum.hpp
+++ b/src/support/window_sum.hpp
@@ -33,22 +33,22 @@
 };
 
 // A rate that forgets exponentially: amounts a second, averaged over about `span`.
-class FadingRate {
+class DecayingRate {
 public:
     using Time = std::chrono::nanoseconds;
 
     void add(Time now, Time span, double amount) {
-        fade(now, span);
+        decay(now, span);
         sum_ += amount;
     }
 
     double perSecond(Time now, Time span) {
-        fade(now, span);
+        decay(now, span);
         return sum_ / std::chrono::duration<double>(span).count();
     }
 
 private:
-    void fade(Time now, Time span) {
+    void decay(Time now, Time span) {
         if (now > at_) {
             const std::chrono::duration<double> passed = now - at_;
             sum_ *= std::exp(-passed.count() / std::chrono::duration<double>(span).count());
@@ -61,7 +61,7 @@
 };
 
 // The mean over about `span` of a number that holds until it is set anew.
-class FadingMean {
+class DecayingMean {
 public:
     using Time = std::chrono::nanoseconds;
 
--- a/tests/support_test.cpp
+++ b/tests/support_test.cpp
@@ -29,7 +29,7 @@
 }
 
 TEST(FadingRate, FadesToAThirdInOneSpan) {
-    FadingRate rate;
+    DecayingRate rate;
     rate.add(1s, 2s, 4);
     EXPECT_DOUBLE_EQ(rate.perSecond(1s, 2s), 2);
     EXPECT_NEAR(rate.perSecond(3s, 2s), 2 * 0.3679, 0.001);
