--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -21,64 +21,79 @@
 
 using namespace std::chrono_literals;
 using HostIndex = std::uint32_t;
-constexpr HostIndex kNone = ~HostIndex{0};
+constexpr HostIndex kNoHost = ~HostIndex{0};
 
 // The design.
-constexpr std::size_t kFilterNames = 4096;  // the design page's default
-constexpr Time kYoungFilter = 8s;           // after a start: popular names have not all come by again
-constexpr double kHotShare = 0.25;  // of one cache's link: an object above it is spread over two caches
-constexpr Time kHotSpan = 4s;       // over which an object's bytes are averaged
-constexpr std::uint64_t kEdgeHash = 1, kParentHash = 2;  // keeps the two hashes apart
+constexpr std::size_t kFilterCapacity = 4096;  // the design page's default
+constexpr Time kFilterWarmUpTime = 8s;         // after a start: popular names have not all come by again
+constexpr double kHotObjectLinkShare =
+    0.25;  // of one cache's link: an object above it is spread over two caches
+constexpr Time kHotObjectAveragingTime = 4s;                      // over which an object's bytes are averaged
+constexpr std::uint64_t kCacheHashSalt = 1, kParentHashSalt = 2;  // keeps the two hashes apart
 // Health: a host is left out after some failures in a row or a high share of them, and comes back by trials.
-constexpr double kFailureWeight = 0.2;  // of one outcome in the fading share of failures: about the last five
-constexpr double kSickShare = 0.45;     // three plain failures from health; errors of a third keep near it
-constexpr double kSickOverGroup = 0.25;  // more than its group's mean: what all suffer from is not its own
-constexpr double kLostShare = 0.8;       // all but nothing comes back, whatever the others do
-constexpr double kSlowIsFailure = 0.5;   // an attempt that is only slow says half as much as one that failed
-constexpr Time kFirstPause = 500ms, kLongestPause = 4s;
-constexpr int kTrialsToReturn = 3;
+constexpr double kOutcomeWeight = 0.2;  // of one outcome in the fading share of failures: about the last five
+constexpr double kEjectionFailureShare =
+    0.45;  // three plain failures from health; errors of a third keep near it
+constexpr double kEjectionShareAbovePeers =
+    0.25;  // more than its group's mean: what all suffer from is not its own
+constexpr double kLostHostFailureShare = 0.8;  // all but nothing comes back, whatever the others do
+constexpr double kSlowAttemptFailureWeight =
+    0.5;  // an attempt that is only slow says half as much as one that failed
+constexpr Time kInitialBackoff = 500ms, kMaxBackoff = 4s;
+constexpr int kTrialSuccessesToReinstate = 3;
 // Further attempts.
-constexpr double kExtraShare = 0.1;    // of the requests, so that retries cannot multiply an overload
-constexpr double kExtraBurst = 6;      // they add up over the routers; a dead host needs a few at each
-constexpr double kOriginShare = 0.15;  // of the requests may be sent to the origin past the parents
-constexpr double kOriginBurst = 4;
-constexpr double kOriginReturn = 1.2;  // earned by each that it answered in time: grows as long as it can
-constexpr double kSendSlack = 1.6;     // so much slower than at full pace an answer is not yet overdue
-constexpr double kRoundTrip = 0.15;    // of the aim, beside the sending: way, queue and a parent's look
-constexpr Time kRetryHint = 100ms;  // soon: the client's aim runs on, and a jam clears in parts of a second
+constexpr double kRetriesPerRequest = 0.1;  // of the requests, so that retries cannot multiply an overload
+constexpr double kRetryBurst = 6;           // they add up over the routers; a dead host needs a few at each
+constexpr double kOriginSendsPerRequest = 0.15;  // of the requests may be sent to the origin past the parents
+constexpr double kOriginSendBurst = 4;
+constexpr double kOriginSendsPerSuccess =
+    1.2;  // earned by each that it answered in time: grows as long as it can
+constexpr double kOverdueSendTimeMultiple =
+    1.6;  // so much slower than at full pace an answer is not yet overdue
+constexpr double kOverheadLatencyTargetShare =
+    0.15;                            // of the aim, beside the sending: way, queue and a parent's look
+constexpr Time kRetryAfter = 100ms;  // soon: the client's aim runs on, and a jam clears in parts of a second
 // The link into the zone: beyond full, each transfer slows down in proportion.
-constexpr double kReportWeight = 0.25;  // of one report in the running figure: reports are late and noisy
-constexpr Time kPaceLasts = 400ms;      // about as late as reports are
-constexpr Time kFillsSpan = 1s;         // about a fill's time on a full link: what one has out now swings
-constexpr double kPassing = 2;     // what leaves no copy crosses the link again when it is next asked for
-constexpr Time kReportLasts = 2s;  // without a newer one the link is taken to be free
+constexpr double kLoadReportWeight = 0.25;  // of one report in the running figure: reports are late and noisy
+constexpr Time kFullPaceLifetime = 400ms;   // about as late as reports are
+constexpr Time kFillsAveragingTime = 1s;    // about a fill's time on a full link: what one has out now swings
+constexpr double kUncachedTransferWeight =
+    2;  // what leaves no copy crosses the link again when it is next asked for
+constexpr Time kLoadReportLifetime = 2s;  // without a newer one the link is taken to be free
 // The gates before the parents and the origin.
-constexpr Time kGateSpan = 3s;        // long enough for a few dozen fills, short against an outage
-constexpr double kBadShare = 0.1;     // of the outcomes: about twice what chance makes late
-constexpr double kBadLeast = 1.5;     // one late answer alone tells nothing
-constexpr double kSilenceSays = 0.3;  // of what a late answer or a refusal says: answers get lost, too
-constexpr double kGateCut = 0.5;      // halves once for all that was on its way
-constexpr double kGateGrowth = 1;     // a success, less the share of its time it took: soon open at any size
-constexpr double kGateLeast = 0.25;   // below one at a time it pauses in between: now and then one finds out
-constexpr double kGateOpen = 1e9;
+constexpr Time kLimiterAveragingTime = 3s;    // long enough for a few dozen fills, short against an outage
+constexpr double kLimiterFailureShare = 0.1;  // of the outcomes: about twice what chance makes late
+constexpr double kLimiterMinFailures = 1.5;   // one late answer alone tells nothing
+constexpr double kUnansweredFailureWeight =
+    0.3;  // of what a late answer or a refusal says: answers get lost, too
+constexpr double kLimiterDecreaseFactor = 0.5;  // halves once for all that was on its way
+constexpr double kLimiterIncreasePerSuccess =
+    1;  // a success, less the share of its time it took: soon open at any size
+constexpr double kMinConcurrencyLimit =
+    0.25;  // below one at a time it pauses in between: now and then one finds out
+constexpr double kUnlimitedConcurrency = 1e9;
 // Cold hosts get less than would slow them down, which is far less than would push them over.
-constexpr double kColdShareOfPresent = 1.2;  // by the least it can have by now; most have more
-constexpr double kColdShareOfRule = 0.6;
+constexpr double kColdLoadCapacityMultiple = 1.2;  // by the least it can have by now; most have more
+constexpr double kColdLoadOverloadShare = 0.6;
 // Among many routers a part is less than one request: lots let single ones through.
-constexpr double kLotShare = 0.5;     // of the budget, since chance may favour several at once
-constexpr double kLotLeast = 8;       // requests that the whole budget must hold, or chance weighs too much
-constexpr double kGuessedLink = 2;    // transfers at a time, where nothing has been learned: guessed low
-constexpr double kLoadLink = 4;       // the same for the load that a host may have: too low and keys wander
-constexpr Time kServedSpan = 2s;      // over which what a host serves at a time is averaged
-constexpr double kServedSays = 0.75;  // of the most that it served: chance swings it, and the most is kept
-constexpr Time kTimerLeast = 1ms;
-constexpr Time kGoneFor = 5s;  // then the place of a host that has gone may be another's
+constexpr double kLotteryBudgetShare = 0.5;  // of the budget, since chance may favour several at once
+constexpr double kLotteryMinBudgetRequests =
+    8;  // requests that the whole budget must hold, or chance weighs too much
+constexpr double kDefaultLinkTransfers =
+    2;  // transfers at a time, where nothing has been learned: guessed low
+constexpr double kMinLoadLinkTransfers =
+    4;  // the same for the load that a host may have: too low and keys wander
+constexpr Time kServedAveragingTime = 2s;  // over which what a host serves at a time is averaged
+constexpr double kServedLinkShare =
+    0.75;  // of the most that it served: chance swings it, and the most is kept
+constexpr Time kMinTimerDelay = 1ms;
+constexpr Time kHostSlotReuseDelay = 5s;  // then the place of a host that has gone may be another's
 
 double seconds(Time t) { return std::chrono::duration<double>(t).count(); }
 Time fromSeconds(double s) { return Time{static_cast<std::int64_t>(s * 1e9)}; }
 
 struct Host : LearnedHost {
-    Host() { pause = kFirstPause; }
+    Host() { pause = kInitialBackoff; }
     HostEntry entry;
     std::uint64_t hash = 0;
     bool listed = false;
@@ -100,7 +115,7 @@
 enum class Tier { caches, parents, origin };  // how far up an attempt may reach
 
 struct Attempt {
-    HostIndex host = kNone, source = kNone;
+    HostIndex host = kNoHost, source = kNoHost;
     Time sentAt{};
     bool out = true;
     bool mayHaveRun = false;
@@ -127,20 +142,20 @@
 };
 
 struct Route {
-    HostIndex host = kNone, source = kNone;
+    HostIndex host = kNoHost, source = kNoHost;
     int keepRank = 0;
     bool sourceHeldOnly = false;
-    bool ok() const { return host != kNone; }
+    bool ok() const { return host != kNoHost; }
 };
 
 // Lets so many attempts at a time through to a tier as it answers in time.
 struct Gate {
-    double window = kGateOpen;  // below one: one at a time, with pauses
+    double window = kUnlimitedConcurrency;  // below one: one at a time, with pauses
     int out = 0;
     Time cutAt = -1h, closedUntil{};
     DecayingRate good, bad;
     bool open(Time now) const { return out < std::max(1.0, window) && (window >= 1 || now >= closedUntil); }
-    bool tight(Time now) const { return now - cutAt < kGateSpan || !open(now); }
+    bool tight(Time now) const { return now - cutAt < kLimiterAveragingTime || !open(now); }
 };
 
 }  // namespace
@@ -186,14 +201,14 @@
 
     void listFailed(Time, Actions& out) {
         if (!set_->mustAskForList) return;
-        out.push_back(SetTimer{watchTimer_ = nextTimer_++, kFirstPause});
+        out.push_back(SetTimer{watchTimer_ = nextTimer_++, kInitialBackoff});
     }
 
     // --- requests ---
 
     void take(Time now, const Request& request, Actions& out) {
-        extra_.deposit(kExtraShare);
-        origin_.deposit(kOriginShare);
+        extra_.deposit(kRetriesPerRequest);
+        origin_.deposit(kOriginSendsPerRequest);
         Pending& p = pending_[request.id];
         p.request = request;
         p.set = set_;
@@ -319,7 +334,7 @@
         for (HostIndex i = 0; i < hosts_.size(); ++i) {
             const Host& host = hosts_[i];
             if (host.entry.readiness != Readiness::gone || host.outstanding > 0 ||
-                now - host.goneAt < kGoneFor)
+                now - host.goneAt < kHostSlotReuseDelay)
                 continue;
             const auto refers = [&](const auto& entry) {
                 const Pending& p = entry.second;
@@ -345,7 +360,7 @@
         if (!isNew && entry.startedAt > host.entry.startedAt) {  // restarted: what it did before says nothing
             host.out = false;
             host.failures = 0;
-            host.pause = kFirstPause;
+            host.pause = kInitialBackoff;
         }
         if (entry.readiness == Readiness::gone) leave(now, host);
         std::string name = isNew ? entry.name : std::move(host.entry.name);
@@ -389,10 +404,11 @@
     // What a host serves at a time, if all routers have as much there as here, is no more than its link. A
     // cold one serves what it is let: only what passes the link it is taken to have tells of its own.
     void learnLink(Time now, Host& host, double work) {
-        host.served.add(now, kServedSpan, work);
-        const double all = kServedSays * host.served.perSecond(now, kServedSpan) * sharers(host);
+        host.served.add(now, kServedAveragingTime, work);
+        const double all =
+            kServedLinkShare * host.served.perSecond(now, kServedAveragingTime) * sharers(host);
         const double known = isCold(now, host) ? linkOf(host) : host.link;
-        if (now - startedAt_ > kServedSpan && all > known) host.link = all;
+        if (now - startedAt_ > kServedAveragingTime && all > known) host.link = all;
     }
 
     void lookUp(Time now, Pending& p, const ClassSettings& c) {
@@ -405,12 +421,12 @@
         if (found && !p.request.repeated && (!c.inParts || p.request.part <= record.lastPart))
             record.manyViewers = true;
         record.lastPart = std::max(record.lastPart, p.request.part);
-        record.bytes.add(now, kHotSpan, p.work);
+        record.bytes.add(now, kHotObjectAveragingTime, p.work);
         p.found = found;
         // A second viewer ranks a copy higher, and so does being whole: many small ones beat one part.
         p.keepRank = !found ? 0 : (record.manyViewers ? 2 : 1) + (c.inParts ? 0 : 1);
-        p.hot = record.manyViewers &&
-                record.bytes.perSecond(now, kHotSpan) * routersHere() > kHotShare * meanCacheLink();
+        p.hot = record.manyViewers && record.bytes.perSecond(now, kHotObjectAveragingTime) * routersHere() >
+                                          kHotObjectLinkShare * meanCacheLink();
     }
 
     int routersHere() const {
@@ -427,17 +443,17 @@
     // As told, or as learned; a host that has not shown it has at least what the least of its group has.
     double linkOf(const Host& host) const {
         if (weightsTold() && host.entry.weight > 0) return host.entry.weight;
-        if (host.link > kGuessedLink) return host.link;
+        if (host.link > kDefaultLinkTransfers) return host.link;
         double least = HUGE_VAL;
         for (const HostIndex i : host.entry.role == Role::parent ? parents_ : caches_)
             if (hosts_[i].link > 0) least = std::min(least, hosts_[i].link);
-        return least < HUGE_VAL ? std::max(kGuessedLink, least) : kGuessedLink;
+        return least < HUGE_VAL ? std::max(kDefaultLinkTransfers, least) : kDefaultLinkTransfers;
     }
 
     double meanCacheLink() const {
         double sum = 0;
         for (const HostIndex i : caches_) sum += linkOf(hosts_[i]);
-        return caches_.empty() ? kGuessedLink : sum / static_cast<double>(caches_.size());
+        return caches_.empty() ? kDefaultLinkTransfers : sum / static_cast<double>(caches_.size());
     }
 
     // ----- choosing a route -----
@@ -474,15 +490,15 @@
         const double age = seconds(now - host.entry.startedAt);
         const double from = parent ? set_->parentColdFrom : set_->coldFrom;
         const double present = linkOf(host) * (from + (1 - from) * std::max(0.0, age) / seconds(warm));
-        const double share = std::min(kColdShareOfPresent, kColdShareOfRule * multiple);
+        const double share = std::min(kColdLoadCapacityMultiple, kColdLoadOverloadShare * multiple);
         const double part = share * present * seconds(set_->fallWindow) / sharers(host);
         const double used = host.coldWork.over(now, set_->fallWindow);
         if (used + work <= part) return true;
-        if (used > 0 || part * sharers(host) < kLotLeast * work) return false;
+        if (used > 0 || part * sharers(host) < kLotteryMinBudgetRequests * work) return false;
         // A draw a window, whose bounds differ among the routers.
         const auto window = static_cast<std::uint64_t>(set_->fallWindow.count());
         const std::uint64_t turn = (static_cast<std::uint64_t>(now.count()) + salt_ % window) / window;
-        return unitInterval(combine(combine(salt_, host.hash), turn)) < kLotShare * part / work;
+        return unitInterval(combine(combine(salt_, host.hash), turn)) < kLotteryBudgetShare * part / work;
     }
 
     // A guess too low fills a cold host unseen.
@@ -504,7 +520,7 @@
         // Caches that all look bad are really lost, as with a whole zone, if parents are well and are asked.
         const bool lost = &group == &caches_ && set_->direct && !parents_.empty() && !mostAreOut(parents_);
         const bool ignoreHealth = mostAreOut(group) && !lost;
-        HostIndex first = kNone, second = kNone;
+        HostIndex first = kNoHost, second = kNoHost;
         double best = HUGE_VAL, next = HUGE_VAL;
         for (const HostIndex i : group) {
             const double score = rank(i, key);
@@ -517,14 +533,14 @@
                 second = i;
             }
         }
-        if (!spread || second == kNone) return first;
+        if (!spread || second == kNoHost) return first;
         const auto load = [&](HostIndex i) { return (hosts_[i].outstanding + 1) / linkOf(hosts_[i]); };
         return load(second) < load(first) ? second : first;
     }
 
     HostIndex pickCache(Time now, const Pending& p) {
         const auto part = static_cast<std::uint64_t>(p.request.part);
-        const auto key = combine(combine(p.request.object, part), kEdgeHash);
+        const auto key = combine(combine(p.request.object, part), kCacheHashSalt);
         return pick(now, caches_, key, p, p.hot && p.attempts.empty());
     }
 
@@ -532,35 +548,35 @@
     // then have parents apart, each still the same at every router. Harm: a part's first fills come twice.
     HostIndex pickParent(Time now, const Pending& p) {
         const auto part = p.hot ? static_cast<std::uint64_t>(p.request.part) : 0;
-        return pick(now, parents_, combine(p.request.object + part, kParentHash), p, false);
+        return pick(now, parents_, combine(p.request.object + part, kParentHashSalt), p, false);
     }
 
     HostIndex pickOrigin(Time now, const Pending& p) {
-        const HostIndex i = pick(now, origins_, kParentHash, p, false);
-        return i == kNone || hosts_[i].out ? kNone : i;
+        const HostIndex i = pick(now, origins_, kParentHashSalt, p, false);
+        return i == kNoHost || hosts_[i].out ? kNoHost : i;
     }
 
     void takeReport(Time now, Host& host, const LoadReport& load) {
         if (load.inFlight) {
-            const bool recent = now - host.reportedAt < kReportLasts;
+            const bool recent = now - host.reportedAt < kLoadReportLifetime;
             const double before = recent ? host.reportedInFlight : *load.inFlight;
-            host.reportedInFlight = before + kReportWeight * (*load.inFlight - before);
+            host.reportedInFlight = before + kLoadReportWeight * (*load.inFlight - before);
             host.reportedAt = now;
         }
         if (host.entry.role != Role::cache || !load.linkFill) return;
-        const bool fresh = now - linkReportAt_ < kReportLasts;
-        linkFill_ = fresh ? linkFill_ + kReportWeight * (*load.linkFill - linkFill_) : *load.linkFill;
+        const bool fresh = now - linkReportAt_ < kLoadReportLifetime;
+        linkFill_ = fresh ? linkFill_ + kLoadReportWeight * (*load.linkFill - linkFill_) : *load.linkFill;
         linkReportAt_ = now;
     }
 
     // As reported; else, where the link's size is told, what is on it if all of the zone fetch as this one:
     // as now, or as on the mean, since the own number swings and lets too much through when it is low.
     double zoneLinkFill(Time now) const {
-        if (now - linkReportAt_ < kReportLasts) return linkFill_;
+        if (now - linkReportAt_ < kLoadReportLifetime) return linkFill_;
         const auto zone = static_cast<std::size_t>(set_->zone);
         const bool told = set_->zone >= 0 && zone < set_->zoneLinkKb.size() && set_->zoneLinkKb[zone] > 0;
-        if (!told || now - linkPaceAt_ < kPaceLasts) return 0;
-        const double fills = std::max<double>(gates_[0].out, fills_.mean(now, kFillsSpan));
+        if (!told || now - linkPaceAt_ < kFullPaceLifetime) return 0;
+        const double fills = std::max<double>(gates_[0].out, fills_.mean(now, kFillsAveragingTime));
         return fills * routersHere() * set_->paceKb / set_->zoneLinkKb[zone];
     }
 
@@ -572,55 +588,58 @@
     // keeps. Guards against purges, bursts, scans, caches back empty. Harm: reports that say full when it is
     // free.
     bool linkInTime(Time now, const Pending& p) const {
-        return inTime(now, p, zoneLinkFill(now) * (p.keepRank > 0 ? 1 : kPassing));
+        return inTime(now, p, zoneLinkFill(now) * (p.keepRank > 0 ? 1 : kUncachedTransferWeight));
     }
 
-    Time roundTrip(const Pending& p) const { return fromSeconds(kRoundTrip * seconds(p.rules().aim)); }
+    Time roundTrip(const Pending& p) const {
+        return fromSeconds(kOverheadLatencyTargetShare * seconds(p.rules().aim));
+    }
 
     // Transfers at the host over those that its own link carries at full pace: what it says, if that is
     // recent, or what the routers of the zone have there if all do as this one.
     double fillOf(Time now, const Host& host) const {
         const double own = host.outstanding;
-        const bool recent = now - host.reportedAt < kReportLasts;
+        const bool recent = now - host.reportedAt < kLoadReportLifetime;
         const double guessed = own * sharers(host);
-        return (recent ? std::max(own, host.reportedInFlight) : guessed) / std::max(kLoadLink, linkOf(host));
+        return (recent ? std::max(own, host.reportedInFlight) : guessed) /
+               std::max(kMinLoadLinkTransfers, linkOf(host));
     }
 
     // Whether the host can still answer in time. A host that takes on more serves all of them late: the rest
     // goes elsewhere or is refused at once. Guards against overload, bursts, hot objects, slow hosts.
     bool hostInTime(Time now, const Pending& p, const Host& host) const {
         const bool origin = host.entry.role == Role::origin;  // its link is not told; its gate holds
-        return origin || now - host.fullPaceAt < kPaceLasts || inTime(now, p, fillOf(now, host));
+        return origin || now - host.fullPaceAt < kFullPaceLifetime || inTime(now, p, fillOf(now, host));
     }
 
     // The ordinary path, and what is left of it when hosts are missing, sick or were tried already.
     Route chooseRoute(Time now, Pending& p) {
         const ClassSettings& c = p.rules();
         const bool write = c.neverKept || p.request.write;
-        if (!write && !linkInTime(now, p)) return oldCopy(now, p, kNone);
+        if (!write && !linkInTime(now, p)) return oldCopy(now, p, kNoHost);
         const HostIndex parent = pickParent(now, p);
-        const HostIndex top = parent == kNone || write ? pickOrigin(now, p) : kNone;
-        const HostIndex source = parent != kNone ? parent : top;
+        const HostIndex top = parent == kNoHost || write ? pickOrigin(now, p) : kNoHost;
+        const HostIndex source = parent != kNoHost ? parent : top;
         // A name new to a young filter says nothing: it asks its cache on the way, which keeps no copy of it.
-        const bool young = now - startedAt_ < kYoungFilter;
+        const bool young = now - startedAt_ < kFilterWarmUpTime;
         const bool upward = set_->direct && (write || (!p.found && (!young || !p.attempts.empty())));
         // Copies and fills are asked for apart where fills are short, and from a cold parent, whose budget
         // every attempt that might be a fill would use up.
-        if (!write && p.attempts.empty() && source != kNone) {
+        if (!write && p.attempts.empty() && source != kNoHost) {
             const bool cacheOnly = gates_[0].tight(now) || isCold(now, hosts_[source]);
-            if (!upward && cacheOnly) return heldOnly(now, p, kNone);
-            if (!cacheOnly && parent != kNone && gates_[1].tight(now))
-                return upward ? Route{parent, kNone, 0, true} : heldOnly(now, p, parent);
+            if (!upward && cacheOnly) return heldOnly(now, p, kNoHost);
+            if (!cacheOnly && parent != kNoHost && gates_[1].tight(now))
+                return upward ? Route{parent, kNoHost, 0, true} : heldOnly(now, p, parent);
         }
-        if (!write && !gates_[0].open(now)) return oldCopy(now, p, kNone);
+        if (!write && !gates_[0].open(now)) return oldCopy(now, p, kNoHost);
         if (!write && !gates_[1].open(now)) return oldCopy(now, p, parent);
-        if (upward && parent != kNone) return {parent, write ? top : kNone, 0, false};
+        if (upward && parent != kNoHost) return {parent, write ? top : kNoHost, 0, false};
         const HostIndex cache = pickCache(now, p);
-        if (cache != kNone && source != kNone && (!upward || top == kNone))
+        if (cache != kNoHost && source != kNoHost && (!upward || top == kNoHost))
             if (source != top || origin_.tryTake()) return {cache, source, p.keepRank, false};
-        if (set_->direct && parent != kNone) return {parent, kNone, 0, false};
-        if (set_->direct && top != kNone && origin_.tryTake()) return {top, kNone, 0};
-        return write ? Route{} : oldCopy(now, p, kNone);
+        if (set_->direct && parent != kNoHost) return {parent, kNoHost, 0, false};
+        if (set_->direct && top != kNoHost && origin_.tryTake()) return {top, kNoHost, 0};
+        return write ? Route{} : oldCopy(now, p, kNoHost);
     }
 
     // No fill is to be had: an old copy will do, of the cache or of the parent.
@@ -634,13 +653,13 @@
     // What its cache holds, or a parent, and no fetch from the origin.
     Route heldOnly(Time now, const Pending& p, HostIndex parent) {
         const HostIndex cache = pickCache(now, p);
-        return {cache, parent == kNone ? cache : parent, p.keepRank, parent != kNone};
+        return {cache, parent == kNoHost ? cache : parent, p.keepRank, parent != kNoHost};
     }
 
     // ----- the gates before the parents and the origin -----
 
     void passGates(Time now, const Attempt& a, int by) {
-        if (a.reaches >= Tier::parents) fills_.set(now, kFillsSpan, gates_[0].out += by);
+        if (a.reaches >= Tier::parents) fills_.set(now, kFillsAveragingTime, gates_[0].out += by);
         if (a.reaches >= Tier::origin) gates_[1].out += by;
     }
 
@@ -667,10 +686,10 @@
         if (inTime && (prompt || e.outcome == Outcome::cancelled)) return;
         const bool good = e.outcome == Outcome::noCopy || (served && inTime);
         const bool atParent = a.reaches == Tier::parents || e.note == CacheStatus::filled;
-        const HostIndex upper = a.source != kNone ? a.source : a.host;
-        if (good && hosts_[upper].entry.role == Role::origin) origin_.deposit(kOriginReturn);
+        const HostIndex upper = a.source != kNoHost ? a.source : a.host;
+        if (good && hosts_[upper].entry.role == Role::origin) origin_.deposit(kOriginSendsPerSuccess);
 
-        const double bad = good ? 0 : silent ? kSilenceSays : 1;
+        const double bad = good ? 0 : silent ? kUnansweredFailureWeight : 1;
         // Answers well in time open more than those that only just made it.
         const double spare = 1 - seconds(e.elapsed) / std::max(1e-3, seconds(p.aim - p.arrived));
         if (good || atParent) tell(now, gates_[0], p, a, bad, spare);
@@ -678,14 +697,16 @@
     }
 
     void tell(Time now, Gate& gate, const Pending& p, const Attempt& a, double bad, double spare) {
-        (bad > 0 ? gate.bad : gate.good).add(now, kGateSpan, bad > 0 ? bad : 1);
-        const double badly = gate.bad.perSecond(now, kGateSpan) * seconds(kGateSpan);
-        const double well = gate.good.perSecond(now, kGateSpan) * seconds(kGateSpan);
-        if (bad > 0 && badly >= kBadLeast && badly > kBadShare * (badly + well) && a.sentAt > gate.cutAt) {
-            gate.window = std::max(kGateLeast, kGateCut * std::min(gate.window, gate.out + 1.0));
+        (bad > 0 ? gate.bad : gate.good).add(now, kLimiterAveragingTime, bad > 0 ? bad : 1);
+        const double badly = gate.bad.perSecond(now, kLimiterAveragingTime) * seconds(kLimiterAveragingTime);
+        const double well = gate.good.perSecond(now, kLimiterAveragingTime) * seconds(kLimiterAveragingTime);
+        if (bad > 0 && badly >= kLimiterMinFailures && badly > kLimiterFailureShare * (badly + well) &&
+            a.sentAt > gate.cutAt) {
+            gate.window = std::max(kMinConcurrencyLimit,
+                                   kLimiterDecreaseFactor * std::min(gate.window, gate.out + 1.0));
             gate.cutAt = now;
-        } else if (bad <= 0 && gate.window < kGateOpen) {
-            gate.window += kGateGrowth * std::max(0.0, spare);
+        } else if (bad <= 0 && gate.window < kUnlimitedConcurrency) {
+            gate.window += kLimiterIncreasePerSuccess * std::max(0.0, spare);
         }
         if (gate.window >= 1) return;
         const double spread = 0.5 + unitInterval(random_ = mix(random_ + 1));
@@ -737,7 +758,7 @@
     }
 
     HostIndex sourceOf(const Route& route) const {
-        if (route.source != kNone) return route.source;
+        if (route.source != kNoHost) return route.source;
         if (hosts_[route.host].entry.role != Role::parent) return route.host;
         return origins_.empty() ? route.host : origins_.front();
     }
@@ -763,17 +784,17 @@
 
     // When another attempt must begin if it is to be in time for the aim, and when this one is late.
     void armTimers(Time now, const Pending& p, int attempt, Actions& out) {
-        const Time needed = fromSeconds(kSendSlack * p.work) + roundTrip(p);
+        const Time needed = fromSeconds(kOverdueSendTimeMultiple * p.work) + roundTrip(p);
         const Time at = std::max(now + needed, p.aim - needed);
         if ((p.set->secondCopies || p.set->mayCancel) && at + needed < p.request.deadline)
             arm(at - now, p, attempt, false, out);
         if (p.attempts.back().reaches != Tier::caches)
-            arm(p.aim - p.arrived + kTimerLeast, p, attempt, true, out);
+            arm(p.aim - p.arrived + kMinTimerDelay, p, attempt, true, out);
     }
 
     void arm(Time delay, const Pending& p, int attempt, bool late, Actions& out) {
         timers_[nextTimer_] = {p.request.id, attempt, late};
-        out.push_back(SetTimer{nextTimer_++, std::max(kTimerLeast, delay)});
+        out.push_back(SetTimer{nextTimer_++, std::max(kMinTimerDelay, delay)});
     }
 
     bool heardSince(const Attempt& a) const { return hosts_[a.host].heardAt > a.sentAt; }
@@ -783,7 +804,7 @@
     void attemptIsLate(Time now, const Pending& p, Attempt& a) {
         if (zoneLinkFill(now) > 1) return;
         a.late = true;
-        const double bad = heardSince(a) ? 1 : kSilenceSays;
+        const double bad = heardSince(a) ? 1 : kUnansweredFailureWeight;
         tell(now, gates_[0], p, a, bad, 0);
         if (a.reaches == Tier::origin) tell(now, gates_[1], p, a, bad, 0);
     }
@@ -792,12 +813,13 @@
         // A host that answers others is not silent: its fill is slow, and one begun anew would be slower.
         const bool alive = heardSince(a);
         a.slow = true;
-        if (!alive) recordFailure(now, a.host, kSlowIsFailure);
-        if (a.source != kNone && a.source != a.host) recordFailure(now, a.source, kSlowIsFailure);
+        if (!alive) recordFailure(now, a.host, kSlowAttemptFailureWeight);
+        if (a.source != kNoHost && a.source != a.host)
+            recordFailure(now, a.source, kSlowAttemptFailureWeight);
         if (alive || static_cast<int>(p.attempts.size()) >= p.set->mostTries || p.out() > 1) return;
         if (p.rules().effect != Effect::safe) return;
         avoid(p, a.host);
-        if (a.source != kNone) avoid(p, a.source);
+        if (a.source != kNoHost) avoid(p, a.source);
         const Route route = chooseRoute(now, p);
         if (!route.ok() || !extra_.tryTake()) return;
         if (p.set->secondCopies) return send(now, p, route, out);
@@ -852,7 +874,7 @@
     }
 
     void giveUp(Pending& p, GiveUpReason why, Actions& out) {
-        const Time hint = p.set->retryHints ? std::min(kRetryHint, p.set->maxRetryHint) : Time{0};
+        const Time hint = p.set->retryHints ? std::min(kRetryAfter, p.set->maxRetryHint) : Time{0};
         refusalAllowed(p) ? out.push_back(Refuse{p.request.id, hint, why})
                           : out.push_back(Fail{p.request.id, why});
         finish(p, out);
@@ -881,14 +903,14 @@
 
     // Puts an outcome down to the host, to the source behind it, or half to each where it can't be told.
     void judge(Time now, Pending& p, const Attempt& a, const AttemptEnded& e) {
-        const bool hasSource = a.source != kNone && a.source != a.host;
+        const bool hasSource = a.source != kNoHost && a.source != a.host;
         switch (e.outcome) {
             case Outcome::served: {
                 recordSuccess(a.host);
                 const bool fetched = e.note == CacheStatus::filled || e.note == CacheStatus::filledByOrigin ||
                                      e.note == CacheStatus::joined;
                 const Time trip = roundTrip(p);
-                if (p.work > seconds(trip) && seconds(e.elapsed - trip) < kSendSlack * p.work) {
+                if (p.work > seconds(trip) && seconds(e.elapsed - trip) < kOverdueSendTimeMultiple * p.work) {
                     hosts_[a.host].fullPaceAt = now;
                     if (fetched) linkPaceAt_ = now;
                 }
@@ -911,7 +933,7 @@
             default:
                 break;
         }
-        const double weight = e.blameless ? 0 : a.slow ? 1 - kSlowIsFailure : 1;
+        const double weight = e.blameless ? 0 : a.slow ? 1 - kSlowAttemptFailureWeight : 1;
         if (e.note >= CacheStatus::sourceRefused) {  // it and those after it say why a fill failed
             const bool atSource = hasSource && e.note != CacheStatus::noFillPlace;
             const bool itsOwn = atSource && e.note != CacheStatus::originFailed;
@@ -928,14 +950,15 @@
 
     void recordFailure(Time now, HostIndex i, double weight) {
         Host& host = hosts_[i];
-        host.failures += kFailureWeight * weight * (1 - host.failures);
+        host.failures += kOutcomeWeight * weight * (1 - host.failures);
         host.trialsWon = 0;
         if (host.out) {
             if (now < host.outUntil) return;
-            host.pause = std::min(2 * host.pause, kLongestPause);
+            host.pause = std::min(2 * host.pause, kMaxBackoff);
             host.outUntil = now + host.pause;
-        } else if (host.failures > kSickShare &&
-                   host.failures > std::min(kLostShare, othersFailures(i) + kSickOverGroup)) {
+        } else if (host.failures > kEjectionFailureShare &&
+                   host.failures >
+                       std::min(kLostHostFailureShare, othersFailures(i) + kEjectionShareAbovePeers)) {
             host.out = true;
             host.outUntil = now + host.pause;
         }
@@ -951,11 +974,11 @@
 
     void recordSuccess(HostIndex i) {
         Host& host = hosts_[i];
-        host.failures -= kFailureWeight * host.failures;
-        if (!host.out || ++host.trialsWon < kTrialsToReturn) return;
+        host.failures -= kOutcomeWeight * host.failures;
+        if (!host.out || ++host.trialsWon < kTrialSuccessesToReinstate) return;
         host.out = false;
         host.failures = 0;
-        host.pause = kFirstPause;
+        host.pause = kInitialBackoff;
         host.trialsWon = 0;
     }
 
@@ -966,21 +989,21 @@
     std::vector<double> meanWork_;                       // per class, seconds of sending time
     std::uint64_t random_;
     std::uint64_t salt_;  // fixed, for draws that must come out the same within a window
-    LruMap<std::uint64_t, ObjectRecord> filter_{kFilterNames};
+    LruMap<std::uint64_t, ObjectRecord> filter_{kFilterCapacity};
     std::unordered_map<RequestId, Pending> pending_;
     std::unordered_map<TimerId, std::tuple<RequestId, int, bool>> timers_;  // an attempt; then late, or slow
     std::unordered_map<std::uint64_t, Time> objectPurges_, groupPurges_;
     std::deque<std::pair<Time, Purge>> purgeOrder_;
     Gate gates_[2];  // before the parents, and before the origin
-    TokenBucket extra_{kExtraBurst, kExtraBurst};
-    TokenBucket origin_{kOriginBurst, kOriginBurst};
+    TokenBucket extra_{kRetryBurst, kRetryBurst};
+    TokenBucket origin_{kOriginSendBurst, kOriginSendBurst};
     Time startedAt_{};
     TimerId nextTimer_ = 1;
     TimerId watchTimer_ = 0;
     double linkFill_ = 0;  // transfers over those that fit at full pace
-    Time linkReportAt_ = -kReportLasts;
-    DecayingMean fills_;             // own ones out
-    Time linkPaceAt_ = -kPaceLasts;  // when a fill last came at full pace
+    Time linkReportAt_ = -kLoadReportLifetime;
+    DecayingMean fills_;                    // own ones out
+    Time linkPaceAt_ = -kFullPaceLifetime;  // when a fill last came at full pace
 };
 
 Router::Router(Settings settings, std::uint64_t seed)
