--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -1,8 +1,10 @@
-// All decisions of lotuslead. The types, events and actions are in include/lotuslead/router.hpp.
+// All routing decisions of lotuslead. The types, events and actions are in include/lotuslead/router.hpp.
 //
-// A request moves its object's name to the front of a bounded LRU filter. A name found there goes to an edge
-// cache of the own zone and leaves a copy; any other goes straight to its parent and leaves none at the edge.
-// Everything else in here is about failures and the five rules.
+// A bounded LRU filter remembers the names of recently requested objects. A request whose name is in the
+// filter goes to an edge cache of the router's own zone, which keeps a copy. Any other request goes straight
+// to the object's parent, and no edge cache keeps a copy. All other code handles failures, overload and the
+// five rules: one answer in time, no effect twice, nothing to or through draining hosts, budgets for cold
+// hosts, and purges.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -23,71 +25,110 @@
 using HostIndex = std::uint32_t;
 constexpr HostIndex kNoHost = ~HostIndex{0};
 
-// The design.
-constexpr std::size_t kFilterCapacity = 4096;  // the design page's default
-constexpr Time kFilterWarmUpTime = 8s;         // after a start: popular names have not all come by again
-constexpr double kHotObjectLinkShare =
-    0.25;  // of one cache's link: an object above it is spread over two caches
-constexpr Time kHotObjectAveragingTime = 4s;                      // over which an object's bytes are averaged
-constexpr std::uint64_t kCacheHashSalt = 1, kParentHashSalt = 2;  // keeps the two hashes apart
-// Health: a host is left out after some failures in a row or a high share of them, and comes back by trials.
-constexpr double kOutcomeWeight = 0.2;  // of one outcome in the fading share of failures: about the last five
-constexpr double kEjectionFailureShare =
-    0.45;  // three plain failures from health; errors of a third keep near it
-constexpr double kEjectionShareAbovePeers =
-    0.25;  // more than its group's mean: what all suffer from is not its own
-constexpr double kLostHostFailureShare = 0.8;  // all but nothing comes back, whatever the others do
-constexpr double kSlowAttemptFailureWeight =
-    0.5;  // an attempt that is only slow says half as much as one that failed
+// Routing.
+// Object names remembered per router.
+constexpr std::size_t kFilterCapacity = 4096;
+// After a start the popular names have not all been asked for again.
+constexpr Time kFilterWarmUpTime = 8s;
+// Share of one cache's link. An object that needs more is spread over two caches.
+constexpr double kHotObjectLinkShare = 0.25;
+// Averaging time of an object's transfers.
+constexpr Time kHotObjectAveragingTime = 4s;
+// Keep the hash of the caches and that of the parents independent.
+constexpr std::uint64_t kCacheHashSalt = 1, kParentHashSalt = 2;
+
+// Outlier ejection: a host is ejected after some failures in a row or a high share of them, and is reinstated
+// after successful trial requests.
+// Weight of one outcome in the moving average of failures: covers about the last five outcomes.
+constexpr double kOutcomeWeight = 0.2;
+// A healthy host passes this at its third failure in a row. A host that fails a third of its requests stays
+// near it.
+constexpr double kEjectionFailureShare = 0.45;
+// A host is ejected only if its share exceeds the mean of its peers by this: a fault that hits all of them is
+// not its own.
+constexpr double kEjectionShareAbovePeers = 0.25;
+// At this share hardly any answer comes back: the host is ejected whatever the share of its peers.
+constexpr double kLostHostFailureShare = 0.8;
+// Weight of an attempt that is slow; one that failed weighs 1.
+constexpr double kSlowAttemptFailureWeight = 0.5;
+// Of an ejected host, doubled after each failed trial; the first one also delays a new subscription.
 constexpr Time kInitialBackoff = 500ms, kMaxBackoff = 4s;
 constexpr int kTrialSuccessesToReinstate = 3;
-// Further attempts.
-constexpr double kRetriesPerRequest = 0.1;  // of the requests, so that retries cannot multiply an overload
-constexpr double kRetryBurst = 6;           // they add up over the routers; a dead host needs a few at each
-constexpr double kOriginSendsPerRequest = 0.15;  // of the requests may be sent to the origin past the parents
+
+// Retry and origin budgets.
+// Keeps retries from multiplying an overload.
+constexpr double kRetriesPerRequest = 0.1;
+// The bursts of all routers add up, and a dead host costs a few retries at each router.
+constexpr double kRetryBurst = 6;
+// Requests sent to the origin past the parents.
+constexpr double kOriginSendsPerRequest = 0.15;
 constexpr double kOriginSendBurst = 4;
-constexpr double kOriginSendsPerSuccess =
-    1.2;  // earned by each that it answered in time: grows as long as it can
-constexpr double kOverdueSendTimeMultiple =
-    1.6;  // so much slower than at full pace an answer is not yet overdue
-constexpr double kOverheadLatencyTargetShare =
-    0.15;                            // of the aim, beside the sending: way, queue and a parent's look
-constexpr Time kRetryAfter = 100ms;  // soon: the client's aim runs on, and a jam clears in parts of a second
-// The link into the zone: beyond full, each transfer slows down in proportion.
-constexpr double kLoadReportWeight = 0.25;  // of one report in the running figure: reports are late and noisy
-constexpr Time kFullPaceLifetime = 400ms;   // about as late as reports are
-constexpr Time kFillsAveragingTime = 1s;    // about a fill's time on a full link: what one has out now swings
-constexpr double kUncachedTransferWeight =
-    2;  // what leaves no copy crosses the link again when it is next asked for
-constexpr Time kLoadReportLifetime = 2s;  // without a newer one the link is taken to be free
-// The gates before the parents and the origin.
-constexpr Time kLimiterAveragingTime = 3s;    // long enough for a few dozen fills, short against an outage
-constexpr double kLimiterFailureShare = 0.1;  // of the outcomes: about twice what chance makes late
-constexpr double kLimiterMinFailures = 1.5;   // one late answer alone tells nothing
-constexpr double kUnansweredFailureWeight =
-    0.3;  // of what a late answer or a refusal says: answers get lost, too
-constexpr double kLimiterDecreaseFactor = 0.5;  // halves once for all that was on its way
-constexpr double kLimiterIncreasePerSuccess =
-    1;  // a success, less the share of its time it took: soon open at any size
-constexpr double kMinConcurrencyLimit =
-    0.25;  // below one at a time it pauses in between: now and then one finds out
+// Above 1, so that the origin's share grows for as long as it answers in time.
+constexpr double kOriginSendsPerSuccess = 1.2;
+
+// Timing.
+// An answer is overdue when it takes longer than this multiple of its sending time at full pace.
+constexpr double kOverdueSendTimeMultiple = 1.6;
+// Share of the latency target for all but the sending: network, queue and a parent's lookup.
+constexpr double kOverheadLatencyTargetShare = 0.15;
+// Short: the client's latency target keeps running, and congestion clears within fractions of a second.
+constexpr Time kRetryAfter = 100ms;
+
+// Load of links. Above full utilization every transfer slows down in proportion.
+// Weight of one report in the moving average: reports are late and noisy.
+constexpr double kLoadReportWeight = 0.25;
+// How long an answer at full pace proves free capacity: about as long as load reports lag.
+constexpr Time kFullPaceLifetime = 400ms;
+// About the time of one fill on a full link: the current number of fills fluctuates.
+constexpr Time kFillsAveragingTime = 1s;
+// Load of a transfer that leaves no copy: it crosses the link again when it is next asked for.
+constexpr double kUncachedTransferWeight = 2;
+// Without a newer report a link is taken to be free.
+constexpr Time kLoadReportLifetime = 2s;
+
+// Concurrency limiters before the parents and the origin: additive increase, multiplicative decrease.
+// Covers a few dozen fills and is short compared with an outage.
+constexpr Time kLimiterAveragingTime = 3s;
+// Share of the outcomes: about twice the share that is late by chance.
+constexpr double kLimiterFailureShare = 0.1;
+// Weighted failures: a single late answer proves nothing.
+constexpr double kLimiterMinFailures = 1.5;
+// Weight of a missing answer; a late answer or a refusal weighs 1. Answers also get lost.
+constexpr double kUnansweredFailureWeight = 0.3;
+// Applied once for all attempts that were in flight at the time.
+constexpr double kLimiterDecreaseFactor = 0.5;
+// Reduced by the share of its time that the success took. Opens a limiter of any size quickly.
+constexpr double kLimiterIncreasePerSuccess = 1;
+// Below one attempt at a time there are pauses in between, after which an attempt probes the tier.
+constexpr double kMinConcurrencyLimit = 0.25;
 constexpr double kUnlimitedConcurrency = 1e9;
-// Cold hosts get less than would slow them down, which is far less than would push them over.
-constexpr double kColdLoadCapacityMultiple = 1.2;  // by the least it can have by now; most have more
+
+// Cold hosts get less than would slow them down, which is far less than would overload them.
+// Multiple of the least capacity that the host can have at its age; most hosts have more.
+constexpr double kColdLoadCapacityMultiple = 1.2;
+// Share of the multiple of its capacity at which a cold host is overloaded.
 constexpr double kColdLoadOverloadShare = 0.6;
-// Among many routers a part is less than one request: lots let single ones through.
-constexpr double kLotteryBudgetShare = 0.5;  // of the budget, since chance may favour several at once
-constexpr double kLotteryMinBudgetRequests =
-    8;  // requests that the whole budget must hold, or chance weighs too much
-constexpr double kDefaultLinkTransfers =
-    2;  // transfers at a time, where nothing has been learned: guessed low
-constexpr double kMinLoadLinkTransfers =
-    4;  // the same for the load that a host may have: too low and keys wander
-constexpr Time kServedAveragingTime = 2s;  // over which what a host serves at a time is averaged
-constexpr double kServedLinkShare =
-    0.75;  // of the most that it served: chance swings it, and the most is kept
+
+// With many routers, one router's part of a cold host's budget is less than one request: a random draw then
+// lets single requests through.
+// Share of the budget that the draws use, since several routers may draw at the same time by chance.
+constexpr double kLotteryBudgetShare = 0.5;
+// Requests that the whole budget must hold, since chance has too much weight in a smaller one.
+constexpr double kLotteryMinBudgetRequests = 8;
+
+// Learned links, in transfers at a time at full pace.
+// Where nothing has been learned: deliberately low.
+constexpr double kDefaultLinkTransfers = 2;
+// Least link that the load of a host is measured by: a lower value moves keys to other hosts too often.
+constexpr double kMinLoadLinkTransfers = 4;
+// Averaging time of the transfers that a host serves at a time.
+constexpr Time kServedAveragingTime = 2s;
+// Share of the transfers served that counts as proven: the figure fluctuates and its maximum is kept.
+constexpr double kServedLinkShare = 0.75;
+
 constexpr Time kMinTimerDelay = 1ms;
-constexpr Time kHostSlotReuseDelay = 5s;  // then the place of a host that has gone may be another's
+// After this the slot of a host that has gone may be used for another host.
+constexpr Time kHostSlotReuseDelay = 5s;
 
 double seconds(Time t) { return std::chrono::duration<double>(t).count(); }
 Time fromSeconds(double s) { return Time{static_cast<std::int64_t>(s * 1e9)}; }
