--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -190,13 +190,15 @@
 };
 
 // Lets so many attempts at a time through to a tier as it answers in time.
-struct Gate {
-    double window = kUnlimitedConcurrency;  // below one: one at a time, with pauses
-    int out = 0;
-    Time cutAt = -1h, closedUntil{};
-    DecayingRate good, bad;
-    bool open(Time now) const { return out < std::max(1.0, window) && (window >= 1 || now >= closedUntil); }
-    bool tight(Time now) const { return now - cutAt < kLimiterAveragingTime || !open(now); }
+struct ConcurrencyLimiter {
+    double limit = kUnlimitedConcurrency;  // below one: one at a time, with pauses
+    int inFlight = 0;
+    Time decreasedAt = -1h, closedUntil{};
+    DecayingRate successes, failures;
+    bool admits(Time now) const {
+        return inFlight < std::max(1.0, limit) && (limit >= 1 || now >= closedUntil);
+    }
+    bool isLimiting(Time now) const { return now - decreasedAt < kLimiterAveragingTime || !admits(now); }
 };
 
 }  // namespace
@@ -275,9 +277,9 @@
         a.mayHaveRun = mayHaveRun(e.outcome);
         if (saysSomething(e.outcome)) hosts_[a.host].heardAt = now;
         takeReport(now, hosts_[a.host], e.load);
-        passGates(now, a, -1);
+        countInFlight(now, a, -1);
         if (e.outcome == Outcome::served) learnFromAnswer(p, a, e);
-        tellGates(now, p, a, e);
+        updateLimiters(now, p, a, e);
         judge(now, p, a, e);
         if (e.over) finish(p, out);
         if (!p.answered && p.out() == 0) {
@@ -617,7 +619,7 @@
         const auto zone = static_cast<std::size_t>(set_->zone);
         const bool told = set_->zone >= 0 && zone < set_->zoneLinkKb.size() && set_->zoneLinkKb[zone] > 0;
         if (!told || now - linkPaceAt_ < kFullPaceLifetime) return 0;
-        const double fills = std::max<double>(gates_[0].out, fills_.mean(now, kFillsAveragingTime));
+        const double fills = std::max<double>(limiters_[0].inFlight, fills_.mean(now, kFillsAveragingTime));
         return fills * routersHere() * set_->paceKb / set_->zoneLinkKb[zone];
     }
 
@@ -667,13 +669,13 @@
         // Copies and fills are asked for apart where fills are short, and from a cold parent, whose budget
         // every attempt that might be a fill would use up.
         if (!write && p.attempts.empty() && source != kNoHost) {
-            const bool cacheOnly = gates_[0].tight(now) || isCold(now, hosts_[source]);
+            const bool cacheOnly = limiters_[0].isLimiting(now) || isCold(now, hosts_[source]);
             if (!upward && cacheOnly) return heldOnly(now, p, kNoHost);
-            if (!cacheOnly && parent != kNoHost && gates_[1].tight(now))
+            if (!cacheOnly && parent != kNoHost && limiters_[1].isLimiting(now))
                 return upward ? Route{parent, kNoHost, 0, true} : heldOnly(now, p, parent);
         }
-        if (!write && !gates_[0].open(now)) return oldCopy(now, p, kNoHost);
-        if (!write && !gates_[1].open(now)) return oldCopy(now, p, parent);
+        if (!write && !limiters_[0].admits(now)) return oldCopy(now, p, kNoHost);
+        if (!write && !limiters_[1].admits(now)) return oldCopy(now, p, parent);
         if (upward && parent != kNoHost) return {parent, write ? top : kNoHost, 0, false};
         const HostIndex cache = pickCache(now, p);
         if (cache != kNoHost && source != kNoHost && (!upward || top == kNoHost))
@@ -699,16 +701,16 @@
 
     // ----- the gates before the parents and the origin -----
 
-    void passGates(Time now, const Attempt& a, int by) {
-        if (a.reaches >= Tier::parents) fills_.set(now, kFillsAveragingTime, gates_[0].out += by);
-        if (a.reaches >= Tier::origin) gates_[1].out += by;
+    void countInFlight(Time now, const Attempt& a, int by) {
+        if (a.reaches >= Tier::parents) fills_.set(now, kFillsAveragingTime, limiters_[0].inFlight += by);
+        if (a.reaches >= Tier::origin) limiters_[1].inFlight += by;
     }
 
     // Puts an outcome down to the tier that it speaks of: the highest that was asked, so far as is known.
     // Guards, without knowing which, against an origin that is slow, refuses or has stopped, parents that are
     // jammed, cold or dead, and refills after a purge. Answers that never come say little while others do.
     // Harm: when many are late by chance the gates close a little; hits at the caches pass none.
-    void tellGates(Time now, const Pending& p, const Attempt& a, const AttemptEnded& e) {
+    void updateLimiters(Time now, const Pending& p, const Attempt& a, const AttemptEnded& e) {
         if (a.reaches == Tier::caches || a.late || e.outcome == Outcome::notSent || e.blameless) return;
         if (hosts_[a.host].entry.role == Role::cache) {
             if (e.note == CacheStatus::hit || e.note == CacheStatus::stale ||
@@ -733,26 +735,30 @@
         const double bad = good ? 0 : silent ? kUnansweredFailureWeight : 1;
         // Answers well in time open more than those that only just made it.
         const double spare = 1 - seconds(e.elapsed) / std::max(1e-3, seconds(p.aim - p.arrived));
-        if (good || atParent) tell(now, gates_[0], p, a, bad, spare);
-        if (!atParent) tell(now, gates_[1], p, a, bad, spare);
-    }
-
-    void tell(Time now, Gate& gate, const Pending& p, const Attempt& a, double bad, double spare) {
-        (bad > 0 ? gate.bad : gate.good).add(now, kLimiterAveragingTime, bad > 0 ? bad : 1);
-        const double badly = gate.bad.perSecond(now, kLimiterAveragingTime) * seconds(kLimiterAveragingTime);
-        const double well = gate.good.perSecond(now, kLimiterAveragingTime) * seconds(kLimiterAveragingTime);
-        if (bad > 0 && badly >= kLimiterMinFailures && badly > kLimiterFailureShare * (badly + well) &&
-            a.sentAt > gate.cutAt) {
-            gate.window = std::max(kMinConcurrencyLimit,
-                                   kLimiterDecreaseFactor * std::min(gate.window, gate.out + 1.0));
-            gate.cutAt = now;
-        } else if (bad <= 0 && gate.window < kUnlimitedConcurrency) {
-            gate.window += kLimiterIncreasePerSuccess * std::max(0.0, spare);
+        if (good || atParent) recordOutcome(now, limiters_[0], p, a, bad, spare);
+        if (!atParent) recordOutcome(now, limiters_[1], p, a, bad, spare);
+    }
+
+    void recordOutcome(Time now, ConcurrencyLimiter& limiter, const Pending& p, const Attempt& a, double bad,
+                       double spare) {
+        (bad > 0 ? limiter.failures : limiter.successes).add(now, kLimiterAveragingTime, bad > 0 ? bad : 1);
+        const double failureSum =
+            limiter.failures.perSecond(now, kLimiterAveragingTime) * seconds(kLimiterAveragingTime);
+        const double successSum =
+            limiter.successes.perSecond(now, kLimiterAveragingTime) * seconds(kLimiterAveragingTime);
+        if (bad > 0 && failureSum >= kLimiterMinFailures &&
+            failureSum > kLimiterFailureShare * (failureSum + successSum) && a.sentAt > limiter.decreasedAt) {
+            limiter.limit =
+                std::max(kMinConcurrencyLimit,
+                         kLimiterDecreaseFactor * std::min(limiter.limit, limiter.inFlight + 1.0));
+            limiter.decreasedAt = now;
+        } else if (bad <= 0 && limiter.limit < kUnlimitedConcurrency) {
+            limiter.limit += kLimiterIncreasePerSuccess * std::max(0.0, spare);
         }
-        if (gate.window >= 1) return;
+        if (limiter.limit >= 1) return;
         const double spread = 0.5 + unitInterval(random_ = mix(random_ + 1));
         const double took = seconds(std::max(roundTrip(p), now - a.sentAt));  // refusals may come at once
-        gate.closedUntil = now + fromSeconds(took * (1 / gate.window - 1) * spread);
+        limiter.closedUntil = now + fromSeconds(took * (1 / limiter.limit - 1) * spread);
     }
 
     // ----- sending -----
@@ -793,7 +799,7 @@
                              : route.sourceHeldOnly                                   ? Tier::parents
                                                                                       : Tier::caches;
         p.attempts.push_back(Attempt{route.host, route.source, now, true, true, reaches, false, alone});
-        passGates(now, p.attempts.back(), 1);
+        countInFlight(now, p.attempts.back(), 1);
         out.push_back(s);
         armTimers(now, p, number, out);
     }
@@ -846,8 +852,8 @@
         if (zoneLinkFill(now) > 1) return;
         a.late = true;
         const double bad = heardSince(a) ? 1 : kUnansweredFailureWeight;
-        tell(now, gates_[0], p, a, bad, 0);
-        if (a.reaches == Tier::origin) tell(now, gates_[1], p, a, bad, 0);
+        recordOutcome(now, limiters_[0], p, a, bad, 0);
+        if (a.reaches == Tier::origin) recordOutcome(now, limiters_[1], p, a, bad, 0);
     }
 
     void attemptIsSlow(Time now, Pending& p, Attempt& a, int number, Actions& out) {
@@ -1035,7 +1041,7 @@
     std::unordered_map<TimerId, std::tuple<RequestId, int, bool>> timers_;  // an attempt; then late, or slow
     std::unordered_map<std::uint64_t, Time> objectPurges_, groupPurges_;
     std::deque<std::pair<Time, Purge>> purgeOrder_;
-    Gate gates_[2];  // before the parents, and before the origin
+    ConcurrencyLimiter limiters_[2];  // before the parents, and before the origin
     TokenBucket extra_{kRetryBurst, kRetryBurst};
     TokenBucket origin_{kOriginSendBurst, kOriginSendBurst};
     Time startedAt_{};
