--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -146,7 +146,7 @@
     WindowSum coldWork;     // sent lately, in seconds of sending time
     DecayingRate served;    // transfers at a time, in what it answers here
     Time goneAt{};
-    Time heardAt = -1h;  // when it last gave an answer of any kind
+    Time lastAnswerAt = -1h;  // when it last gave an answer of any kind
 };
 
 struct ObjectRecord : LearnedObject {
@@ -158,12 +158,12 @@
 struct Attempt {
     HostIndex host = kNoHost, source = kNoHost;
     Time sentAt{};
-    bool out = true;
+    bool inFlight = true;
     bool mayHaveRun = false;
-    Tier reaches = Tier::caches;
-    bool slow = false;   // already counted as slow
-    bool alone = false;  // its host had room for it at full pace, so far as is known
-    bool late = false;   // already told to the gates
+    Tier highestTier = Tier::caches;
+    bool countedSlow = false;  // already counted as slow
+    bool hostHadRoom = false;  // its host had room for it at full pace, so far as is known
+    bool countedLate = false;  // already told to the gates
 };
 
 struct Pending {
@@ -178,7 +178,7 @@
     bool staleWillDo = false;  // something failed, or no fill is to be had
     std::vector<Attempt> attempts;
     std::vector<HostIndex> avoid;
-    auto out() const { return std::ranges::count(attempts, true, &Attempt::out); }
+    auto attemptsInFlight() const { return std::ranges::count(attempts, true, &Attempt::inFlight); }
     const ClassSettings& rules() const { return set->classes[static_cast<std::size_t>(request.classIndex)]; }
 };
 
@@ -271,19 +271,19 @@
         Pending& p = it->second;
         if (e.attempt < 0 || e.attempt >= static_cast<int>(p.attempts.size())) return;
         Attempt& a = p.attempts[static_cast<std::size_t>(e.attempt)];
-        if (!a.out) return;
-        a.out = false;
+        if (!a.inFlight) return;
+        a.inFlight = false;
         --hosts_[a.host].outstanding;
         a.mayHaveRun = mayHaveRun(e.outcome);
-        if (saysSomething(e.outcome)) hosts_[a.host].heardAt = now;
+        if (isAnswerFromHost(e.outcome)) hosts_[a.host].lastAnswerAt = now;
         takeReport(now, hosts_[a.host], e.load);
         countInFlight(now, a, -1);
         if (e.outcome == Outcome::served) learnFromAnswer(p, a, e);
         updateLimiters(now, p, a, e);
         judge(now, p, a, e);
         if (e.over) finish(p, out);
-        if (!p.answered && p.out() == 0) {
-            if (a.reaches != Tier::origin && e.outcome == Outcome::noCopy)
+        if (!p.answered && p.attemptsInFlight() == 0) {
+            if (a.highestTier != Tier::origin && e.outcome == Outcome::noCopy)
                 sendOrGiveUp(now, p, out);  // only now is it known to need a fill
             else if (e.outcome != Outcome::cancelled || p.retryAfterCancel)
                 retryOrGiveUp(now, p, e.blameless, out);
@@ -317,7 +317,7 @@
         if (found == pending_.end()) return;
         Pending& p = found->second;
         Attempt& a = p.attempts[static_cast<std::size_t>(attempt)];
-        if (p.answered || p.streaming || !a.out) return;
+        if (p.answered || p.streaming || !a.inFlight) return;
         late ? attemptIsLate(now, p, a) : attemptIsSlow(now, p, a, attempt, out);
     }
 
@@ -435,7 +435,7 @@
     void learnFromAnswer(Pending& p, const Attempt& a, const AttemptEnded& e) {
         if (p.request.sizeKb > 0 || e.sizeKb < 0) return;
         const bool told = e.sizeKb > 0 && set_->paceKb > 0;
-        if (!told && (e.note != CacheStatus::hit || !a.alone)) return;
+        if (!told && (e.note != CacheStatus::hit || !a.hostHadRoom)) return;
         const double work = told ? e.sizeKb / set_->paceKb : seconds(e.elapsed);
         learnWork(p.request.classIndex, work);
         if (!told) return;
@@ -702,8 +702,8 @@
     // ----- the gates before the parents and the origin -----
 
     void countInFlight(Time now, const Attempt& a, int by) {
-        if (a.reaches >= Tier::parents) fills_.set(now, kFillsAveragingTime, limiters_[0].inFlight += by);
-        if (a.reaches >= Tier::origin) limiters_[1].inFlight += by;
+        if (a.highestTier >= Tier::parents) fills_.set(now, kFillsAveragingTime, limiters_[0].inFlight += by);
+        if (a.highestTier >= Tier::origin) limiters_[1].inFlight += by;
     }
 
     // Puts an outcome down to the tier that it speaks of: the highest that was asked, so far as is known.
@@ -711,7 +711,8 @@
     // jammed, cold or dead, and refills after a purge. Answers that never come say little while others do.
     // Harm: when many are late by chance the gates close a little; hits at the caches pass none.
     void updateLimiters(Time now, const Pending& p, const Attempt& a, const AttemptEnded& e) {
-        if (a.reaches == Tier::caches || a.late || e.outcome == Outcome::notSent || e.blameless) return;
+        if (a.highestTier == Tier::caches || a.countedLate || e.outcome == Outcome::notSent || e.blameless)
+            return;
         if (hosts_[a.host].entry.role == Role::cache) {
             if (e.note == CacheStatus::hit || e.note == CacheStatus::stale ||
                 e.note == CacheStatus::noFillPlace)
@@ -728,7 +729,7 @@
         const bool prompt = e.outcome == Outcome::error && e.note != CacheStatus::originFailed;
         if (inTime && (prompt || e.outcome == Outcome::cancelled)) return;
         const bool good = e.outcome == Outcome::noCopy || (served && inTime);
-        const bool atParent = a.reaches == Tier::parents || e.note == CacheStatus::filled;
+        const bool atParent = a.highestTier == Tier::parents || e.note == CacheStatus::filled;
         const HostIndex upper = a.source != kNoHost ? a.source : a.host;
         if (good && hosts_[upper].entry.role == Role::origin) origin_.deposit(kOriginSendsPerSuccess);
 
@@ -792,13 +793,14 @@
             if (source != route.host) chargeCold(now, hosts_[source], p);
         }
         chargeCold(now, host, p);
-        const bool alone = fillOf(now, host) < 1;
+        const bool hostHadRoom = fillOf(now, host) < 1;
         ++host.outstanding;
         const int number = static_cast<int>(p.attempts.size());
-        const Tier reaches = s.plain || (s.source != s.host && !route.sourceHeldOnly) ? Tier::origin
-                             : route.sourceHeldOnly                                   ? Tier::parents
-                                                                                      : Tier::caches;
-        p.attempts.push_back(Attempt{route.host, route.source, now, true, true, reaches, false, alone});
+        const Tier highestTier = s.plain || (s.source != s.host && !route.sourceHeldOnly) ? Tier::origin
+                                 : route.sourceHeldOnly                                   ? Tier::parents
+                                                                                          : Tier::caches;
+        p.attempts.push_back(
+            Attempt{route.host, route.source, now, true, true, highestTier, false, hostHadRoom});
         countInFlight(now, p.attempts.back(), 1);
         out.push_back(s);
         armTimers(now, p, number, out);
@@ -835,7 +837,7 @@
         const Time at = std::max(now + needed, p.aim - needed);
         if ((p.set->secondCopies || p.set->mayCancel) && at + needed < p.request.deadline)
             arm(at - now, p, attempt, false, out);
-        if (p.attempts.back().reaches != Tier::caches)
+        if (p.attempts.back().highestTier != Tier::caches)
             arm(p.aim - p.arrived + kMinTimerDelay, p, attempt, true, out);
     }
 
@@ -844,26 +846,27 @@
         out.push_back(SetTimer{nextTimer_++, std::max(kMinTimerDelay, delay)});
     }
 
-    bool heardSince(const Attempt& a) const { return hosts_[a.host].heardAt > a.sentAt; }
+    bool answeredSince(const Attempt& a) const { return hosts_[a.host].lastAnswerAt > a.sentAt; }
 
     // Told when it is late, not when it ends: in a jam that is seconds later, and all that is sent meanwhile
     // adds to the jam. While its host answers others it is the fill that is slow.
     void attemptIsLate(Time now, const Pending& p, Attempt& a) {
         if (zoneLinkFill(now) > 1) return;
-        a.late = true;
-        const double bad = heardSince(a) ? 1 : kUnansweredFailureWeight;
+        a.countedLate = true;
+        const double bad = answeredSince(a) ? 1 : kUnansweredFailureWeight;
         recordOutcome(now, limiters_[0], p, a, bad, 0);
-        if (a.reaches == Tier::origin) recordOutcome(now, limiters_[1], p, a, bad, 0);
+        if (a.highestTier == Tier::origin) recordOutcome(now, limiters_[1], p, a, bad, 0);
     }
 
     void attemptIsSlow(Time now, Pending& p, Attempt& a, int number, Actions& out) {
         // A host that answers others is not silent: its fill is slow, and one begun anew would be slower.
-        const bool alive = heardSince(a);
-        a.slow = true;
+        const bool alive = answeredSince(a);
+        a.countedSlow = true;
         if (!alive) recordFailure(now, a.host, kSlowAttemptFailureWeight);
         if (a.source != kNoHost && a.source != a.host)
             recordFailure(now, a.source, kSlowAttemptFailureWeight);
-        if (alive || static_cast<int>(p.attempts.size()) >= p.set->mostTries || p.out() > 1) return;
+        if (alive || static_cast<int>(p.attempts.size()) >= p.set->mostTries || p.attemptsInFlight() > 1)
+            return;
         if (p.rules().effect != Effect::safe) return;
         avoid(p, a.host);
         if (a.source != kNoHost) avoid(p, a.source);
@@ -881,7 +884,7 @@
                o != Outcome::noCopy;
     }
 
-    static bool saysSomething(Outcome o) {
+    static bool isAnswerFromHost(Outcome o) {
         return o == Outcome::served || o == Outcome::noCopy || o == Outcome::error || o == Outcome::notTaken;
     }
 
@@ -902,7 +905,7 @@
         const ClassSettings& c = p.rules();
         if (c.effect == Effect::safe) return true;
         for (const Attempt& a : p.attempts) {
-            if (!a.out && !a.mayHaveRun) continue;
+            if (!a.inFlight && !a.mayHaveRun) continue;
             if (c.effect == Effect::unsafe) return false;
             const HostEntry& before = hosts_[a.host].entry;
             if (now - a.sentAt >= c.repeatWindow) return false;
@@ -916,7 +919,7 @@
         const ClassSettings& c = p.rules();
         if (c.effect == Effect::safe) return true;
         const bool perhapsRun = std::any_of(p.attempts.begin(), p.attempts.end(),
-                                            [](const Attempt& a) { return a.out || a.mayHaveRun; });
+                                            [](const Attempt& a) { return a.inFlight || a.mayHaveRun; });
         return !perhapsRun || (c.effect == Effect::keyed && c.group == DeduplicationScope::all);
     }
 
@@ -936,14 +939,15 @@
     void cancelOthers(const Pending& p, int except, Actions& out) {
         if (!p.set->mayCancel) return;
         for (int i = 0; i < static_cast<int>(p.attempts.size()); ++i)
-            if (i != except && p.attempts[static_cast<std::size_t>(i)].out)
+            if (i != except && p.attempts[static_cast<std::size_t>(i)].inFlight)
                 out.push_back(Cancel{p.request.id, i});
     }
 
     // A request is remembered until all its attempts have ended: they still tell about the hosts.
     void forgetIfDone(RequestId id) {
         const auto it = pending_.find(id);
-        if (it != pending_.end() && it->second.answered && it->second.out() == 0) pending_.erase(it);
+        if (it != pending_.end() && it->second.answered && it->second.attemptsInFlight() == 0)
+            pending_.erase(it);
     }
 
     // ----- health -----
@@ -971,16 +975,17 @@
             case Outcome::notSent:
                 return;
             case Outcome::noCopy:
-                if (hasSource && a.reaches == Tier::origin) avoid(p, a.source);  // else it only lacks a copy
+                if (hasSource && a.highestTier == Tier::origin)
+                    avoid(p, a.source);  // else it only lacks a copy
                 return;
             case Outcome::noConnection:
             case Outcome::broken:
-                if (e.blameless && heardSince(a)) return;  // by another connection, at once
+                if (e.blameless && answeredSince(a)) return;  // by another connection, at once
                 return blame(now, p, a.host, e.blameless ? 0 : 1);
             default:
                 break;
         }
-        const double weight = e.blameless ? 0 : a.slow ? 1 - kSlowAttemptFailureWeight : 1;
+        const double weight = e.blameless ? 0 : a.countedSlow ? 1 - kSlowAttemptFailureWeight : 1;
         if (e.note >= CacheStatus::sourceRefused) {  // it and those after it say why a fill failed
             const bool atSource = hasSource && e.note != CacheStatus::noFillPlace;
             const bool itsOwn = atSource && e.note != CacheStatus::originFailed;
