--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -168,24 +168,26 @@
 
 struct Pending {
     Request request;
-    std::shared_ptr<const Settings> set;  // in force when it came: it keeps them until it ends
+    std::shared_ptr<const Settings> settings;  // in force when it came: it keeps them until it ends
     Time arrived{};
     Time aim{};       // when full worth ends
     double work = 0;  // seconds of sending time
-    bool found = false, hot = false;
+    bool inFilter = false, hot = false;
     int keepRank = 0;
     bool answered = false, streaming = false, retryAfterCancel = false;
-    bool staleWillDo = false;  // something failed, or no fill is to be had
+    bool acceptStale = false;  // something failed, or no fill is to be had
     std::vector<Attempt> attempts;
-    std::vector<HostIndex> avoid;
+    std::vector<HostIndex> excludedHosts;
     auto attemptsInFlight() const { return std::ranges::count(attempts, true, &Attempt::inFlight); }
-    const ClassSettings& rules() const { return set->classes[static_cast<std::size_t>(request.classIndex)]; }
+    const ClassSettings& classSettings() const {
+        return settings->classes[static_cast<std::size_t>(request.classIndex)];
+    }
 };
 
 struct Route {
     HostIndex host = kNoHost, source = kNoHost;
     int keepRank = 0;
-    bool sourceHeldOnly = false;
+    bool sourceOnlyIfCached = false;
     bool ok() const { return host != kNoHost; }
 };
 
@@ -206,8 +208,8 @@
 class Router::Impl {
 public:
     Impl(Settings settings, std::uint64_t seed)
-        : set_(std::make_shared<Settings>(std::move(settings))),
-          meanWork_(set_->classes.size(), 0),
+        : settings_(std::make_shared<Settings>(std::move(settings))),
+          meanWork_(settings_->classes.size(), 0),
           random_(mix(seed)),
           salt_(mix(seed + 1)) {}
 
@@ -215,12 +217,12 @@
 
     void start(Time now, Actions& out) {
         startedAt_ = now;
-        if (set_->mustAskForList) out.push_back(Watch{});
+        if (settings_->mustAskForList) out.push_back(Watch{});
     }
 
     void reconfigure(Settings settings) {
-        set_ = std::make_shared<Settings>(std::move(settings));
-        meanWork_.resize(set_->classes.size(), 0);
+        settings_ = std::make_shared<Settings>(std::move(settings));
+        meanWork_.resize(settings_->classes.size(), 0);
         groupHosts();
     }
 
@@ -238,12 +240,12 @@
             if (!hosts_[i].listed) continue;
             if (entry.role == Role::parent) parents_.push_back(i);
             if (entry.role == Role::origin) origins_.push_back(i);
-            if (entry.role == Role::cache && entry.zone == set_->zone) caches_.push_back(i);
+            if (entry.role == Role::cache && entry.zone == settings_->zone) caches_.push_back(i);
         }
     }
 
     void listFailed(Time, Actions& out) {
-        if (!set_->mustAskForList) return;
+        if (!settings_->mustAskForList) return;
         out.push_back(SetTimer{watchTimer_ = nextTimer_++, kInitialBackoff});
     }
 
@@ -254,11 +256,11 @@
         origin_.deposit(kOriginSendsPerRequest);
         Pending& p = pending_[request.id];
         p.request = request;
-        p.set = set_;
+        p.settings = settings_;
         p.arrived = now;
-        const ClassSettings& c = p.rules();
-        if (request.sizeKb > 0 && set_->paceKb > 0)
-            learnWork(request.classIndex, request.sizeKb / set_->paceKb);
+        const ClassSettings& c = p.classSettings();
+        if (request.sizeKb > 0 && settings_->paceKb > 0)
+            learnWork(request.classIndex, request.sizeKb / settings_->paceKb);
         p.work = guessWork(request);
         setAim(p);
         if (!c.neverKept && !request.write && request.object != 0) lookUp(now, p, c);
@@ -329,7 +331,7 @@
         known = std::max(known, at);
         purgeOrder_.emplace_back(now, purge);
         // Kept twice as long as told: a copy younger than the purge is never hurt by it.
-        while (!purgeOrder_.empty() && purgeOrder_.front().first + 2 * set_->purgeSettles < now) {
+        while (!purgeOrder_.empty() && purgeOrder_.front().first + 2 * settings_->purgeSettles < now) {
             const Purge old = purgeOrder_.front().second;
             const Time made = purgeOrder_.front().first - old.age;
             auto& table = old.object != 0 ? objectPurges_ : groupPurges_;
@@ -347,12 +349,13 @@
         LearnedState known{startedAt_, meanWork_, {}, {}};
         filter_.fromOldest([&](auto name, auto& record) { known.objects.emplace_back(name, record); });
         for (Host& h : hosts_)
-            if (h.listed) known.hosts.push_back({h, h.entry.name, h.coldWork.over(now, set_->fallWindow)});
+            if (h.listed)
+                known.hosts.push_back({h, h.entry.name, h.coldWork.over(now, settings_->fallWindow)});
         return known;
     }
 
     void restore(Time now, const LearnedState& known) {
-        (meanWork_ = known.meanWork).resize(set_->classes.size(), 0);
+        (meanWork_ = known.meanWork).resize(settings_->classes.size(), 0);
         for (const auto& [name, object] : known.objects) filter_.touch(name).first = {object, {}};
         startedAt_ = std::min(startedAt_, known.startedAt);
         for (const NamedLearnedHost& from : known.hosts) {
@@ -382,7 +385,7 @@
             const auto refers = [&](const auto& entry) {
                 const Pending& p = entry.second;
                 const auto at = [i](const Attempt& a) { return a.host == i || a.source == i; };
-                return std::count(p.avoid.begin(), p.avoid.end(), i) > 0 ||
+                return std::count(p.excludedHosts.begin(), p.excludedHosts.end(), i) > 0 ||
                        std::any_of(p.attempts.begin(), p.attempts.end(), at);
             };
             if (std::any_of(pending_.begin(), pending_.end(), refers)) continue;
@@ -416,8 +419,8 @@
 
     double guessWork(const Request& r) const {
         const auto c = static_cast<std::size_t>(r.classIndex);
-        if (r.sizeKb > 0 && set_->paceKb > 0) return r.sizeKb / set_->paceKb;
-        return meanWork_[c] > 0 ? meanWork_[c] : seconds(set_->classes[c].aim) / 4;
+        if (r.sizeKb > 0 && settings_->paceKb > 0) return r.sizeKb / settings_->paceKb;
+        return meanWork_[c] > 0 ? meanWork_[c] : seconds(settings_->classes[c].aim) / 4;
     }
 
     void learnWork(int classIndex, double work) {
@@ -426,7 +429,7 @@
     }
 
     void setAim(Pending& p) const {
-        const ClassSettings& c = p.rules();
+        const ClassSettings& c = p.classSettings();
         p.aim = std::min(p.request.deadline, p.arrived + c.aim + fromSeconds(c.aimStretch * p.work));
     }
 
@@ -434,12 +437,12 @@
     // its host had room. A mean guessed low makes what is in time look late, and closes gates on it.
     void learnFromAnswer(Pending& p, const Attempt& a, const AttemptEnded& e) {
         if (p.request.sizeKb > 0 || e.sizeKb < 0) return;
-        const bool told = e.sizeKb > 0 && set_->paceKb > 0;
+        const bool told = e.sizeKb > 0 && settings_->paceKb > 0;
         if (!told && (e.note != CacheStatus::hit || !a.hostHadRoom)) return;
-        const double work = told ? e.sizeKb / set_->paceKb : seconds(e.elapsed);
+        const double work = told ? e.sizeKb / settings_->paceKb : seconds(e.elapsed);
         learnWork(p.request.classIndex, work);
         if (!told) return;
-        if (p.request.object != 0 && p.found) filter_.touch(p.request.object).first.work = work;
+        if (p.request.object != 0 && p.inFilter) filter_.touch(p.request.object).first.work = work;
         p.work = work;
         setAim(p);
     }
@@ -465,7 +468,7 @@
             record.manyViewers = true;
         record.lastPart = std::max(record.lastPart, p.request.part);
         record.bytes.add(now, kHotObjectAveragingTime, p.work);
-        p.found = found;
+        p.inFilter = found;
         // A second viewer ranks a copy higher, and so does being whole: many small ones beat one part.
         p.keepRank = !found ? 0 : (record.manyViewers ? 2 : 1) + (c.inParts ? 0 : 1);
         p.hot = record.manyViewers && record.bytes.perSecond(now, kHotObjectAveragingTime) * routersHere() >
@@ -473,14 +476,16 @@
     }
 
     int routersHere() const {
-        const auto zone = static_cast<std::size_t>(set_->zone);
-        const bool told = set_->zone >= 0 && zone < set_->routersByZone.size();
-        return std::max(1, told ? set_->routersByZone[zone] : set_->routers);
+        const auto zone = static_cast<std::size_t>(settings_->zone);
+        const bool told = settings_->zone >= 0 && zone < settings_->routersByZone.size();
+        return std::max(1, told ? settings_->routersByZone[zone] : settings_->routers);
     }
 
-    bool weightsTold() const { return set_->weights == Weights::nominal || set_->weights == Weights::rough; }
+    bool weightsTold() const {
+        return settings_->weights == Weights::nominal || settings_->weights == Weights::rough;
+    }
     int sharers(const Host& host) const {
-        return host.entry.role == Role::cache ? routersHere() : std::max(1, set_->routers);
+        return host.entry.role == Role::cache ? routersHere() : std::max(1, settings_->routers);
     }
 
     // As told, or as learned; a host that has not shown it has at least what the least of its group has.
@@ -520,26 +525,26 @@
     bool isCold(Time now, const Host& host) const {
         const bool parent = host.entry.role == Role::parent;
         if (host.entry.role == Role::origin || host.entry.startedAt.count() <= 0) return false;
-        return (parent ? set_->parentFallMultiple : set_->fallMultiple) > 0 &&
-               now - host.entry.startedAt < (parent ? set_->parentWarmWithin : set_->warmWithin);
+        return (parent ? settings_->parentFallMultiple : settings_->fallMultiple) > 0 &&
+               now - host.entry.startedAt < (parent ? settings_->parentWarmWithin : settings_->warmWithin);
     }
 
     // The rule on cold hosts is a budget over every window, for all routers together; each keeps to its part.
     bool coldRoom(Time now, Host& host, double work) const {
         if (!isCold(now, host)) return true;
         const bool parent = host.entry.role == Role::parent;
-        const Time warm = parent ? set_->parentWarmWithin : set_->warmWithin;
-        const double multiple = parent ? set_->parentFallMultiple : set_->fallMultiple;
+        const Time warm = parent ? settings_->parentWarmWithin : settings_->warmWithin;
+        const double multiple = parent ? settings_->parentFallMultiple : settings_->fallMultiple;
         const double age = seconds(now - host.entry.startedAt);
-        const double from = parent ? set_->parentColdFrom : set_->coldFrom;
+        const double from = parent ? settings_->parentColdFrom : settings_->coldFrom;
         const double present = linkOf(host) * (from + (1 - from) * std::max(0.0, age) / seconds(warm));
         const double share = std::min(kColdLoadCapacityMultiple, kColdLoadOverloadShare * multiple);
-        const double part = share * present * seconds(set_->fallWindow) / sharers(host);
-        const double used = host.coldWork.over(now, set_->fallWindow);
+        const double part = share * present * seconds(settings_->fallWindow) / sharers(host);
+        const double used = host.coldWork.over(now, settings_->fallWindow);
         if (used + work <= part) return true;
         if (used > 0 || part * sharers(host) < kLotteryMinBudgetRequests * work) return false;
         // A draw a window, whose bounds differ among the routers.
-        const auto window = static_cast<std::uint64_t>(set_->fallWindow.count());
+        const auto window = static_cast<std::uint64_t>(settings_->fallWindow.count());
         const std::uint64_t turn = (static_cast<std::uint64_t>(now.count()) + salt_ % window) / window;
         return unitInterval(combine(combine(salt_, host.hash), turn)) < kLotteryBudgetShare * part / work;
     }
@@ -552,7 +557,7 @@
 
     bool usable(Time now, HostIndex i, const Pending& p, bool ignoreHealth) {
         Host& host = hosts_[i];
-        if (!host.listed || std::count(p.avoid.begin(), p.avoid.end(), i) > 0) return false;
+        if (!host.listed || std::count(p.excludedHosts.begin(), p.excludedHosts.end(), i) > 0) return false;
         if (!ignoreHealth && !healthy(now, host)) return false;
         return hostInTime(now, p, host) && coldRoom(now, host, coldWeight(host, p)) &&
                repeatAllowed(now, p, host);
@@ -561,7 +566,8 @@
     HostIndex pick(Time now, const std::vector<HostIndex>& group, std::uint64_t key, const Pending& p,
                    bool spread) {
         // Caches that all look bad are really lost, as with a whole zone, if parents are well and are asked.
-        const bool lost = &group == &caches_ && set_->direct && !parents_.empty() && !mostAreOut(parents_);
+        const bool lost =
+            &group == &caches_ && settings_->direct && !parents_.empty() && !mostAreOut(parents_);
         const bool ignoreHealth = mostAreOut(group) && !lost;
         HostIndex first = kNoHost, second = kNoHost;
         double best = HUGE_VAL, next = HUGE_VAL;
@@ -616,11 +622,12 @@
     // as now, or as on the mean, since the own number swings and lets too much through when it is low.
     double zoneLinkFill(Time now) const {
         if (now - linkReportAt_ < kLoadReportLifetime) return linkFill_;
-        const auto zone = static_cast<std::size_t>(set_->zone);
-        const bool told = set_->zone >= 0 && zone < set_->zoneLinkKb.size() && set_->zoneLinkKb[zone] > 0;
+        const auto zone = static_cast<std::size_t>(settings_->zone);
+        const bool told =
+            settings_->zone >= 0 && zone < settings_->zoneLinkKb.size() && settings_->zoneLinkKb[zone] > 0;
         if (!told || now - linkPaceAt_ < kFullPaceLifetime) return 0;
         const double fills = std::max<double>(limiters_[0].inFlight, fills_.mean(now, kFillsAveragingTime));
-        return fills * routersHere() * set_->paceKb / set_->zoneLinkKb[zone];
+        return fills * routersHere() * settings_->paceKb / settings_->zoneLinkKb[zone];
     }
 
     bool inTime(Time now, const Pending& p, double fill) const {
@@ -635,7 +642,7 @@
     }
 
     Time roundTrip(const Pending& p) const {
-        return fromSeconds(kOverheadLatencyTargetShare * seconds(p.rules().aim));
+        return fromSeconds(kOverheadLatencyTargetShare * seconds(p.classSettings().aim));
     }
 
     // Transfers at the host over those that its own link carries at full pace: what it says, if that is
@@ -657,7 +664,7 @@
 
     // The ordinary path, and what is left of it when hosts are missing, sick or were tried already.
     Route chooseRoute(Time now, Pending& p) {
-        const ClassSettings& c = p.rules();
+        const ClassSettings& c = p.classSettings();
         const bool write = c.neverKept || p.request.write;
         if (!write && !linkInTime(now, p)) return oldCopy(now, p, kNoHost);
         const HostIndex parent = pickParent(now, p);
@@ -665,7 +672,7 @@
         const HostIndex source = parent != kNoHost ? parent : top;
         // A name new to a young filter says nothing: it asks its cache on the way, which keeps no copy of it.
         const bool young = now - startedAt_ < kFilterWarmUpTime;
-        const bool upward = set_->direct && (write || (!p.found && (!young || !p.attempts.empty())));
+        const bool upward = settings_->direct && (write || (!p.inFilter && (!young || !p.attempts.empty())));
         // Copies and fills are asked for apart where fills are short, and from a cold parent, whose budget
         // every attempt that might be a fill would use up.
         if (!write && p.attempts.empty() && source != kNoHost) {
@@ -680,16 +687,16 @@
         const HostIndex cache = pickCache(now, p);
         if (cache != kNoHost && source != kNoHost && (!upward || top == kNoHost))
             if (source != top || origin_.tryTake()) return {cache, source, p.keepRank, false};
-        if (set_->direct && parent != kNoHost) return {parent, kNoHost, 0, false};
-        if (set_->direct && top != kNoHost && origin_.tryTake()) return {top, kNoHost, 0};
+        if (settings_->direct && parent != kNoHost) return {parent, kNoHost, 0, false};
+        if (settings_->direct && top != kNoHost && origin_.tryTake()) return {top, kNoHost, 0};
         return write ? Route{} : oldCopy(now, p, kNoHost);
     }
 
     // No fill is to be had: an old copy will do, of the cache or of the parent.
     Route oldCopy(Time now, Pending& p, HostIndex parent) {
-        const bool older = p.rules().staleFor.count() > 0;
-        if (!p.attempts.empty() && (p.staleWillDo || !older)) return {};
-        p.staleWillDo = true;
+        const bool older = p.classSettings().staleFor.count() > 0;
+        if (!p.attempts.empty() && (p.acceptStale || !older)) return {};
+        p.acceptStale = true;
         return heldOnly(now, p, parent);
     }
 
@@ -766,7 +773,7 @@
 
     void sendOrGiveUp(Time now, Pending& p, Actions& out) {
         const bool late = p.request.deadline - now <= fromSeconds(p.work);
-        if (late || static_cast<int>(p.attempts.size()) >= p.set->mostTries)
+        if (late || static_cast<int>(p.attempts.size()) >= p.settings->mostTries)
             return giveUp(p, late ? GiveUpReason::noTime : GiveUpReason::attemptLimit, out);
         const Route route = chooseRoute(now, p);
         route.ok() ? send(now, p, route, out) : giveUp(p, GiveUpReason::noRoute, out);
@@ -774,7 +781,7 @@
 
     void send(Time now, Pending& p, const Route& route, Actions& out) {
         Host& host = hosts_[route.host];
-        const ClassSettings& c = p.rules();
+        const ClassSettings& c = p.classSettings();
         Send s;
         s.request = p.request.id;
         s.host = host.entry.name;
@@ -786,19 +793,19 @@
             s.source = hosts_[source].entry.name;
             s.keepRank = host.entry.role == Role::cache ? route.keepRank : 0;
             s.oldest = oldestAllowed(now, p, c);
-            s.join = set_->joins;
-            s.heldOnly = route.sourceHeldOnly && host.entry.role == Role::cache;
-            if (route.sourceHeldOnly && host.entry.role == Role::parent) s.source = host.entry.name;
-            s.renew = c.freshFor.count() > 0 && p.found;
+            s.join = settings_->joins;
+            s.heldOnly = route.sourceOnlyIfCached && host.entry.role == Role::cache;
+            if (route.sourceOnlyIfCached && host.entry.role == Role::parent) s.source = host.entry.name;
+            s.renew = c.freshFor.count() > 0 && p.inFilter;
             if (source != route.host) chargeCold(now, hosts_[source], p);
         }
         chargeCold(now, host, p);
         const bool hostHadRoom = fillOf(now, host) < 1;
         ++host.outstanding;
         const int number = static_cast<int>(p.attempts.size());
-        const Tier highestTier = s.plain || (s.source != s.host && !route.sourceHeldOnly) ? Tier::origin
-                                 : route.sourceHeldOnly                                   ? Tier::parents
-                                                                                          : Tier::caches;
+        const Tier highestTier = s.plain || (s.source != s.host && !route.sourceOnlyIfCached) ? Tier::origin
+                                 : route.sourceOnlyIfCached                                   ? Tier::parents
+                                                                                              : Tier::caches;
         p.attempts.push_back(
             Attempt{route.host, route.source, now, true, true, highestTier, false, hostHadRoom});
         countInFlight(now, p.attempts.back(), 1);
@@ -819,7 +826,7 @@
     // A purge limits the age of what will do; zero would mean "any", so it is at least a nanosecond.
     Time oldestAllowed(Time now, const Pending& p, const ClassSettings& c) const {
         Time limit{0};
-        if (c.freshFor.count() > 0) limit = c.freshFor + (p.staleWillDo ? c.staleFor : Time{0});
+        if (c.freshFor.count() > 0) limit = c.freshFor + (p.acceptStale ? c.staleFor : Time{0});
         Time purgedAt = Time::min();
         if (const auto it = objectPurges_.find(p.request.object); it != objectPurges_.end())
             purgedAt = it->second;
@@ -835,7 +842,7 @@
     void armTimers(Time now, const Pending& p, int attempt, Actions& out) {
         const Time needed = fromSeconds(kOverdueSendTimeMultiple * p.work) + roundTrip(p);
         const Time at = std::max(now + needed, p.aim - needed);
-        if ((p.set->secondCopies || p.set->mayCancel) && at + needed < p.request.deadline)
+        if ((p.settings->secondCopies || p.settings->mayCancel) && at + needed < p.request.deadline)
             arm(at - now, p, attempt, false, out);
         if (p.attempts.back().highestTier != Tier::caches)
             arm(p.aim - p.arrived + kMinTimerDelay, p, attempt, true, out);
@@ -865,14 +872,14 @@
         if (!alive) recordFailure(now, a.host, kSlowAttemptFailureWeight);
         if (a.source != kNoHost && a.source != a.host)
             recordFailure(now, a.source, kSlowAttemptFailureWeight);
-        if (alive || static_cast<int>(p.attempts.size()) >= p.set->mostTries || p.attemptsInFlight() > 1)
+        if (alive || static_cast<int>(p.attempts.size()) >= p.settings->mostTries || p.attemptsInFlight() > 1)
             return;
-        if (p.rules().effect != Effect::safe) return;
-        avoid(p, a.host);
-        if (a.source != kNoHost) avoid(p, a.source);
+        if (p.classSettings().effect != Effect::safe) return;
+        excludeHost(p, a.host);
+        if (a.source != kNoHost) excludeHost(p, a.source);
         const Route route = chooseRoute(now, p);
         if (!route.ok() || !extra_.tryTake()) return;
-        if (p.set->secondCopies) return send(now, p, route, out);
+        if (p.settings->secondCopies) return send(now, p, route, out);
         p.retryAfterCancel = true;
         out.push_back(Cancel{p.request.id, number});
     }
@@ -888,21 +895,21 @@
         return o == Outcome::served || o == Outcome::noCopy || o == Outcome::error || o == Outcome::notTaken;
     }
 
-    static void avoid(Pending& p, HostIndex i) {
-        if (std::count(p.avoid.begin(), p.avoid.end(), i) == 0) p.avoid.push_back(i);
+    static void excludeHost(Pending& p, HostIndex i) {
+        if (std::count(p.excludedHosts.begin(), p.excludedHosts.end(), i) == 0) p.excludedHosts.push_back(i);
     }
 
     void retryOrGiveUp(Time now, Pending& p, bool blameless, Actions& out) {
         if (!p.retryAfterCancel && !blameless && !extra_.tryTake())
             return giveUp(p, GiveUpReason::noRetryBudget, out);
         p.retryAfterCancel = false;
-        p.staleWillDo = true;
+        p.acceptStale = true;
         sendOrGiveUp(now, p, out);
     }
 
     // Whether the request may go to this host after what was tried already.
     bool repeatAllowed(Time now, const Pending& p, const Host& host) const {
-        const ClassSettings& c = p.rules();
+        const ClassSettings& c = p.classSettings();
         if (c.effect == Effect::safe) return true;
         for (const Attempt& a : p.attempts) {
             if (!a.inFlight && !a.mayHaveRun) continue;
@@ -916,7 +923,7 @@
     }
 
     bool refusalAllowed(const Pending& p) const {
-        const ClassSettings& c = p.rules();
+        const ClassSettings& c = p.classSettings();
         if (c.effect == Effect::safe) return true;
         const bool perhapsRun = std::any_of(p.attempts.begin(), p.attempts.end(),
                                             [](const Attempt& a) { return a.inFlight || a.mayHaveRun; });
@@ -924,7 +931,7 @@
     }
 
     void giveUp(Pending& p, GiveUpReason why, Actions& out) {
-        const Time hint = p.set->retryHints ? std::min(kRetryAfter, p.set->maxRetryHint) : Time{0};
+        const Time hint = p.settings->retryHints ? std::min(kRetryAfter, p.settings->maxRetryHint) : Time{0};
         refusalAllowed(p) ? out.push_back(Refuse{p.request.id, hint, why})
                           : out.push_back(Fail{p.request.id, why});
         finish(p, out);
@@ -937,7 +944,7 @@
     }
 
     void cancelOthers(const Pending& p, int except, Actions& out) {
-        if (!p.set->mayCancel) return;
+        if (!p.settings->mayCancel) return;
         for (int i = 0; i < static_cast<int>(p.attempts.size()); ++i)
             if (i != except && p.attempts[static_cast<std::size_t>(i)].inFlight)
                 out.push_back(Cancel{p.request.id, i});
@@ -976,7 +983,7 @@
                 return;
             case Outcome::noCopy:
                 if (hasSource && a.highestTier == Tier::origin)
-                    avoid(p, a.source);  // else it only lacks a copy
+                    excludeHost(p, a.source);  // else it only lacks a copy
                 return;
             case Outcome::noConnection:
             case Outcome::broken:
@@ -996,7 +1003,7 @@
     }
 
     void blame(Time now, Pending& p, HostIndex i, double weight) {
-        avoid(p, i);
+        excludeHost(p, i);
         if (weight > 0) recordFailure(now, i, weight);
     }
 
@@ -1034,7 +1041,7 @@
         host.trialsWon = 0;
     }
 
-    std::shared_ptr<const Settings> set_;
+    std::shared_ptr<const Settings> settings_;
     std::deque<Host> hosts_;  // never shrinks: indices stay valid, and places are used again
     std::unordered_map<std::string, HostIndex> byName_;
     std::vector<HostIndex> caches_, parents_, origins_;  // ready ones; caches of the own zone
