--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -226,10 +226,10 @@
         groupHosts();
     }
 
-    void takeList(Time now, const HostList& list) {
+    void applyList(Time now, const HostList& list) {
         if (list.whole)
-            for (Host& host : hosts_) leave(now, host);
-        for (const HostEntry& entry : list.entries) takeEntry(now, entry);
+            for (Host& host : hosts_) markGone(now, host);
+        for (const HostEntry& entry : list.entries) applyEntry(now, entry);
         groupHosts();
     }
 
@@ -251,7 +251,7 @@
 
     // --- requests ---
 
-    void take(Time now, const Request& request, Actions& out) {
+    void handleRequest(Time now, const Request& request, Actions& out) {
         extra_.deposit(kRetriesPerRequest);
         origin_.deposit(kOriginSendsPerRequest);
         Pending& p = pending_[request.id];
@@ -278,7 +278,7 @@
         --hosts_[a.host].outstanding;
         a.mayHaveRun = mayHaveRun(e.outcome);
         if (isAnswerFromHost(e.outcome)) hosts_[a.host].lastAnswerAt = now;
-        takeReport(now, hosts_[a.host], e.load);
+        applyLoadReport(now, hosts_[a.host], e.load);
         countInFlight(now, a, -1);
         if (e.outcome == Outcome::served) learnFromAnswer(p, a, e);
         updateLimiters(now, p, a, e);
@@ -369,14 +369,14 @@
 private:
     // ----- the list -----
 
-    void leave(Time now, Host& host) {
+    void markGone(Time now, Host& host) {
         if (host.entry.readiness != Readiness::gone) host.goneAt = now;
         host.entry.readiness = Readiness::gone;
         host.listed = false;
     }
 
     // The place of a host that has long gone and that nothing in hand refers to; else a further one.
-    HostIndex freePlace(Time now) {
+    HostIndex acquireHostSlot(Time now) {
         for (HostIndex i = 0; i < hosts_.size(); ++i) {
             const Host& host = hosts_[i];
             if (host.entry.readiness != Readiness::gone || host.outstanding > 0 ||
@@ -397,10 +397,11 @@
         return static_cast<HostIndex>(hosts_.size() - 1);
     }
 
-    void takeEntry(Time now, const HostEntry& entry) {
+    void applyEntry(Time now, const HostEntry& entry) {
         const bool isNew = byName_.count(entry.name) == 0;
         if (isNew && entry.readiness == Readiness::gone) return;
-        const auto it = isNew ? byName_.emplace(entry.name, freePlace(now)).first : byName_.find(entry.name);
+        const auto it =
+            isNew ? byName_.emplace(entry.name, acquireHostSlot(now)).first : byName_.find(entry.name);
         if (isNew) hosts_[it->second].hash = fingerprint(entry.name);
         Host& host = hosts_[it->second];
         if (!isNew && entry.startedAt > host.entry.startedAt) {  // restarted: what it did before says nothing
@@ -408,7 +409,7 @@
             host.failures = 0;
             host.pause = kInitialBackoff;
         }
-        if (entry.readiness == Readiness::gone) leave(now, host);
+        if (entry.readiness == Readiness::gone) markGone(now, host);
         std::string name = isNew ? entry.name : std::move(host.entry.name);
         host.entry = entry;
         host.entry.name = std::move(name);  // the text stays where it is: actions hold views of it
@@ -605,7 +606,7 @@
         return i == kNoHost || hosts_[i].out ? kNoHost : i;
     }
 
-    void takeReport(Time now, Host& host, const LoadReport& load) {
+    void applyLoadReport(Time now, Host& host, const LoadReport& load) {
         if (load.inFlight) {
             const bool recent = now - host.reportedAt < kLoadReportLifetime;
             const double before = recent ? host.reportedInFlight : *load.inFlight;
@@ -1073,9 +1074,9 @@
 
 void Router::start(Time now, Actions& out) { impl_->start(now, out); }
 void Router::reconfigure(Settings settings) { impl_->reconfigure(std::move(settings)); }
-void Router::handle(Time now, const HostList& event, Actions&) { impl_->takeList(now, event); }
+void Router::handle(Time now, const HostList& event, Actions&) { impl_->applyList(now, event); }
 void Router::handleListFailed(Time now, Actions& out) { impl_->listFailed(now, out); }
-void Router::handle(Time now, const Request& event, Actions& out) { impl_->take(now, event, out); }
+void Router::handle(Time now, const Request& event, Actions& out) { impl_->handleRequest(now, event, out); }
 void Router::handle(Time now, const AttemptEnded& event, Actions& out) {
     impl_->attemptEnded(now, event, out);
 }
