--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -260,10 +260,10 @@
         p.arrived = now;
         const ClassSettings& c = p.classSettings();
         if (request.sizeKb > 0 && settings_->paceKb > 0)
-            learnWork(request.classIndex, request.sizeKb / settings_->paceKb);
-        p.work = guessWork(request);
-        setAim(p);
-        if (!c.neverKept && !request.write && request.object != 0) lookUp(now, p, c);
+            learnSendSeconds(request.classIndex, request.sizeKb / settings_->paceKb);
+        p.work = estimateSendSeconds(request);
+        setTargetTime(p);
+        if (!c.neverKept && !request.write && request.object != 0) lookUpInFilter(now, p, c);
         sendOrGiveUp(now, p, out);
     }
 
@@ -418,18 +418,18 @@
 
     // ----- the filter -----
 
-    double guessWork(const Request& r) const {
+    double estimateSendSeconds(const Request& r) const {
         const auto c = static_cast<std::size_t>(r.classIndex);
         if (r.sizeKb > 0 && settings_->paceKb > 0) return r.sizeKb / settings_->paceKb;
         return meanWork_[c] > 0 ? meanWork_[c] : seconds(settings_->classes[c].aim) / 4;
     }
 
-    void learnWork(int classIndex, double work) {
+    void learnSendSeconds(int classIndex, double work) {
         double& mean = meanWork_[static_cast<std::size_t>(classIndex)];
         mean = mean > 0 ? mean + 0.02 * (work - mean) : work;
     }
 
-    void setAim(Pending& p) const {
+    void setTargetTime(Pending& p) const {
         const ClassSettings& c = p.classSettings();
         p.aim = std::min(p.request.deadline, p.arrived + c.aim + fromSeconds(c.aimStretch * p.work));
     }
@@ -441,28 +441,28 @@
         const bool told = e.sizeKb > 0 && settings_->paceKb > 0;
         if (!told && (e.note != CacheStatus::hit || !a.hostHadRoom)) return;
         const double work = told ? e.sizeKb / settings_->paceKb : seconds(e.elapsed);
-        learnWork(p.request.classIndex, work);
+        learnSendSeconds(p.request.classIndex, work);
         if (!told) return;
         if (p.request.object != 0 && p.inFilter) filter_.touch(p.request.object).first.work = work;
         p.work = work;
-        setAim(p);
+        setTargetTime(p);
     }
 
     // What a host serves at a time, if all routers have as much there as here, is no more than its link. A
     // cold one serves what it is let: only what passes the link it is taken to have tells of its own.
-    void learnLink(Time now, Host& host, double work) {
+    void learnLinkTransfers(Time now, Host& host, double work) {
         host.served.add(now, kServedAveragingTime, work);
         const double all =
-            kServedLinkShare * host.served.perSecond(now, kServedAveragingTime) * sharers(host);
-        const double known = isCold(now, host) ? linkOf(host) : host.link;
+            kServedLinkShare * host.served.perSecond(now, kServedAveragingTime) * routersSharing(host);
+        const double known = isCold(now, host) ? linkTransfersOf(host) : host.link;
         if (now - startedAt_ > kServedAveragingTime && all > known) host.link = all;
     }
 
-    void lookUp(Time now, Pending& p, const ClassSettings& c) {
+    void lookUpInFilter(Time now, Pending& p, const ClassSettings& c) {
         auto [record, found] = filter_.touch(p.request.object);
         if (found && record.work > 0 && p.request.sizeKb <= 0) {
             p.work = record.work;
-            setAim(p);
+            setTargetTime(p);
         }
         // One viewer asks for the parts in turn; a part asked for again or from before is a second viewer's.
         if (found && !p.request.repeated && (!c.inParts || p.request.part <= record.lastPart))
@@ -472,11 +472,11 @@
         p.inFilter = found;
         // A second viewer ranks a copy higher, and so does being whole: many small ones beat one part.
         p.keepRank = !found ? 0 : (record.manyViewers ? 2 : 1) + (c.inParts ? 0 : 1);
-        p.hot = record.manyViewers && record.bytes.perSecond(now, kHotObjectAveragingTime) * routersHere() >
-                                          kHotObjectLinkShare * meanCacheLink();
+        p.hot = record.manyViewers && record.bytes.perSecond(now, kHotObjectAveragingTime) * routersInZone() >
+                                          kHotObjectLinkShare * meanCacheLinkTransfers();
     }
 
-    int routersHere() const {
+    int routersInZone() const {
         const auto zone = static_cast<std::size_t>(settings_->zone);
         const bool told = settings_->zone >= 0 && zone < settings_->routersByZone.size();
         return std::max(1, told ? settings_->routersByZone[zone] : settings_->routers);
@@ -485,12 +485,12 @@
     bool weightsTold() const {
         return settings_->weights == Weights::nominal || settings_->weights == Weights::rough;
     }
-    int sharers(const Host& host) const {
-        return host.entry.role == Role::cache ? routersHere() : std::max(1, settings_->routers);
+    int routersSharing(const Host& host) const {
+        return host.entry.role == Role::cache ? routersInZone() : std::max(1, settings_->routers);
     }
 
     // As told, or as learned; a host that has not shown it has at least what the least of its group has.
-    double linkOf(const Host& host) const {
+    double linkTransfersOf(const Host& host) const {
         if (weightsTold() && host.entry.weight > 0) return host.entry.weight;
         if (host.link > kDefaultLinkTransfers) return host.link;
         double least = HUGE_VAL;
@@ -499,9 +499,9 @@
         return least < HUGE_VAL ? std::max(kDefaultLinkTransfers, least) : kDefaultLinkTransfers;
     }
 
-    double meanCacheLink() const {
+    double meanCacheLinkTransfers() const {
         double sum = 0;
-        for (const HostIndex i : caches_) sum += linkOf(hosts_[i]);
+        for (const HostIndex i : caches_) sum += linkTransfersOf(hosts_[i]);
         return caches_.empty() ? kDefaultLinkTransfers : sum / static_cast<double>(caches_.size());
     }
 
@@ -510,7 +510,7 @@
     // Rendezvous hash, weighted by the links: the least comes first.
     double rank(HostIndex i, std::uint64_t key) const {
         return -std::log(unitInterval(combine(key, hosts_[i].hash))) /
-               (weightsTold() ? linkOf(hosts_[i]) : 1);
+               (weightsTold() ? linkTransfersOf(hosts_[i]) : 1);
     }
 
     bool healthy(Time now, const Host& host) const {
@@ -538,12 +538,13 @@
         const double multiple = parent ? settings_->parentFallMultiple : settings_->fallMultiple;
         const double age = seconds(now - host.entry.startedAt);
         const double from = parent ? settings_->parentColdFrom : settings_->coldFrom;
-        const double present = linkOf(host) * (from + (1 - from) * std::max(0.0, age) / seconds(warm));
+        const double present =
+            linkTransfersOf(host) * (from + (1 - from) * std::max(0.0, age) / seconds(warm));
         const double share = std::min(kColdLoadCapacityMultiple, kColdLoadOverloadShare * multiple);
-        const double part = share * present * seconds(settings_->fallWindow) / sharers(host);
+        const double part = share * present * seconds(settings_->fallWindow) / routersSharing(host);
         const double used = host.coldWork.over(now, settings_->fallWindow);
         if (used + work <= part) return true;
-        if (used > 0 || part * sharers(host) < kLotteryMinBudgetRequests * work) return false;
+        if (used > 0 || part * routersSharing(host) < kLotteryMinBudgetRequests * work) return false;
         // A draw a window, whose bounds differ among the routers.
         const auto window = static_cast<std::uint64_t>(settings_->fallWindow.count());
         const std::uint64_t turn = (static_cast<std::uint64_t>(now.count()) + salt_ % window) / window;
@@ -584,7 +585,9 @@
             }
         }
         if (!spread || second == kNoHost) return first;
-        const auto load = [&](HostIndex i) { return (hosts_[i].outstanding + 1) / linkOf(hosts_[i]); };
+        const auto load = [&](HostIndex i) {
+            return (hosts_[i].outstanding + 1) / linkTransfersOf(hosts_[i]);
+        };
         return load(second) < load(first) ? second : first;
     }
 
@@ -628,7 +631,7 @@
             settings_->zone >= 0 && zone < settings_->zoneLinkKb.size() && settings_->zoneLinkKb[zone] > 0;
         if (!told || now - linkPaceAt_ < kFullPaceLifetime) return 0;
         const double fills = std::max<double>(limiters_[0].inFlight, fills_.mean(now, kFillsAveragingTime));
-        return fills * routersHere() * settings_->paceKb / settings_->zoneLinkKb[zone];
+        return fills * routersInZone() * settings_->paceKb / settings_->zoneLinkKb[zone];
     }
 
     bool inTime(Time now, const Pending& p, double fill) const {
@@ -651,9 +654,9 @@
     double fillOf(Time now, const Host& host) const {
         const double own = host.outstanding;
         const bool recent = now - host.reportedAt < kLoadReportLifetime;
-        const double guessed = own * sharers(host);
+        const double guessed = own * routersSharing(host);
         return (recent ? std::max(own, host.reportedInFlight) : guessed) /
-               std::max(kMinLoadLinkTransfers, linkOf(host));
+               std::max(kMinLoadLinkTransfers, linkTransfersOf(host));
     }
 
     // Whether the host can still answer in time. A host that takes on more serves all of them late: the rest
@@ -975,8 +978,8 @@
                 }
                 if (hasSource && fetched) recordSuccess(a.source);
                 if (e.sizeKb < 0) return;
-                learnLink(now, hosts_[a.host], p.work);
-                if (hasSource && fetched) learnLink(now, hosts_[a.source], p.work);
+                learnLinkTransfers(now, hosts_[a.host], p.work);
+                if (hasSource && fetched) learnLinkTransfers(now, hosts_[a.source], p.work);
                 return;
             }
             case Outcome::cancelled:
