--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -518,7 +518,7 @@
     }
 
     // When most of a group looks bad at once the trouble is likely elsewhere: nobody is shut out then.
-    bool mostAreOut(const std::vector<HostIndex>& group) const {
+    bool mostAreEjected(const std::vector<HostIndex>& group) const {
         const auto bad = std::ranges::count_if(group, [&](HostIndex i) { return hosts_[i].out; });
         return 2 * bad > static_cast<std::ptrdiff_t>(group.size());
     }
@@ -531,7 +531,7 @@
     }
 
     // The rule on cold hosts is a budget over every window, for all routers together; each keeps to its part.
-    bool coldRoom(Time now, Host& host, double work) const {
+    bool withinColdBudget(Time now, Host& host, double work) const {
         if (!isCold(now, host)) return true;
         const bool parent = host.entry.role == Role::parent;
         const Time warm = parent ? settings_->parentWarmWithin : settings_->warmWithin;
@@ -552,7 +552,7 @@
     }
 
     // A guess too low fills a cold host unseen.
-    double coldWeight(const Host& host, const Pending& p) const {
+    double coldCharge(const Host& host, const Pending& p) const {
         const double mean = meanWork_[static_cast<std::size_t>(p.request.classIndex)];
         return std::max(mean > 0 ? mean : p.work, host.entry.role == Role::parent ? p.work : 1e-3);
     }
@@ -561,7 +561,7 @@
         Host& host = hosts_[i];
         if (!host.listed || std::count(p.excludedHosts.begin(), p.excludedHosts.end(), i) > 0) return false;
         if (!ignoreHealth && !healthy(now, host)) return false;
-        return hostInTime(now, p, host) && coldRoom(now, host, coldWeight(host, p)) &&
+        return hostMeetsTarget(now, p, host) && withinColdBudget(now, host, coldCharge(host, p)) &&
                repeatAllowed(now, p, host);
     }
 
@@ -569,8 +569,8 @@
                    bool spread) {
         // Caches that all look bad are really lost, as with a whole zone, if parents are well and are asked.
         const bool lost =
-            &group == &caches_ && settings_->direct && !parents_.empty() && !mostAreOut(parents_);
-        const bool ignoreHealth = mostAreOut(group) && !lost;
+            &group == &caches_ && settings_->direct && !parents_.empty() && !mostAreEjected(parents_);
+        const bool ignoreHealth = mostAreEjected(group) && !lost;
         HostIndex first = kNoHost, second = kNoHost;
         double best = HUGE_VAL, next = HUGE_VAL;
         for (const HostIndex i : group) {
@@ -624,7 +624,7 @@
 
     // As reported; else, where the link's size is told, what is on it if all of the zone fetch as this one:
     // as now, or as on the mean, since the own number swings and lets too much through when it is low.
-    double zoneLinkFill(Time now) const {
+    double zoneLinkUtilization(Time now) const {
         if (now - linkReportAt_ < kLoadReportLifetime) return linkFill_;
         const auto zone = static_cast<std::size_t>(settings_->zone);
         const bool told =
@@ -635,23 +635,23 @@
     }
 
     bool inTime(Time now, const Pending& p, double fill) const {
-        return fill <= 1 || now + fromSeconds(p.work * fill) + roundTrip(p) <= p.aim;
+        return fill <= 1 || now + fromSeconds(p.work * fill) + overheadTime(p) <= p.aim;
     }
 
     // A full link that takes all serves nobody in time: it is left to those that will make it and to what
     // keeps. Guards against purges, bursts, scans, caches back empty. Harm: reports that say full when it is
     // free.
-    bool linkInTime(Time now, const Pending& p) const {
-        return inTime(now, p, zoneLinkFill(now) * (p.keepRank > 0 ? 1 : kUncachedTransferWeight));
+    bool zoneLinkMeetsTarget(Time now, const Pending& p) const {
+        return inTime(now, p, zoneLinkUtilization(now) * (p.keepRank > 0 ? 1 : kUncachedTransferWeight));
     }
 
-    Time roundTrip(const Pending& p) const {
+    Time overheadTime(const Pending& p) const {
         return fromSeconds(kOverheadLatencyTargetShare * seconds(p.classSettings().aim));
     }
 
     // Transfers at the host over those that its own link carries at full pace: what it says, if that is
     // recent, or what the routers of the zone have there if all do as this one.
-    double fillOf(Time now, const Host& host) const {
+    double linkUtilizationOf(Time now, const Host& host) const {
         const double own = host.outstanding;
         const bool recent = now - host.reportedAt < kLoadReportLifetime;
         const double guessed = own * routersSharing(host);
@@ -661,16 +661,17 @@
 
     // Whether the host can still answer in time. A host that takes on more serves all of them late: the rest
     // goes elsewhere or is refused at once. Guards against overload, bursts, hot objects, slow hosts.
-    bool hostInTime(Time now, const Pending& p, const Host& host) const {
+    bool hostMeetsTarget(Time now, const Pending& p, const Host& host) const {
         const bool origin = host.entry.role == Role::origin;  // its link is not told; its gate holds
-        return origin || now - host.fullPaceAt < kFullPaceLifetime || inTime(now, p, fillOf(now, host));
+        return origin || now - host.fullPaceAt < kFullPaceLifetime ||
+               inTime(now, p, linkUtilizationOf(now, host));
     }
 
     // The ordinary path, and what is left of it when hosts are missing, sick or were tried already.
     Route chooseRoute(Time now, Pending& p) {
         const ClassSettings& c = p.classSettings();
         const bool write = c.neverKept || p.request.write;
-        if (!write && !linkInTime(now, p)) return oldCopy(now, p, kNoHost);
+        if (!write && !zoneLinkMeetsTarget(now, p)) return staleCopyRoute(now, p, kNoHost);
         const HostIndex parent = pickParent(now, p);
         const HostIndex top = parent == kNoHost || write ? pickOrigin(now, p) : kNoHost;
         const HostIndex source = parent != kNoHost ? parent : top;
@@ -685,19 +686,19 @@
             if (!cacheOnly && parent != kNoHost && limiters_[1].isLimiting(now))
                 return upward ? Route{parent, kNoHost, 0, true} : heldOnly(now, p, parent);
         }
-        if (!write && !limiters_[0].admits(now)) return oldCopy(now, p, kNoHost);
-        if (!write && !limiters_[1].admits(now)) return oldCopy(now, p, parent);
+        if (!write && !limiters_[0].admits(now)) return staleCopyRoute(now, p, kNoHost);
+        if (!write && !limiters_[1].admits(now)) return staleCopyRoute(now, p, parent);
         if (upward && parent != kNoHost) return {parent, write ? top : kNoHost, 0, false};
         const HostIndex cache = pickCache(now, p);
         if (cache != kNoHost && source != kNoHost && (!upward || top == kNoHost))
             if (source != top || origin_.tryTake()) return {cache, source, p.keepRank, false};
         if (settings_->direct && parent != kNoHost) return {parent, kNoHost, 0, false};
         if (settings_->direct && top != kNoHost && origin_.tryTake()) return {top, kNoHost, 0};
-        return write ? Route{} : oldCopy(now, p, kNoHost);
+        return write ? Route{} : staleCopyRoute(now, p, kNoHost);
     }
 
     // No fill is to be had: an old copy will do, of the cache or of the parent.
-    Route oldCopy(Time now, Pending& p, HostIndex parent) {
+    Route staleCopyRoute(Time now, Pending& p, HostIndex parent) {
         const bool older = p.classSettings().staleFor.count() > 0;
         if (!p.attempts.empty() && (p.acceptStale || !older)) return {};
         p.acceptStale = true;
@@ -735,7 +736,7 @@
         const bool served = e.outcome == Outcome::served;
         // Lateness is not put down to them while the zone's own link is full.
         // In time means: had it been asked for at once; what the request lost before is not this tier's.
-        const bool inTime = e.elapsed <= p.aim - p.arrived || zoneLinkFill(now) > 1;
+        const bool inTime = e.elapsed <= p.aim - p.arrived || zoneLinkUtilization(now) > 1;
         // A prompt error is its host's own trouble, and a cancelled attempt was not yet late.
         const bool prompt = e.outcome == Outcome::error && e.note != CacheStatus::originFailed;
         if (inTime && (prompt || e.outcome == Outcome::cancelled)) return;
@@ -769,7 +770,7 @@
         }
         if (limiter.limit >= 1) return;
         const double spread = 0.5 + unitInterval(random_ = mix(random_ + 1));
-        const double took = seconds(std::max(roundTrip(p), now - a.sentAt));  // refusals may come at once
+        const double took = seconds(std::max(overheadTime(p), now - a.sentAt));  // refusals may come at once
         limiter.closedUntil = now + fromSeconds(took * (1 / limiter.limit - 1) * spread);
     }
 
@@ -796,15 +797,15 @@
             const HostIndex source = sourceOf(route);
             s.source = hosts_[source].entry.name;
             s.keepRank = host.entry.role == Role::cache ? route.keepRank : 0;
-            s.oldest = oldestAllowed(now, p, c);
+            s.oldest = maxCopyAgeFor(now, p, c);
             s.join = settings_->joins;
             s.heldOnly = route.sourceOnlyIfCached && host.entry.role == Role::cache;
             if (route.sourceOnlyIfCached && host.entry.role == Role::parent) s.source = host.entry.name;
             s.renew = c.freshFor.count() > 0 && p.inFilter;
-            if (source != route.host) chargeCold(now, hosts_[source], p);
+            if (source != route.host) chargeColdBudget(now, hosts_[source], p);
         }
-        chargeCold(now, host, p);
-        const bool hostHadRoom = fillOf(now, host) < 1;
+        chargeColdBudget(now, host, p);
+        const bool hostHadRoom = linkUtilizationOf(now, host) < 1;
         ++host.outstanding;
         const int number = static_cast<int>(p.attempts.size());
         const Tier highestTier = s.plain || (s.source != s.host && !route.sourceOnlyIfCached) ? Tier::origin
@@ -823,12 +824,12 @@
         return origins_.empty() ? route.host : origins_.front();
     }
 
-    void chargeCold(Time now, Host& host, const Pending& p) {
-        if (host.entry.startedAt.count() > 0) host.coldWork.add(now, coldWeight(host, p));
+    void chargeColdBudget(Time now, Host& host, const Pending& p) {
+        if (host.entry.startedAt.count() > 0) host.coldWork.add(now, coldCharge(host, p));
     }
 
     // A purge limits the age of what will do; zero would mean "any", so it is at least a nanosecond.
-    Time oldestAllowed(Time now, const Pending& p, const ClassSettings& c) const {
+    Time maxCopyAgeFor(Time now, const Pending& p, const ClassSettings& c) const {
         Time limit{0};
         if (c.freshFor.count() > 0) limit = c.freshFor + (p.acceptStale ? c.staleFor : Time{0});
         Time purgedAt = Time::min();
@@ -844,7 +845,7 @@
 
     // When another attempt must begin if it is to be in time for the aim, and when this one is late.
     void armTimers(Time now, const Pending& p, int attempt, Actions& out) {
-        const Time needed = fromSeconds(kOverdueSendTimeMultiple * p.work) + roundTrip(p);
+        const Time needed = fromSeconds(kOverdueSendTimeMultiple * p.work) + overheadTime(p);
         const Time at = std::max(now + needed, p.aim - needed);
         if ((p.settings->secondCopies || p.settings->mayCancel) && at + needed < p.request.deadline)
             arm(at - now, p, attempt, false, out);
@@ -862,7 +863,7 @@
     // Told when it is late, not when it ends: in a jam that is seconds later, and all that is sent meanwhile
     // adds to the jam. While its host answers others it is the fill that is slow.
     void attemptIsLate(Time now, const Pending& p, Attempt& a) {
-        if (zoneLinkFill(now) > 1) return;
+        if (zoneLinkUtilization(now) > 1) return;
         a.countedLate = true;
         const double bad = answeredSince(a) ? 1 : kUnansweredFailureWeight;
         recordOutcome(now, limiters_[0], p, a, bad, 0);
@@ -971,7 +972,7 @@
                 recordSuccess(a.host);
                 const bool fetched = e.note == CacheStatus::filled || e.note == CacheStatus::filledByOrigin ||
                                      e.note == CacheStatus::joined;
-                const Time trip = roundTrip(p);
+                const Time trip = overheadTime(p);
                 if (p.work > seconds(trip) && seconds(e.elapsed - trip) < kOverdueSendTimeMultiple * p.work) {
                     hosts_[a.host].fullPaceAt = now;
                     if (fetched) linkPaceAt_ = now;
