--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -282,8 +282,8 @@
         countInFlight(now, a, -1);
         if (e.outcome == Outcome::served) learnFromAnswer(p, a, e);
         updateLimiters(now, p, a, e);
-        judge(now, p, a, e);
-        if (e.over) finish(p, out);
+        updateHealth(now, p, a, e);
+        if (e.over) markAnswered(p, out);
         if (!p.answered && p.attemptsInFlight() == 0) {
             if (a.highestTier != Tier::origin && e.outcome == Outcome::noCopy)
                 sendOrGiveUp(now, p, out);  // only now is it known to need a fill
@@ -292,7 +292,7 @@
             else
                 giveUp(p, GiveUpReason::cancelled, out);
         }
-        forgetIfDone(e.request);
+        eraseIfDone(e.request);
     }
 
     void streamStarted(const StreamStarted& e, Actions& out) {
@@ -305,8 +305,8 @@
     void clientGone(RequestId id, Actions& out) {
         const auto it = pending_.find(id);
         if (it == pending_.end()) return;
-        finish(it->second, out);
-        forgetIfDone(id);
+        markAnswered(it->second, out);
+        eraseIfDone(id);
     }
 
     void timer(Time now, TimerId id, Actions& out) {
@@ -815,7 +815,7 @@
             Attempt{route.host, route.source, now, true, true, highestTier, false, hostHadRoom});
         countInFlight(now, p.attempts.back(), 1);
         out.push_back(s);
-        armTimers(now, p, number, out);
+        setTimers(now, p, number, out);
     }
 
     HostIndex sourceOf(const Route& route) const {
@@ -844,16 +844,16 @@
     }
 
     // When another attempt must begin if it is to be in time for the aim, and when this one is late.
-    void armTimers(Time now, const Pending& p, int attempt, Actions& out) {
+    void setTimers(Time now, const Pending& p, int attempt, Actions& out) {
         const Time needed = fromSeconds(kOverdueSendTimeMultiple * p.work) + overheadTime(p);
         const Time at = std::max(now + needed, p.aim - needed);
         if ((p.settings->secondCopies || p.settings->mayCancel) && at + needed < p.request.deadline)
-            arm(at - now, p, attempt, false, out);
+            setTimer(at - now, p, attempt, false, out);
         if (p.attempts.back().highestTier != Tier::caches)
-            arm(p.aim - p.arrived + kMinTimerDelay, p, attempt, true, out);
+            setTimer(p.aim - p.arrived + kMinTimerDelay, p, attempt, true, out);
     }
 
-    void arm(Time delay, const Pending& p, int attempt, bool late, Actions& out) {
+    void setTimer(Time delay, const Pending& p, int attempt, bool late, Actions& out) {
         timers_[nextTimer_] = {p.request.id, attempt, late};
         out.push_back(SetTimer{nextTimer_++, std::max(kMinTimerDelay, delay)});
     }
@@ -939,11 +939,11 @@
         const Time hint = p.settings->retryHints ? std::min(kRetryAfter, p.settings->maxRetryHint) : Time{0};
         refusalAllowed(p) ? out.push_back(Refuse{p.request.id, hint, why})
                           : out.push_back(Fail{p.request.id, why});
-        finish(p, out);
-        forgetIfDone(p.request.id);
+        markAnswered(p, out);
+        eraseIfDone(p.request.id);
     }
 
-    void finish(Pending& p, Actions& out) {
+    void markAnswered(Pending& p, Actions& out) {
         p.answered = true;
         cancelOthers(p, -1, out);
     }
@@ -956,7 +956,7 @@
     }
 
     // A request is remembered until all its attempts have ended: they still tell about the hosts.
-    void forgetIfDone(RequestId id) {
+    void eraseIfDone(RequestId id) {
         const auto it = pending_.find(id);
         if (it != pending_.end() && it->second.answered && it->second.attemptsInFlight() == 0)
             pending_.erase(it);
@@ -965,7 +965,7 @@
     // ----- health -----
 
     // Puts an outcome down to the host, to the source behind it, or half to each where it can't be told.
-    void judge(Time now, Pending& p, const Attempt& a, const AttemptEnded& e) {
+    void updateHealth(Time now, Pending& p, const Attempt& a, const AttemptEnded& e) {
         const bool hasSource = a.source != kNoHost && a.source != a.host;
         switch (e.outcome) {
             case Outcome::served: {
@@ -1022,14 +1022,14 @@
             host.outUntil = now + host.pause;
         } else if (host.failures > kEjectionFailureShare &&
                    host.failures >
-                       std::min(kLostHostFailureShare, othersFailures(i) + kEjectionShareAbovePeers)) {
+                       std::min(kLostHostFailureShare, meanPeerFailureShare(i) + kEjectionShareAbovePeers)) {
             host.out = true;
             host.outUntil = now + host.pause;
         }
     }
 
     // The mean of the fading shares of failures of the other hosts of its group.
-    double othersFailures(HostIndex i) const {
+    double meanPeerFailureShare(HostIndex i) const {
         const auto& group = hosts_[i].entry.role == Role::parent ? parents_ : caches_;
         double sum = 0;
         for (const HostIndex other : group) sum += other == i ? 0 : hosts_[other].failures;
