--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -139,7 +139,7 @@
     std::uint64_t hash = 0;
     bool listed = false;
     int outstanding = 0;
-    int trialsWon = 0;
+    int trialSuccesses = 0;
     double reportedInFlight = 0;
     Time reportedAt = -1h;
     Time fullPaceAt = -1h;  // when an answer last came at full pace
@@ -209,9 +209,9 @@
 public:
     Impl(Settings settings, std::uint64_t seed)
         : settings_(std::make_shared<Settings>(std::move(settings))),
-          meanWork_(settings_->classes.size(), 0),
-          random_(mix(seed)),
-          salt_(mix(seed + 1)) {}
+          meanSendSeconds_(settings_->classes.size(), 0),
+          randomState_(mix(seed)),
+          drawSalt_(mix(seed + 1)) {}
 
     // --- the list ---
 
@@ -222,7 +222,7 @@
 
     void reconfigure(Settings settings) {
         settings_ = std::make_shared<Settings>(std::move(settings));
-        meanWork_.resize(settings_->classes.size(), 0);
+        meanSendSeconds_.resize(settings_->classes.size(), 0);
         groupHosts();
     }
 
@@ -252,8 +252,8 @@
     // --- requests ---
 
     void handleRequest(Time now, const Request& request, Actions& out) {
-        extra_.deposit(kRetriesPerRequest);
-        origin_.deposit(kOriginSendsPerRequest);
+        retryBudget_.deposit(kRetriesPerRequest);
+        originBudget_.deposit(kOriginSendsPerRequest);
         Pending& p = pending_[request.id];
         p.request = request;
         p.settings = settings_;
@@ -346,7 +346,7 @@
     // --- taking another's place ---
 
     LearnedState learnedState(Time now) {
-        LearnedState known{startedAt_, meanWork_, {}, {}};
+        LearnedState known{startedAt_, meanSendSeconds_, {}, {}};
         filter_.fromOldest([&](auto name, auto& record) { known.objects.emplace_back(name, record); });
         for (Host& h : hosts_)
             if (h.listed)
@@ -355,12 +355,12 @@
     }
 
     void restore(Time now, const LearnedState& known) {
-        (meanWork_ = known.meanWork).resize(settings_->classes.size(), 0);
+        (meanSendSeconds_ = known.meanWork).resize(settings_->classes.size(), 0);
         for (const auto& [name, object] : known.objects) filter_.touch(name).first = {object, {}};
         startedAt_ = std::min(startedAt_, known.startedAt);
         for (const NamedLearnedHost& from : known.hosts) {
-            const auto it = byName_.find(from.name);
-            if (it == byName_.end()) continue;
+            const auto it = hostsByName_.find(from.name);
+            if (it == hostsByName_.end()) continue;
             static_cast<LearnedHost&>(hosts_[it->second]) = from;
             hosts_[it->second].coldWork.add(now, from.coldWork);
         }
@@ -389,7 +389,7 @@
                        std::any_of(p.attempts.begin(), p.attempts.end(), at);
             };
             if (std::any_of(pending_.begin(), pending_.end(), refers)) continue;
-            byName_.erase(host.entry.name);
+            hostsByName_.erase(host.entry.name);
             hosts_[i] = Host{};
             return i;
         }
@@ -398,10 +398,10 @@
     }
 
     void applyEntry(Time now, const HostEntry& entry) {
-        const bool isNew = byName_.count(entry.name) == 0;
+        const bool isNew = hostsByName_.count(entry.name) == 0;
         if (isNew && entry.readiness == Readiness::gone) return;
-        const auto it =
-            isNew ? byName_.emplace(entry.name, acquireHostSlot(now)).first : byName_.find(entry.name);
+        const auto it = isNew ? hostsByName_.emplace(entry.name, acquireHostSlot(now)).first
+                              : hostsByName_.find(entry.name);
         if (isNew) hosts_[it->second].hash = fingerprint(entry.name);
         Host& host = hosts_[it->second];
         if (!isNew && entry.startedAt > host.entry.startedAt) {  // restarted: what it did before says nothing
@@ -421,11 +421,11 @@
     double estimateSendSeconds(const Request& r) const {
         const auto c = static_cast<std::size_t>(r.classIndex);
         if (r.sizeKb > 0 && settings_->paceKb > 0) return r.sizeKb / settings_->paceKb;
-        return meanWork_[c] > 0 ? meanWork_[c] : seconds(settings_->classes[c].aim) / 4;
+        return meanSendSeconds_[c] > 0 ? meanSendSeconds_[c] : seconds(settings_->classes[c].aim) / 4;
     }
 
     void learnSendSeconds(int classIndex, double work) {
-        double& mean = meanWork_[static_cast<std::size_t>(classIndex)];
+        double& mean = meanSendSeconds_[static_cast<std::size_t>(classIndex)];
         mean = mean > 0 ? mean + 0.02 * (work - mean) : work;
     }
 
@@ -547,13 +547,13 @@
         if (used > 0 || part * routersSharing(host) < kLotteryMinBudgetRequests * work) return false;
         // A draw a window, whose bounds differ among the routers.
         const auto window = static_cast<std::uint64_t>(settings_->fallWindow.count());
-        const std::uint64_t turn = (static_cast<std::uint64_t>(now.count()) + salt_ % window) / window;
-        return unitInterval(combine(combine(salt_, host.hash), turn)) < kLotteryBudgetShare * part / work;
+        const std::uint64_t turn = (static_cast<std::uint64_t>(now.count()) + drawSalt_ % window) / window;
+        return unitInterval(combine(combine(drawSalt_, host.hash), turn)) < kLotteryBudgetShare * part / work;
     }
 
     // A guess too low fills a cold host unseen.
     double coldCharge(const Host& host, const Pending& p) const {
-        const double mean = meanWork_[static_cast<std::size_t>(p.request.classIndex)];
+        const double mean = meanSendSeconds_[static_cast<std::size_t>(p.request.classIndex)];
         return std::max(mean > 0 ? mean : p.work, host.entry.role == Role::parent ? p.work : 1e-3);
     }
 
@@ -618,19 +618,21 @@
         }
         if (host.entry.role != Role::cache || !load.linkFill) return;
         const bool fresh = now - linkReportAt_ < kLoadReportLifetime;
-        linkFill_ = fresh ? linkFill_ + kLoadReportWeight * (*load.linkFill - linkFill_) : *load.linkFill;
+        linkUtilization_ = fresh ? linkUtilization_ + kLoadReportWeight * (*load.linkFill - linkUtilization_)
+                                 : *load.linkFill;
         linkReportAt_ = now;
     }
 
     // As reported; else, where the link's size is told, what is on it if all of the zone fetch as this one:
     // as now, or as on the mean, since the own number swings and lets too much through when it is low.
     double zoneLinkUtilization(Time now) const {
-        if (now - linkReportAt_ < kLoadReportLifetime) return linkFill_;
+        if (now - linkReportAt_ < kLoadReportLifetime) return linkUtilization_;
         const auto zone = static_cast<std::size_t>(settings_->zone);
         const bool told =
             settings_->zone >= 0 && zone < settings_->zoneLinkKb.size() && settings_->zoneLinkKb[zone] > 0;
-        if (!told || now - linkPaceAt_ < kFullPaceLifetime) return 0;
-        const double fills = std::max<double>(limiters_[0].inFlight, fills_.mean(now, kFillsAveragingTime));
+        if (!told || now - linkFullPaceAt_ < kFullPaceLifetime) return 0;
+        const double fills =
+            std::max<double>(limiters_[0].inFlight, meanFillsInFlight_.mean(now, kFillsAveragingTime));
         return fills * routersInZone() * settings_->paceKb / settings_->zoneLinkKb[zone];
     }
 
@@ -691,9 +693,9 @@
         if (upward && parent != kNoHost) return {parent, write ? top : kNoHost, 0, false};
         const HostIndex cache = pickCache(now, p);
         if (cache != kNoHost && source != kNoHost && (!upward || top == kNoHost))
-            if (source != top || origin_.tryTake()) return {cache, source, p.keepRank, false};
+            if (source != top || originBudget_.tryTake()) return {cache, source, p.keepRank, false};
         if (settings_->direct && parent != kNoHost) return {parent, kNoHost, 0, false};
-        if (settings_->direct && top != kNoHost && origin_.tryTake()) return {top, kNoHost, 0};
+        if (settings_->direct && top != kNoHost && originBudget_.tryTake()) return {top, kNoHost, 0};
         return write ? Route{} : staleCopyRoute(now, p, kNoHost);
     }
 
@@ -714,7 +716,8 @@
     // ----- the gates before the parents and the origin -----
 
     void countInFlight(Time now, const Attempt& a, int by) {
-        if (a.highestTier >= Tier::parents) fills_.set(now, kFillsAveragingTime, limiters_[0].inFlight += by);
+        if (a.highestTier >= Tier::parents)
+            meanFillsInFlight_.set(now, kFillsAveragingTime, limiters_[0].inFlight += by);
         if (a.highestTier >= Tier::origin) limiters_[1].inFlight += by;
     }
 
@@ -743,7 +746,7 @@
         const bool good = e.outcome == Outcome::noCopy || (served && inTime);
         const bool atParent = a.highestTier == Tier::parents || e.note == CacheStatus::filled;
         const HostIndex upper = a.source != kNoHost ? a.source : a.host;
-        if (good && hosts_[upper].entry.role == Role::origin) origin_.deposit(kOriginSendsPerSuccess);
+        if (good && hosts_[upper].entry.role == Role::origin) originBudget_.deposit(kOriginSendsPerSuccess);
 
         const double bad = good ? 0 : silent ? kUnansweredFailureWeight : 1;
         // Answers well in time open more than those that only just made it.
@@ -769,7 +772,7 @@
             limiter.limit += kLimiterIncreasePerSuccess * std::max(0.0, spare);
         }
         if (limiter.limit >= 1) return;
-        const double spread = 0.5 + unitInterval(random_ = mix(random_ + 1));
+        const double spread = 0.5 + unitInterval(randomState_ = mix(randomState_ + 1));
         const double took = seconds(std::max(overheadTime(p), now - a.sentAt));  // refusals may come at once
         limiter.closedUntil = now + fromSeconds(took * (1 / limiter.limit - 1) * spread);
     }
@@ -883,7 +886,7 @@
         excludeHost(p, a.host);
         if (a.source != kNoHost) excludeHost(p, a.source);
         const Route route = chooseRoute(now, p);
-        if (!route.ok() || !extra_.tryTake()) return;
+        if (!route.ok() || !retryBudget_.tryTake()) return;
         if (p.settings->secondCopies) return send(now, p, route, out);
         p.retryAfterCancel = true;
         out.push_back(Cancel{p.request.id, number});
@@ -905,7 +908,7 @@
     }
 
     void retryOrGiveUp(Time now, Pending& p, bool blameless, Actions& out) {
-        if (!p.retryAfterCancel && !blameless && !extra_.tryTake())
+        if (!p.retryAfterCancel && !blameless && !retryBudget_.tryTake())
             return giveUp(p, GiveUpReason::noRetryBudget, out);
         p.retryAfterCancel = false;
         p.acceptStale = true;
@@ -975,7 +978,7 @@
                 const Time trip = overheadTime(p);
                 if (p.work > seconds(trip) && seconds(e.elapsed - trip) < kOverdueSendTimeMultiple * p.work) {
                     hosts_[a.host].fullPaceAt = now;
-                    if (fetched) linkPaceAt_ = now;
+                    if (fetched) linkFullPaceAt_ = now;
                 }
                 if (hasSource && fetched) recordSuccess(a.source);
                 if (e.sizeKb < 0) return;
@@ -1015,7 +1018,7 @@
     void recordFailure(Time now, HostIndex i, double weight) {
         Host& host = hosts_[i];
         host.failures += kOutcomeWeight * weight * (1 - host.failures);
-        host.trialsWon = 0;
+        host.trialSuccesses = 0;
         if (host.out) {
             if (now < host.outUntil) return;
             host.pause = std::min(2 * host.pause, kMaxBackoff);
@@ -1039,35 +1042,35 @@
     void recordSuccess(HostIndex i) {
         Host& host = hosts_[i];
         host.failures -= kOutcomeWeight * host.failures;
-        if (!host.out || ++host.trialsWon < kTrialSuccessesToReinstate) return;
+        if (!host.out || ++host.trialSuccesses < kTrialSuccessesToReinstate) return;
         host.out = false;
         host.failures = 0;
         host.pause = kInitialBackoff;
-        host.trialsWon = 0;
+        host.trialSuccesses = 0;
     }
 
     std::shared_ptr<const Settings> settings_;
     std::deque<Host> hosts_;  // never shrinks: indices stay valid, and places are used again
-    std::unordered_map<std::string, HostIndex> byName_;
+    std::unordered_map<std::string, HostIndex> hostsByName_;
     std::vector<HostIndex> caches_, parents_, origins_;  // ready ones; caches of the own zone
-    std::vector<double> meanWork_;                       // per class, seconds of sending time
-    std::uint64_t random_;
-    std::uint64_t salt_;  // fixed, for draws that must come out the same within a window
+    std::vector<double> meanSendSeconds_;                // per class, seconds of sending time
+    std::uint64_t randomState_;
+    std::uint64_t drawSalt_;  // fixed, for draws that must come out the same within a window
     LruMap<std::uint64_t, ObjectRecord> filter_{kFilterCapacity};
     std::unordered_map<RequestId, Pending> pending_;
     std::unordered_map<TimerId, std::tuple<RequestId, int, bool>> timers_;  // an attempt; then late, or slow
     std::unordered_map<std::uint64_t, Time> objectPurges_, groupPurges_;
     std::deque<std::pair<Time, Purge>> purgeOrder_;
     ConcurrencyLimiter limiters_[2];  // before the parents, and before the origin
-    TokenBucket extra_{kRetryBurst, kRetryBurst};
-    TokenBucket origin_{kOriginSendBurst, kOriginSendBurst};
+    TokenBucket retryBudget_{kRetryBurst, kRetryBurst};
+    TokenBucket originBudget_{kOriginSendBurst, kOriginSendBurst};
     Time startedAt_{};
     TimerId nextTimer_ = 1;
     TimerId watchTimer_ = 0;
-    double linkFill_ = 0;  // transfers over those that fit at full pace
+    double linkUtilization_ = 0;  // transfers over those that fit at full pace
     Time linkReportAt_ = -kLoadReportLifetime;
-    DecayingMean fills_;                    // own ones out
-    Time linkPaceAt_ = -kFullPaceLifetime;  // when a fill last came at full pace
+    DecayingMean meanFillsInFlight_;            // own ones out
+    Time linkFullPaceAt_ = -kFullPaceLifetime;  // when a fill last came at full pace
 };
 
 Router::Router(Settings settings, std::uint64_t seed)
