--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -142,18 +142,18 @@
     int trialSuccesses = 0;
     double reportedInFlight = 0;
     Time reportedAt = -1h;
-    Time fullPaceAt = -1h;  // when an answer last came at full pace
-    WindowSum coldWork;     // sent lately, in seconds of sending time
-    DecayingRate served;    // transfers at a time, in what it answers here
+    Time fullPaceAt = -1h;  // of the last answer at full pace
+    WindowSum coldWork;     // seconds of sending time sent to it lately
+    DecayingRate served;    // mean concurrent transfers, in its answers to this router
     Time goneAt{};
-    Time lastAnswerAt = -1h;  // when it last gave an answer of any kind
+    Time lastAnswerAt = -1h;  // of any kind
 };
 
 struct ObjectRecord : LearnedObject {
     DecayingRate bytes;
 };
 
-enum class Tier { caches, parents, origin };  // how far up an attempt may reach
+enum class Tier { caches, parents, origin };  // the highest that an attempt may use
 
 struct Attempt {
     HostIndex host = kNoHost, source = kNoHost;
@@ -161,21 +161,21 @@
     bool inFlight = true;
     bool mayHaveRun = false;
     Tier highestTier = Tier::caches;
-    bool countedSlow = false;  // already counted as slow
-    bool hostHadRoom = false;  // its host had room for it at full pace, so far as is known
-    bool countedLate = false;  // already told to the gates
+    bool countedSlow = false;  // recorded with the health of its host
+    bool hostHadRoom = false;  // at full pace, as far as known
+    bool countedLate = false;  // recorded with the concurrency limiters
 };
 
 struct Pending {
     Request request;
-    std::shared_ptr<const Settings> settings;  // in force when it came: it keeps them until it ends
+    std::shared_ptr<const Settings> settings;  // in force on arrival; kept until the request ends
     Time arrived{};
-    Time aim{};       // when full worth ends
+    Time aim{};       // an answer after this earns less than its full value
     double work = 0;  // seconds of sending time
     bool inFilter = false, hot = false;
     int keepRank = 0;
     bool answered = false, streaming = false, retryAfterCancel = false;
-    bool acceptStale = false;  // something failed, or no fill is to be had
+    bool acceptStale = false;  // an attempt failed, or no fill is possible
     std::vector<Attempt> attempts;
     std::vector<HostIndex> excludedHosts;
     auto attemptsInFlight() const { return std::ranges::count(attempts, true, &Attempt::inFlight); }
@@ -191,9 +191,10 @@
     bool ok() const { return host != kNoHost; }
 };
 
-// Lets so many attempts at a time through to a tier as it answers in time.
+// Adaptive limit on the concurrent attempts to a tier: it grows with answers in time and shrinks with
+// failures.
 struct ConcurrencyLimiter {
-    double limit = kUnlimitedConcurrency;  // below one: one at a time, with pauses
+    double limit = kUnlimitedConcurrency;  // below 1: one attempt at a time, with pauses
     int inFlight = 0;
     Time decreasedAt = -1h, closedUntil{};
     DecayingRate successes, failures;
@@ -213,7 +214,7 @@
           randomState_(mix(seed)),
           drawSalt_(mix(seed + 1)) {}
 
-    // --- the list ---
+    // --- host list ---
 
     void start(Time now, Actions& out) {
         startedAt_ = now;
@@ -286,7 +287,7 @@
         if (e.over) markAnswered(p, out);
         if (!p.answered && p.attemptsInFlight() == 0) {
             if (a.highestTier != Tier::origin && e.outcome == Outcome::noCopy)
-                sendOrGiveUp(now, p, out);  // only now is it known to need a fill
+                sendOrGiveUp(now, p, out);  // now it is known that a fill is needed
             else if (e.outcome != Outcome::cancelled || p.retryAfterCancel)
                 retryOrGiveUp(now, p, e.blameless, out);
             else
@@ -330,7 +331,8 @@
         auto& known = purge.object != 0 ? objectPurges_[purge.object] : groupPurges_[purge.group];
         known = std::max(known, at);
         purgeOrder_.emplace_back(now, purge);
-        // Kept twice as long as told: a copy younger than the purge is never hurt by it.
+        // Kept for twice the configured time. Keeping one longer does no harm: it never rejects a copy that
+        // is younger than the purge.
         while (!purgeOrder_.empty() && purgeOrder_.front().first + 2 * settings_->purgeSettles < now) {
             const Purge old = purgeOrder_.front().second;
             const Time made = purgeOrder_.front().first - old.age;
@@ -343,7 +345,7 @@
 
     std::size_t hostSlots() const { return hosts_.size(); }
 
-    // --- taking another's place ---
+    // --- hand-over to a successor ---
 
     LearnedState learnedState(Time now) {
         LearnedState known{startedAt_, meanSendSeconds_, {}, {}};
@@ -367,7 +369,7 @@
     }
 
 private:
-    // ----- the list -----
+    // ----- host list -----
 
     void markGone(Time now, Host& host) {
         if (host.entry.readiness != Readiness::gone) host.goneAt = now;
@@ -375,7 +377,8 @@
         host.listed = false;
     }
 
-    // The place of a host that has long gone and that nothing in hand refers to; else a further one.
+    // Reuses the slot of a host that has been gone for some time and that no pending request refers to;
+    // otherwise adds a slot.
     HostIndex acquireHostSlot(Time now) {
         for (HostIndex i = 0; i < hosts_.size(); ++i) {
             const Host& host = hosts_[i];
@@ -404,7 +407,7 @@
                               : hostsByName_.find(entry.name);
         if (isNew) hosts_[it->second].hash = fingerprint(entry.name);
         Host& host = hosts_[it->second];
-        if (!isNew && entry.startedAt > host.entry.startedAt) {  // restarted: what it did before says nothing
+        if (!isNew && entry.startedAt > host.entry.startedAt) {  // a restart resets its health
             host.out = false;
             host.failures = 0;
             host.pause = kInitialBackoff;
@@ -412,11 +415,11 @@
         if (entry.readiness == Readiness::gone) markGone(now, host);
         std::string name = isNew ? entry.name : std::move(host.entry.name);
         host.entry = entry;
-        host.entry.name = std::move(name);  // the text stays where it is: actions hold views of it
+        host.entry.name = std::move(name);  // keeps the string's storage, since actions hold views of it
         host.listed = entry.readiness == Readiness::ready;
     }
 
-    // ----- the filter -----
+    // ----- filter and learned sizes -----
 
     double estimateSendSeconds(const Request& r) const {
         const auto c = static_cast<std::size_t>(r.classIndex);
@@ -434,8 +437,9 @@
         p.aim = std::min(p.request.deadline, p.arrived + c.aim + fromSeconds(c.aimStretch * p.work));
     }
 
-    // Where requests don't tell sizes the answers do: by their bytes, or by the time that a hit took where
-    // its host had room. A mean guessed low makes what is in time look late, and closes gates on it.
+    // Where requests carry no size it is learned from answers: from their bytes, or from the time of a hit on
+    // a host with free capacity. A mean that is too low makes answers in time count as late, which shrinks
+    // the concurrency limits.
     void learnFromAnswer(Pending& p, const Attempt& a, const AttemptEnded& e) {
         if (p.request.sizeKb > 0 || e.sizeKb < 0) return;
         const bool told = e.sizeKb > 0 && settings_->paceKb > 0;
@@ -448,8 +452,9 @@
         setTargetTime(p);
     }
 
-    // What a host serves at a time, if all routers have as much there as here, is no more than its link. A
-    // cold one serves what it is let: only what passes the link it is taken to have tells of its own.
+    // Learns a lower bound of a host's link from the transfers that it serves at a time, assuming that every
+    // router has as many there. A cold host is limited by its budget, so that only a figure above its assumed
+    // link proves anything.
     void learnLinkTransfers(Time now, Host& host, double work) {
         host.served.add(now, kServedAveragingTime, work);
         const double all =
@@ -464,13 +469,15 @@
             p.work = record.work;
             setTargetTime(p);
         }
-        // One viewer asks for the parts in turn; a part asked for again or from before is a second viewer's.
+        // One viewer requests the parts in order, so that a repeated or earlier part comes from a second
+        // viewer.
         if (found && !p.request.repeated && (!c.inParts || p.request.part <= record.lastPart))
             record.manyViewers = true;
         record.lastPart = std::max(record.lastPart, p.request.part);
         record.bytes.add(now, kHotObjectAveragingTime, p.work);
         p.inFilter = found;
-        // A second viewer ranks a copy higher, and so does being whole: many small ones beat one part.
+        // Copies with a second viewer rank higher, and so do whole objects: many small ones are worth more
+        // than one part.
         p.keepRank = !found ? 0 : (record.manyViewers ? 2 : 1) + (c.inParts ? 0 : 1);
         p.hot = record.manyViewers && record.bytes.perSecond(now, kHotObjectAveragingTime) * routersInZone() >
                                           kHotObjectLinkShare * meanCacheLinkTransfers();
@@ -489,7 +496,7 @@
         return host.entry.role == Role::cache ? routersInZone() : std::max(1, settings_->routers);
     }
 
-    // As told, or as learned; a host that has not shown it has at least what the least of its group has.
+    // As configured, or as learned. A host without a figure of its own gets the lowest one of its group.
     double linkTransfersOf(const Host& host) const {
         if (weightsTold() && host.entry.weight > 0) return host.entry.weight;
         if (host.link > kDefaultLinkTransfers) return host.link;
@@ -507,7 +514,7 @@
 
     // ----- choosing a route -----
 
-    // Rendezvous hash, weighted by the links: the least comes first.
+    // Weighted rendezvous hash: the host with the lowest score comes first.
     double rank(HostIndex i, std::uint64_t key) const {
         return -std::log(unitInterval(combine(key, hosts_[i].hash))) /
                (weightsTold() ? linkTransfersOf(hosts_[i]) : 1);
@@ -517,7 +524,7 @@
         return !host.out || (now >= host.outUntil && host.outstanding == 0);
     }
 
-    // When most of a group looks bad at once the trouble is likely elsewhere: nobody is shut out then.
+    // When most of a group fails at once the cause is probably elsewhere, and ejections are ignored.
     bool mostAreEjected(const std::vector<HostIndex>& group) const {
         const auto bad = std::ranges::count_if(group, [&](HostIndex i) { return hosts_[i].out; });
         return 2 * bad > static_cast<std::ptrdiff_t>(group.size());
@@ -530,7 +537,8 @@
                now - host.entry.startedAt < (parent ? settings_->parentWarmWithin : settings_->warmWithin);
     }
 
-    // The rule on cold hosts is a budget over every window, for all routers together; each keeps to its part.
+    // A cold host has a budget per sliding window, shared by all routers; each router uses only its part of
+    // it.
     bool withinColdBudget(Time now, Host& host, double work) const {
         if (!isCold(now, host)) return true;
         const bool parent = host.entry.role == Role::parent;
@@ -545,13 +553,13 @@
         const double used = host.coldWork.over(now, settings_->fallWindow);
         if (used + work <= part) return true;
         if (used > 0 || part * routersSharing(host) < kLotteryMinBudgetRequests * work) return false;
-        // A draw a window, whose bounds differ among the routers.
+        // One draw per window. The windows of different routers begin at different times.
         const auto window = static_cast<std::uint64_t>(settings_->fallWindow.count());
         const std::uint64_t turn = (static_cast<std::uint64_t>(now.count()) + drawSalt_ % window) / window;
         return unitInterval(combine(combine(drawSalt_, host.hash), turn)) < kLotteryBudgetShare * part / work;
     }
 
-    // A guess too low fills a cold host unseen.
+    // The load that an attempt counts for. Too low an estimate would overload a cold host unnoticed.
     double coldCharge(const Host& host, const Pending& p) const {
         const double mean = meanSendSeconds_[static_cast<std::size_t>(p.request.classIndex)];
         return std::max(mean > 0 ? mean : p.work, host.entry.role == Role::parent ? p.work : 1e-3);
@@ -567,7 +575,8 @@
 
     HostIndex pick(Time now, const std::vector<HostIndex>& group, std::uint64_t key, const Pending& p,
                    bool spread) {
-        // Caches that all look bad are really lost, as with a whole zone, if parents are well and are asked.
+        // If most caches fail while most parents answer, and the parents may be asked directly, the caches
+        // are really down, for example with their whole zone.
         const bool lost =
             &group == &caches_ && settings_->direct && !parents_.empty() && !mostAreEjected(parents_);
         const bool ignoreHealth = mostAreEjected(group) && !lost;
@@ -597,8 +606,9 @@
         return pick(now, caches_, key, p, p.hot && p.attempts.empty());
     }
 
-    // All zones fill an object from its one parent, which forty zones' viewers of a hot one jam: its parts
-    // then have parents apart, each still the same at every router. Harm: a part's first fills come twice.
+    // All zones fill an object from one parent, which the viewers of a hot object in forty zones overload.
+    // The parts of a hot object are therefore spread over parents, with the same parent per part at every
+    // router. Cost: the first fill of a part may be fetched twice.
     HostIndex pickParent(Time now, const Pending& p) {
         const auto part = p.hot ? static_cast<std::uint64_t>(p.request.part) : 0;
         return pick(now, parents_, combine(p.request.object + part, kParentHashSalt), p, false);
@@ -623,8 +633,9 @@
         linkReportAt_ = now;
     }
 
-    // As reported; else, where the link's size is told, what is on it if all of the zone fetch as this one:
-    // as now, or as on the mean, since the own number swings and lets too much through when it is low.
+    // As reported. Without a recent report, and where the link's capacity is configured, it is estimated on
+    // the assumption that all routers of the zone fetch as much as this one. The larger of the current number
+    // of fills and its mean is used, since the current number fluctuates and admits too much when it is low.
     double zoneLinkUtilization(Time now) const {
         if (now - linkReportAt_ < kLoadReportLifetime) return linkUtilization_;
         const auto zone = static_cast<std::size_t>(settings_->zone);
@@ -640,9 +651,9 @@
         return fill <= 1 || now + fromSeconds(p.work * fill) + overheadTime(p) <= p.aim;
     }
 
-    // A full link that takes all serves nobody in time: it is left to those that will make it and to what
-    // keeps. Guards against purges, bursts, scans, caches back empty. Harm: reports that say full when it is
-    // free.
+    // A full link that admits every request serves none in time. It is left to requests that can still meet
+    // their target, and preferably to those that leave a copy. Guards against refills after purges, bursts,
+    // scans and caches that return empty. Cost: a wrong report of a full link keeps requests off a free one.
     bool zoneLinkMeetsTarget(Time now, const Pending& p) const {
         return inTime(now, p, zoneLinkUtilization(now) * (p.keepRank > 0 ? 1 : kUncachedTransferWeight));
     }
@@ -651,8 +662,8 @@
         return fromSeconds(kOverheadLatencyTargetShare * seconds(p.classSettings().aim));
     }
 
-    // Transfers at the host over those that its own link carries at full pace: what it says, if that is
-    // recent, or what the routers of the zone have there if all do as this one.
+    // Concurrent transfers at the host, divided by those that its own link carries at full pace: as reported
+    // recently, or else estimated on the assumption that all routers send as much as this one.
     double linkUtilizationOf(Time now, const Host& host) const {
         const double own = host.outstanding;
         const bool recent = now - host.reportedAt < kLoadReportLifetime;
@@ -661,15 +672,16 @@
                std::max(kMinLoadLinkTransfers, linkTransfersOf(host));
     }
 
-    // Whether the host can still answer in time. A host that takes on more serves all of them late: the rest
-    // goes elsewhere or is refused at once. Guards against overload, bursts, hot objects, slow hosts.
+    // Whether the host can still answer in time. A host that admits more serves all of them late, so the rest
+    // goes elsewhere or is refused at once. Guards against overload, bursts, hot objects and slow hosts.
     bool hostMeetsTarget(Time now, const Pending& p, const Host& host) const {
-        const bool origin = host.entry.role == Role::origin;  // its link is not told; its gate holds
+        const bool origin =
+            host.entry.role == Role::origin;  // its link is unknown; its concurrency limiter applies
         return origin || now - host.fullPaceAt < kFullPaceLifetime ||
                inTime(now, p, linkUtilizationOf(now, host));
     }
 
-    // The ordinary path, and what is left of it when hosts are missing, sick or were tried already.
+    // The normal route, or what remains of it when hosts are missing, ejected or already tried.
     Route chooseRoute(Time now, Pending& p) {
         const ClassSettings& c = p.classSettings();
         const bool write = c.neverKept || p.request.write;
@@ -677,11 +689,12 @@
         const HostIndex parent = pickParent(now, p);
         const HostIndex top = parent == kNoHost || write ? pickOrigin(now, p) : kNoHost;
         const HostIndex source = parent != kNoHost ? parent : top;
-        // A name new to a young filter says nothing: it asks its cache on the way, which keeps no copy of it.
+        // A filter that was started recently does not know all popular names: an unknown one still goes
+        // through its cache, which keeps no copy of it.
         const bool young = now - startedAt_ < kFilterWarmUpTime;
         const bool upward = settings_->direct && (write || (!p.inFilter && (!young || !p.attempts.empty())));
-        // Copies and fills are asked for apart where fills are short, and from a cold parent, whose budget
-        // every attempt that might be a fill would use up.
+        // The copy is requested first and the fill only after a miss where fills are limited, and where the
+        // parent is cold: each attempt that could become a fill is charged to its budget.
         if (!write && p.attempts.empty() && source != kNoHost) {
             const bool cacheOnly = limiters_[0].isLimiting(now) || isCold(now, hosts_[source]);
             if (!upward && cacheOnly) return heldOnly(now, p, kNoHost);
@@ -699,7 +712,7 @@
         return write ? Route{} : staleCopyRoute(now, p, kNoHost);
     }
 
-    // No fill is to be had: an old copy will do, of the cache or of the parent.
+    // Without a fill, a stale copy of the cache or of the parent is accepted.
     Route staleCopyRoute(Time now, Pending& p, HostIndex parent) {
         const bool older = p.classSettings().staleFor.count() > 0;
         if (!p.attempts.empty() && (p.acceptStale || !older)) return {};
@@ -707,13 +720,13 @@
         return heldOnly(now, p, parent);
     }
 
-    // What its cache holds, or a parent, and no fetch from the origin.
+    // Only a copy that the cache, or the parent, already holds; no fetch from the origin.
     Route heldOnly(Time now, const Pending& p, HostIndex parent) {
         const HostIndex cache = pickCache(now, p);
         return {cache, parent == kNoHost ? cache : parent, p.keepRank, parent != kNoHost};
     }
 
-    // ----- the gates before the parents and the origin -----
+    // ----- concurrency limiters before the parents and the origin -----
 
     void countInFlight(Time now, const Attempt& a, int by) {
         if (a.highestTier >= Tier::parents)
@@ -721,10 +734,11 @@
         if (a.highestTier >= Tier::origin) limiters_[1].inFlight += by;
     }
 
-    // Puts an outcome down to the tier that it speaks of: the highest that was asked, so far as is known.
-    // Guards, without knowing which, against an origin that is slow, refuses or has stopped, parents that are
-    // jammed, cold or dead, and refills after a purge. Answers that never come say little while others do.
-    // Harm: when many are late by chance the gates close a little; hits at the caches pass none.
+    // Attributes an outcome to the highest tier that was used, as far as known. Guards, without a need to
+    // tell them apart, against an origin that is slow, refuses or has stopped, against parents that are
+    // overloaded, cold or down, and against refills after a purge. Missing answers weigh little while others
+    // arrive. Cost: when many answers are late by chance, the limits shrink a little. Hits at the caches are
+    // not limited.
     void updateLimiters(Time now, const Pending& p, const Attempt& a, const AttemptEnded& e) {
         if (a.highestTier == Tier::caches || a.countedLate || e.outcome == Outcome::notSent || e.blameless)
             return;
@@ -737,10 +751,11 @@
         const bool silent = e.outcome == Outcome::timedOut || e.outcome == Outcome::cancelled ||
                             e.outcome == Outcome::broken || e.outcome == Outcome::noConnection;
         const bool served = e.outcome == Outcome::served;
-        // Lateness is not put down to them while the zone's own link is full.
-        // In time means: had it been asked for at once; what the request lost before is not this tier's.
+        // Late answers are not attributed to a tier while the zone's own link is full.
+        // Measured from the start of this attempt: time that the request lost before is not this tier's
+        // fault.
         const bool inTime = e.elapsed <= p.aim - p.arrived || zoneLinkUtilization(now) > 1;
-        // A prompt error is its host's own trouble, and a cancelled attempt was not yet late.
+        // A prompt error is a fault of the host itself, and a cancelled attempt was not late yet.
         const bool prompt = e.outcome == Outcome::error && e.note != CacheStatus::originFailed;
         if (inTime && (prompt || e.outcome == Outcome::cancelled)) return;
         const bool good = e.outcome == Outcome::noCopy || (served && inTime);
@@ -749,7 +764,7 @@
         if (good && hosts_[upper].entry.role == Role::origin) originBudget_.deposit(kOriginSendsPerSuccess);
 
         const double bad = good ? 0 : silent ? kUnansweredFailureWeight : 1;
-        // Answers well in time open more than those that only just made it.
+        // Answers well in time raise the limit by more than those just in time.
         const double spare = 1 - seconds(e.elapsed) / std::max(1e-3, seconds(p.aim - p.arrived));
         if (good || atParent) recordOutcome(now, limiters_[0], p, a, bad, spare);
         if (!atParent) recordOutcome(now, limiters_[1], p, a, bad, spare);
@@ -773,7 +788,8 @@
         }
         if (limiter.limit >= 1) return;
         const double spread = 0.5 + unitInterval(randomState_ = mix(randomState_ + 1));
-        const double took = seconds(std::max(overheadTime(p), now - a.sentAt));  // refusals may come at once
+        const double took =
+            seconds(std::max(overheadTime(p), now - a.sentAt));  // a refusal may take no time at all
         limiter.closedUntil = now + fromSeconds(took * (1 / limiter.limit - 1) * spread);
     }
 
@@ -831,7 +847,7 @@
         if (host.entry.startedAt.count() > 0) host.coldWork.add(now, coldCharge(host, p));
     }
 
-    // A purge limits the age of what will do; zero would mean "any", so it is at least a nanosecond.
+    // A purge limits the age of an acceptable copy to at least 1 ns, since zero would mean any age.
     Time maxCopyAgeFor(Time now, const Pending& p, const ClassSettings& c) const {
         Time limit{0};
         if (c.freshFor.count() > 0) limit = c.freshFor + (p.acceptStale ? c.staleFor : Time{0});
@@ -846,7 +862,8 @@
         return limit.count() > 0 ? std::min(limit, since) : since;
     }
 
-    // When another attempt must begin if it is to be in time for the aim, and when this one is late.
+    // Sets one timer for when another attempt must start to meet the latency target, and one for when this
+    // attempt is late.
     void setTimers(Time now, const Pending& p, int attempt, Actions& out) {
         const Time needed = fromSeconds(kOverdueSendTimeMultiple * p.work) + overheadTime(p);
         const Time at = std::max(now + needed, p.aim - needed);
@@ -863,8 +880,9 @@
 
     bool answeredSince(const Attempt& a) const { return hosts_[a.host].lastAnswerAt > a.sentAt; }
 
-    // Told when it is late, not when it ends: in a jam that is seconds later, and all that is sent meanwhile
-    // adds to the jam. While its host answers others it is the fill that is slow.
+    // Recorded when the attempt becomes late, not when it ends: under congestion that is seconds later, and
+    // all that is sent meanwhile adds to the congestion. If the host answers other requests, the fill is
+    // slow.
     void attemptIsLate(Time now, const Pending& p, Attempt& a) {
         if (zoneLinkUtilization(now) > 1) return;
         a.countedLate = true;
@@ -874,7 +892,7 @@
     }
 
     void attemptIsSlow(Time now, Pending& p, Attempt& a, int number, Actions& out) {
-        // A host that answers others is not silent: its fill is slow, and one begun anew would be slower.
+        // If the host answers other requests, its fill is slow, and a new fill would be slower still.
         const bool alive = answeredSince(a);
         a.countedSlow = true;
         if (!alive) recordFailure(now, a.host, kSlowAttemptFailureWeight);
@@ -915,7 +933,7 @@
         sendOrGiveUp(now, p, out);
     }
 
-    // Whether the request may go to this host after what was tried already.
+    // Whether the earlier attempts, which may have run, allow one at this host.
     bool repeatAllowed(Time now, const Pending& p, const Host& host) const {
         const ClassSettings& c = p.classSettings();
         if (c.effect == Effect::safe) return true;
@@ -958,7 +976,7 @@
                 out.push_back(Cancel{p.request.id, i});
     }
 
-    // A request is remembered until all its attempts have ended: they still tell about the hosts.
+    // A request is kept until all its attempts have ended, since their outcomes still update host health.
     void eraseIfDone(RequestId id) {
         const auto it = pending_.find(id);
         if (it != pending_.end() && it->second.answered && it->second.attemptsInFlight() == 0)
@@ -967,7 +985,7 @@
 
     // ----- health -----
 
-    // Puts an outcome down to the host, to the source behind it, or half to each where it can't be told.
+    // Attributes an outcome to the host, to its source, or half to each where that is unknown.
     void updateHealth(Time now, Pending& p, const Attempt& a, const AttemptEnded& e) {
         const bool hasSource = a.source != kNoHost && a.source != a.host;
         switch (e.outcome) {
@@ -991,17 +1009,17 @@
                 return;
             case Outcome::noCopy:
                 if (hasSource && a.highestTier == Tier::origin)
-                    excludeHost(p, a.source);  // else it only lacks a copy
+                    excludeHost(p, a.source);  // otherwise the source only lacks a copy
                 return;
             case Outcome::noConnection:
             case Outcome::broken:
-                if (e.blameless && answeredSince(a)) return;  // by another connection, at once
+                if (e.blameless && answeredSince(a)) return;  // an answer arrived over another connection
                 return blame(now, p, a.host, e.blameless ? 0 : 1);
             default:
                 break;
         }
         const double weight = e.blameless ? 0 : a.countedSlow ? 1 - kSlowAttemptFailureWeight : 1;
-        if (e.note >= CacheStatus::sourceRefused) {  // it and those after it say why a fill failed
+        if (e.note >= CacheStatus::sourceRefused) {  // this and the later values tell why a fill failed
             const bool atSource = hasSource && e.note != CacheStatus::noFillPlace;
             const bool itsOwn = atSource && e.note != CacheStatus::originFailed;
             return blame(now, p, atSource ? a.source : a.host, itsOwn ? weight : 0);
@@ -1031,7 +1049,7 @@
         }
     }
 
-    // The mean of the fading shares of failures of the other hosts of its group.
+    // Mean failure share of the other hosts of its group.
     double meanPeerFailureShare(HostIndex i) const {
         const auto& group = hosts_[i].entry.role == Role::parent ? parents_ : caches_;
         double sum = 0;
@@ -1050,27 +1068,28 @@
     }
 
     std::shared_ptr<const Settings> settings_;
-    std::deque<Host> hosts_;  // never shrinks: indices stay valid, and places are used again
+    std::deque<Host> hosts_;  // never shrinks: indices stay valid, and slots are reused
     std::unordered_map<std::string, HostIndex> hostsByName_;
-    std::vector<HostIndex> caches_, parents_, origins_;  // ready ones; caches of the own zone
-    std::vector<double> meanSendSeconds_;                // per class, seconds of sending time
+    std::vector<HostIndex> caches_, parents_, origins_;  // ready hosts; caches of this router's zone only
+    std::vector<double> meanSendSeconds_;                // by class
     std::uint64_t randomState_;
-    std::uint64_t drawSalt_;  // fixed, for draws that must come out the same within a window
+    std::uint64_t drawSalt_;  // fixed, so that all draws within one window are equal
     LruMap<std::uint64_t, ObjectRecord> filter_{kFilterCapacity};
     std::unordered_map<RequestId, Pending> pending_;
-    std::unordered_map<TimerId, std::tuple<RequestId, int, bool>> timers_;  // an attempt; then late, or slow
+    std::unordered_map<TimerId, std::tuple<RequestId, int, bool>>
+        timers_;  // request, attempt, late (or slow)
     std::unordered_map<std::uint64_t, Time> objectPurges_, groupPurges_;
     std::deque<std::pair<Time, Purge>> purgeOrder_;
-    ConcurrencyLimiter limiters_[2];  // before the parents, and before the origin
+    ConcurrencyLimiter limiters_[2];  // of the parents, and of the origin
     TokenBucket retryBudget_{kRetryBurst, kRetryBurst};
     TokenBucket originBudget_{kOriginSendBurst, kOriginSendBurst};
     Time startedAt_{};
     TimerId nextTimer_ = 1;
     TimerId watchTimer_ = 0;
-    double linkUtilization_ = 0;  // transfers over those that fit at full pace
+    double linkUtilization_ = 0;  // transfers divided by those that fit at full pace
     Time linkReportAt_ = -kLoadReportLifetime;
-    DecayingMean meanFillsInFlight_;            // own ones out
-    Time linkFullPaceAt_ = -kFullPaceLifetime;  // when a fill last came at full pace
+    DecayingMean meanFillsInFlight_;            // of this router
+    Time linkFullPaceAt_ = -kFullPaceLifetime;  // of the last fill at full pace
 };
 
 Router::Router(Settings settings, std::uint64_t seed)
