--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -1,5 +1,5 @@
-// The interface of the decision module: settings, events, actions and the Router itself.
-// It holds types only; every decision is in src/policy.cpp.
+// The interface of the decision module: settings, events, actions and the Router.
+// Declarations only; all decisions are made in src/policy.cpp.
 #pragma once
 
 #include <chrono>
@@ -14,69 +14,69 @@
 
 namespace lotuslead {
 
-using Time = std::chrono::nanoseconds;  // a point on the router's clock, or a span of it
+using Time = std::chrono::nanoseconds;  // a time on the router's clock, or a duration
 using RequestId = std::uint64_t;
 using TimerId = std::uint64_t;
 
-// What may happen when a request is run more than once.
+// Whether a request may run more than once: safe, keyed (repeats are dropped by its key) or unsafe.
 enum class Effect { safe, keyed, unsafe };
-// The hosts that together drop repeats of a keyed request.
+// The hosts that share the keys by which repeats of a keyed request are dropped.
 enum class DeduplicationScope { all, zone, cell };
 enum class Role { cache, parent, origin };
 enum class Readiness { gone, ready, draining };
-// What a host's weight in the list means; `none` and `live` are no measure of its link.
+// What a host's weight in the list means; `none` and `live` do not measure its link.
 enum class Weights { none, nominal, rough, live };
-// Which other caches may be named as the source of a fill.
+// Which other caches may be the source of a fill.
 enum class Siblings { none, zone, any };
 
 struct ClassSettings {
-    Time aim{};             // an answer within this, plus the stretch, earns full worth
-    double aimStretch = 0;  // the aim grows by this multiple of the answer's own sending time
-    Time giveUp{};          // the client's wait over all its tries
+    Time aim{};             // an answer within this time, plus the stretch, earns full value
+    double aimStretch = 0;  // multiple of the answer's sending time that is added to the target
+    Time giveUp{};          // over all tries of the client
     double worth = 1;
-    double lateWorth = 0;  // share of the worth that a late answer earns
+    double lateWorth = 0;  // share of the value that a late answer earns
     Effect effect = Effect::unsafe;
     DeduplicationScope group = DeduplicationScope::all;
-    Time repeatWindow{};  // how long a keyed request's repeats are dropped
+    Time repeatWindow{};  // how long repeats of a keyed request are dropped
     bool streamed = false;
     bool inParts = false;
     bool neverKept = false;
-    Time freshFor{};  // zero: good until purged
-    Time staleFor{};  // how much older a copy may be when asked for
+    Time freshFor{};  // zero: until purged
+    Time staleFor{};  // additional age at which a stale copy is acceptable
     double staleWorth = 0;
 };
 
 struct Settings {
     std::vector<ClassSettings> classes;
-    int zone = 0;                    // the router's own zone
-    std::vector<int> zoneHub;        // per zone, the hub it is tied to
-    std::vector<int> routersByZone;  // empty: not told
-    std::vector<double> zoneLinkKb;  // KB a second into each zone; zero: not told
-    int routers = 1;                 // in all zones together
-    double paceKb = 0;               // top pace of one answer, KB a second; zero: not told
+    int zone = 0;                    // of this router
+    std::vector<int> zoneHub;        // by zone: the hub that it is connected to
+    std::vector<int> routersByZone;  // empty: unknown
+    std::vector<double> zoneLinkKb;  // capacity into each zone; zero: unknown
+    int routers = 1;                 // in all zones
+    double paceKb = 0;               // of one answer; zero: unknown
     Weights weights = Weights::none;
     Siblings siblings = Siblings::none;
-    bool direct = false;     // parents and the origin take requests too
-    bool joins = false;      // a request may wait for a fill under way
-    bool notesTold = false;  // outcomes tell why a fill failed
+    bool direct = false;     // requests may be sent directly to parents and the origin
+    bool joins = false;      // a request may wait for a fill in progress
+    bool notesTold = false;  // outcomes report why a fill failed
     bool secondCopies = false;
     bool mayCancel = false;
     bool mayProbe = false;
     bool retryHints = false;
-    bool mustAskForList = false;  // changes come only to those who ask for them
+    bool mustAskForList = false;  // changes are sent only to subscribers
     int mostTries = 1;
     Time maxRetryHint{};
     Time answerGrace{};  // how long after the client's deadline an answer still counts
     Time askWithin{};
     Time drainGrace{};
-    double coldFrom = 1;  // share of its capacity that a cache starts with, at least
+    double coldFrom = 1;  // least share of its capacity that a restarted cache has
     Time warmWithin{};
-    double fallMultiple = 0;  // a cold host falls over at this multiple; zero: never
+    double fallMultiple = 0;  // load, in multiples of its capacity, at which a cold cache fails; zero: never
     Time fallWindow{};
     double parentColdFrom = 1;
     Time parentWarmWithin{};
     double parentFallMultiple = 0;
-    double originFallMultiple = 0;  // zero: the origin never stops
+    double originFallMultiple = 0;  // zero: the origin never fails
     Time originFallWindow{};
     Time purgeGrace{};
     Time purgeSettles{};
@@ -95,7 +95,7 @@
 };
 
 struct HostList {
-    bool whole = false;  // otherwise: changed entries only
+    bool whole = false;  // otherwise only the entries that changed
     std::vector<HostEntry> entries;
 };
 
@@ -103,17 +103,17 @@
     RequestId id = 0;
     int classIndex = 0;
     std::uint64_t object = 0;  // fingerprint of the object's name; zero: none
-    std::int64_t group = 0;    // what a group purge may name
+    std::int64_t group = 0;    // the group of objects that a purge may name
     std::int64_t part = 0;
-    double sizeKb = 0;  // zero: not told
+    double sizeKb = 0;  // zero: unknown
     Time deadline{};
-    bool repeated = false;  // the client has asked before
+    bool repeated = false;  // a retry of the client
     bool write = false;
 };
 
 enum class Outcome { served, error, notTaken, timedOut, noConnection, broken, cancelled, notSent, noCopy };
 
-// How the answer came about or why the fill failed, where that is told.
+// Where the answer came from, or why the fill failed, as far as reported.
 enum class CacheStatus {
     none,
     hit,
@@ -137,10 +137,11 @@
     int attempt = 0;
     Outcome outcome = Outcome::error;
     Time elapsed{};
-    bool over = false;       // the request is closed
-    bool blameless = false;  // it says nothing of its host that another end has not said
+    bool over = false;       // the request is closed: it needs no further answer
+    bool blameless = false;  // tells nothing about its host beyond an outcome already reported
     CacheStatus note = CacheStatus::none;
-    double sizeKb = 0;  // of what was served; zero: not told, negative: no bytes, since the client had them
+    double sizeKb =
+        0;  // of the answer; zero: unknown, negative: no bytes were sent, since the client had them
     LoadReport load;
 };
 
@@ -152,7 +153,7 @@
 struct Purge {
     std::uint64_t object = 0;  // zero: the whole group
     std::int64_t group = 0;
-    Time age{};  // how long ago it was made
+    Time age{};  // at the time of this event
 };
 
 struct ProbeEnded {
@@ -165,24 +166,25 @@
 
 struct Send {
     RequestId request = 0;
-    std::string_view host;    // views stay valid as long as the router lives
-    bool plain = false;       // ask only for what the host holds; the fields from here on don't apply
-    std::string_view source;  // where a miss is filled from; the host itself: no fill
-    int keepRank = 0;         // zero: leave no copy
-    int rank = 0;             // at which a copy of the gateway's own is worth keeping; zero: it is not
-    Time oldest{};            // oldest copy that will do; zero: the class's fresh time
-    bool join = false;        // wait for a fill that runs already
-    bool heldOnly = false;    // the source gives only what it holds
-    bool renew = false;       // an ageing copy is served and fetched anew behind
+    std::string_view host;  // views stay valid for the lifetime of the router
+    bool plain = false;  // an ordinary request, to the origin; the fields from here to `refreshInBackground`
+                         // don't apply
+    std::string_view source;  // where a miss is filled from; equal to `host`: no fill
+    int keepRank = 0;         // rank of the copy that the host keeps; zero: none
+    int rank = 0;             // rank of a copy that the gateway itself keeps; zero: none
+    Time oldest{};            // of an acceptable copy; zero: the class's fresh time
+    bool join = false;        // wait for a fill in progress
+    bool heldOnly = false;    // the source answers only from its own copies
+    bool renew = false;       // an aging copy is served and refreshed in the background
     Time timeout{};
 };
-// Why a request was given up, which means answered at once; a refusal tells the client when to come back.
+// Why a request was given up, that is, answered at once by Refuse or Fail.
 enum class GiveUpReason {
-    noTime,         // left for another attempt
-    attemptLimit,   // as many as the settings allow
-    noRoute,        // no host that may be used now
-    noRetryBudget,  // for retries
-    cancelled       // its attempt was
+    noTime,         // for another attempt before the deadline
+    attemptLimit,   // the settings allow no further attempt
+    noRoute,        // no usable host
+    noRetryBudget,  // the retry budget is used up
+    cancelled       // its attempt was cancelled
 };
 struct Refuse {
     RequestId request = 0;
@@ -201,8 +203,8 @@
     TimerId timer = 0;
     Time delay{};
 };
-struct Watch {};      // ask for list changes from now on
-struct FetchList {};  // ask for the whole list once
+struct Watch {};      // subscribe to list changes
+struct FetchList {};  // request the whole list once
 struct Probe {
     std::string_view host;
 };
@@ -210,32 +212,32 @@
 using Action = std::variant<Send, Refuse, Fail, Cancel, SetTimer, Watch, FetchList, Probe>;
 using Actions = std::vector<Action>;
 
-// --- what a router that takes another's place should know ---
+// --- state handed over to the successor of a router ---
 
-struct LearnedObject {  // of a name in the filter
+struct LearnedObject {  // an object name in the filter
     std::int64_t lastPart = -1;
     bool manyViewers = false;
-    double work = 0;  // of one part, as last seen, in seconds of sending time; zero: not known
+    double work = 0;  // sending time of one part at full pace, as last seen; zero: unknown
 };
 struct LearnedHost {
-    double failures = 0;  // fading share
-    bool out = false;     // left out; comes back by trials
+    double failures = 0;  // moving average
+    bool out = false;     // gets only trial requests until some succeed
     Time outUntil{}, pause{};
-    double link = 0;  // the most transfers at a time that it has served: its link carries this much at least
+    double link = 0;  // lower bound of its link: the most transfers at a time that it has served
 };
 struct NamedLearnedHost : LearnedHost {
     std::string name;
-    double coldWork = 0;  // sent to it lately, in seconds of sending time
+    double coldWork = 0;  // sending time of what was sent to it lately
 };
 struct LearnedState {
     Time startedAt{};
-    std::vector<double> meanWork;                                  // per class; zero: not known
+    std::vector<double> meanWork;                                  // by class; zero: unknown
     std::vector<std::pair<std::uint64_t, LearnedObject>> objects;  // oldest first
     std::vector<NamedLearnedHost> hosts;
 };
 
-// One router: fed with events in the order they came, it appends what is to be done.
-// It shares nothing with other routers, and the same events give the same actions.
+// Takes events in order and appends the resulting actions. Routers share no state, and equal events result in
+// equal actions.
 class Router {
 public:
     Router(Settings settings, std::uint64_t seed);
@@ -244,8 +246,8 @@
     Router& operator=(Router&&) noexcept;
 
     void start(Time now, Actions& out);
-    // New settings for what comes from now on; requests in hand keep those that they came under. A class and
-    // a zone keep their places; there may be further ones.
+    // Applies to new requests; pending ones keep the settings that were in force on their arrival. Existing
+    // classes and zones must keep their indices; further ones may be added.
     void reconfigure(Settings settings);
     void handle(Time now, const HostList& event, Actions& out);
     void handleListFailed(Time now, Actions& out);
@@ -257,8 +259,8 @@
     void handleClientGone(Time now, RequestId request, Actions& out);
     void handleTimer(Time now, TimerId timer, Actions& out);
     LearnedState learnedState(Time now);
-    void restore(Time now, const LearnedState& known);  // hosts that are not listed are passed over
-    std::size_t hostSlots() const;                      // held for hosts, also those that are gone
+    void restore(Time now, const LearnedState& known);  // hosts that are not listed are skipped
+    std::size_t hostSlots() const;                      // in use for hosts, including hosts that are gone
 
 private:
     class Impl;
