--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -140,8 +140,7 @@
     bool over = false;       // the request is closed: it needs no further answer
     bool blameless = false;  // tells nothing about its host beyond an outcome already reported
     CacheStatus note = CacheStatus::none;
-    double sizeKb =
-        0;  // of the answer; zero: unknown, negative: no bytes were sent, since the client had them
+    double sizeKb = 0;  // of the answer; zero: unknown; negative: not sent, since the client had it
     LoadReport load;
 };
 
@@ -166,9 +165,8 @@
 
 struct Send {
     RequestId request = 0;
-    std::string_view host;  // views stay valid for the lifetime of the router
-    bool plain = false;  // an ordinary request, to the origin; the fields from here to `refreshInBackground`
-                         // don't apply
+    std::string_view host;    // views stay valid for the lifetime of the router
+    bool plain = false;       // without a source, and the host keeps no copy
     std::string_view source;  // where a miss is filled from; equal to `host`: no fill
     int keepRank = 0;         // rank of the copy that the host keeps; zero: none
     int rank = 0;             // rank of a copy that the gateway itself keeps; zero: none
--- a/src/adapter/fields.hpp
+++ b/src/adapter/fields.hpp
@@ -1,4 +1,4 @@
-// Reads single fields of the simulator's event lines.
+// Reads single fields of the simulator's JSON events.
 #pragma once
 
 #include <simdjson.h>
@@ -10,7 +10,7 @@
 
 namespace lotuslead::wire {
 
-// Absent and null give the fallback; a value of another type is malformed.
+// An absent or null field results in the fallback; a value of another type throws Malformed.
 double numberOr(simdjson::dom::element object, std::string_view key, double fallback);
 std::int64_t wholeOr(simdjson::dom::element object, std::string_view key, std::int64_t fallback);
 Time timeOr(simdjson::dom::element object, std::string_view key, Time fallback = Time{0});
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -185,7 +185,7 @@
 };
 
 struct ListedHost {
-    HostEntry entry;  // role and zone are filled in for each instance
+    HostEntry entry;  // role and zone are set per instance, by its settings
     std::string shape;
     std::string zone;
 };
@@ -195,7 +195,8 @@
     settings::Vocabulary words;
 };
 
-// The gateway and the adapter share one decoder of the settings; only event lines are worth simdjson.
+// The gateway and the adapter share one settings decoder. simdjson is used only for events, which are
+// frequent.
 settings::Vocabulary settingsOf(element info) {
     try {
         return settings::readSettings(nlohmann::json::parse(std::string(simdjson::minify(info))));
@@ -387,8 +388,8 @@
     Session session;
     std::string buffer;
     std::string reply;
-    std::size_t start = 0;    // of the line in hand
-    std::size_t scanned = 0;  // no newline before this place
+    std::size_t start = 0;    // of the current line
+    std::size_t scanned = 0;  // there is no newline between `start` and this offset
     std::size_t filled = 0;
     std::size_t lineNumber = 0;
     for (;;) {
--- a/src/adapter/wire.hpp
+++ b/src/adapter/wire.hpp
@@ -1,4 +1,4 @@
-// Translates the simulator's wire to the router's events and actions and back. It decides nothing.
+// Translates between the simulator's line protocol and the router's events and actions. Makes no decisions.
 #pragma once
 
 #include <cstdint>
@@ -15,19 +15,19 @@
 
 namespace lotuslead::wire {
 
-// What came in is not what the wire allows.
+// The input violates the line protocol.
 struct Malformed : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// Hosts many independent routers behind one stream of batches.
+// Runs any number of independent routers on one stream of event batches.
 class Session {
 public:
     Session();
     ~Session();
 
-    // Takes one line; when it ends a batch, the reply is appended to `reply` and true is returned.
-    // simdjson's padding must be readable behind the line.
+    // Handles one line. If it ends a batch, appends the reply to `reply` and returns true.
+    // SIMDJSON_PADDING readable bytes must follow the line.
     bool takeLine(std::string_view line, std::string& reply);
     bool midBatch() const;
 
@@ -36,7 +36,7 @@
     std::unique_ptr<Impl> impl_;
 };
 
-// Reads lines until the input ends; returns the exit code.
+// Runs a session on lines of the input until it ends; returns the exit code.
 int serve(int inputFd, std::FILE* output, std::FILE* errors);
 
 }  // namespace lotuslead::wire
--- a/src/support/hash.hpp
+++ b/src/support/hash.hpp
@@ -1,4 +1,4 @@
-// Hashes that are the same on every machine and in every run.
+// Hash functions whose results are the same on every machine and in every run.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
     return mix(a + 0x9e3779b97f4a7c15ULL + mix(b + 0x632be59bd9b4e019ULL));
 }
 
-// FNV-1a, mixed. Never zero, which stands for "no name".
+// FNV-1a with splitmix64's finalizer. Never zero, since zero stands for "no name".
 inline std::uint64_t fingerprint(std::string_view text) {
     std::uint64_t hash = 0xcbf29ce484222325ULL;
     for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
@@ -27,7 +27,7 @@
     return hash == 0 ? 1 : hash;
 }
 
-// A number in (0, 1) from the upper bits of a hash.
+// Maps the upper 53 bits of a hash to a number within (0, 1).
 inline double unitInterval(std::uint64_t hash) {
     return (static_cast<double>(hash >> 11) + 0.5) / 9007199254740992.0;
 }
--- a/src/support/lru_map.hpp
+++ b/src/support/lru_map.hpp
@@ -1,4 +1,4 @@
-// A bounded map that forgets what was used longest ago.
+// A map of bounded size with least-recently-used eviction.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,8 @@
 public:
     explicit LruMap(std::size_t capacity) : capacity_(capacity) {}
 
-    // Moves the key to the front, adding it if need be; tells whether it was there before.
+    // Marks the key as the most recently used and adds it if absent. Returns its value and whether it was
+    // present.
     std::pair<Value&, bool> touch(const Key& key) {
         const auto found = index_.find(key);
         if (found != index_.end()) {
@@ -29,6 +30,7 @@
         return {items_.front().second, false};
     }
 
+    // Visits all items, least recently used first.
     template <class Visit>
     void fromOldest(Visit visit) const {
         for (auto it = items_.rbegin(); it != items_.rend(); ++it) visit(it->first, it->second);
--- a/src/support/moving_average.hpp
+++ b/src/support/moving_average.hpp
@@ -1,4 +1,4 @@
-// The running mean of what is seen and its mean deviation, both forgetting exponentially.
+// Exponential moving averages of samples and of their absolute deviation.
 #pragma once
 
 #include <cmath>
@@ -6,7 +6,7 @@
 namespace lotuslead {
 
 struct MovingAverage {
-    double meanWeight, deviationWeight;  // of one more
+    double meanWeight, deviationWeight;  // of one sample, from 0 to 1
     double mean = 0, deviation = 0;
 
     void add(double seen) {
--- a/src/support/token_bucket.hpp
+++ b/src/support/token_bucket.hpp
@@ -1,4 +1,4 @@
-// A budget that grows with what it is a share of, up to a bound.
+// A token bucket that is refilled by explicit deposits instead of by time.
 #pragma once
 
 #include <algorithm>
--- a/src/support/trace.hpp
+++ b/src/support/trace.hpp
@@ -1,9 +1,9 @@
-// A trace of what happens to requests and connections, one line an event, for following one request through
-// the process and from process to process. Off unless LB_TRACE is set; then it goes to standard error:
+// Writes trace events of requests and connections to standard error, one line per event, so that a request
+// can be followed within a process and across processes. Enabled by the environment variable LB_TRACE:
 //
 //     trace at=81342.123456 event=send request=9b1f03aa5c7e2d41 attempt=0 host=s-00c41f7a
 //
-// `at` counts seconds on the monotonic clock, which all processes of a machine share.
+// `at` is in seconds of the monotonic clock, which all processes of a machine share.
 #pragma once
 
 #include <chrono>
--- a/src/support/window_sum.hpp
+++ b/src/support/window_sum.hpp
@@ -1,4 +1,4 @@
-// Sums and means over time: of a sliding window, and fading ones.
+// Sums over a sliding time window, and exponentially decaying rates and means.
 #pragma once
 
 #include <chrono>
@@ -32,7 +32,7 @@
     double sum_ = 0;
 };
 
-// A rate that forgets exponentially: amounts a second, averaged over about `span`.
+// An exponentially decaying rate: amounts per second, with the time constant `span`.
 class DecayingRate {
 public:
     using Time = std::chrono::nanoseconds;
@@ -60,7 +60,7 @@
     double sum_ = 0;
 };
 
-// The mean over about `span` of a number that holds until it is set anew.
+// The exponentially weighted mean over time of a value that changes in steps, with the time constant `span`.
 class DecayingMean {
 public:
     using Time = std::chrono::nanoseconds;
