--- a/src/adapter/fields.cpp
+++ b/src/adapter/fields.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 
-[[noreturn]] void wrongType(std::string_view key, const char* wanted) {
+[[noreturn]] void throwWrongType(std::string_view key, const char* wanted) {
     throw Malformed("field '" + std::string(key) + "' is not " + wanted);
 }
 
-double number(element value, std::string_view key) {
+double numberOf(element value, std::string_view key) {
     double result = 0;
-    if (value.get_double().get(result) != simdjson::SUCCESS) wrongType(key, "a number");
+    if (value.get_double().get(result) != simdjson::SUCCESS) throwWrongType(key, "a number");
     return result;
 }
 
-bool flag(element value, std::string_view key) {
+bool booleanOf(element value, std::string_view key) {
     bool result = false;
-    if (value.get_bool().get(result) != simdjson::SUCCESS) wrongType(key, "true or false");
+    if (value.get_bool().get(result) != simdjson::SUCCESS) throwWrongType(key, "true or false");
     return result;
 }
 
@@ -39,24 +39,24 @@
 
 double numberOr(element object, std::string_view key, double fallback) {
     const auto value = valueAt(object, key);
-    return value ? number(*value, key) : fallback;
+    return value ? numberOf(*value, key) : fallback;
 }
 
-std::int64_t wholeOr(element object, std::string_view key, std::int64_t fallback) {
+std::int64_t integerOr(element object, std::string_view key, std::int64_t fallback) {
     const auto value = valueAt(object, key);
     if (!value) return fallback;
     std::int64_t result = 0;
     if (value->get_int64().get(result) == simdjson::SUCCESS) return result;
-    return static_cast<std::int64_t>(std::llround(number(*value, key)));
+    return static_cast<std::int64_t>(std::llround(numberOf(*value, key)));
 }
 
 Time timeOr(element object, std::string_view key, Time fallback) {
-    return Time{wholeOr(object, key, fallback.count())};
+    return Time{integerOr(object, key, fallback.count())};
 }
 
-bool flagOr(element object, std::string_view key, bool fallback) {
+bool booleanOr(element object, std::string_view key, bool fallback) {
     const auto value = valueAt(object, key);
-    return value ? flag(*value, key) : fallback;
+    return value ? booleanOf(*value, key) : fallback;
 }
 
 std::string_view textOr(element object, std::string_view key, std::string_view fallback) {
@@ -66,7 +66,7 @@
     if (value->get_string().get(result) == simdjson::SUCCESS) return result;
     std::int64_t zero = 1;  // 0 stands for an absent name
     if (value->get_int64().get(zero) == simdjson::SUCCESS && zero == 0) return fallback;
-    wrongType(key, "text");
+    throwWrongType(key, "text");
 }
 
 }  // namespace lotuslead::wire
--- a/src/adapter/fields.hpp
+++ b/src/adapter/fields.hpp
@@ -12,9 +12,9 @@
 
 // An absent or null field results in the fallback; a value of another type throws Malformed.
 double numberOr(simdjson::dom::element object, std::string_view key, double fallback);
-std::int64_t wholeOr(simdjson::dom::element object, std::string_view key, std::int64_t fallback);
+std::int64_t integerOr(simdjson::dom::element object, std::string_view key, std::int64_t fallback);
 Time timeOr(simdjson::dom::element object, std::string_view key, Time fallback = Time{0});
-bool flagOr(simdjson::dom::element object, std::string_view key, bool fallback);
+bool booleanOr(simdjson::dom::element object, std::string_view key, bool fallback);
 std::string_view textOr(simdjson::dom::element object, std::string_view key, std::string_view fallback);
 std::optional<simdjson::dom::element> valueAt(simdjson::dom::element object, std::string_view key);
 
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -18,21 +18,21 @@
 
 namespace {
 
-constexpr int kListNumbers = 16;
+constexpr int kMaxLists = 16;
 
-std::int64_t needWhole(element object, std::string_view key) {
+std::int64_t requireInteger(element object, std::string_view key) {
     if (!valueAt(object, key)) throw Malformed("field '" + std::string(key) + "' is missing");
-    return wholeOr(object, key, 0);
+    return integerOr(object, key, 0);
 }
 
-std::string_view needText(element object, std::string_view key) {
+std::string_view requireText(element object, std::string_view key) {
     const std::string_view text = textOr(object, key, "");
     if (text.empty()) throw Malformed("field '" + std::string(key) + "' is missing or empty");
     return text;
 }
 
 RequestId requestId(element object) {
-    const std::string_view text = needText(object, "id");
+    const std::string_view text = requireText(object, "id");
     RequestId id = 0;
     const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), id, 16);
     if (problem != std::errc{} || end != text.data() + text.size() || text.size() != 16)
@@ -68,7 +68,7 @@
     throw Malformed("unknown outcome '" + std::string(code) + "'");
 }
 
-CacheStatus noteOf(std::int64_t number) {
+CacheStatus cacheStatusOf(std::int64_t number) {
     constexpr std::array notes{CacheStatus::none,          CacheStatus::hit,
                                CacheStatus::filled,        CacheStatus::filledByOrigin,
                                CacheStatus::joined,        CacheStatus::stale,
@@ -99,20 +99,20 @@
 public:
     explicit Writer(std::string& out) : out_(out) {}
 
-    void operator()(std::int64_t who, const Action& action) {
-        std::visit([&](const auto& a) { write(who, a); }, action);
+    void operator()(std::int64_t instance, const Action& action) {
+        std::visit([&](const auto& a) { write(instance, a); }, action);
         out_ += "}\n";
     }
 
 private:
-    void open(std::string_view what, std::int64_t who) {
+    void beginAction(std::string_view what, std::int64_t instance) {
         out_ += "{\"what\":\"";
         out_ += what;
         out_ += "\",\"who\":";
-        digits(who);
+        appendNumber(instance);
     }
     template <class Number>
-    void digits(Number number) {
+    void appendNumber(Number number) {
         std::array<char, 24> text{};
         const auto end = std::to_chars(text.data(), text.data() + text.size(), number).ptr;
         out_.append(text.data(), end);
@@ -122,7 +122,7 @@
         out_ += ",\"";
         out_ += key;
         out_ += "\":";
-        digits(number);
+        appendNumber(number);
     }
     void text(std::string_view key, std::string_view value) {
         out_ += ",\"";
@@ -141,8 +141,8 @@
         out_ += '"';
     }
 
-    void write(std::int64_t who, const Send& a) {
-        open(a.plain ? "try" : "deliverVia", who);
+    void write(std::int64_t instance, const Send& a) {
+        beginAction(a.plain ? "try" : "deliverVia", instance);
         id(a.request);
         text("host", a.host);
         field("patience", a.timeout.count());
@@ -152,32 +152,32 @@
         field("howOld", a.oldest.count());
         field("switches", (a.join ? 1 : 0) + (a.heldOnly ? 2 : 0) + (a.renew ? 8 : 0));
     }
-    void write(std::int64_t who, const Refuse& a) {
-        open("deny", who);
+    void write(std::int64_t instance, const Refuse& a) {
+        beginAction("deny", instance);
         id(a.request);
         if (a.retryIn.count() > 0) field("retryIn", a.retryIn.count());
     }
-    void write(std::int64_t who, const Fail& a) {
-        open("finishError", who);
+    void write(std::int64_t instance, const Fail& a) {
+        beginAction("finishError", instance);
         id(a.request);
     }
-    void write(std::int64_t who, const Cancel& a) {
-        open("abandon", who);
+    void write(std::int64_t instance, const Cancel& a) {
+        beginAction("abandon", instance);
         id(a.request);
         field("roundNo", a.attempt);
     }
-    void write(std::int64_t who, const SetTimer& a) {
-        open("arm", who);
+    void write(std::int64_t instance, const SetTimer& a) {
+        beginAction("arm", instance);
         field("handle", a.timer);
         field("sleepFor", a.delay.count());
     }
-    void write(std::int64_t who, const Watch&) {
-        open("keepInformed", who);
+    void write(std::int64_t instance, const Watch&) {
+        beginAction("keepInformed", instance);
         out_ += ",\"enable\":true";
     }
-    void write(std::int64_t who, const FetchList&) { open("resolve", who); }
-    void write(std::int64_t who, const Probe& a) {
-        open("ping", who);
+    void write(std::int64_t instance, const FetchList&) { beginAction("resolve", instance); }
+    void write(std::int64_t instance, const Probe& a) {
+        beginAction("ping", instance);
         text("host", a.host);
     }
 
@@ -209,17 +209,17 @@
 
 class Session::Impl {
 public:
-    bool takeLine(std::string_view line, std::string& reply) {
+    bool handleLine(std::string_view line, std::string& reply) {
         element event;
         const auto problem = parser_.parse(line.data(), line.size(), false).get(event);
         if (problem != simdjson::SUCCESS)
             throw Malformed(std::string("no JSON value: ") + simdjson::error_message(problem));
-        const std::string_view what = needText(event, "what");
+        const std::string_view what = requireText(event, "what");
         if (what == "sync") {
             if (inBatch_) throw Malformed("'sync' inside a batch");
             inBatch_ = true;
-            now_ = Time{needWhole(event, "now")};
-            turn_ = needWhole(event, "turn");
+            now_ = Time{requireInteger(event, "now")};
+            turn_ = requireInteger(event, "turn");
             replyLines_.clear();
             return false;
         }
@@ -234,75 +234,75 @@
         return false;
     }
 
-    bool midBatch() const { return inBatch_; }
+    bool inBatch() const { return inBatch_; }
 
 private:
     void dispatch(std::string_view what, element event) {
-        if (what == "manifest") return takeManifest(event);
-        const std::int64_t who = needWhole(event, "who");
-        if (what == "up") return startInstance(who, event);
+        if (what == "manifest") return storeList(event);
+        const std::int64_t instance = requireInteger(event, "who");
+        if (what == "up") return startInstance(instance, event);
         if (what == "retire") {
-            instances_.erase(who);
+            instances_.erase(instance);
             return;
         }
-        const auto found = instances_.find(who);
-        if (found == instances_.end()) throw Malformed("no instance " + std::to_string(who));
+        const auto found = instances_.find(instance);
+        if (found == instances_.end()) throw Malformed("no instance " + std::to_string(instance));
         Instance& to = *found->second;
         if (what == "req") {
             to.router.handle(now_, requestOf(to.words, event), actions_);
         } else if (what == "response") {
             AttemptEnded ended;
             ended.request = requestId(event);
-            ended.attempt = static_cast<int>(needWhole(event, "roundNo"));
-            ended.outcome = outcomeOf(needText(event, "disposition"));
+            ended.attempt = static_cast<int>(requireInteger(event, "roundNo"));
+            ended.outcome = outcomeOf(requireText(event, "disposition"));
             ended.elapsed = timeOr(event, "costTime");
-            ended.over = flagOr(event, "over", false);
-            ended.note = noteOf(wholeOr(event, "note", 0));
+            ended.over = booleanOr(event, "over", false);
+            ended.note = cacheStatusOf(integerOr(event, "note", 0));
             ended.load = loadOf(event);
             to.router.handle(now_, ended, actions_);
         } else if (what == "wakeup") {
-            to.router.handleTimer(now_, static_cast<TimerId>(needWhole(event, "handle")), actions_);
+            to.router.handleTimer(now_, static_cast<TimerId>(requireInteger(event, "handle")), actions_);
         } else if (what == "members") {
-            takeMembers(to, event);
+            applyList(to, event);
         } else if (what == "cancelledByClient") {
             to.router.handleClientGone(now_, requestId(event), actions_);
         } else if (what == "withdrawnCopy") {
             const std::string_view object = textOr(event, "object", "");
             to.router.handle(now_,
-                             Purge{object.empty() ? 0 : fingerprint(object), wholeOr(event, "setNo", 0),
+                             Purge{object.empty() ? 0 : fingerprint(object), integerOr(event, "setNo", 0),
                                    timeOr(event, "howOld")},
                              actions_);
         } else if (what == "established") {
-            to.router.handle(now_,
-                             StreamStarted{requestId(event), static_cast<int>(needWhole(event, "roundNo"))},
-                             actions_);
+            to.router.handle(
+                now_, StreamStarted{requestId(event), static_cast<int>(requireInteger(event, "roundNo"))},
+                actions_);
         } else if (what == "health") {
-            const bool answered = outcomeOf(needText(event, "disposition")) == Outcome::served;
-            to.router.handle(now_, ProbeEnded{std::string(needText(event, "host")), answered, loadOf(event)},
-                             actions_);
+            const bool answered = outcomeOf(requireText(event, "disposition")) == Outcome::served;
+            to.router.handle(
+                now_, ProbeEnded{std::string(requireText(event, "host")), answered, loadOf(event)}, actions_);
         } else if (what != "heard") {
             throw Malformed("unknown event '" + std::string(what) + "'");
         }
-        writeActions(who);
+        writeActions(instance);
     }
 
-    void startInstance(std::int64_t who, element event) {
+    void startInstance(std::int64_t instance, element event) {
         std::uint64_t seed = 0;
         if (const auto salt = valueAt(event, "salt");
             salt && salt->get_uint64().get(seed) != simdjson::SUCCESS)
-            seed = static_cast<std::uint64_t>(wholeOr(event, "salt", 0));
+            seed = static_cast<std::uint64_t>(integerOr(event, "salt", 0));
         const auto info = valueAt(event, "info");
         if (!info) throw Malformed("field 'info' is missing");
         settings::Vocabulary words = settingsOf(*info);
         Router router(words.settings, seed);
-        instances_[who] = std::make_unique<Instance>(Instance{std::move(router), std::move(words)});
-        instances_[who]->router.start(now_, actions_);
-        writeActions(who);
+        instances_[instance] = std::make_unique<Instance>(Instance{std::move(router), std::move(words)});
+        instances_[instance]->router.start(now_, actions_);
+        writeActions(instance);
     }
 
-    void takeManifest(element event) {
-        const std::int64_t number = needWhole(event, "sheet");
-        if (number < 0 || number >= kListNumbers)
+    void storeList(element event) {
+        const std::int64_t number = requireInteger(event, "sheet");
+        if (number < 0 || number >= kMaxLists)
             throw Malformed("list number " + std::to_string(number) + " is out of range");
         auto& list = lists_[static_cast<std::size_t>(number)];
         list.clear();
@@ -312,11 +312,11 @@
         if (rows->get_array().get(entries) != simdjson::SUCCESS) throw Malformed("'rowsIn' is no list");
         for (const element row : entries) {
             ListedHost host;
-            host.entry.name = needText(row, "host");
-            host.entry.cell = wholeOr(row, "pod", 0);
+            host.entry.name = requireText(row, "host");
+            host.entry.cell = integerOr(row, "pod", 0);
             host.entry.weight = numberOr(row, "heft", 1);
             host.entry.startedAt = timeOr(row, "bootTime");
-            const std::int64_t readiness = needWhole(row, "readiness");
+            const std::int64_t readiness = requireInteger(row, "readiness");
             if (readiness < 0 || readiness > 2) throw Malformed("unknown readiness");
             host.entry.readiness = readiness == 1   ? Readiness::ready
                                    : readiness == 2 ? Readiness::draining
@@ -327,12 +327,12 @@
         }
     }
 
-    void takeMembers(Instance& to, element event) {
-        const std::int64_t form = needWhole(event, "form");
+    void applyList(Instance& to, element event) {
+        const std::int64_t form = requireInteger(event, "form");
         if (form == 3) return to.router.handleListFailed(now_, actions_);
         if (form < 0 || form > 3) throw Malformed("unknown form of list");
-        const std::int64_t number = needWhole(event, "sheet");
-        if (number < 0 || number >= kListNumbers) throw Malformed("no list " + std::to_string(number));
+        const std::int64_t number = requireInteger(event, "sheet");
+        if (number < 0 || number >= kMaxLists) throw Malformed("no list " + std::to_string(number));
         HostList list;
         list.whole = form != 0;
         for (const ListedHost& listed : lists_[static_cast<std::size_t>(number)]) {
@@ -347,30 +347,30 @@
     static Request requestOf(const settings::Vocabulary& words, element event) {
         Request request;
         request.id = requestId(event);
-        const std::string profile(needText(event, "profile"));
+        const std::string profile(requireText(event, "profile"));
         const auto known = words.classes.find(profile);
         if (known == words.classes.end()) throw Malformed("unknown class '" + profile + "'");
         request.classIndex = known->second;
         const std::string_view object = textOr(event, "object", "");
         request.object = object.empty() ? 0 : fingerprint(object);
-        request.group = wholeOr(event, "group", 0);
-        request.part = wholeOr(event, "part", 0);
+        request.group = integerOr(event, "group", 0);
+        request.part = integerOr(event, "part", 0);
         request.sizeKb = numberOr(event, "kb", 0);
-        request.deadline = Time{needWhole(event, "notAfter")};
-        request.repeated = flagOr(event, "resent", false);
-        request.write = flagOr(event, "update", false);
+        request.deadline = Time{requireInteger(event, "notAfter")};
+        request.repeated = booleanOr(event, "resent", false);
+        request.write = booleanOr(event, "update", false);
         return request;
     }
 
-    void writeActions(std::int64_t who) {
+    void writeActions(std::int64_t instance) {
         Writer writer(replyLines_);
-        for (const Action& action : actions_) writer(who, action);
+        for (const Action& action : actions_) writer(instance, action);
         actions_.clear();
     }
 
     simdjson::dom::parser parser_;
     std::map<std::int64_t, std::unique_ptr<Instance>> instances_;
-    std::array<std::vector<ListedHost>, kListNumbers> lists_;
+    std::array<std::vector<ListedHost>, kMaxLists> lists_;
     std::string replyLines_;
     Actions actions_;
     Time now_{};
@@ -380,11 +380,11 @@
 
 Session::Session() : impl_(std::make_unique<Impl>()) {}
 Session::~Session() = default;
-bool Session::takeLine(std::string_view line, std::string& reply) { return impl_->takeLine(line, reply); }
-bool Session::midBatch() const { return impl_->midBatch(); }
+bool Session::handleLine(std::string_view line, std::string& reply) { return impl_->handleLine(line, reply); }
+bool Session::inBatch() const { return impl_->inBatch(); }
 
 int serve(int inputFd, std::FILE* output, std::FILE* errors) {
-    constexpr std::size_t kChunk = 1 << 16;
+    constexpr std::size_t kReadBytes = 1 << 16;
     Session session;
     std::string buffer;
     std::string reply;
@@ -393,9 +393,9 @@
     std::size_t filled = 0;
     std::size_t lineNumber = 0;
     for (;;) {
-        if (buffer.size() < filled + kChunk + simdjson::SIMDJSON_PADDING)
-            buffer.resize(2 * buffer.size() + kChunk + simdjson::SIMDJSON_PADDING);
-        const ssize_t got = ::read(inputFd, buffer.data() + filled, kChunk);
+        if (buffer.size() < filled + kReadBytes + simdjson::SIMDJSON_PADDING)
+            buffer.resize(2 * buffer.size() + kReadBytes + simdjson::SIMDJSON_PADDING);
+        const ssize_t got = ::read(inputFd, buffer.data() + filled, kReadBytes);
         if (got < 0 && errno == EINTR) continue;
         if (got < 0) {
             std::fprintf(errors, "lotuslead_adapter: cannot read: %s\n", std::strerror(errno));
@@ -410,7 +410,7 @@
                 ++lineNumber;
                 start = scanned = end + 1;
                 if (line.find_first_not_of(" \t\r") == std::string_view::npos) continue;
-                if (session.takeLine(line, reply)) {
+                if (session.handleLine(line, reply)) {
                     if (std::fwrite(reply.data(), 1, reply.size(), output) != reply.size() ||
                         std::fflush(output) != 0) {
                         std::fprintf(errors, "lotuslead_adapter: cannot write the reply\n");
@@ -426,14 +426,14 @@
         scanned = filled;
         if (start == filled) {
             start = scanned = filled = 0;
-        } else if (start > kChunk) {
+        } else if (start > kReadBytes) {
             std::memmove(buffer.data(), buffer.data() + start, filled - start);
             filled -= start;
             scanned -= start;
             start = 0;
         }
     }
-    if (session.midBatch() || start != filled) {
+    if (session.inBatch() || start != filled) {
         std::fprintf(errors, "lotuslead_adapter: the input ended inside a batch\n");
         return 1;
     }
--- a/src/adapter/wire.hpp
+++ b/src/adapter/wire.hpp
@@ -28,8 +28,8 @@
 
     // Handles one line. If it ends a batch, appends the reply to `reply` and returns true.
     // SIMDJSON_PADDING readable bytes must follow the line.
-    bool takeLine(std::string_view line, std::string& reply);
-    bool midBatch() const;
+    bool handleLine(std::string_view line, std::string& reply);
+    bool inBatch() const;
 
 private:
     class Impl;
