--- a/src/adapter/fields.cpp
+++ b/src/adapter/fields.cpp
@@ -32,7 +32,7 @@
     element value;
     const auto problem = object.at_key(key).get(value);
     if (problem == simdjson::INCORRECT_TYPE)
-        throw Malformed("'" + std::string(key) + "' sought in no object");
+        throw Malformed("no field '" + std::string(key) + "' in a value that is not an object");
     if (problem != simdjson::SUCCESS || value.is_null()) return std::nullopt;
     return value;
 }
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -36,7 +36,7 @@
     RequestId id = 0;
     const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), id, 16);
     if (problem != std::errc{} || end != text.data() + text.size() || text.size() != 16)
-        throw Malformed("'" + std::string(text) + "' is no request id");
+        throw Malformed("'" + std::string(text) + "' is not a request id");
     return id;
 }
 
@@ -213,7 +213,7 @@
         element event;
         const auto problem = parser_.parse(line.data(), line.size(), false).get(event);
         if (problem != simdjson::SUCCESS)
-            throw Malformed(std::string("no JSON value: ") + simdjson::error_message(problem));
+            throw Malformed(std::string("invalid JSON: ") + simdjson::error_message(problem));
         const std::string_view what = requireText(event, "what");
         if (what == "sync") {
             if (inBatch_) throw Malformed("'sync' inside a batch");
@@ -246,7 +246,7 @@
             return;
         }
         const auto found = instances_.find(instance);
-        if (found == instances_.end()) throw Malformed("no instance " + std::to_string(instance));
+        if (found == instances_.end()) throw Malformed("unknown instance " + std::to_string(instance));
         Instance& to = *found->second;
         if (what == "req") {
             to.router.handle(now_, requestOf(to.words, event), actions_);
@@ -309,7 +309,8 @@
         const auto rows = valueAt(event, "rowsIn");
         if (!rows) return;
         simdjson::dom::array entries;
-        if (rows->get_array().get(entries) != simdjson::SUCCESS) throw Malformed("'rowsIn' is no list");
+        if (rows->get_array().get(entries) != simdjson::SUCCESS)
+            throw Malformed("field 'rowsIn' is not a list");
         for (const element row : entries) {
             ListedHost host;
             host.entry.name = requireText(row, "host");
@@ -317,7 +318,7 @@
             host.entry.weight = numberOr(row, "heft", 1);
             host.entry.startedAt = timeOr(row, "bootTime");
             const std::int64_t readiness = requireInteger(row, "readiness");
-            if (readiness < 0 || readiness > 2) throw Malformed("unknown readiness");
+            if (readiness < 0 || readiness > 2) throw Malformed("field 'readiness' is out of range");
             host.entry.readiness = readiness == 1   ? Readiness::ready
                                    : readiness == 2 ? Readiness::draining
                                                     : Readiness::gone;
@@ -330,9 +331,10 @@
     void applyList(Instance& to, element event) {
         const std::int64_t form = requireInteger(event, "form");
         if (form == 3) return to.router.handleListFailed(now_, actions_);
-        if (form < 0 || form > 3) throw Malformed("unknown form of list");
+        if (form < 0 || form > 3) throw Malformed("field 'form' is out of range");
         const std::int64_t number = requireInteger(event, "sheet");
-        if (number < 0 || number >= kMaxLists) throw Malformed("no list " + std::to_string(number));
+        if (number < 0 || number >= kMaxLists)
+            throw Malformed("list number " + std::to_string(number) + " is out of range");
         HostList list;
         list.whole = form != 0;
         for (const ListedHost& listed : lists_[static_cast<std::size_t>(number)]) {
