--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -1,4 +1,5 @@
-// What many gateways do together that none would notice alone: several modules on one test's clock.
+// Tests of the joint effect of many gateways, which no single gateway notices: several decision modules on
+// one simulated clock.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -12,7 +13,7 @@
 namespace lotuslead::testing {
 namespace {
 
-// One gateway: what it has out, and its timers, which come due by the shared clock.
+// One gateway with its pending attempts and timers, on the shared clock.
 class Gateway {
 public:
     Gateway(const Settings& settings, std::uint64_t seed) : harness_(settings, seed) {
@@ -35,7 +36,7 @@
         harness_.ask(object, 0, 1, kb, 10s);
         follow();
     }
-    // One that the caches hold.
+    // A request for an object that the caches hold.
     void askHeld(const std::string& object) {
         const RequestId id = harness_.ask(object);
         harness_.end(id, 0, Outcome::served, CacheStatus::hit);
@@ -44,7 +45,7 @@
     int fills = 0, refused = 0;
 
 private:
-    // A jam: no fill ends. What the cache or a parent is only looked up for is answered at once.
+    // Simulates congestion: no fill ends. Requests for cached copies only are answered at once.
     void follow() {
         std::deque<Action> todo(harness_.last.begin(), harness_.last.end());
         while (!todo.empty()) {
@@ -74,7 +75,7 @@
 
 struct Fleet {
     int gateways;
-    bool skewed;  // a quarter of them has three quarters of the requests
+    bool skewed;  // a quarter of the gateways receives three quarters of the requests
 };
 
 class FleetSize : public ::testing::TestWithParam<Fleet> {};
@@ -83,7 +84,7 @@
     int asked = 0, fills = 0, refused = 0;
 };
 
-// Ten requests a second at each for so long, all fills, of which none ends.
+// Sends ten requests per second to each gateway for `span`. All need fills, and no fill ends.
 Sum play(const Settings& settings, bool skewed, Time span, double kb) {
     const int count = settings.routers;
     std::deque<Gateway> gateways;
@@ -114,17 +115,18 @@
     return settings;
 }
 
-// A link that twice its load was sent over. Each may find out for itself, from what is overdue (the aim is
-// 0.35 s), or the sum makes the jam last.
+// The load is twice the capacity of the link. Each gateway has to detect that from its own overdue attempts
+// (the latency target is 0.35 s); otherwise their sum keeps the link congested.
 TEST_P(FleetSize, AJamIsNotAddedToUntilItsAnswersCome) {
     const auto [count, skewed] = GetParam();
     const Sum sum = play(settingsFor(count), skewed, 3s, 50);
-    EXPECT_LT(sum.fills, sum.asked / 2);  // at first nothing is known: 0.35 s, and the halves after that
+    EXPECT_LT(sum.fills, sum.asked / 2);  // nothing is known for 0.35 s, then the limits are halved
     EXPECT_EQ(sum.fills + sum.refused, sum.asked);
 }
 
-// The zone's link, told in the settings, carries two fills a gateway at full pace. 500 KB take 0.5 s then and
-// have 1.25 s: up to 2.4 times as many are in time. Nothing is late yet that could tell of more.
+// The zone's link has a configured capacity of two fills per gateway at full pace. A fill of 500 KB takes 0.5
+// s then and has 1.25 s, so that up to 2.4 times as many are in time. No attempt is late yet that could
+// reveal more.
 TEST_P(FleetSize, ALinkOfToldSizeIsNotSentMoreThanIsInTime) {
     const auto [count, skewed] = GetParam();
     Settings settings = settingsFor(count);
@@ -135,8 +137,9 @@
     EXPECT_EQ(sum.fills + sum.refused, sum.asked);
 }
 
-// A zone of ten gateways, whose link carries so many transfers at full pace. This one has had three fills out
-// for two seconds, which ended late: the others are taken to have three, too, though here none is out.
+// A zone of ten gateways whose link carries `transfers` at full pace. This gateway had three fills in flight
+// for two seconds, which ended late. The others are assumed to have as many, although none is in flight here
+// now.
 struct BusyZone {
     explicit BusyZone(double transfers) : harness(settings(transfers)) {
         harness.usualList();
@@ -153,7 +156,7 @@
         s.zoneLinkKb = {0, transfers * s.paceKb, 0};
         return s;
     }
-    // 500 KB take 0.5 s at full pace and have 1.4 s.
+    // Whether a fill of 500 KB is requested. It takes 0.5 s at full pace and has 1.4 s.
     bool fills(const char* name) {
         harness.ask(name, 0, 0, 500, 10s);
         const auto sent = harness.one<Send>();
@@ -164,37 +167,37 @@
 
 TEST(ZoneLink, IsAsFullAsTheOwnMeanSaysNotTheCountOfNow) {
     BusyZone zone(5);
-    EXPECT_FALSE(zone.fills("known"));  // ten gateways with 2.6 each, on room for 5
+    EXPECT_FALSE(zone.fills("known"));  // ten gateways with 2.6 fills each, on a link for 5
     zone.harness.now += 4s;
     EXPECT_TRUE(zone.fills("known"));
 }
 
 TEST(ZoneLink, IsLeftToWhatLeavesACopyWhileItIsFull) {
     BusyZone zone(10);
-    EXPECT_FALSE(zone.fills("new"));  // 2.6 times full: in time once, not at twice that
+    EXPECT_FALSE(zone.fills("new"));  // 2.6 times full: meets the target at that load, but not at twice that
     EXPECT_TRUE(zone.fills("known"));
 }
 
-// A fill at full pace shows the link to be free, for about as long as reports are late.
+// A fill at full pace proves that the link is free, for about as long as reports are delayed.
 TEST(ZoneLink, IsFreeForAWhileOnceAFillCameAtFullPace) {
     BusyZone zone(5);
     EXPECT_FALSE(zone.fills("known"));
     const RequestId small = zone.harness.ask("known", 1, 0, 100, 10s);
-    zone.harness.took = 150ms;  // 0.1 s of sending, and the way
+    zone.harness.took = 150ms;  // 0.1 s of sending, plus overhead
     zone.harness.end(small, 0, Outcome::served, CacheStatus::filled);
     EXPECT_TRUE(zone.fills("known"));
     zone.harness.now += 500ms;
     EXPECT_FALSE(zone.fills("known"));
 }
 
-// Fills served at once, one each 20 ms; how many came from this parent.
+// Requests one fill every 20 ms, each served at once; returns how many came from `parent`.
 int fillsFrom(Harness& h, std::string_view parent, int count, double kb) {
     int from = 0;
     for (int i = 0; i < count; ++i, h.now += 20ms) {
         const RequestId id = h.ask("object" + std::to_string(h.now.count()), 0, 1, kb);
         int attempt = 0;
         auto sent = h.one<Send>();
-        if (sent && sent->source == sent->host) {  // looked up only, since its parent is cold
+        if (sent && sent->source == sent->host) {  // a lookup only, since the parent is cold
             h.end(id, attempt++, Outcome::noCopy);
             sent = h.one<Send>();
         }
@@ -205,23 +208,23 @@
     return from;
 }
 
-// What a cold parent serves is what its budget lets through. Taken for its link it made the budget less
-// still.
+// A cold parent serves only what its budget admits. Regression: that figure was learned as its link, which
+// reduced the budget further.
 TEST(ColdHosts, ABudgetIsNotLearnedAsTheLink) {
     Settings settings = settingsFor(4);
     settings.weights = Weights::none;
     Harness h(settings);
     h.usualList();
-    fillsFrom(h, "p1", 200, 200);  // the others show links of about 15 transfers
+    fillsFrom(h, "p1", 200, 200);  // the other parents' links are learned as about 15 transfers
     h.list({Harness::host("p3", Role::parent, 0, 0, h.now)}, false);
     fillsFrom(h, "p3", 20, 5);
-    // Of 15 transfers a tenth, times 1.2 over 1.5 s, is 2.7 s of work, of which this gateway has a quarter:
-    // three fills of 0.2 s, the class's mean, which an attempt weighs at least. Of 2 transfers it is less
-    // than one.
+    // A tenth of 15 transfers, times 1.2 over 1.5 s, is 2.7 s of sending time. This gateway's quarter is
+    // three fills of 0.2 s, the mean of the class, which is the least that an attempt counts for. With a link
+    // of 2 transfers its part would be less than one fill.
     EXPECT_GE(fillsFrom(h, "p3", 60, 50), 3);
 }
 
-// ----- cold hosts under the sum of all gateways -----
+// ----- cold hosts under the load of all gateways -----
 
 struct ColdStart {
     int gateways;
@@ -230,8 +233,8 @@
     double fallMultiple;
 };
 
-// What the settings allow a cold host over one window, in requests of mean work, at this age. A cold host may
-// get so many, and by chance twice the root of it and two more.
+// The number of requests of mean size that the settings allow a cold host of this age within one window. By
+// chance a host may get more: twice the square root of that number, plus two.
 double allowedBy(const Settings& settings, const ColdStart& start, double link, Time age, double meanWork) {
     const bool parent = start.role == Role::parent;
     const double from = parent ? settings.parentColdFrom : settings.coldFrom;
@@ -254,9 +257,9 @@
     }
     static std::string nameOf(Role role) { return role == Role::parent ? "p1" : "c1"; }
 
-    // When each request reached the cold host, since its start, under far more than it could take. All is
-    // answered at once, so that nothing but the budget holds requests back. Where the cold host is a parent
-    // the caches hold nothing, so that each request needs a fill.
+    // The times since its start at which requests reached the cold host, under a load far above its capacity.
+    // All attempts are answered at once, so that only the budget limits them. If the cold host is a parent,
+    // the caches are empty, so that each request needs a fill.
     static std::vector<Time> sends(const ColdStart& start, std::uint64_t seed, Time span) {
         const Settings settings = settingsOf(start);
         std::deque<Harness> gateways;
@@ -329,7 +332,7 @@
 }
 INSTANTIATE_TEST_SUITE_P(Processes, ColdStarts, ::testing::ValuesIn(coldStarts()));
 
-// With one request out at a time a connection is silent for as long as its answer takes.
+// With one request in flight at a time, a connection is silent for as long as its answer takes.
 TEST(SilenceLimit, IsLearnedFromHowLongAnswersTake) {
     platform::SilenceLimit busy, thin;
     EXPECT_EQ(busy.limit(), platform::SilenceLimit::kLeast);
@@ -340,7 +343,7 @@
     EXPECT_EQ(busy.limit(), platform::SilenceLimit::kLeast);
     EXPECT_GT(thin.limit(), 1200ms);
     EXPECT_LT(thin.limit(), 1600ms);
-    for (int i = 0; i < 100; ++i) thin.learn(60s);  // however long they take
+    for (int i = 0; i < 100; ++i) thin.learn(60s);  // the limit is bounded
     EXPECT_EQ(thin.limit(), platform::SilenceLimit::kMost);
 }
 
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -1,4 +1,4 @@
-// The ordinary path of the design, and what happens when it breaks.
+// Tests of the normal routes and of routing under failures and overload.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -87,7 +87,7 @@
     RequestId id = h.ask("film", 1, 0);
     EXPECT_EQ(h.one<Send>()->keepRank, 1);
     h.end(id, 0, Outcome::served);
-    id = h.ask("film", 0, 0);  // the first part again: another viewer
+    id = h.ask("film", 0, 0);  // the first part again: a second viewer
     EXPECT_GT(h.one<Send>()->keepRank, 1);
 }
 
@@ -115,7 +115,7 @@
     EXPECT_EQ(used.size(), 2u);
 }
 
-// A hot object's parts do not all fill from one parent.
+// The parts of a hot object are filled from more than one parent.
 TEST(Design, HotObjectsPartsHaveParentsApart) {
     Harness h;
     h.usualList();
@@ -157,7 +157,8 @@
     EXPECT_EQ(sent->keepRank, 0);
 }
 
-// The exception once never ended, as no router met as many names as it asked for.
+// Regression: the warm-up of the filter never ended, since no router saw the number of names that it
+// required.
 TEST(YoungFilter, EndsSoonAfterTheStartHoweverFewTheNames) {
     Harness h;
     h.usualList();
@@ -166,7 +167,7 @@
     EXPECT_TRUE(startsWith(h.one<Send>()->host, 'p'));
 }
 
-// Origin or parent answering nothing, told or not: what is asked upward falls off, hits are still asked for.
+// While origin and parents do not answer, fewer fills are requested, but hits still are.
 TEST(Gates, UpwardRequestsFallOffWhenNothingComesBack) {
     Harness h;
     h.usualList();
@@ -187,19 +188,19 @@
     }
     EXPECT_LT(upward, 150);
     EXPECT_GT(held, 100);
-    h.now += 10s;  // long after, it is asked again
+    h.now += 10s;  // much later a fill is tried again
     h.ask("k1");
     EXPECT_NE(h.one<Send>()->source, h.one<Send>()->host);
 }
 
-// While fetches are short a parent is asked for its copy first; when it has none, the fetch is its own as
-// well: a fetch by another parent would leave the object with two.
+// While fills are limited, a parent is first asked for its copy. If it has none, the same parent must fetch
+// the object: a fetch by another parent would leave copies at two parents.
 TEST(Gates, AFetchAfterNoCopyGoesToTheSameParent) {
     Harness h;
     h.usualList();
     h.growUp();
     h.know("a");
-    for (int i = 0; i < 40; ++i) {  // refused fetches: the origin's gate is tight from here on
+    for (int i = 0; i < 40; ++i) {  // refused fetches: the origin's limiter restricts from here on
         const RequestId id = h.ask("b" + std::to_string(i));
         for (int attempt = 0; !h.all<Send>().empty(); ++attempt) h.end(id, attempt, Outcome::notTaken);
         h.now += 20ms;
@@ -221,7 +222,7 @@
     EXPECT_EQ(compared, 1);
 }
 
-// Answers that never come say little while others come in time: a lossy tier is not held back.
+// Missing answers weigh little while others arrive in time: a tier that loses some answers is not limited.
 TEST(Gates, LostAnswersAloneDoNotCloseThem) {
     Harness h;
     h.usualList();
@@ -239,7 +240,7 @@
     EXPECT_GT(upward, 190);
 }
 
-// Prompt errors are their host's own: fetches are not short for it, so none is asked only for its copy.
+// Prompt errors are a fault of their host: they do not limit fills, so that fills are still requested.
 TEST(Gates, PromptErrorsDoNotCloseThem) {
     Harness h;
     h.usualList();
@@ -255,7 +256,7 @@
     EXPECT_NE(h.one<Send>()->source, h.one<Send>()->host);
 }
 
-// Three of four caches lose answers: the one that lost most is not left out for what they share.
+// Three of four caches lose answers: the one that lost most is not ejected for a fault that they share.
 TEST(Failures, WhatMostSufferFromIsNotHeldAgainstOne) {
     Harness h;
     h.list({Harness::cache("c1"), Harness::cache("c2"), Harness::cache("c3"), Harness::cache("c4"),
@@ -281,7 +282,7 @@
     EXPECT_EQ(h.one<Send>()->host, "c1");
 }
 
-// The origin takes over as far as it answers in time, when no parent is left.
+// Without parents the origin takes over for as long as it answers in time.
 TEST(Origin, AnswersInTimeEarnItMoreThanItsShare) {
     const auto served = [](Outcome outcome) {
         Harness h;
@@ -301,7 +302,7 @@
     EXPECT_LT(served(Outcome::notTaken), 60);
 }
 
-// A cache over full gets nothing that can't be in time; an answer at full pace proves that it has room.
+// A full cache gets no request that it cannot answer in time; an answer at full pace proves free capacity.
 TEST(HostGate, AFullCacheIsPassedBy) {
     Harness h;
     h.usualList();
@@ -317,7 +318,7 @@
     EXPECT_LT(refused, 60);
 }
 
-// Hits are asked for apart while the parent is cold: they must not use up its budget.
+// While the parent is cold, hits are requested without a fill: they must not use up its budget.
 TEST(ColdParent, IsOnlyChargedForFills) {
     Harness h;
     h.usualList();
@@ -332,7 +333,7 @@
     EXPECT_EQ(h.one<Send>()->source, "p1");
 }
 
-// Old copies earn part of the worth: not while a fresh one is to be had.
+// Stale copies earn part of the value: none is used while a fresh one is available.
 TEST(OldCopies, OnlyAfterAFailure) {
     Settings s = basicSettings();
     s.classes[1].freshFor = 8s;
@@ -383,7 +384,8 @@
     EXPECT_LE(firstWasBad[true], 4);
 }
 
-// Half or all hosts look bad at once: trials go on, and service is back soon after they are.
+// When half of the hosts or all of them fail at once, trials continue and service resumes soon after they
+// recover.
 TEST(Failures, WhenAllHostsLookBadNoneIsShutOut) {
     Harness h;
     h.usualList();
@@ -407,7 +409,7 @@
     EXPECT_GE(play(100, Outcome::served), 90);
 }
 
-// A whole zone's caches lost without notice: the parents, which answer, take over.
+// When all caches of the zone fail without notice, the parents take over.
 TEST(Failures, WhenAllCachesAreLostTheParentsTakeOver) {
     Harness h;
     h.usualList();
@@ -431,7 +433,7 @@
     Harness h;
     h.usualList();
     int sends = 0;
-    constexpr int kRequests = 400;  // a tenth of them, and the first burst
+    constexpr int kRequests = 400;  // plus a tenth of them, plus the initial burst
     for (int i = 0; i < kRequests; ++i) {
         const RequestId id = h.ask("a" + std::to_string(i));
         std::size_t sent = h.all<Send>().size();
@@ -445,7 +447,8 @@
     EXPECT_LE(sends, kRequests + kRequests / 10 + 12);
 }
 
-// A jam on the zone's link: what can't be in time over it is asked of the cache alone, and refused on a miss.
+// When the zone's link is full, a request that cannot be answered in time over it is sent to the cache only,
+// and is refused on a miss.
 TEST(FullLink, OnlyWhatTheCacheHoldsIsAskedFor) {
     Harness h;
     h.usualList();
@@ -577,8 +580,8 @@
     EXPECT_TRUE(h.last.empty());
 }
 
-// Actions name hosts by views of their names; one too long to lie within the string itself moved at each
-// list.
+// Actions refer to hosts by views of their names. Regression: a name too long for the small-string
+// optimization moved with each list.
 TEST(Lists, AHostThatIsListedAgainKeepsItsNameWhereItIs) {
     const std::string name = "a-cache-with-a-name-of-more-than-fifteen-characters";
     Harness h;
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -1,4 +1,4 @@
-// The five rules, each on the module alone.
+// Tests of the five rules on the decision module alone.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -37,11 +37,11 @@
     EXPECT_EQ(h.all<Send>().front().host, "c1");
 }
 
-// Sizes and links that nothing tells are learned from answers: what is in time must not look late.
+// Sizes and links that are not configured are learned from answers: an answer in time must not count as late.
 TEST(Learning, TheSizeOfAnAnswerSetsTheAimOfItsRequest) {
     Settings settings = basicSettings();
     settings.weights = Weights::none;
-    settings.classes[1].aim = 200ms;  // and twice the sending time; a quarter of it is the first guess
+    settings.classes[1].aim = 200ms;  // plus twice the sending time; the first estimate is a quarter of it
     Harness h(settings);
     h.usualList();
     h.growUp(60);
@@ -58,7 +58,7 @@
         const RequestId id = h.ask("next" + std::to_string(i), 0, 1, 0);
         const auto send = h.one<Send>();
         ASSERT_TRUE(send);
-        sent += send->source == send->host ? 0 : 1;  // else only what is held there is asked for
+        sent += send->source == send->host ? 0 : 1;  // otherwise only a cached copy is requested
         h.end(id, 0, Outcome::served, CacheStatus::filledByOrigin, {}, false, 300);
         h.now += 10ms;
     }
@@ -74,10 +74,10 @@
         h.growUp();
         h.know("a");
         const RequestId slow = h.ask("a");
-        const auto timers = h.all<SetTimer>();  // slow, then late
+        const auto timers = h.all<SetTimer>();  // the slow timer, then the late timer
         ASSERT_EQ(timers.size(), 2u);
         const std::string host(h.one<Send>()->host);
-        for (int i = 0; answers; ++i) {  // until the same host has answered another
+        for (int i = 0; answers; ++i) {  // until the same host has answered another request
             const RequestId other = h.ask("b" + std::to_string(i));
             const bool same = h.one<Send>()->host == host;
             h.now += 1ms;
@@ -122,7 +122,7 @@
     const auto refusal = h.one<Refuse>();
     ASSERT_TRUE(refusal);
     EXPECT_GT(refusal->retryIn, 0ms);
-    EXPECT_LT(refusal->retryIn, 250ms);  // while an answer can still be within the aim
+    EXPECT_LT(refusal->retryIn, 250ms);  // a retry can still meet the latency target
 }
 
 TEST(Answers, EveryRequestEndsOnceWhateverFails) {
@@ -258,7 +258,7 @@
     const auto first = h.one<Send>();
     ASSERT_TRUE(first);
     std::vector<HostEntry> left{Harness::cache("c1"), Harness::host("p2", Role::parent, 0, 20)};
-    h.list(left);  // a whole list: who is not in it is gone
+    h.list(left);  // a whole list: a host that is not in it is gone
     h.end(id, 0, Outcome::noConnection);
     for (const Send& s : h.all<Send>()) {
         EXPECT_TRUE(s.host == "c1" || s.host == "p2");
@@ -287,11 +287,11 @@
     h.growUp(600);
     h.list({Harness::cache("c1", h.now), Harness::host("p1", Role::parent, 0, 20),
             Harness::host("p2", Role::parent, 0, 20)});
-    // 0.2 of 5 transfers times 4 over 1.5 s is 6 s of work for all routers of the zone.
+    // 0.2 of 5 transfers times 4 over 1.5 s is 6 s of sending time for all routers of the zone.
     EXPECT_LT(workSentTo(h, "c1", 1000, 1ms), 6.0);
 }
 
-// Met on the overload day: attempts weighed next to nothing where sizes are not told, and cold caches fell.
+// Without sizes an attempt once counted for next to nothing, so that cold caches were overloaded and failed.
 TEST(ColdHosts, WithoutSizesAnAttemptWeighsWhatHitsTook) {
     Settings settings = basicSettings();
     settings.weights = Weights::none;
@@ -308,7 +308,8 @@
         for (const Send& s : h.all<Send>()) sent += s.host == "c1" ? 1 : 0;
         h.end(id, 0, Outcome::served, CacheStatus::hit);
     }
-    // Guessed low, its link carries 2 transfers: 0.2 of them times 4 over 1.5 s is 2.4 s of work.
+    // By the low default its link carries 2 transfers: 0.2 of them times 4 over 1.5 s is 2.4 s of sending
+    // time.
     EXPECT_LT(sent * 0.3, 2.4);
     EXPECT_GT(sent, 0);
 }
@@ -318,14 +319,14 @@
     h.usualList();
     h.growUp(600);
     h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20, h.now)});
-    // 0.1 of 20 transfers times 2 over 1.5 s is 6 s of work, half of it this router's.
+    // 0.1 of 20 transfers times 2 over 1.5 s is 6 s of sending time, half of it for this router.
     const double work = workSentTo(h, "p1", 1000, 1ms);
     EXPECT_LT(work, 3.0);
     EXPECT_GT(work, 0.0);
 }
 
-// Among many routers each one's part is less than a request: some get through all the same, and all together
-// stay within the budget.
+// With many routers, each one's part of the budget is less than one request. Some requests must still be
+// sent, and all routers together must stay within the budget.
 TEST(ColdHosts, ManyRoutersTogetherUseAColdParentWithinItsBudget) {
     constexpr int kRouters = 200;
     double early = 0;
@@ -338,7 +339,7 @@
         h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20, h.now)});
         for (int i = 0; i < 15; ++i) {
             const RequestId id = h.ask("cold" + std::to_string(i), 0, 1, 100);
-            h.end(id, 0, Outcome::noCopy);  // what the cache holds is asked for first
+            h.end(id, 0, Outcome::noCopy);  // a copy in the cache is requested first
             for (const Send& s : h.all<Send>())
                 if (s.host == "p1" || s.source == "p1") early += 0.1;
             h.end(id, 1, Outcome::served);
@@ -378,7 +379,7 @@
     h.ask("any", 0, 1, 50, 3s, 7);
     auto sent = h.one<Send>();
     ASSERT_TRUE(sent);
-    EXPECT_EQ(sent->oldest, 1ns);  // zero would mean: any age
+    EXPECT_EQ(sent->oldest, 1ns);  // zero would mean any age
     h.now += 5s;
     h.ask("any", 0, 1, 50, 3s, 7);
     EXPECT_LE(h.one<Send>()->oldest, 5s);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,4 +1,4 @@
-// The rules on what may be begun, over plain facts.
+// Tests of the rules that allow or deny a step, on given facts.
 #include "core/rules.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/support_test.cpp
+++ b/tests/support_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the containers, averages and hash functions in src/support.
 #include <gtest/gtest.h>
 
 #include "support/hash.hpp"
@@ -14,8 +15,8 @@
     map.touch(1).first = 10;
     map.touch(2);
     EXPECT_TRUE(map.touch(1).second);
-    EXPECT_FALSE(map.touch(3).second);  // pushes out 2
-    EXPECT_FALSE(map.touch(2).second);  // pushes out 1
+    EXPECT_FALSE(map.touch(3).second);  // evicts 2
+    EXPECT_FALSE(map.touch(2).second);  // evicts 1
     EXPECT_EQ(map.touch(1).first, 0);
     EXPECT_EQ(map.size(), 2u);
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// The adapter, by short transcripts.
+// Tests of the adapter on short transcripts of its line protocol.
 #include "adapter/wire.hpp"
 
 #include <gtest/gtest.h>
