--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -23,18 +23,18 @@
         start_ = harness_.now;
     }
 
-    void at(Time sinceStart) {
+    void advanceTo(Time sinceStart) {
         harness_.now = start_ + sinceStart;
         while (!timers_.empty() && timers_.top().first <= harness_.now) {
             const TimerId timer = timers_.top().second;
             timers_.pop();
             harness_.fire(timer);
-            follow();
+            handleActions();
         }
     }
     void ask(const std::string& object, double kb = 50) {
         harness_.ask(object, 0, 1, kb, 10s);
-        follow();
+        handleActions();
     }
     // A request for an object that the caches hold.
     void askHeld(const std::string& object) {
@@ -46,7 +46,7 @@
 
 private:
     // Simulates congestion: no fill ends. Requests for cached copies only are answered at once.
-    void follow() {
+    void handleActions() {
         std::deque<Action> todo(harness_.last.begin(), harness_.last.end());
         while (!todo.empty()) {
             const Action action = todo.front();
@@ -73,37 +73,37 @@
     std::priority_queue<Due, std::vector<Due>, std::greater<>> timers_;
 };
 
-struct Fleet {
+struct FleetCase {
     int gateways;
     bool skewed;  // a quarter of the gateways receives three quarters of the requests
 };
 
-class FleetSize : public ::testing::TestWithParam<Fleet> {};
+class FleetSize : public ::testing::TestWithParam<FleetCase> {};
 
-struct Sum {
+struct Totals {
     int asked = 0, fills = 0, refused = 0;
 };
 
 // Sends ten requests per second to each gateway for `span`. All need fills, and no fill ends.
-Sum play(const Settings& settings, bool skewed, Time span, double kb) {
+Totals simulateCongestion(const Settings& settings, bool skewed, Time span, double kb) {
     const int count = settings.routers;
     std::deque<Gateway> gateways;
     for (int g = 0; g < count; ++g) gateways.emplace_back(settings, static_cast<std::uint64_t>(g) + 1);
-    Sum sum;
+    Totals totals;
     for (int step = 0; step * 10ms < span; ++step)
         for (int g = 0; g < count; ++g) {
             Gateway& gateway = gateways[static_cast<std::size_t>(g)];
-            gateway.at(step * 10ms);
+            gateway.advanceTo(step * 10ms);
             const int every = !skewed || count < 4 ? 10 : g % 4 == 0 ? 3 : 30;  // steps between two requests
             if ((step + g) % every != 0) continue;
             gateway.askHeld("held" + std::to_string(step % 8));
-            gateway.ask("object" + std::to_string(sum.asked++), kb);
+            gateway.ask("object" + std::to_string(totals.asked++), kb);
         }
     for (const Gateway& gateway : gateways) {
-        sum.fills += gateway.fills;
-        sum.refused += gateway.refused;
+        totals.fills += gateway.fills;
+        totals.refused += gateway.refused;
     }
-    return sum;
+    return totals;
 }
 
 Settings settingsFor(int gateways) {
@@ -119,9 +119,9 @@
 // (the latency target is 0.35 s); otherwise their sum keeps the link congested.
 TEST_P(FleetSize, AJamIsNotAddedToUntilItsAnswersCome) {
     const auto [count, skewed] = GetParam();
-    const Sum sum = play(settingsFor(count), skewed, 3s, 50);
-    EXPECT_LT(sum.fills, sum.asked / 2);  // nothing is known for 0.35 s, then the limits are halved
-    EXPECT_EQ(sum.fills + sum.refused, sum.asked);
+    const Totals totals = simulateCongestion(settingsFor(count), skewed, 3s, 50);
+    EXPECT_LT(totals.fills, totals.asked / 2);  // nothing is known for 0.35 s, then the limits are halved
+    EXPECT_EQ(totals.fills + totals.refused, totals.asked);
 }
 
 // The zone's link has a configured capacity of two fills per gateway at full pace. A fill of 500 KB takes 0.5
@@ -131,10 +131,10 @@
     const auto [count, skewed] = GetParam();
     Settings settings = settingsFor(count);
     settings.zoneLinkKb = {0, 2 * settings.paceKb * count, 0};
-    const Sum sum = play(settings, skewed, 1200ms, 500);
-    EXPECT_LE(sum.fills, 5 * count);
-    EXPECT_GE(sum.fills, 2 * count);
-    EXPECT_EQ(sum.fills + sum.refused, sum.asked);
+    const Totals totals = simulateCongestion(settings, skewed, 1200ms, 500);
+    EXPECT_LE(totals.fills, 5 * count);
+    EXPECT_GE(totals.fills, 2 * count);
+    EXPECT_EQ(totals.fills + totals.refused, totals.asked);
 }
 
 // A zone of ten gateways whose link carries `transfers` at full pace. This gateway had three fills in flight
@@ -235,7 +235,8 @@
 
 // The number of requests of mean size that the settings allow a cold host of this age within one window. By
 // chance a host may get more: twice the square root of that number, plus two.
-double allowedBy(const Settings& settings, const ColdStart& start, double link, Time age, double meanWork) {
+double allowedRequests(const Settings& settings, const ColdStart& start, double link, Time age,
+                       double meanWork) {
     const bool parent = start.role == Role::parent;
     const double from = parent ? settings.parentColdFrom : settings.coldFrom;
     const Time warm = parent ? settings.parentWarmWithin : settings.warmWithin;
@@ -260,7 +261,7 @@
     // The times since its start at which requests reached the cold host, under a load far above its capacity.
     // All attempts are answered at once, so that only the budget limits them. If the cold host is a parent,
     // the caches are empty, so that each request needs a fill.
-    static std::vector<Time> sends(const ColdStart& start, std::uint64_t seed, Time span) {
+    static std::vector<Time> coldHostSends(const ColdStart& start, std::uint64_t seed, Time span) {
         const Settings settings = settingsOf(start);
         std::deque<Harness> gateways;
         for (int g = 0; g < start.gateways; ++g) {
@@ -284,14 +285,14 @@
                 h.now = begin + at;
                 const int every = !start.skewed ? 4 : g % 4 == 0 ? 1 : 12;  // steps between two requests
                 if ((at / 10ms + g) % every != 0) continue;
-                collect(h, nameOf(start.role), at, times);
+                sendRequest(h, nameOf(start.role), at, times);
             }
         return times;
     }
     static Time fromSeconds(double s) { return Time{static_cast<std::int64_t>(s * 1e9)}; }
 
 private:
-    static void collect(Harness& h, const std::string& cold, Time at, std::vector<Time>& times) {
+    static void sendRequest(Harness& h, const std::string& cold, Time at, std::vector<Time>& times) {
         const std::string object = "object" + std::to_string((at / 10ms * 7) % 60);
         const RequestId id = h.ask(object, 0, 1, kKb, 10s);
         for (int attempt = 0; attempt < 8; ++attempt) {
@@ -310,11 +311,11 @@
     const ColdStart start = GetParam();
     const Settings settings = settingsOf(start);
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        const std::vector<Time> times = sends(start, seed, 6s);
+        const std::vector<Time> times = coldHostSends(start, seed, 6s);
         EXPECT_FALSE(times.empty()) << "a cold host has to get something, or it never warms up";
         for (std::size_t last = 0, first = 0; last < times.size(); ++last) {
             while (times[last] - times[first] >= settings.fallWindow) ++first;
-            const double allowed = allowedBy(settings, start, kLink, times[first], kMeanWork);
+            const double allowed = allowedRequests(settings, start, kLink, times[first], kMeanWork);
             const auto got = static_cast<double>(last - first + 1);
             ASSERT_LE(got, allowed + 2 * std::sqrt(allowed) + 2)
                 << "seed " << seed << " at " << times[last] / 1ms << " ms";
@@ -348,9 +349,9 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Counts, FleetSize,
-                         ::testing::Values(Fleet{1, false}, Fleet{4, false}, Fleet{4, true},
-                                           Fleet{100, false}, Fleet{100, true}, Fleet{300, false},
-                                           Fleet{300, true}));
+                         ::testing::Values(FleetCase{1, false}, FleetCase{4, false}, FleetCase{4, true},
+                                           FleetCase{100, false}, FleetCase{100, true}, FleetCase{300, false},
+                                           FleetCase{300, true}));
 
 }  // namespace
 }  // namespace lotuslead::testing
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -480,12 +480,12 @@
     EXPECT_TRUE(startsWith(h.one<Send>()->host, 'p'));
 }
 
-struct Odd {
-    const char* what;
+struct DeploymentCase {
+    const char* description;
     void (*change)(Settings&);
 };
 
-class OtherDeployments : public ::testing::TestWithParam<Odd> {};
+class OtherDeployments : public ::testing::TestWithParam<DeploymentCase> {};
 
 TEST_P(OtherDeployments, NeitherLoseAnAnswerNorLoop) {
     Settings s = basicSettings();
@@ -511,7 +511,7 @@
                 answers += static_cast<int>(h.all<Refuse>().size() + h.all<Fail>().size());
                 sent += h.all<Send>().size();
             }
-            EXPECT_EQ(answers, 1) << GetParam().what << ", fleet " << fleet << ", request " << i;
+            EXPECT_EQ(answers, 1) << GetParam().description << ", fleet " << fleet << ", request " << i;
             EXPECT_LE(sent, static_cast<std::size_t>(s.mostTries));
             h.now += 7ms;
         }
@@ -519,38 +519,40 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Settings, OtherDeployments,
-                         ::testing::Values(Odd{"as usual", [](Settings&) {}},
-                                           Odd{"no direct sends", [](Settings& s) { s.direct = false; }},
-                                           Odd{"nothing told",
-                                               [](Settings& s) {
-                                                   s.paceKb = 0;
-                                                   s.weights = Weights::none;
-                                                   s.routersByZone.clear();
-                                               }},
-                                           Odd{"no cancel, no second copy",
-                                               [](Settings& s) {
-                                                   s.mayCancel = s.secondCopies = s.retryHints = false;
-                                               }},
-                                           Odd{"one try", [](Settings& s) { s.mostTries = 1; }},
-                                           Odd{"keyed by cell",
-                                               [](Settings& s) {
-                                                   for (auto& c : s.classes) {
-                                                       c.effect = Effect::keyed;
-                                                       c.group = DeduplicationScope::cell;
-                                                       c.repeatWindow = 1s;
-                                                   }
-                                               }},
-                                           Odd{"unsafe and never kept",
-                                               [](Settings& s) {
-                                                   for (auto& c : s.classes) {
-                                                       c.effect = Effect::unsafe;
-                                                       c.neverKept = true;
-                                                   }
-                                               }},
-                                           Odd{"siblings and joins off", [](Settings& s) {
-                                                   s.siblings = Siblings::none;
-                                                   s.joins = false;
-                                               }}));
+                         ::testing::Values(DeploymentCase{"as usual", [](Settings&) {}},
+                                           DeploymentCase{"no direct sends",
+                                                          [](Settings& s) { s.direct = false; }},
+                                           DeploymentCase{"nothing told",
+                                                          [](Settings& s) {
+                                                              s.paceKb = 0;
+                                                              s.weights = Weights::none;
+                                                              s.routersByZone.clear();
+                                                          }},
+                                           DeploymentCase{"no cancel, no second copy",
+                                                          [](Settings& s) {
+                                                              s.mayCancel = s.secondCopies = s.retryHints =
+                                                                  false;
+                                                          }},
+                                           DeploymentCase{"one try", [](Settings& s) { s.mostTries = 1; }},
+                                           DeploymentCase{"keyed by cell",
+                                                          [](Settings& s) {
+                                                              for (auto& c : s.classes) {
+                                                                  c.effect = Effect::keyed;
+                                                                  c.group = DeduplicationScope::cell;
+                                                                  c.repeatWindow = 1s;
+                                                              }
+                                                          }},
+                                           DeploymentCase{"unsafe and never kept",
+                                                          [](Settings& s) {
+                                                              for (auto& c : s.classes) {
+                                                                  c.effect = Effect::unsafe;
+                                                                  c.neverKept = true;
+                                                              }
+                                                          }},
+                                           DeploymentCase{"siblings and joins off", [](Settings& s) {
+                                                              s.siblings = Siblings::none;
+                                                              s.joins = false;
+                                                          }}));
 
 TEST(Discovery, IsAskedForWhereItMustBeAndAgainAfterAFailure) {
     Settings s = basicSettings();
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -268,7 +268,7 @@
 
 // --- 4: cold hosts ---
 
-double workSentTo(Harness& h, std::string_view name, int requests, Time gap) {
+double sendSecondsSentTo(Harness& h, std::string_view name, int requests, Time gap) {
     double work = 0;
     for (int i = 0; i < requests; ++i) {
         const RequestId id = h.ask("cold" + std::to_string(i % 50), 0, 1, 100);
@@ -288,7 +288,7 @@
     h.list({Harness::cache("c1", h.now), Harness::host("p1", Role::parent, 0, 20),
             Harness::host("p2", Role::parent, 0, 20)});
     // 0.2 of 5 transfers times 4 over 1.5 s is 6 s of sending time for all routers of the zone.
-    EXPECT_LT(workSentTo(h, "c1", 1000, 1ms), 6.0);
+    EXPECT_LT(sendSecondsSentTo(h, "c1", 1000, 1ms), 6.0);
 }
 
 // Without sizes an attempt once counted for next to nothing, so that cold caches were overloaded and failed.
@@ -320,7 +320,7 @@
     h.growUp(600);
     h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20, h.now)});
     // 0.1 of 20 transfers times 2 over 1.5 s is 6 s of sending time, half of it for this router.
-    const double work = workSentTo(h, "p1", 1000, 1ms);
+    const double work = sendSecondsSentTo(h, "p1", 1000, 1ms);
     EXPECT_LT(work, 3.0);
     EXPECT_GT(work, 0.0);
 }
