--- a/src/core/decisions.hpp
+++ b/src/core/decisions.hpp
@@ -39,9 +39,9 @@
 struct Verdict {
     Verb verb = Verb::fail;
     RequestId request = 0;
-    int attempt = 0;               // send and cancel
-    Micros pause{};                // refuse: the client may come back after this
-    GiveUp why = GiveUp::noRoute;  // refuse and fail
+    int attempt = 0;                           // send and cancel
+    Micros pause{};                            // refuse: the client may come back after this
+    GiveUpReason why = GiveUpReason::noRoute;  // refuse and fail
     // send:
     std::string host;
     std::string source;  // where a miss is filled from; empty: no fill
@@ -64,7 +64,7 @@
     int attempt = 0;
     Outcome outcome = Outcome::error;
     Micros elapsed{};
-    Note note = Note::none;
+    CacheStatus note = CacheStatus::none;
     bool blameless = false;
     std::size_t bytes = 0;  // served
     bool unchanged = false;
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -1,8 +1,10 @@
-// All decisions of lotuslead. The types, events and actions are in include/lotuslead/router.hpp.
+// All routing decisions of lotuslead. The types, events and actions are in include/lotuslead/router.hpp.
 //
-// A request moves its object's name to the front of a bounded LRU filter. A name found there goes to an edge
-// cache of the own zone and leaves a copy; any other goes straight to its parent and leaves none at the edge.
-// Everything else in here is about failures and the five rules.
+// A bounded LRU filter remembers the names of recently requested objects. A request whose name is in the
+// filter goes to an edge cache of the router's own zone, which keeps a copy. Any other request goes straight
+// to the object's parent, and no edge cache keeps a copy. All other code handles failures, overload and the
+// five rules: one answer in time, no effect twice, nothing to or through draining hosts, budgets for cold
+// hosts, and purges.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -11,9 +13,9 @@
 #include <utility>
 
 #include "lotuslead/router.hpp"
-#include "support/allowance.hpp"
 #include "support/hash.hpp"
 #include "support/lru_map.hpp"
+#include "support/token_bucket.hpp"
 #include "support/window_sum.hpp"
 
 namespace lotuslead {
@@ -21,126 +23,185 @@
 
 using namespace std::chrono_literals;
 using HostIndex = std::uint32_t;
-constexpr HostIndex kNone = ~HostIndex{0};
-
-// The design.
-constexpr std::size_t kFilterNames = 4096;  // the design page's default
-constexpr Time kYoungFilter = 8s;           // after a start: popular names have not all come by again
-constexpr double kHotShare = 0.25;  // of one cache's link: an object above it is spread over two caches
-constexpr Time kHotSpan = 4s;       // over which an object's bytes are averaged
-constexpr std::uint64_t kEdgeHash = 1, kParentHash = 2;  // keeps the two hashes apart
-// Health: a host is left out after some failures in a row or a high share of them, and comes back by trials.
-constexpr double kFailureWeight = 0.2;  // of one outcome in the fading share of failures: about the last five
-constexpr double kSickShare = 0.45;     // three plain failures from health; errors of a third keep near it
-constexpr double kSickOverGroup = 0.25;  // more than its group's mean: what all suffer from is not its own
-constexpr double kLostShare = 0.8;       // all but nothing comes back, whatever the others do
-constexpr double kSlowIsFailure = 0.5;   // an attempt that is only slow says half as much as one that failed
-constexpr Time kFirstPause = 500ms, kLongestPause = 4s;
-constexpr int kTrialsToReturn = 3;
-// Further attempts.
-constexpr double kExtraShare = 0.1;    // of the requests, so that retries cannot multiply an overload
-constexpr double kExtraBurst = 6;      // they add up over the routers; a dead host needs a few at each
-constexpr double kOriginShare = 0.15;  // of the requests may be sent to the origin past the parents
-constexpr double kOriginBurst = 4;
-constexpr double kOriginReturn = 1.2;  // earned by each that it answered in time: grows as long as it can
-constexpr double kSendSlack = 1.6;     // so much slower than at full pace an answer is not yet overdue
-constexpr double kRoundTrip = 0.15;    // of the aim, beside the sending: way, queue and a parent's look
-constexpr Time kRetryHint = 100ms;  // soon: the client's aim runs on, and a jam clears in parts of a second
-// The link into the zone: beyond full, each transfer slows down in proportion.
-constexpr double kReportWeight = 0.25;  // of one report in the running figure: reports are late and noisy
-constexpr Time kPaceLasts = 400ms;      // about as late as reports are
-constexpr Time kFillsSpan = 1s;         // about a fill's time on a full link: what one has out now swings
-constexpr double kPassing = 2;     // what leaves no copy crosses the link again when it is next asked for
-constexpr Time kReportLasts = 2s;  // without a newer one the link is taken to be free
-// The gates before the parents and the origin.
-constexpr Time kGateSpan = 3s;        // long enough for a few dozen fills, short against an outage
-constexpr double kBadShare = 0.1;     // of the outcomes: about twice what chance makes late
-constexpr double kBadLeast = 1.5;     // one late answer alone tells nothing
-constexpr double kSilenceSays = 0.3;  // of what a late answer or a refusal says: answers get lost, too
-constexpr double kGateCut = 0.5;      // halves once for all that was on its way
-constexpr double kGateGrowth = 1;     // a success, less the share of its time it took: soon open at any size
-constexpr double kGateLeast = 0.25;   // below one at a time it pauses in between: now and then one finds out
-constexpr double kGateOpen = 1e9;
-// Cold hosts get less than would slow them down, which is far less than would push them over.
-constexpr double kColdShareOfPresent = 1.2;  // by the least it can have by now; most have more
-constexpr double kColdShareOfRule = 0.6;
-// Among many routers a part is less than one request: lots let single ones through.
-constexpr double kLotShare = 0.5;     // of the budget, since chance may favour several at once
-constexpr double kLotLeast = 8;       // requests that the whole budget must hold, or chance weighs too much
-constexpr double kGuessedLink = 2;    // transfers at a time, where nothing has been learned: guessed low
-constexpr double kLoadLink = 4;       // the same for the load that a host may have: too low and keys wander
-constexpr Time kServedSpan = 2s;      // over which what a host serves at a time is averaged
-constexpr double kServedSays = 0.75;  // of the most that it served: chance swings it, and the most is kept
-constexpr Time kTimerLeast = 1ms;
-constexpr Time kGoneFor = 5s;  // then the place of a host that has gone may be another's
+constexpr HostIndex kNoHost = ~HostIndex{0};
+
+// Routing.
+// Object names remembered per router.
+constexpr std::size_t kFilterCapacity = 4096;
+// After a start the popular names have not all been asked for again.
+constexpr Time kFilterWarmUpTime = 8s;
+// Share of one cache's link. An object that needs more is spread over two caches.
+constexpr double kHotObjectLinkShare = 0.25;
+// Averaging time of an object's transfers.
+constexpr Time kHotObjectAveragingTime = 4s;
+// Keep the hash of the caches and that of the parents independent.
+constexpr std::uint64_t kCacheHashSalt = 1, kParentHashSalt = 2;
+
+// Outlier ejection: a host is ejected after some failures in a row or a high share of them, and is reinstated
+// after successful trial requests.
+// Weight of one outcome in the moving average of failures: covers about the last five outcomes.
+constexpr double kOutcomeWeight = 0.2;
+// A healthy host passes this at its third failure in a row. A host that fails a third of its requests stays
+// near it.
+constexpr double kEjectionFailureShare = 0.45;
+// A host is ejected only if its share exceeds the mean of its peers by this: a fault that hits all of them is
+// not its own.
+constexpr double kEjectionShareAbovePeers = 0.25;
+// At this share hardly any answer comes back: the host is ejected whatever the share of its peers.
+constexpr double kLostHostFailureShare = 0.8;
+// Weight of an attempt that is slow; one that failed weighs 1.
+constexpr double kSlowAttemptFailureWeight = 0.5;
+// Of an ejected host, doubled after each failed trial; the first one also delays a new subscription.
+constexpr Time kInitialBackoff = 500ms, kMaxBackoff = 4s;
+constexpr int kTrialSuccessesToReinstate = 3;
+
+// Retry and origin budgets.
+// Keeps retries from multiplying an overload.
+constexpr double kRetriesPerRequest = 0.1;
+// The bursts of all routers add up, and a dead host costs a few retries at each router.
+constexpr double kRetryBurst = 6;
+// Requests sent to the origin past the parents.
+constexpr double kOriginSendsPerRequest = 0.15;
+constexpr double kOriginSendBurst = 4;
+// Above 1, so that the origin's share grows for as long as it answers in time.
+constexpr double kOriginSendsPerSuccess = 1.2;
+
+// Timing.
+// An answer is overdue when it takes longer than this multiple of its sending time at full pace.
+constexpr double kOverdueSendTimeMultiple = 1.6;
+// Share of the latency target for all but the sending: network, queue and a parent's lookup.
+constexpr double kOverheadLatencyTargetShare = 0.15;
+// Short: the client's latency target keeps running, and congestion clears within fractions of a second.
+constexpr Time kRetryAfter = 100ms;
+
+// Load of links. Above full utilization every transfer slows down in proportion.
+// Weight of one report in the moving average: reports are late and noisy.
+constexpr double kLoadReportWeight = 0.25;
+// How long an answer at full pace proves free capacity: about as long as load reports lag.
+constexpr Time kFullPaceLifetime = 400ms;
+// About the time of one fill on a full link: the current number of fills fluctuates.
+constexpr Time kFillsAveragingTime = 1s;
+// Load of a transfer that leaves no copy: it crosses the link again when it is next asked for.
+constexpr double kUncachedTransferWeight = 2;
+// Without a newer report a link is taken to be free.
+constexpr Time kLoadReportLifetime = 2s;
+
+// Concurrency limiters before the parents and the origin: additive increase, multiplicative decrease.
+// Covers a few dozen fills and is short compared with an outage.
+constexpr Time kLimiterAveragingTime = 3s;
+// Share of the outcomes: about twice the share that is late by chance.
+constexpr double kLimiterFailureShare = 0.1;
+// Weighted failures: a single late answer proves nothing.
+constexpr double kLimiterMinFailures = 1.5;
+// Weight of a missing answer; a late answer or a refusal weighs 1. Answers also get lost.
+constexpr double kUnansweredFailureWeight = 0.3;
+// Applied once for all attempts that were in flight at the time.
+constexpr double kLimiterDecreaseFactor = 0.5;
+// Reduced by the share of its time that the success took. Opens a limiter of any size quickly.
+constexpr double kLimiterIncreasePerSuccess = 1;
+// Below one attempt at a time there are pauses in between, after which an attempt probes the tier.
+constexpr double kMinConcurrencyLimit = 0.25;
+constexpr double kUnlimitedConcurrency = 1e9;
+
+// Cold hosts get less than would slow them down, which is far less than would overload them.
+// Multiple of the least capacity that the host can have at its age; most hosts have more.
+constexpr double kColdLoadCapacityMultiple = 1.2;
+// Share of the multiple of its capacity at which a cold host is overloaded.
+constexpr double kColdLoadOverloadShare = 0.6;
+
+// With many routers, one router's part of a cold host's budget is less than one request: a random draw then
+// lets single requests through.
+// Share of the budget that the draws use, since several routers may draw at the same time by chance.
+constexpr double kLotteryBudgetShare = 0.5;
+// Requests that the whole budget must hold, since chance has too much weight in a smaller one.
+constexpr double kLotteryMinBudgetRequests = 8;
+
+// Learned links, in transfers at a time at full pace.
+// Where nothing has been learned: deliberately low.
+constexpr double kDefaultLinkTransfers = 2;
+// Least link that the load of a host is measured by: a lower value moves keys to other hosts too often.
+constexpr double kMinLoadLinkTransfers = 4;
+// Averaging time of the transfers that a host serves at a time.
+constexpr Time kServedAveragingTime = 2s;
+// Share of the transfers served that counts as proven: the figure fluctuates and its maximum is kept.
+constexpr double kServedLinkShare = 0.75;
+
+constexpr Time kMinTimerDelay = 1ms;
+// After this the slot of a host that has gone may be used for another host.
+constexpr Time kHostSlotReuseDelay = 5s;
 
 double seconds(Time t) { return std::chrono::duration<double>(t).count(); }
 Time fromSeconds(double s) { return Time{static_cast<std::int64_t>(s * 1e9)}; }
 
-struct Host : KnownHost {
-    Host() { pause = kFirstPause; }
+struct Host : LearnedHost {
+    Host() { pause = kInitialBackoff; }
     HostEntry entry;
     std::uint64_t hash = 0;
     bool listed = false;
     int outstanding = 0;
-    int trialsWon = 0;
+    int trialSuccesses = 0;
     double reportedInFlight = 0;
     Time reportedAt = -1h;
-    Time fullPaceAt = -1h;  // when an answer last came at full pace
-    WindowSum coldWork;     // sent lately, in seconds of sending time
-    FadingRate served;      // transfers at a time, in what it answers here
+    Time fullPaceAt = -1h;  // of the last answer at full pace
+    WindowSum coldWork;     // seconds of sending time sent to it lately
+    DecayingRate served;    // mean concurrent transfers, in its answers to this router
     Time goneAt{};
-    Time heardAt = -1h;  // when it last gave an answer of any kind
+    Time lastAnswerAt = -1h;  // of any kind
 };
 
-struct ObjectRecord : KnownObject {
-    FadingRate bytes;
+struct ObjectRecord : LearnedObject {
+    DecayingRate bytes;
 };
 
-enum class Tier { caches, parents, origin };  // how far up an attempt may reach
+enum class Tier { caches, parents, origin };  // the highest that an attempt may use
 
 struct Attempt {
-    HostIndex host = kNone, source = kNone;
+    HostIndex host = kNoHost, source = kNoHost;
     Time sentAt{};
-    bool out = true;
+    bool inFlight = true;
     bool mayHaveRun = false;
-    Tier reaches = Tier::caches;
-    bool slow = false;   // already counted as slow
-    bool alone = false;  // its host had room for it at full pace, so far as is known
-    bool late = false;   // already told to the gates
+    Tier highestTier = Tier::caches;
+    bool countedSlow = false;  // recorded with the health of its host
+    bool hostHadRoom = false;  // at full pace, as far as known
+    bool countedLate = false;  // recorded with the concurrency limiters
 };
 
 struct Pending {
     Request request;
-    std::shared_ptr<const Settings> set;  // in force when it came: it keeps them until it ends
+    std::shared_ptr<const Settings> settings;  // in force on arrival; kept until the request ends
     Time arrived{};
-    Time aim{};       // when full worth ends
+    Time aim{};       // an answer after this earns less than its full value
     double work = 0;  // seconds of sending time
-    bool found = false, hot = false;
+    bool inFilter = false, hot = false;
     int keepRank = 0;
     bool answered = false, streaming = false, retryAfterCancel = false;
-    bool staleWillDo = false;  // something failed, or no fill is to be had
+    bool acceptStale = false;  // an attempt failed, or no fill is possible
     std::vector<Attempt> attempts;
-    std::vector<HostIndex> avoid;
-    auto out() const { return std::ranges::count(attempts, true, &Attempt::out); }
-    const ClassSettings& rules() const { return set->classes[static_cast<std::size_t>(request.classIndex)]; }
+    std::vector<HostIndex> excludedHosts;
+    auto attemptsInFlight() const { return std::ranges::count(attempts, true, &Attempt::inFlight); }
+    const ClassSettings& classSettings() const {
+        return settings->classes[static_cast<std::size_t>(request.classIndex)];
+    }
 };
 
 struct Route {
-    HostIndex host = kNone, source = kNone;
+    HostIndex host = kNoHost, source = kNoHost;
     int keepRank = 0;
-    bool sourceHeldOnly = false;
-    bool ok() const { return host != kNone; }
+    bool sourceOnlyIfCached = false;
+    bool ok() const { return host != kNoHost; }
 };
 
-// Lets so many attempts at a time through to a tier as it answers in time.
-struct Gate {
-    double window = kGateOpen;  // below one: one at a time, with pauses
-    int out = 0;
-    Time cutAt = -1h, closedUntil{};
-    FadingRate good, bad;
-    bool open(Time now) const { return out < std::max(1.0, window) && (window >= 1 || now >= closedUntil); }
-    bool tight(Time now) const { return now - cutAt < kGateSpan || !open(now); }
+// Adaptive limit on the concurrent attempts to a tier: it grows with answers in time and shrinks with
+// failures.
+struct ConcurrencyLimiter {
+    double limit = kUnlimitedConcurrency;  // below 1: one attempt at a time, with pauses
+    int inFlight = 0;
+    Time decreasedAt = -1h, closedUntil{};
+    DecayingRate successes, failures;
+    bool admits(Time now) const {
+        return inFlight < std::max(1.0, limit) && (limit >= 1 || now >= closedUntil);
+    }
+    bool isLimiting(Time now) const { return now - decreasedAt < kLimiterAveragingTime || !admits(now); }
 };
 
 }  // namespace
@@ -148,28 +209,28 @@
 class Router::Impl {
 public:
     Impl(Settings settings, std::uint64_t seed)
-        : set_(std::make_shared<Settings>(std::move(settings))),
-          meanWork_(set_->classes.size(), 0),
-          random_(mix(seed)),
-          salt_(mix(seed + 1)) {}
+        : settings_(std::make_shared<Settings>(std::move(settings))),
+          meanSendSeconds_(settings_->classes.size(), 0),
+          randomState_(mix(seed)),
+          drawSalt_(mix(seed + 1)) {}
 
-    // --- the list ---
+    // --- host list ---
 
     void start(Time now, Actions& out) {
         startedAt_ = now;
-        if (set_->mustAskForList) out.push_back(Watch{});
+        if (settings_->mustAskForList) out.push_back(Watch{});
     }
 
     void reconfigure(Settings settings) {
-        set_ = std::make_shared<Settings>(std::move(settings));
-        meanWork_.resize(set_->classes.size(), 0);
+        settings_ = std::make_shared<Settings>(std::move(settings));
+        meanSendSeconds_.resize(settings_->classes.size(), 0);
         groupHosts();
     }
 
-    void takeList(Time now, const HostList& list) {
+    void applyList(Time now, const HostList& list) {
         if (list.whole)
-            for (Host& host : hosts_) leave(now, host);
-        for (const HostEntry& entry : list.entries) takeEntry(now, entry);
+            for (Host& host : hosts_) markGone(now, host);
+        for (const HostEntry& entry : list.entries) applyEntry(now, entry);
         groupHosts();
     }
 
@@ -180,30 +241,30 @@
             if (!hosts_[i].listed) continue;
             if (entry.role == Role::parent) parents_.push_back(i);
             if (entry.role == Role::origin) origins_.push_back(i);
-            if (entry.role == Role::cache && entry.zone == set_->zone) caches_.push_back(i);
+            if (entry.role == Role::cache && entry.zone == settings_->zone) caches_.push_back(i);
         }
     }
 
     void listFailed(Time, Actions& out) {
-        if (!set_->mustAskForList) return;
-        out.push_back(SetTimer{watchTimer_ = nextTimer_++, kFirstPause});
+        if (!settings_->mustAskForList) return;
+        out.push_back(SetTimer{watchTimer_ = nextTimer_++, kInitialBackoff});
     }
 
     // --- requests ---
 
-    void take(Time now, const Request& request, Actions& out) {
-        extra_.earn(kExtraShare);
-        origin_.earn(kOriginShare);
+    void handleRequest(Time now, const Request& request, Actions& out) {
+        retryBudget_.deposit(kRetriesPerRequest);
+        originBudget_.deposit(kOriginSendsPerRequest);
         Pending& p = pending_[request.id];
         p.request = request;
-        p.set = set_;
+        p.settings = settings_;
         p.arrived = now;
-        const ClassSettings& c = p.rules();
-        if (request.sizeKb > 0 && set_->paceKb > 0)
-            learnWork(request.classIndex, request.sizeKb / set_->paceKb);
-        p.work = guessWork(request);
-        setAim(p);
-        if (!c.neverKept && !request.write && request.object != 0) lookUp(now, p, c);
+        const ClassSettings& c = p.classSettings();
+        if (request.sizeKb > 0 && settings_->paceKb > 0)
+            learnSendSeconds(request.classIndex, request.sizeKb / settings_->paceKb);
+        p.work = estimateSendSeconds(request);
+        setTargetTime(p);
+        if (!c.neverKept && !request.write && request.object != 0) lookUpInFilter(now, p, c);
         sendOrGiveUp(now, p, out);
     }
 
@@ -213,26 +274,26 @@
         Pending& p = it->second;
         if (e.attempt < 0 || e.attempt >= static_cast<int>(p.attempts.size())) return;
         Attempt& a = p.attempts[static_cast<std::size_t>(e.attempt)];
-        if (!a.out) return;
-        a.out = false;
+        if (!a.inFlight) return;
+        a.inFlight = false;
         --hosts_[a.host].outstanding;
         a.mayHaveRun = mayHaveRun(e.outcome);
-        if (saysSomething(e.outcome)) hosts_[a.host].heardAt = now;
-        takeReport(now, hosts_[a.host], e.load);
-        passGates(now, a, -1);
+        if (isAnswerFromHost(e.outcome)) hosts_[a.host].lastAnswerAt = now;
+        applyLoadReport(now, hosts_[a.host], e.load);
+        countInFlight(now, a, -1);
         if (e.outcome == Outcome::served) learnFromAnswer(p, a, e);
-        tellGates(now, p, a, e);
-        judge(now, p, a, e);
-        if (e.over) finish(p, out);
-        if (!p.answered && p.out() == 0) {
-            if (a.reaches != Tier::origin && e.outcome == Outcome::noCopy)
-                sendOrGiveUp(now, p, out);  // only now is it known to need a fill
+        updateLimiters(now, p, a, e);
+        updateHealth(now, p, a, e);
+        if (e.over) markAnswered(p, out);
+        if (!p.answered && p.attemptsInFlight() == 0) {
+            if (a.highestTier != Tier::origin && e.outcome == Outcome::noCopy)
+                sendOrGiveUp(now, p, out);  // now it is known that a fill is needed
             else if (e.outcome != Outcome::cancelled || p.retryAfterCancel)
                 retryOrGiveUp(now, p, e.blameless, out);
             else
-                giveUp(p, GiveUp::cancelled, out);
+                giveUp(p, GiveUpReason::cancelled, out);
         }
-        forgetIfDone(e.request);
+        eraseIfDone(e.request);
     }
 
     void streamStarted(const StreamStarted& e, Actions& out) {
@@ -245,8 +306,8 @@
     void clientGone(RequestId id, Actions& out) {
         const auto it = pending_.find(id);
         if (it == pending_.end()) return;
-        finish(it->second, out);
-        forgetIfDone(id);
+        markAnswered(it->second, out);
+        eraseIfDone(id);
     }
 
     void timer(Time now, TimerId id, Actions& out) {
@@ -259,7 +320,7 @@
         if (found == pending_.end()) return;
         Pending& p = found->second;
         Attempt& a = p.attempts[static_cast<std::size_t>(attempt)];
-        if (p.answered || p.streaming || !a.out) return;
+        if (p.answered || p.streaming || !a.inFlight) return;
         late ? attemptIsLate(now, p, a) : attemptIsSlow(now, p, a, attempt, out);
     }
 
@@ -270,8 +331,9 @@
         auto& known = purge.object != 0 ? objectPurges_[purge.object] : groupPurges_[purge.group];
         known = std::max(known, at);
         purgeOrder_.emplace_back(now, purge);
-        // Kept twice as long as told: a copy younger than the purge is never hurt by it.
-        while (!purgeOrder_.empty() && purgeOrder_.front().first + 2 * set_->purgeSettles < now) {
+        // Kept for twice the configured time. Keeping one longer does no harm: it never rejects a copy that
+        // is younger than the purge.
+        while (!purgeOrder_.empty() && purgeOrder_.front().first + 2 * settings_->purgeSettles < now) {
             const Purge old = purgeOrder_.front().second;
             const Time made = purgeOrder_.front().first - old.age;
             auto& table = old.object != 0 ? objectPurges_ : groupPurges_;
@@ -281,54 +343,56 @@
         }
     }
 
-    std::size_t places() const { return hosts_.size(); }
+    std::size_t hostSlots() const { return hosts_.size(); }
 
-    // --- taking another's place ---
+    // --- hand-over to a successor ---
 
-    Warmth warmth(Time now) {
-        Warmth known{startedAt_, meanWork_, {}, {}};
+    LearnedState learnedState(Time now) {
+        LearnedState known{startedAt_, meanSendSeconds_, {}, {}};
         filter_.fromOldest([&](auto name, auto& record) { known.objects.emplace_back(name, record); });
         for (Host& h : hosts_)
-            if (h.listed) known.hosts.push_back({h, h.entry.name, h.coldWork.over(now, set_->fallWindow)});
+            if (h.listed)
+                known.hosts.push_back({h, h.entry.name, h.coldWork.over(now, settings_->fallWindow)});
         return known;
     }
 
-    void warm(Time now, const Warmth& known) {
-        (meanWork_ = known.meanWork).resize(set_->classes.size(), 0);
+    void restore(Time now, const LearnedState& known) {
+        (meanSendSeconds_ = known.meanWork).resize(settings_->classes.size(), 0);
         for (const auto& [name, object] : known.objects) filter_.touch(name).first = {object, {}};
         startedAt_ = std::min(startedAt_, known.startedAt);
-        for (const NamedHost& from : known.hosts) {
-            const auto it = byName_.find(from.name);
-            if (it == byName_.end()) continue;
-            static_cast<KnownHost&>(hosts_[it->second]) = from;
+        for (const NamedLearnedHost& from : known.hosts) {
+            const auto it = hostsByName_.find(from.name);
+            if (it == hostsByName_.end()) continue;
+            static_cast<LearnedHost&>(hosts_[it->second]) = from;
             hosts_[it->second].coldWork.add(now, from.coldWork);
         }
     }
 
 private:
-    // ----- the list -----
+    // ----- host list -----
 
-    void leave(Time now, Host& host) {
+    void markGone(Time now, Host& host) {
         if (host.entry.readiness != Readiness::gone) host.goneAt = now;
         host.entry.readiness = Readiness::gone;
         host.listed = false;
     }
 
-    // The place of a host that has long gone and that nothing in hand refers to; else a further one.
-    HostIndex freePlace(Time now) {
+    // Reuses the slot of a host that has been gone for some time and that no pending request refers to;
+    // otherwise adds a slot.
+    HostIndex acquireHostSlot(Time now) {
         for (HostIndex i = 0; i < hosts_.size(); ++i) {
             const Host& host = hosts_[i];
             if (host.entry.readiness != Readiness::gone || host.outstanding > 0 ||
-                now - host.goneAt < kGoneFor)
+                now - host.goneAt < kHostSlotReuseDelay)
                 continue;
             const auto refers = [&](const auto& entry) {
                 const Pending& p = entry.second;
                 const auto at = [i](const Attempt& a) { return a.host == i || a.source == i; };
-                return std::count(p.avoid.begin(), p.avoid.end(), i) > 0 ||
+                return std::count(p.excludedHosts.begin(), p.excludedHosts.end(), i) > 0 ||
                        std::any_of(p.attempts.begin(), p.attempts.end(), at);
             };
             if (std::any_of(pending_.begin(), pending_.end(), refers)) continue;
-            byName_.erase(host.entry.name);
+            hostsByName_.erase(host.entry.name);
             hosts_[i] = Host{};
             return i;
         }
@@ -336,124 +400,132 @@
         return static_cast<HostIndex>(hosts_.size() - 1);
     }
 
-    void takeEntry(Time now, const HostEntry& entry) {
-        const bool isNew = byName_.count(entry.name) == 0;
+    void applyEntry(Time now, const HostEntry& entry) {
+        const bool isNew = hostsByName_.count(entry.name) == 0;
         if (isNew && entry.readiness == Readiness::gone) return;
-        const auto it = isNew ? byName_.emplace(entry.name, freePlace(now)).first : byName_.find(entry.name);
+        const auto it = isNew ? hostsByName_.emplace(entry.name, acquireHostSlot(now)).first
+                              : hostsByName_.find(entry.name);
         if (isNew) hosts_[it->second].hash = fingerprint(entry.name);
         Host& host = hosts_[it->second];
-        if (!isNew && entry.startedAt > host.entry.startedAt) {  // restarted: what it did before says nothing
+        if (!isNew && entry.startedAt > host.entry.startedAt) {  // a restart resets its health
             host.out = false;
             host.failures = 0;
-            host.pause = kFirstPause;
+            host.pause = kInitialBackoff;
         }
-        if (entry.readiness == Readiness::gone) leave(now, host);
+        if (entry.readiness == Readiness::gone) markGone(now, host);
         std::string name = isNew ? entry.name : std::move(host.entry.name);
         host.entry = entry;
-        host.entry.name = std::move(name);  // the text stays where it is: actions hold views of it
+        host.entry.name = std::move(name);  // keeps the string's storage, since actions hold views of it
         host.listed = entry.readiness == Readiness::ready;
     }
 
-    // ----- the filter -----
+    // ----- filter and learned sizes -----
 
-    double guessWork(const Request& r) const {
+    double estimateSendSeconds(const Request& r) const {
         const auto c = static_cast<std::size_t>(r.classIndex);
-        if (r.sizeKb > 0 && set_->paceKb > 0) return r.sizeKb / set_->paceKb;
-        return meanWork_[c] > 0 ? meanWork_[c] : seconds(set_->classes[c].aim) / 4;
+        if (r.sizeKb > 0 && settings_->paceKb > 0) return r.sizeKb / settings_->paceKb;
+        return meanSendSeconds_[c] > 0 ? meanSendSeconds_[c] : seconds(settings_->classes[c].aim) / 4;
     }
 
-    void learnWork(int classIndex, double work) {
-        double& mean = meanWork_[static_cast<std::size_t>(classIndex)];
+    void learnSendSeconds(int classIndex, double work) {
+        double& mean = meanSendSeconds_[static_cast<std::size_t>(classIndex)];
         mean = mean > 0 ? mean + 0.02 * (work - mean) : work;
     }
 
-    void setAim(Pending& p) const {
-        const ClassSettings& c = p.rules();
+    void setTargetTime(Pending& p) const {
+        const ClassSettings& c = p.classSettings();
         p.aim = std::min(p.request.deadline, p.arrived + c.aim + fromSeconds(c.aimStretch * p.work));
     }
 
-    // Where requests don't tell sizes the answers do: by their bytes, or by the time that a hit took where
-    // its host had room. A mean guessed low makes what is in time look late, and closes gates on it.
+    // Where requests carry no size it is learned from answers: from their bytes, or from the time of a hit on
+    // a host with free capacity. A mean that is too low makes answers in time count as late, which shrinks
+    // the concurrency limits.
     void learnFromAnswer(Pending& p, const Attempt& a, const AttemptEnded& e) {
         if (p.request.sizeKb > 0 || e.sizeKb < 0) return;
-        const bool told = e.sizeKb > 0 && set_->paceKb > 0;
-        if (!told && (e.note != Note::hit || !a.alone)) return;
-        const double work = told ? e.sizeKb / set_->paceKb : seconds(e.elapsed);
-        learnWork(p.request.classIndex, work);
+        const bool told = e.sizeKb > 0 && settings_->paceKb > 0;
+        if (!told && (e.note != CacheStatus::hit || !a.hostHadRoom)) return;
+        const double work = told ? e.sizeKb / settings_->paceKb : seconds(e.elapsed);
+        learnSendSeconds(p.request.classIndex, work);
         if (!told) return;
-        if (p.request.object != 0 && p.found) filter_.touch(p.request.object).first.work = work;
+        if (p.request.object != 0 && p.inFilter) filter_.touch(p.request.object).first.work = work;
         p.work = work;
-        setAim(p);
+        setTargetTime(p);
     }
 
-    // What a host serves at a time, if all routers have as much there as here, is no more than its link. A
-    // cold one serves what it is let: only what passes the link it is taken to have tells of its own.
-    void learnLink(Time now, Host& host, double work) {
-        host.served.add(now, kServedSpan, work);
-        const double all = kServedSays * host.served.perSecond(now, kServedSpan) * sharers(host);
-        const double known = isCold(now, host) ? linkOf(host) : host.link;
-        if (now - startedAt_ > kServedSpan && all > known) host.link = all;
+    // Learns a lower bound of a host's link from the transfers that it serves at a time, assuming that every
+    // router has as many there. A cold host is limited by its budget, so that only a figure above its assumed
+    // link proves anything.
+    void learnLinkTransfers(Time now, Host& host, double work) {
+        host.served.add(now, kServedAveragingTime, work);
+        const double all =
+            kServedLinkShare * host.served.perSecond(now, kServedAveragingTime) * routersSharing(host);
+        const double known = isCold(now, host) ? linkTransfersOf(host) : host.link;
+        if (now - startedAt_ > kServedAveragingTime && all > known) host.link = all;
     }
 
-    void lookUp(Time now, Pending& p, const ClassSettings& c) {
+    void lookUpInFilter(Time now, Pending& p, const ClassSettings& c) {
         auto [record, found] = filter_.touch(p.request.object);
         if (found && record.work > 0 && p.request.sizeKb <= 0) {
             p.work = record.work;
-            setAim(p);
+            setTargetTime(p);
         }
-        // One viewer asks for the parts in turn; a part asked for again or from before is a second viewer's.
+        // One viewer requests the parts in order, so that a repeated or earlier part comes from a second
+        // viewer.
         if (found && !p.request.repeated && (!c.inParts || p.request.part <= record.lastPart))
             record.manyViewers = true;
         record.lastPart = std::max(record.lastPart, p.request.part);
-        record.bytes.add(now, kHotSpan, p.work);
-        p.found = found;
-        // A second viewer ranks a copy higher, and so does being whole: many small ones beat one part.
+        record.bytes.add(now, kHotObjectAveragingTime, p.work);
+        p.inFilter = found;
+        // Copies with a second viewer rank higher, and so do whole objects: many small ones are worth more
+        // than one part.
         p.keepRank = !found ? 0 : (record.manyViewers ? 2 : 1) + (c.inParts ? 0 : 1);
-        p.hot = record.manyViewers &&
-                record.bytes.perSecond(now, kHotSpan) * routersHere() > kHotShare * meanCacheLink();
+        p.hot = record.manyViewers && record.bytes.perSecond(now, kHotObjectAveragingTime) * routersInZone() >
+                                          kHotObjectLinkShare * meanCacheLinkTransfers();
     }
 
-    int routersHere() const {
-        const auto zone = static_cast<std::size_t>(set_->zone);
-        const bool told = set_->zone >= 0 && zone < set_->routersByZone.size();
-        return std::max(1, told ? set_->routersByZone[zone] : set_->routers);
+    int routersInZone() const {
+        const auto zone = static_cast<std::size_t>(settings_->zone);
+        const bool told = settings_->zone >= 0 && zone < settings_->routersByZone.size();
+        return std::max(1, told ? settings_->routersByZone[zone] : settings_->routers);
     }
 
-    bool weightsTold() const { return set_->weights == Weights::nominal || set_->weights == Weights::rough; }
-    int sharers(const Host& host) const {
-        return host.entry.role == Role::cache ? routersHere() : std::max(1, set_->routers);
+    bool weightsTold() const {
+        return settings_->weights == Weights::nominal || settings_->weights == Weights::rough;
+    }
+    int routersSharing(const Host& host) const {
+        return host.entry.role == Role::cache ? routersInZone() : std::max(1, settings_->routers);
     }
 
-    // As told, or as learned; a host that has not shown it has at least what the least of its group has.
-    double linkOf(const Host& host) const {
+    // As configured, or as learned. A host without a figure of its own gets the lowest one of its group.
+    double linkTransfersOf(const Host& host) const {
         if (weightsTold() && host.entry.weight > 0) return host.entry.weight;
-        if (host.link > kGuessedLink) return host.link;
+        if (host.link > kDefaultLinkTransfers) return host.link;
         double least = HUGE_VAL;
         for (const HostIndex i : host.entry.role == Role::parent ? parents_ : caches_)
             if (hosts_[i].link > 0) least = std::min(least, hosts_[i].link);
-        return least < HUGE_VAL ? std::max(kGuessedLink, least) : kGuessedLink;
+        return least < HUGE_VAL ? std::max(kDefaultLinkTransfers, least) : kDefaultLinkTransfers;
     }
 
-    double meanCacheLink() const {
+    double meanCacheLinkTransfers() const {
         double sum = 0;
-        for (const HostIndex i : caches_) sum += linkOf(hosts_[i]);
-        return caches_.empty() ? kGuessedLink : sum / static_cast<double>(caches_.size());
+        for (const HostIndex i : caches_) sum += linkTransfersOf(hosts_[i]);
+        return caches_.empty() ? kDefaultLinkTransfers : sum / static_cast<double>(caches_.size());
     }
 
     // ----- choosing a route -----
 
-    // Rendezvous hash, weighted by the links: the least comes first.
+    // Weighted rendezvous hash: the host with the lowest score comes first.
     double rank(HostIndex i, std::uint64_t key) const {
         return -std::log(unitInterval(combine(key, hosts_[i].hash))) /
-               (weightsTold() ? linkOf(hosts_[i]) : 1);
+               (weightsTold() ? linkTransfersOf(hosts_[i]) : 1);
     }
 
     bool healthy(Time now, const Host& host) const {
         return !host.out || (now >= host.outUntil && host.outstanding == 0);
     }
 
-    // When most of a group looks bad at once the trouble is likely elsewhere: nobody is shut out then.
-    bool mostAreOut(const std::vector<HostIndex>& group) const {
+    // When most of a group fails at once the cause is probably elsewhere, and ejections are ignored.
+    bool mostAreEjected(const std::vector<HostIndex>& group) const {
         const auto bad = std::ranges::count_if(group, [&](HostIndex i) { return hosts_[i].out; });
         return 2 * bad > static_cast<std::ptrdiff_t>(group.size());
     }
@@ -461,50 +533,54 @@
     bool isCold(Time now, const Host& host) const {
         const bool parent = host.entry.role == Role::parent;
         if (host.entry.role == Role::origin || host.entry.startedAt.count() <= 0) return false;
-        return (parent ? set_->parentFallMultiple : set_->fallMultiple) > 0 &&
-               now - host.entry.startedAt < (parent ? set_->parentWarmWithin : set_->warmWithin);
+        return (parent ? settings_->parentFallMultiple : settings_->fallMultiple) > 0 &&
+               now - host.entry.startedAt < (parent ? settings_->parentWarmWithin : settings_->warmWithin);
     }
 
-    // The rule on cold hosts is a budget over every window, for all routers together; each keeps to its part.
-    bool coldRoom(Time now, Host& host, double work) const {
+    // A cold host has a budget per sliding window, shared by all routers; each router uses only its part of
+    // it.
+    bool withinColdBudget(Time now, Host& host, double work) const {
         if (!isCold(now, host)) return true;
         const bool parent = host.entry.role == Role::parent;
-        const Time warm = parent ? set_->parentWarmWithin : set_->warmWithin;
-        const double multiple = parent ? set_->parentFallMultiple : set_->fallMultiple;
+        const Time warm = parent ? settings_->parentWarmWithin : settings_->warmWithin;
+        const double multiple = parent ? settings_->parentFallMultiple : settings_->fallMultiple;
         const double age = seconds(now - host.entry.startedAt);
-        const double from = parent ? set_->parentColdFrom : set_->coldFrom;
-        const double present = linkOf(host) * (from + (1 - from) * std::max(0.0, age) / seconds(warm));
-        const double share = std::min(kColdShareOfPresent, kColdShareOfRule * multiple);
-        const double part = share * present * seconds(set_->fallWindow) / sharers(host);
-        const double used = host.coldWork.over(now, set_->fallWindow);
+        const double from = parent ? settings_->parentColdFrom : settings_->coldFrom;
+        const double present =
+            linkTransfersOf(host) * (from + (1 - from) * std::max(0.0, age) / seconds(warm));
+        const double share = std::min(kColdLoadCapacityMultiple, kColdLoadOverloadShare * multiple);
+        const double part = share * present * seconds(settings_->fallWindow) / routersSharing(host);
+        const double used = host.coldWork.over(now, settings_->fallWindow);
         if (used + work <= part) return true;
-        if (used > 0 || part * sharers(host) < kLotLeast * work) return false;
-        // A draw a window, whose bounds differ among the routers.
-        const auto window = static_cast<std::uint64_t>(set_->fallWindow.count());
-        const std::uint64_t turn = (static_cast<std::uint64_t>(now.count()) + salt_ % window) / window;
-        return unitInterval(combine(combine(salt_, host.hash), turn)) < kLotShare * part / work;
+        if (used > 0 || part * routersSharing(host) < kLotteryMinBudgetRequests * work) return false;
+        // One draw per window. The windows of different routers begin at different times.
+        const auto window = static_cast<std::uint64_t>(settings_->fallWindow.count());
+        const std::uint64_t turn = (static_cast<std::uint64_t>(now.count()) + drawSalt_ % window) / window;
+        return unitInterval(combine(combine(drawSalt_, host.hash), turn)) < kLotteryBudgetShare * part / work;
     }
 
-    // A guess too low fills a cold host unseen.
-    double coldWeight(const Host& host, const Pending& p) const {
-        const double mean = meanWork_[static_cast<std::size_t>(p.request.classIndex)];
+    // The load that an attempt counts for. Too low an estimate would overload a cold host unnoticed.
+    double coldCharge(const Host& host, const Pending& p) const {
+        const double mean = meanSendSeconds_[static_cast<std::size_t>(p.request.classIndex)];
         return std::max(mean > 0 ? mean : p.work, host.entry.role == Role::parent ? p.work : 1e-3);
     }
 
     bool usable(Time now, HostIndex i, const Pending& p, bool ignoreHealth) {
         Host& host = hosts_[i];
-        if (!host.listed || std::count(p.avoid.begin(), p.avoid.end(), i) > 0) return false;
+        if (!host.listed || std::count(p.excludedHosts.begin(), p.excludedHosts.end(), i) > 0) return false;
         if (!ignoreHealth && !healthy(now, host)) return false;
-        return hostInTime(now, p, host) && coldRoom(now, host, coldWeight(host, p)) &&
+        return hostMeetsTarget(now, p, host) && withinColdBudget(now, host, coldCharge(host, p)) &&
                repeatAllowed(now, p, host);
     }
 
     HostIndex pick(Time now, const std::vector<HostIndex>& group, std::uint64_t key, const Pending& p,
                    bool spread) {
-        // Caches that all look bad are really lost, as with a whole zone, if parents are well and are asked.
-        const bool lost = &group == &caches_ && set_->direct && !parents_.empty() && !mostAreOut(parents_);
-        const bool ignoreHealth = mostAreOut(group) && !lost;
-        HostIndex first = kNone, second = kNone;
+        // If most caches fail while most parents answer, and the parents may be asked directly, the caches
+        // are really down, for example with their whole zone.
+        const bool lost =
+            &group == &caches_ && settings_->direct && !parents_.empty() && !mostAreEjected(parents_);
+        const bool ignoreHealth = mostAreEjected(group) && !lost;
+        HostIndex first = kNoHost, second = kNoHost;
         double best = HUGE_VAL, next = HUGE_VAL;
         for (const HostIndex i : group) {
             const double score = rank(i, key);
@@ -517,193 +593,219 @@
                 second = i;
             }
         }
-        if (!spread || second == kNone) return first;
-        const auto load = [&](HostIndex i) { return (hosts_[i].outstanding + 1) / linkOf(hosts_[i]); };
+        if (!spread || second == kNoHost) return first;
+        const auto load = [&](HostIndex i) {
+            return (hosts_[i].outstanding + 1) / linkTransfersOf(hosts_[i]);
+        };
         return load(second) < load(first) ? second : first;
     }
 
     HostIndex pickCache(Time now, const Pending& p) {
         const auto part = static_cast<std::uint64_t>(p.request.part);
-        const auto key = combine(combine(p.request.object, part), kEdgeHash);
+        const auto key = combine(combine(p.request.object, part), kCacheHashSalt);
         return pick(now, caches_, key, p, p.hot && p.attempts.empty());
     }
 
-    // All zones fill an object from its one parent, which forty zones' viewers of a hot one jam: its parts
-    // then have parents apart, each still the same at every router. Harm: a part's first fills come twice.
+    // All zones fill an object from one parent, which the viewers of a hot object in forty zones overload.
+    // The parts of a hot object are therefore spread over parents, with the same parent per part at every
+    // router. Cost: the first fill of a part may be fetched twice.
     HostIndex pickParent(Time now, const Pending& p) {
         const auto part = p.hot ? static_cast<std::uint64_t>(p.request.part) : 0;
-        return pick(now, parents_, combine(p.request.object + part, kParentHash), p, false);
+        return pick(now, parents_, combine(p.request.object + part, kParentHashSalt), p, false);
     }
 
     HostIndex pickOrigin(Time now, const Pending& p) {
-        const HostIndex i = pick(now, origins_, kParentHash, p, false);
-        return i == kNone || hosts_[i].out ? kNone : i;
+        const HostIndex i = pick(now, origins_, kParentHashSalt, p, false);
+        return i == kNoHost || hosts_[i].out ? kNoHost : i;
     }
 
-    void takeReport(Time now, Host& host, const LoadReport& load) {
+    void applyLoadReport(Time now, Host& host, const LoadReport& load) {
         if (load.inFlight) {
-            const bool recent = now - host.reportedAt < kReportLasts;
+            const bool recent = now - host.reportedAt < kLoadReportLifetime;
             const double before = recent ? host.reportedInFlight : *load.inFlight;
-            host.reportedInFlight = before + kReportWeight * (*load.inFlight - before);
+            host.reportedInFlight = before + kLoadReportWeight * (*load.inFlight - before);
             host.reportedAt = now;
         }
         if (host.entry.role != Role::cache || !load.linkFill) return;
-        const bool fresh = now - linkReportAt_ < kReportLasts;
-        linkFill_ = fresh ? linkFill_ + kReportWeight * (*load.linkFill - linkFill_) : *load.linkFill;
+        const bool fresh = now - linkReportAt_ < kLoadReportLifetime;
+        linkUtilization_ = fresh ? linkUtilization_ + kLoadReportWeight * (*load.linkFill - linkUtilization_)
+                                 : *load.linkFill;
         linkReportAt_ = now;
     }
 
-    // As reported; else, where the link's size is told, what is on it if all of the zone fetch as this one:
-    // as now, or as on the mean, since the own number swings and lets too much through when it is low.
-    double zoneLinkFill(Time now) const {
-        if (now - linkReportAt_ < kReportLasts) return linkFill_;
-        const auto zone = static_cast<std::size_t>(set_->zone);
-        const bool told = set_->zone >= 0 && zone < set_->zoneLinkKb.size() && set_->zoneLinkKb[zone] > 0;
-        if (!told || now - linkPaceAt_ < kPaceLasts) return 0;
-        const double fills = std::max<double>(gates_[0].out, fills_.mean(now, kFillsSpan));
-        return fills * routersHere() * set_->paceKb / set_->zoneLinkKb[zone];
+    // As reported. Without a recent report, and where the link's capacity is configured, it is estimated on
+    // the assumption that all routers of the zone fetch as much as this one. The larger of the current number
+    // of fills and its mean is used, since the current number fluctuates and admits too much when it is low.
+    double zoneLinkUtilization(Time now) const {
+        if (now - linkReportAt_ < kLoadReportLifetime) return linkUtilization_;
+        const auto zone = static_cast<std::size_t>(settings_->zone);
+        const bool told =
+            settings_->zone >= 0 && zone < settings_->zoneLinkKb.size() && settings_->zoneLinkKb[zone] > 0;
+        if (!told || now - linkFullPaceAt_ < kFullPaceLifetime) return 0;
+        const double fills =
+            std::max<double>(limiters_[0].inFlight, meanFillsInFlight_.mean(now, kFillsAveragingTime));
+        return fills * routersInZone() * settings_->paceKb / settings_->zoneLinkKb[zone];
     }
 
     bool inTime(Time now, const Pending& p, double fill) const {
-        return fill <= 1 || now + fromSeconds(p.work * fill) + roundTrip(p) <= p.aim;
+        return fill <= 1 || now + fromSeconds(p.work * fill) + overheadTime(p) <= p.aim;
     }
 
-    // A full link that takes all serves nobody in time: it is left to those that will make it and to what
-    // keeps. Guards against purges, bursts, scans, caches back empty. Harm: reports that say full when it is
-    // free.
-    bool linkInTime(Time now, const Pending& p) const {
-        return inTime(now, p, zoneLinkFill(now) * (p.keepRank > 0 ? 1 : kPassing));
+    // A full link that admits every request serves none in time. It is left to requests that can still meet
+    // their target, and preferably to those that leave a copy. Guards against refills after purges, bursts,
+    // scans and caches that return empty. Cost: a wrong report of a full link keeps requests off a free one.
+    bool zoneLinkMeetsTarget(Time now, const Pending& p) const {
+        return inTime(now, p, zoneLinkUtilization(now) * (p.keepRank > 0 ? 1 : kUncachedTransferWeight));
     }
 
-    Time roundTrip(const Pending& p) const { return fromSeconds(kRoundTrip * seconds(p.rules().aim)); }
+    Time overheadTime(const Pending& p) const {
+        return fromSeconds(kOverheadLatencyTargetShare * seconds(p.classSettings().aim));
+    }
 
-    // Transfers at the host over those that its own link carries at full pace: what it says, if that is
-    // recent, or what the routers of the zone have there if all do as this one.
-    double fillOf(Time now, const Host& host) const {
+    // Concurrent transfers at the host, divided by those that its own link carries at full pace: as reported
+    // recently, or else estimated on the assumption that all routers send as much as this one.
+    double linkUtilizationOf(Time now, const Host& host) const {
         const double own = host.outstanding;
-        const bool recent = now - host.reportedAt < kReportLasts;
-        const double guessed = own * sharers(host);
-        return (recent ? std::max(own, host.reportedInFlight) : guessed) / std::max(kLoadLink, linkOf(host));
+        const bool recent = now - host.reportedAt < kLoadReportLifetime;
+        const double guessed = own * routersSharing(host);
+        return (recent ? std::max(own, host.reportedInFlight) : guessed) /
+               std::max(kMinLoadLinkTransfers, linkTransfersOf(host));
     }
 
-    // Whether the host can still answer in time. A host that takes on more serves all of them late: the rest
-    // goes elsewhere or is refused at once. Guards against overload, bursts, hot objects, slow hosts.
-    bool hostInTime(Time now, const Pending& p, const Host& host) const {
-        const bool origin = host.entry.role == Role::origin;  // its link is not told; its gate holds
-        return origin || now - host.fullPaceAt < kPaceLasts || inTime(now, p, fillOf(now, host));
+    // Whether the host can still answer in time. A host that admits more serves all of them late, so the rest
+    // goes elsewhere or is refused at once. Guards against overload, bursts, hot objects and slow hosts.
+    bool hostMeetsTarget(Time now, const Pending& p, const Host& host) const {
+        const bool origin =
+            host.entry.role == Role::origin;  // its link is unknown; its concurrency limiter applies
+        return origin || now - host.fullPaceAt < kFullPaceLifetime ||
+               inTime(now, p, linkUtilizationOf(now, host));
     }
 
-    // The ordinary path, and what is left of it when hosts are missing, sick or were tried already.
+    // The normal route, or what remains of it when hosts are missing, ejected or already tried.
     Route chooseRoute(Time now, Pending& p) {
-        const ClassSettings& c = p.rules();
+        const ClassSettings& c = p.classSettings();
         const bool write = c.neverKept || p.request.write;
-        if (!write && !linkInTime(now, p)) return oldCopy(now, p, kNone);
+        if (!write && !zoneLinkMeetsTarget(now, p)) return staleCopyRoute(now, p, kNoHost);
         const HostIndex parent = pickParent(now, p);
-        const HostIndex top = parent == kNone || write ? pickOrigin(now, p) : kNone;
-        const HostIndex source = parent != kNone ? parent : top;
-        // A name new to a young filter says nothing: it asks its cache on the way, which keeps no copy of it.
-        const bool young = now - startedAt_ < kYoungFilter;
-        const bool upward = set_->direct && (write || (!p.found && (!young || !p.attempts.empty())));
-        // Copies and fills are asked for apart where fills are short, and from a cold parent, whose budget
-        // every attempt that might be a fill would use up.
-        if (!write && p.attempts.empty() && source != kNone) {
-            const bool cacheOnly = gates_[0].tight(now) || isCold(now, hosts_[source]);
-            if (!upward && cacheOnly) return heldOnly(now, p, kNone);
-            if (!cacheOnly && parent != kNone && gates_[1].tight(now))
-                return upward ? Route{parent, kNone, 0, true} : heldOnly(now, p, parent);
+        const HostIndex top = parent == kNoHost || write ? pickOrigin(now, p) : kNoHost;
+        const HostIndex source = parent != kNoHost ? parent : top;
+        // A filter that was started recently does not know all popular names: an unknown one still goes
+        // through its cache, which keeps no copy of it.
+        const bool young = now - startedAt_ < kFilterWarmUpTime;
+        const bool upward = settings_->direct && (write || (!p.inFilter && (!young || !p.attempts.empty())));
+        // The copy is requested first and the fill only after a miss where fills are limited, and where the
+        // parent is cold: each attempt that could become a fill is charged to its budget.
+        if (!write && p.attempts.empty() && source != kNoHost) {
+            const bool cacheOnly = limiters_[0].isLimiting(now) || isCold(now, hosts_[source]);
+            if (!upward && cacheOnly) return heldOnly(now, p, kNoHost);
+            if (!cacheOnly && parent != kNoHost && limiters_[1].isLimiting(now))
+                return upward ? Route{parent, kNoHost, 0, true} : heldOnly(now, p, parent);
         }
-        if (!write && !gates_[0].open(now)) return oldCopy(now, p, kNone);
-        if (!write && !gates_[1].open(now)) return oldCopy(now, p, parent);
-        if (upward && parent != kNone) return {parent, write ? top : kNone, 0, false};
+        if (!write && !limiters_[0].admits(now)) return staleCopyRoute(now, p, kNoHost);
+        if (!write && !limiters_[1].admits(now)) return staleCopyRoute(now, p, parent);
+        if (upward && parent != kNoHost) return {parent, write ? top : kNoHost, 0, false};
         const HostIndex cache = pickCache(now, p);
-        if (cache != kNone && source != kNone && (!upward || top == kNone))
-            if (source != top || origin_.spend()) return {cache, source, p.keepRank, false};
-        if (set_->direct && parent != kNone) return {parent, kNone, 0, false};
-        if (set_->direct && top != kNone && origin_.spend()) return {top, kNone, 0};
-        return write ? Route{} : oldCopy(now, p, kNone);
-    }
-
-    // No fill is to be had: an old copy will do, of the cache or of the parent.
-    Route oldCopy(Time now, Pending& p, HostIndex parent) {
-        const bool older = p.rules().staleFor.count() > 0;
-        if (!p.attempts.empty() && (p.staleWillDo || !older)) return {};
-        p.staleWillDo = true;
+        if (cache != kNoHost && source != kNoHost && (!upward || top == kNoHost))
+            if (source != top || originBudget_.tryTake()) return {cache, source, p.keepRank, false};
+        if (settings_->direct && parent != kNoHost) return {parent, kNoHost, 0, false};
+        if (settings_->direct && top != kNoHost && originBudget_.tryTake()) return {top, kNoHost, 0};
+        return write ? Route{} : staleCopyRoute(now, p, kNoHost);
+    }
+
+    // Without a fill, a stale copy of the cache or of the parent is accepted.
+    Route staleCopyRoute(Time now, Pending& p, HostIndex parent) {
+        const bool older = p.classSettings().staleFor.count() > 0;
+        if (!p.attempts.empty() && (p.acceptStale || !older)) return {};
+        p.acceptStale = true;
         return heldOnly(now, p, parent);
     }
 
-    // What its cache holds, or a parent, and no fetch from the origin.
+    // Only a copy that the cache, or the parent, already holds; no fetch from the origin.
     Route heldOnly(Time now, const Pending& p, HostIndex parent) {
         const HostIndex cache = pickCache(now, p);
-        return {cache, parent == kNone ? cache : parent, p.keepRank, parent != kNone};
+        return {cache, parent == kNoHost ? cache : parent, p.keepRank, parent != kNoHost};
     }
 
-    // ----- the gates before the parents and the origin -----
+    // ----- concurrency limiters before the parents and the origin -----
 
-    void passGates(Time now, const Attempt& a, int by) {
-        if (a.reaches >= Tier::parents) fills_.set(now, kFillsSpan, gates_[0].out += by);
-        if (a.reaches >= Tier::origin) gates_[1].out += by;
+    void countInFlight(Time now, const Attempt& a, int by) {
+        if (a.highestTier >= Tier::parents)
+            meanFillsInFlight_.set(now, kFillsAveragingTime, limiters_[0].inFlight += by);
+        if (a.highestTier >= Tier::origin) limiters_[1].inFlight += by;
     }
 
-    // Puts an outcome down to the tier that it speaks of: the highest that was asked, so far as is known.
-    // Guards, without knowing which, against an origin that is slow, refuses or has stopped, parents that are
-    // jammed, cold or dead, and refills after a purge. Answers that never come say little while others do.
-    // Harm: when many are late by chance the gates close a little; hits at the caches pass none.
-    void tellGates(Time now, const Pending& p, const Attempt& a, const AttemptEnded& e) {
-        if (a.reaches == Tier::caches || a.late || e.outcome == Outcome::notSent || e.blameless) return;
+    // Attributes an outcome to the highest tier that was used, as far as known. Guards, without a need to
+    // tell them apart, against an origin that is slow, refuses or has stopped, against parents that are
+    // overloaded, cold or down, and against refills after a purge. Missing answers weigh little while others
+    // arrive. Cost: when many answers are late by chance, the limits shrink a little. Hits at the caches are
+    // not limited.
+    void updateLimiters(Time now, const Pending& p, const Attempt& a, const AttemptEnded& e) {
+        if (a.highestTier == Tier::caches || a.countedLate || e.outcome == Outcome::notSent || e.blameless)
+            return;
         if (hosts_[a.host].entry.role == Role::cache) {
-            if (e.note == Note::hit || e.note == Note::stale || e.note == Note::noFillPlace) return;
+            if (e.note == CacheStatus::hit || e.note == CacheStatus::stale ||
+                e.note == CacheStatus::noFillPlace)
+                return;
             if (e.outcome == Outcome::noConnection) return;
         }
         const bool silent = e.outcome == Outcome::timedOut || e.outcome == Outcome::cancelled ||
                             e.outcome == Outcome::broken || e.outcome == Outcome::noConnection;
         const bool served = e.outcome == Outcome::served;
-        // Lateness is not put down to them while the zone's own link is full.
-        // In time means: had it been asked for at once; what the request lost before is not this tier's.
-        const bool inTime = e.elapsed <= p.aim - p.arrived || zoneLinkFill(now) > 1;
-        // A prompt error is its host's own trouble, and a cancelled attempt was not yet late.
-        const bool prompt = e.outcome == Outcome::error && e.note != Note::originFailed;
+        // Late answers are not attributed to a tier while the zone's own link is full.
+        // Measured from the start of this attempt: time that the request lost before is not this tier's
+        // fault.
+        const bool inTime = e.elapsed <= p.aim - p.arrived || zoneLinkUtilization(now) > 1;
+        // A prompt error is a fault of the host itself, and a cancelled attempt was not late yet.
+        const bool prompt = e.outcome == Outcome::error && e.note != CacheStatus::originFailed;
         if (inTime && (prompt || e.outcome == Outcome::cancelled)) return;
         const bool good = e.outcome == Outcome::noCopy || (served && inTime);
-        const bool atParent = a.reaches == Tier::parents || e.note == Note::filled;
-        const HostIndex upper = a.source != kNone ? a.source : a.host;
-        if (good && hosts_[upper].entry.role == Role::origin) origin_.earn(kOriginReturn);
+        const bool atParent = a.highestTier == Tier::parents || e.note == CacheStatus::filled;
+        const HostIndex upper = a.source != kNoHost ? a.source : a.host;
+        if (good && hosts_[upper].entry.role == Role::origin) originBudget_.deposit(kOriginSendsPerSuccess);
 
-        const double bad = good ? 0 : silent ? kSilenceSays : 1;
-        // Answers well in time open more than those that only just made it.
+        const double bad = good ? 0 : silent ? kUnansweredFailureWeight : 1;
+        // Answers well in time raise the limit by more than those just in time.
         const double spare = 1 - seconds(e.elapsed) / std::max(1e-3, seconds(p.aim - p.arrived));
-        if (good || atParent) tell(now, gates_[0], p, a, bad, spare);
-        if (!atParent) tell(now, gates_[1], p, a, bad, spare);
-    }
-
-    void tell(Time now, Gate& gate, const Pending& p, const Attempt& a, double bad, double spare) {
-        (bad > 0 ? gate.bad : gate.good).add(now, kGateSpan, bad > 0 ? bad : 1);
-        const double badly = gate.bad.perSecond(now, kGateSpan) * seconds(kGateSpan);
-        const double well = gate.good.perSecond(now, kGateSpan) * seconds(kGateSpan);
-        if (bad > 0 && badly >= kBadLeast && badly > kBadShare * (badly + well) && a.sentAt > gate.cutAt) {
-            gate.window = std::max(kGateLeast, kGateCut * std::min(gate.window, gate.out + 1.0));
-            gate.cutAt = now;
-        } else if (bad <= 0 && gate.window < kGateOpen) {
-            gate.window += kGateGrowth * std::max(0.0, spare);
+        if (good || atParent) recordOutcome(now, limiters_[0], p, a, bad, spare);
+        if (!atParent) recordOutcome(now, limiters_[1], p, a, bad, spare);
+    }
+
+    void recordOutcome(Time now, ConcurrencyLimiter& limiter, const Pending& p, const Attempt& a, double bad,
+                       double spare) {
+        (bad > 0 ? limiter.failures : limiter.successes).add(now, kLimiterAveragingTime, bad > 0 ? bad : 1);
+        const double failureSum =
+            limiter.failures.perSecond(now, kLimiterAveragingTime) * seconds(kLimiterAveragingTime);
+        const double successSum =
+            limiter.successes.perSecond(now, kLimiterAveragingTime) * seconds(kLimiterAveragingTime);
+        if (bad > 0 && failureSum >= kLimiterMinFailures &&
+            failureSum > kLimiterFailureShare * (failureSum + successSum) && a.sentAt > limiter.decreasedAt) {
+            limiter.limit =
+                std::max(kMinConcurrencyLimit,
+                         kLimiterDecreaseFactor * std::min(limiter.limit, limiter.inFlight + 1.0));
+            limiter.decreasedAt = now;
+        } else if (bad <= 0 && limiter.limit < kUnlimitedConcurrency) {
+            limiter.limit += kLimiterIncreasePerSuccess * std::max(0.0, spare);
         }
-        if (gate.window >= 1) return;
-        const double spread = 0.5 + unitInterval(random_ = mix(random_ + 1));
-        const double took = seconds(std::max(roundTrip(p), now - a.sentAt));  // refusals may come at once
-        gate.closedUntil = now + fromSeconds(took * (1 / gate.window - 1) * spread);
+        if (limiter.limit >= 1) return;
+        const double spread = 0.5 + unitInterval(randomState_ = mix(randomState_ + 1));
+        const double took =
+            seconds(std::max(overheadTime(p), now - a.sentAt));  // a refusal may take no time at all
+        limiter.closedUntil = now + fromSeconds(took * (1 / limiter.limit - 1) * spread);
     }
 
     // ----- sending -----
 
     void sendOrGiveUp(Time now, Pending& p, Actions& out) {
         const bool late = p.request.deadline - now <= fromSeconds(p.work);
-        if (late || static_cast<int>(p.attempts.size()) >= p.set->mostTries)
-            return giveUp(p, late ? GiveUp::noTime : GiveUp::mostAttempts, out);
+        if (late || static_cast<int>(p.attempts.size()) >= p.settings->mostTries)
+            return giveUp(p, late ? GiveUpReason::noTime : GiveUpReason::attemptLimit, out);
         const Route route = chooseRoute(now, p);
-        route.ok() ? send(now, p, route, out) : giveUp(p, GiveUp::noRoute, out);
+        route.ok() ? send(now, p, route, out) : giveUp(p, GiveUpReason::noRoute, out);
     }
 
     void send(Time now, Pending& p, const Route& route, Actions& out) {
         Host& host = hosts_[route.host];
-        const ClassSettings& c = p.rules();
+        const ClassSettings& c = p.classSettings();
         Send s;
         s.request = p.request.id;
         s.host = host.entry.name;
@@ -714,40 +816,41 @@
             const HostIndex source = sourceOf(route);
             s.source = hosts_[source].entry.name;
             s.keepRank = host.entry.role == Role::cache ? route.keepRank : 0;
-            s.oldest = oldestAllowed(now, p, c);
-            s.join = set_->joins;
-            s.heldOnly = route.sourceHeldOnly && host.entry.role == Role::cache;
-            if (route.sourceHeldOnly && host.entry.role == Role::parent) s.source = host.entry.name;
-            s.renew = c.freshFor.count() > 0 && p.found;
-            if (source != route.host) chargeCold(now, hosts_[source], p);
+            s.oldest = maxCopyAgeFor(now, p, c);
+            s.join = settings_->joins;
+            s.heldOnly = route.sourceOnlyIfCached && host.entry.role == Role::cache;
+            if (route.sourceOnlyIfCached && host.entry.role == Role::parent) s.source = host.entry.name;
+            s.renew = c.freshFor.count() > 0 && p.inFilter;
+            if (source != route.host) chargeColdBudget(now, hosts_[source], p);
         }
-        chargeCold(now, host, p);
-        const bool alone = fillOf(now, host) < 1;
+        chargeColdBudget(now, host, p);
+        const bool hostHadRoom = linkUtilizationOf(now, host) < 1;
         ++host.outstanding;
         const int number = static_cast<int>(p.attempts.size());
-        const Tier reaches = s.plain || (s.source != s.host && !route.sourceHeldOnly) ? Tier::origin
-                             : route.sourceHeldOnly                                   ? Tier::parents
-                                                                                      : Tier::caches;
-        p.attempts.push_back(Attempt{route.host, route.source, now, true, true, reaches, false, alone});
-        passGates(now, p.attempts.back(), 1);
+        const Tier highestTier = s.plain || (s.source != s.host && !route.sourceOnlyIfCached) ? Tier::origin
+                                 : route.sourceOnlyIfCached                                   ? Tier::parents
+                                                                                              : Tier::caches;
+        p.attempts.push_back(
+            Attempt{route.host, route.source, now, true, true, highestTier, false, hostHadRoom});
+        countInFlight(now, p.attempts.back(), 1);
         out.push_back(s);
-        armTimers(now, p, number, out);
+        setTimers(now, p, number, out);
     }
 
     HostIndex sourceOf(const Route& route) const {
-        if (route.source != kNone) return route.source;
+        if (route.source != kNoHost) return route.source;
         if (hosts_[route.host].entry.role != Role::parent) return route.host;
         return origins_.empty() ? route.host : origins_.front();
     }
 
-    void chargeCold(Time now, Host& host, const Pending& p) {
-        if (host.entry.startedAt.count() > 0) host.coldWork.add(now, coldWeight(host, p));
+    void chargeColdBudget(Time now, Host& host, const Pending& p) {
+        if (host.entry.startedAt.count() > 0) host.coldWork.add(now, coldCharge(host, p));
     }
 
-    // A purge limits the age of what will do; zero would mean "any", so it is at least a nanosecond.
-    Time oldestAllowed(Time now, const Pending& p, const ClassSettings& c) const {
+    // A purge limits the age of an acceptable copy to at least 1 ns, since zero would mean any age.
+    Time maxCopyAgeFor(Time now, const Pending& p, const ClassSettings& c) const {
         Time limit{0};
-        if (c.freshFor.count() > 0) limit = c.freshFor + (p.staleWillDo ? c.staleFor : Time{0});
+        if (c.freshFor.count() > 0) limit = c.freshFor + (p.acceptStale ? c.staleFor : Time{0});
         Time purgedAt = Time::min();
         if (const auto it = objectPurges_.find(p.request.object); it != objectPurges_.end())
             purgedAt = it->second;
@@ -759,46 +862,50 @@
         return limit.count() > 0 ? std::min(limit, since) : since;
     }
 
-    // When another attempt must begin if it is to be in time for the aim, and when this one is late.
-    void armTimers(Time now, const Pending& p, int attempt, Actions& out) {
-        const Time needed = fromSeconds(kSendSlack * p.work) + roundTrip(p);
+    // Sets one timer for when another attempt must start to meet the latency target, and one for when this
+    // attempt is late.
+    void setTimers(Time now, const Pending& p, int attempt, Actions& out) {
+        const Time needed = fromSeconds(kOverdueSendTimeMultiple * p.work) + overheadTime(p);
         const Time at = std::max(now + needed, p.aim - needed);
-        if ((p.set->secondCopies || p.set->mayCancel) && at + needed < p.request.deadline)
-            arm(at - now, p, attempt, false, out);
-        if (p.attempts.back().reaches != Tier::caches)
-            arm(p.aim - p.arrived + kTimerLeast, p, attempt, true, out);
+        if ((p.settings->secondCopies || p.settings->mayCancel) && at + needed < p.request.deadline)
+            setTimer(at - now, p, attempt, false, out);
+        if (p.attempts.back().highestTier != Tier::caches)
+            setTimer(p.aim - p.arrived + kMinTimerDelay, p, attempt, true, out);
     }
 
-    void arm(Time delay, const Pending& p, int attempt, bool late, Actions& out) {
+    void setTimer(Time delay, const Pending& p, int attempt, bool late, Actions& out) {
         timers_[nextTimer_] = {p.request.id, attempt, late};
-        out.push_back(SetTimer{nextTimer_++, std::max(kTimerLeast, delay)});
+        out.push_back(SetTimer{nextTimer_++, std::max(kMinTimerDelay, delay)});
     }
 
-    bool heardSince(const Attempt& a) const { return hosts_[a.host].heardAt > a.sentAt; }
+    bool answeredSince(const Attempt& a) const { return hosts_[a.host].lastAnswerAt > a.sentAt; }
 
-    // Told when it is late, not when it ends: in a jam that is seconds later, and all that is sent meanwhile
-    // adds to the jam. While its host answers others it is the fill that is slow.
+    // Recorded when the attempt becomes late, not when it ends: under congestion that is seconds later, and
+    // all that is sent meanwhile adds to the congestion. If the host answers other requests, the fill is
+    // slow.
     void attemptIsLate(Time now, const Pending& p, Attempt& a) {
-        if (zoneLinkFill(now) > 1) return;
-        a.late = true;
-        const double bad = heardSince(a) ? 1 : kSilenceSays;
-        tell(now, gates_[0], p, a, bad, 0);
-        if (a.reaches == Tier::origin) tell(now, gates_[1], p, a, bad, 0);
+        if (zoneLinkUtilization(now) > 1) return;
+        a.countedLate = true;
+        const double bad = answeredSince(a) ? 1 : kUnansweredFailureWeight;
+        recordOutcome(now, limiters_[0], p, a, bad, 0);
+        if (a.highestTier == Tier::origin) recordOutcome(now, limiters_[1], p, a, bad, 0);
     }
 
     void attemptIsSlow(Time now, Pending& p, Attempt& a, int number, Actions& out) {
-        // A host that answers others is not silent: its fill is slow, and one begun anew would be slower.
-        const bool alive = heardSince(a);
-        a.slow = true;
-        if (!alive) recordFailure(now, a.host, kSlowIsFailure);
-        if (a.source != kNone && a.source != a.host) recordFailure(now, a.source, kSlowIsFailure);
-        if (alive || static_cast<int>(p.attempts.size()) >= p.set->mostTries || p.out() > 1) return;
-        if (p.rules().effect != Effect::safe) return;
-        avoid(p, a.host);
-        if (a.source != kNone) avoid(p, a.source);
+        // If the host answers other requests, its fill is slow, and a new fill would be slower still.
+        const bool alive = answeredSince(a);
+        a.countedSlow = true;
+        if (!alive) recordFailure(now, a.host, kSlowAttemptFailureWeight);
+        if (a.source != kNoHost && a.source != a.host)
+            recordFailure(now, a.source, kSlowAttemptFailureWeight);
+        if (alive || static_cast<int>(p.attempts.size()) >= p.settings->mostTries || p.attemptsInFlight() > 1)
+            return;
+        if (p.classSettings().effect != Effect::safe) return;
+        excludeHost(p, a.host);
+        if (a.source != kNoHost) excludeHost(p, a.source);
         const Route route = chooseRoute(now, p);
-        if (!route.ok() || !extra_.spend()) return;
-        if (p.set->secondCopies) return send(now, p, route, out);
+        if (!route.ok() || !retryBudget_.tryTake()) return;
+        if (p.settings->secondCopies) return send(now, p, route, out);
         p.retryAfterCancel = true;
         out.push_back(Cancel{p.request.id, number});
     }
@@ -810,108 +917,111 @@
                o != Outcome::noCopy;
     }
 
-    static bool saysSomething(Outcome o) {
+    static bool isAnswerFromHost(Outcome o) {
         return o == Outcome::served || o == Outcome::noCopy || o == Outcome::error || o == Outcome::notTaken;
     }
 
-    static void avoid(Pending& p, HostIndex i) {
-        if (std::count(p.avoid.begin(), p.avoid.end(), i) == 0) p.avoid.push_back(i);
+    static void excludeHost(Pending& p, HostIndex i) {
+        if (std::count(p.excludedHosts.begin(), p.excludedHosts.end(), i) == 0) p.excludedHosts.push_back(i);
     }
 
     void retryOrGiveUp(Time now, Pending& p, bool blameless, Actions& out) {
-        if (!p.retryAfterCancel && !blameless && !extra_.spend()) return giveUp(p, GiveUp::noAllowance, out);
+        if (!p.retryAfterCancel && !blameless && !retryBudget_.tryTake())
+            return giveUp(p, GiveUpReason::noRetryBudget, out);
         p.retryAfterCancel = false;
-        p.staleWillDo = true;
+        p.acceptStale = true;
         sendOrGiveUp(now, p, out);
     }
 
-    // Whether the request may go to this host after what was tried already.
+    // Whether the earlier attempts, which may have run, allow one at this host.
     bool repeatAllowed(Time now, const Pending& p, const Host& host) const {
-        const ClassSettings& c = p.rules();
+        const ClassSettings& c = p.classSettings();
         if (c.effect == Effect::safe) return true;
         for (const Attempt& a : p.attempts) {
-            if (!a.out && !a.mayHaveRun) continue;
+            if (!a.inFlight && !a.mayHaveRun) continue;
             if (c.effect == Effect::unsafe) return false;
             const HostEntry& before = hosts_[a.host].entry;
             if (now - a.sentAt >= c.repeatWindow) return false;
-            if (c.group == RepeatGroup::zone && before.zone != host.entry.zone) return false;
-            if (c.group == RepeatGroup::cell && before.cell != host.entry.cell) return false;
+            if (c.group == DeduplicationScope::zone && before.zone != host.entry.zone) return false;
+            if (c.group == DeduplicationScope::cell && before.cell != host.entry.cell) return false;
         }
         return true;
     }
 
     bool refusalAllowed(const Pending& p) const {
-        const ClassSettings& c = p.rules();
+        const ClassSettings& c = p.classSettings();
         if (c.effect == Effect::safe) return true;
         const bool perhapsRun = std::any_of(p.attempts.begin(), p.attempts.end(),
-                                            [](const Attempt& a) { return a.out || a.mayHaveRun; });
-        return !perhapsRun || (c.effect == Effect::keyed && c.group == RepeatGroup::all);
+                                            [](const Attempt& a) { return a.inFlight || a.mayHaveRun; });
+        return !perhapsRun || (c.effect == Effect::keyed && c.group == DeduplicationScope::all);
     }
 
-    void giveUp(Pending& p, GiveUp why, Actions& out) {
-        const Time hint = p.set->retryHints ? std::min(kRetryHint, p.set->maxRetryHint) : Time{0};
+    void giveUp(Pending& p, GiveUpReason why, Actions& out) {
+        const Time hint = p.settings->retryHints ? std::min(kRetryAfter, p.settings->maxRetryHint) : Time{0};
         refusalAllowed(p) ? out.push_back(Refuse{p.request.id, hint, why})
                           : out.push_back(Fail{p.request.id, why});
-        finish(p, out);
-        forgetIfDone(p.request.id);
+        markAnswered(p, out);
+        eraseIfDone(p.request.id);
     }
 
-    void finish(Pending& p, Actions& out) {
+    void markAnswered(Pending& p, Actions& out) {
         p.answered = true;
         cancelOthers(p, -1, out);
     }
 
     void cancelOthers(const Pending& p, int except, Actions& out) {
-        if (!p.set->mayCancel) return;
+        if (!p.settings->mayCancel) return;
         for (int i = 0; i < static_cast<int>(p.attempts.size()); ++i)
-            if (i != except && p.attempts[static_cast<std::size_t>(i)].out)
+            if (i != except && p.attempts[static_cast<std::size_t>(i)].inFlight)
                 out.push_back(Cancel{p.request.id, i});
     }
 
-    // A request is remembered until all its attempts have ended: they still tell about the hosts.
-    void forgetIfDone(RequestId id) {
+    // A request is kept until all its attempts have ended, since their outcomes still update host health.
+    void eraseIfDone(RequestId id) {
         const auto it = pending_.find(id);
-        if (it != pending_.end() && it->second.answered && it->second.out() == 0) pending_.erase(it);
+        if (it != pending_.end() && it->second.answered && it->second.attemptsInFlight() == 0)
+            pending_.erase(it);
     }
 
     // ----- health -----
 
-    // Puts an outcome down to the host, to the source behind it, or half to each where it can't be told.
-    void judge(Time now, Pending& p, const Attempt& a, const AttemptEnded& e) {
-        const bool hasSource = a.source != kNone && a.source != a.host;
+    // Attributes an outcome to the host, to its source, or half to each where that is unknown.
+    void updateHealth(Time now, Pending& p, const Attempt& a, const AttemptEnded& e) {
+        const bool hasSource = a.source != kNoHost && a.source != a.host;
         switch (e.outcome) {
             case Outcome::served: {
                 recordSuccess(a.host);
-                const bool fetched =
-                    e.note == Note::filled || e.note == Note::filledByOrigin || e.note == Note::joined;
-                const Time trip = roundTrip(p);
-                if (p.work > seconds(trip) && seconds(e.elapsed - trip) < kSendSlack * p.work) {
+                const bool fetched = e.note == CacheStatus::filled || e.note == CacheStatus::filledByOrigin ||
+                                     e.note == CacheStatus::joined;
+                const Time trip = overheadTime(p);
+                if (p.work > seconds(trip) && seconds(e.elapsed - trip) < kOverdueSendTimeMultiple * p.work) {
                     hosts_[a.host].fullPaceAt = now;
-                    if (fetched) linkPaceAt_ = now;
+                    if (fetched) linkFullPaceAt_ = now;
                 }
                 if (hasSource && fetched) recordSuccess(a.source);
                 if (e.sizeKb < 0) return;
-                learnLink(now, hosts_[a.host], p.work);
-                if (hasSource && fetched) learnLink(now, hosts_[a.source], p.work);
+                learnLinkTransfers(now, hosts_[a.host], p.work);
+                if (hasSource && fetched) learnLinkTransfers(now, hosts_[a.source], p.work);
                 return;
             }
             case Outcome::cancelled:
             case Outcome::notSent:
                 return;
             case Outcome::noCopy:
-                if (hasSource && a.reaches == Tier::origin) avoid(p, a.source);  // else it only lacks a copy
+                if (hasSource && a.highestTier == Tier::origin)
+                    excludeHost(p, a.source);  // otherwise the source only lacks a copy
                 return;
             case Outcome::noConnection:
             case Outcome::broken:
-                if (e.blameless && heardSince(a)) return;  // by another connection, at once
+                if (e.blameless && answeredSince(a)) return;  // an answer arrived over another connection
                 return blame(now, p, a.host, e.blameless ? 0 : 1);
             default:
                 break;
         }
-        const double weight = e.blameless ? 0 : a.slow ? 1 - kSlowIsFailure : 1;
-        if (e.note >= Note::sourceRefused) {  // it and those after it say why a fill failed
-            const bool atSource = hasSource && e.note != Note::noFillPlace;
-            const bool itsOwn = atSource && e.note != Note::originFailed;
+        const double weight = e.blameless ? 0 : a.countedSlow ? 1 - kSlowAttemptFailureWeight : 1;
+        if (e.note >= CacheStatus::sourceRefused) {  // this and the later values tell why a fill failed
+            const bool atSource = hasSource && e.note != CacheStatus::noFillPlace;
+            const bool itsOwn = atSource && e.note != CacheStatus::originFailed;
             return blame(now, p, atSource ? a.source : a.host, itsOwn ? weight : 0);
         }
         blame(now, p, a.host, hasSource ? weight / 2 : weight);
@@ -919,27 +1029,28 @@
     }
 
     void blame(Time now, Pending& p, HostIndex i, double weight) {
-        avoid(p, i);
+        excludeHost(p, i);
         if (weight > 0) recordFailure(now, i, weight);
     }
 
     void recordFailure(Time now, HostIndex i, double weight) {
         Host& host = hosts_[i];
-        host.failures += kFailureWeight * weight * (1 - host.failures);
-        host.trialsWon = 0;
+        host.failures += kOutcomeWeight * weight * (1 - host.failures);
+        host.trialSuccesses = 0;
         if (host.out) {
             if (now < host.outUntil) return;
-            host.pause = std::min(2 * host.pause, kLongestPause);
+            host.pause = std::min(2 * host.pause, kMaxBackoff);
             host.outUntil = now + host.pause;
-        } else if (host.failures > kSickShare &&
-                   host.failures > std::min(kLostShare, othersFailures(i) + kSickOverGroup)) {
+        } else if (host.failures > kEjectionFailureShare &&
+                   host.failures >
+                       std::min(kLostHostFailureShare, meanPeerFailureShare(i) + kEjectionShareAbovePeers)) {
             host.out = true;
             host.outUntil = now + host.pause;
         }
     }
 
-    // The mean of the fading shares of failures of the other hosts of its group.
-    double othersFailures(HostIndex i) const {
+    // Mean failure share of the other hosts of its group.
+    double meanPeerFailureShare(HostIndex i) const {
         const auto& group = hosts_[i].entry.role == Role::parent ? parents_ : caches_;
         double sum = 0;
         for (const HostIndex other : group) sum += other == i ? 0 : hosts_[other].failures;
@@ -948,36 +1059,37 @@
 
     void recordSuccess(HostIndex i) {
         Host& host = hosts_[i];
-        host.failures -= kFailureWeight * host.failures;
-        if (!host.out || ++host.trialsWon < kTrialsToReturn) return;
+        host.failures -= kOutcomeWeight * host.failures;
+        if (!host.out || ++host.trialSuccesses < kTrialSuccessesToReinstate) return;
         host.out = false;
         host.failures = 0;
-        host.pause = kFirstPause;
-        host.trialsWon = 0;
-    }
-
-    std::shared_ptr<const Settings> set_;
-    std::deque<Host> hosts_;  // never shrinks: indices stay valid, and places are used again
-    std::unordered_map<std::string, HostIndex> byName_;
-    std::vector<HostIndex> caches_, parents_, origins_;  // ready ones; caches of the own zone
-    std::vector<double> meanWork_;                       // per class, seconds of sending time
-    std::uint64_t random_;
-    std::uint64_t salt_;  // fixed, for draws that must come out the same within a window
-    LruMap<std::uint64_t, ObjectRecord> filter_{kFilterNames};
+        host.pause = kInitialBackoff;
+        host.trialSuccesses = 0;
+    }
+
+    std::shared_ptr<const Settings> settings_;
+    std::deque<Host> hosts_;  // never shrinks: indices stay valid, and slots are reused
+    std::unordered_map<std::string, HostIndex> hostsByName_;
+    std::vector<HostIndex> caches_, parents_, origins_;  // ready hosts; caches of this router's zone only
+    std::vector<double> meanSendSeconds_;                // by class
+    std::uint64_t randomState_;
+    std::uint64_t drawSalt_;  // fixed, so that all draws within one window are equal
+    LruMap<std::uint64_t, ObjectRecord> filter_{kFilterCapacity};
     std::unordered_map<RequestId, Pending> pending_;
-    std::unordered_map<TimerId, std::tuple<RequestId, int, bool>> timers_;  // an attempt; then late, or slow
+    std::unordered_map<TimerId, std::tuple<RequestId, int, bool>>
+        timers_;  // request, attempt, late (or slow)
     std::unordered_map<std::uint64_t, Time> objectPurges_, groupPurges_;
     std::deque<std::pair<Time, Purge>> purgeOrder_;
-    Gate gates_[2];  // before the parents, and before the origin
-    Allowance extra_{kExtraBurst, kExtraBurst};
-    Allowance origin_{kOriginBurst, kOriginBurst};
+    ConcurrencyLimiter limiters_[2];  // of the parents, and of the origin
+    TokenBucket retryBudget_{kRetryBurst, kRetryBurst};
+    TokenBucket originBudget_{kOriginSendBurst, kOriginSendBurst};
     Time startedAt_{};
     TimerId nextTimer_ = 1;
     TimerId watchTimer_ = 0;
-    double linkFill_ = 0;  // transfers over those that fit at full pace
-    Time linkReportAt_ = -kReportLasts;
-    FadingMean fills_;               // own ones out
-    Time linkPaceAt_ = -kPaceLasts;  // when a fill last came at full pace
+    double linkUtilization_ = 0;  // transfers divided by those that fit at full pace
+    Time linkReportAt_ = -kLoadReportLifetime;
+    DecayingMean meanFillsInFlight_;            // of this router
+    Time linkFullPaceAt_ = -kFullPaceLifetime;  // of the last fill at full pace
 };
 
 Router::Router(Settings settings, std::uint64_t seed)
@@ -988,9 +1100,9 @@
 
 void Router::start(Time now, Actions& out) { impl_->start(now, out); }
 void Router::reconfigure(Settings settings) { impl_->reconfigure(std::move(settings)); }
-void Router::handle(Time now, const HostList& event, Actions&) { impl_->takeList(now, event); }
+void Router::handle(Time now, const HostList& event, Actions&) { impl_->applyList(now, event); }
 void Router::handleListFailed(Time now, Actions& out) { impl_->listFailed(now, out); }
-void Router::handle(Time now, const Request& event, Actions& out) { impl_->take(now, event, out); }
+void Router::handle(Time now, const Request& event, Actions& out) { impl_->handleRequest(now, event, out); }
 void Router::handle(Time now, const AttemptEnded& event, Actions& out) {
     impl_->attemptEnded(now, event, out);
 }
@@ -999,8 +1111,8 @@
 void Router::handle(Time, const ProbeEnded&, Actions&) {}
 void Router::handleClientGone(Time, RequestId request, Actions& out) { impl_->clientGone(request, out); }
 void Router::handleTimer(Time now, TimerId timer, Actions& out) { impl_->timer(now, timer, out); }
-Warmth Router::warmth(Time now) { return impl_->warmth(now); }
-void Router::warm(Time now, const Warmth& known) { impl_->warm(now, known); }
-std::size_t Router::places() const { return impl_->places(); }
+LearnedState Router::learnedState(Time now) { return impl_->learnedState(now); }
+void Router::restore(Time now, const LearnedState& known) { impl_->restore(now, known); }
+std::size_t Router::hostSlots() const { return impl_->hostSlots(); }
 
 }  // namespace lotuslead
--- a/src/support/running_mean.hpp
+++ b/src/support/moving_average.hpp
@@ -1,15 +1,15 @@
-// The running mean of what is seen and its mean deviation, both forgetting exponentially.
+// Exponential moving averages of samples and of their absolute deviation.
 #pragma once
 
 #include <cmath>
 
 namespace lotuslead {
 
-struct RunningMean {
-    double meanWeight, deviationWeight;  // of one more
+struct MovingAverage {
+    double meanWeight, deviationWeight;  // of one sample, from 0 to 1
     double mean = 0, deviation = 0;
 
-    void learn(double seen) {
+    void add(double seen) {
         deviation += deviationWeight * (std::abs(seen - mean) - deviation);
         mean += meanWeight * (seen - mean);
     }
--- a/src/support/window_sum.hpp
+++ b/src/support/window_sum.hpp
@@ -1,4 +1,4 @@
-// Sums and means over time: of a sliding window, and fading ones.
+// Sums over a sliding time window, and exponentially decaying rates and means.
 #pragma once
 
 #include <chrono>
@@ -32,23 +32,23 @@
     double sum_ = 0;
 };
 
-// A rate that forgets exponentially: amounts a second, averaged over about `span`.
-class FadingRate {
+// An exponentially decaying rate: amounts per second, with the time constant `span`.
+class DecayingRate {
 public:
     using Time = std::chrono::nanoseconds;
 
     void add(Time now, Time span, double amount) {
-        fade(now, span);
+        decay(now, span);
         sum_ += amount;
     }
 
     double perSecond(Time now, Time span) {
-        fade(now, span);
+        decay(now, span);
         return sum_ / std::chrono::duration<double>(span).count();
     }
 
 private:
-    void fade(Time now, Time span) {
+    void decay(Time now, Time span) {
         if (now > at_) {
             const std::chrono::duration<double> passed = now - at_;
             sum_ *= std::exp(-passed.count() / std::chrono::duration<double>(span).count());
@@ -60,8 +60,8 @@
     double sum_ = 0;
 };
 
-// The mean over about `span` of a number that holds until it is set anew.
-class FadingMean {
+// The exponentially weighted mean over time of a value that changes in steps, with the time constant `span`.
+class DecayingMean {
 public:
     using Time = std::chrono::nanoseconds;
 
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -101,7 +101,7 @@
         return r.id;
     }
 
-    void end(RequestId id, int attempt, Outcome outcome, Note note = Note::none,
+    void end(RequestId id, int attempt, Outcome outcome, CacheStatus note = CacheStatus::none,
              std::optional<double> linkFill = std::nullopt, bool blameless = false, double sizeKb = 0) {
         AttemptEnded e;
         e.sizeKb = sizeKb;
@@ -171,7 +171,7 @@
         end(id, 0, Outcome::served);
     }
 
-    std::size_t places() const { return router_.places(); }
+    std::size_t hostSlots() const { return router_.hostSlots(); }
 
     Time now = 1000s;
     Time took{};  // by the attempts that end
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -1,4 +1,4 @@
-// The five rules, each on the module alone.
+// Tests of the five rules on the decision module alone.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -20,7 +20,7 @@
         h.end(id, 0, Outcome::served);
         h.now += 6s;
     }
-    EXPECT_LE(h.places(), 9u);
+    EXPECT_LE(h.hostSlots(), 9u);
 }
 
 TEST(Health, TheEndOfOneConnectionIsOneWordOnItsHost) {
@@ -30,17 +30,18 @@
     h.know("a");
     std::vector<RequestId> ids;
     for (int i = 0; i < 5; ++i) ids.push_back(h.ask("a"));
-    for (std::size_t i = 0; i < ids.size(); ++i) h.end(ids[i], 0, Outcome::broken, Note::none, {}, i > 0);
+    for (std::size_t i = 0; i < ids.size(); ++i)
+        h.end(ids[i], 0, Outcome::broken, CacheStatus::none, {}, i > 0);
     h.ask("a");
     ASSERT_EQ(h.all<Send>().size(), 1u);
     EXPECT_EQ(h.all<Send>().front().host, "c1");
 }
 
-// Sizes and links that nothing tells are learned from answers: what is in time must not look late.
+// Sizes and links that are not configured are learned from answers: an answer in time must not count as late.
 TEST(Learning, TheSizeOfAnAnswerSetsTheAimOfItsRequest) {
     Settings settings = basicSettings();
     settings.weights = Weights::none;
-    settings.classes[1].aim = 200ms;  // and twice the sending time; a quarter of it is the first guess
+    settings.classes[1].aim = 200ms;  // plus twice the sending time; the first estimate is a quarter of it
     Harness h(settings);
     h.usualList();
     h.growUp(60);
@@ -48,7 +49,7 @@
         const RequestId id = h.ask(object, 0, 1, 0);
         h.now += took;
         h.took = took;
-        h.end(id, 0, Outcome::served, Note::filledByOrigin, {}, false, 300);  // 300 ms to send
+        h.end(id, 0, Outcome::served, CacheStatus::filledByOrigin, {}, false, 300);  // 300 ms to send
         return id;
     };
     for (int i = 0; i < 60; ++i) askAndEnd("large" + std::to_string(i), 700ms);  // all within 200 + 600 ms
@@ -57,8 +58,8 @@
         const RequestId id = h.ask("next" + std::to_string(i), 0, 1, 0);
         const auto send = h.one<Send>();
         ASSERT_TRUE(send);
-        sent += send->source == send->host ? 0 : 1;  // else only what is held there is asked for
-        h.end(id, 0, Outcome::served, Note::filledByOrigin, {}, false, 300);
+        sent += send->source == send->host ? 0 : 1;  // otherwise only a cached copy is requested
+        h.end(id, 0, Outcome::served, CacheStatus::filledByOrigin, {}, false, 300);
         h.now += 10ms;
     }
     EXPECT_EQ(sent, 60);
@@ -73,14 +74,14 @@
         h.growUp();
         h.know("a");
         const RequestId slow = h.ask("a");
-        const auto timers = h.all<SetTimer>();  // slow, then late
+        const auto timers = h.all<SetTimer>();  // the slow timer, then the late timer
         ASSERT_EQ(timers.size(), 2u);
         const std::string host(h.one<Send>()->host);
-        for (int i = 0; answers; ++i) {  // until the same host has answered another
+        for (int i = 0; answers; ++i) {  // until the same host has answered another request
             const RequestId other = h.ask("b" + std::to_string(i));
             const bool same = h.one<Send>()->host == host;
             h.now += 1ms;
-            h.end(other, 0, Outcome::served, Note::hit);
+            h.end(other, 0, Outcome::served, CacheStatus::hit);
             if (same) break;
             h.know("b" + std::to_string(i + 1));
         }
@@ -121,7 +122,7 @@
     const auto refusal = h.one<Refuse>();
     ASSERT_TRUE(refusal);
     EXPECT_GT(refusal->retryIn, 0ms);
-    EXPECT_LT(refusal->retryIn, 250ms);  // while an answer can still be within the aim
+    EXPECT_LT(refusal->retryIn, 250ms);  // a retry can still meet the latency target
 }
 
 TEST(Answers, EveryRequestEndsOnceWhateverFails) {
@@ -155,7 +156,7 @@
 
 // --- 2: no effect twice ---
 
-Settings withEffect(Effect effect, RepeatGroup group = RepeatGroup::all) {
+Settings withEffect(Effect effect, DeduplicationScope group = DeduplicationScope::all) {
     Settings s = basicSettings();
     for (ClassSettings& c : s.classes) {
         c.effect = effect;
@@ -196,7 +197,7 @@
 }
 
 TEST(Effects, KeyedStaysInItsZoneAndWindow) {
-    Harness h(withEffect(Effect::keyed, RepeatGroup::zone));
+    Harness h(withEffect(Effect::keyed, DeduplicationScope::zone));
     h.usualList();
     h.growUp(3);
     const RequestId id = h.ask("a");
@@ -257,7 +258,7 @@
     const auto first = h.one<Send>();
     ASSERT_TRUE(first);
     std::vector<HostEntry> left{Harness::cache("c1"), Harness::host("p2", Role::parent, 0, 20)};
-    h.list(left);  // a whole list: who is not in it is gone
+    h.list(left);  // a whole list: a host that is not in it is gone
     h.end(id, 0, Outcome::noConnection);
     for (const Send& s : h.all<Send>()) {
         EXPECT_TRUE(s.host == "c1" || s.host == "p2");
@@ -267,7 +268,7 @@
 
 // --- 4: cold hosts ---
 
-double workSentTo(Harness& h, std::string_view name, int requests, Time gap) {
+double sendSecondsSentTo(Harness& h, std::string_view name, int requests, Time gap) {
     double work = 0;
     for (int i = 0; i < requests; ++i) {
         const RequestId id = h.ask("cold" + std::to_string(i % 50), 0, 1, 100);
@@ -286,11 +287,11 @@
     h.growUp(600);
     h.list({Harness::cache("c1", h.now), Harness::host("p1", Role::parent, 0, 20),
             Harness::host("p2", Role::parent, 0, 20)});
-    // 0.2 of 5 transfers times 4 over 1.5 s is 6 s of work for all routers of the zone.
-    EXPECT_LT(workSentTo(h, "c1", 1000, 1ms), 6.0);
+    // 0.2 of 5 transfers times 4 over 1.5 s is 6 s of sending time for all routers of the zone.
+    EXPECT_LT(sendSecondsSentTo(h, "c1", 1000, 1ms), 6.0);
 }
 
-// Met on the overload day: attempts weighed next to nothing where sizes are not told, and cold caches fell.
+// Without sizes an attempt once counted for next to nothing, so that cold caches were overloaded and failed.
 TEST(ColdHosts, WithoutSizesAnAttemptWeighsWhatHitsTook) {
     Settings settings = basicSettings();
     settings.weights = Weights::none;
@@ -299,15 +300,16 @@
     h.usualList();
     h.took = 300ms;
     for (int i = 0; i < 300; ++i, h.now += 20ms)
-        h.end(h.ask("warm" + std::to_string(i % 20), 0, 0, 0), 0, Outcome::served, Note::hit);
+        h.end(h.ask("warm" + std::to_string(i % 20), 0, 0, 0), 0, Outcome::served, CacheStatus::hit);
     h.list({Harness::cache("c1", h.now), Harness::cache("c2")}, false);
     int sent = 0;
     for (int i = 0; i < 200; ++i, h.now += 1ms) {
         const RequestId id = h.ask("warm" + std::to_string(i % 20), i, 0, 0);
         for (const Send& s : h.all<Send>()) sent += s.host == "c1" ? 1 : 0;
-        h.end(id, 0, Outcome::served, Note::hit);
+        h.end(id, 0, Outcome::served, CacheStatus::hit);
     }
-    // Guessed low, its link carries 2 transfers: 0.2 of them times 4 over 1.5 s is 2.4 s of work.
+    // By the low default its link carries 2 transfers: 0.2 of them times 4 over 1.5 s is 2.4 s of sending
+    // time.
     EXPECT_LT(sent * 0.3, 2.4);
     EXPECT_GT(sent, 0);
 }
@@ -317,14 +319,14 @@
     h.usualList();
     h.growUp(600);
     h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20, h.now)});
-    // 0.1 of 20 transfers times 2 over 1.5 s is 6 s of work, half of it this router's.
-    const double work = workSentTo(h, "p1", 1000, 1ms);
+    // 0.1 of 20 transfers times 2 over 1.5 s is 6 s of sending time, half of it for this router.
+    const double work = sendSecondsSentTo(h, "p1", 1000, 1ms);
     EXPECT_LT(work, 3.0);
     EXPECT_GT(work, 0.0);
 }
 
-// Among many routers each one's part is less than a request: some get through all the same, and all together
-// stay within the budget.
+// With many routers, each one's part of the budget is less than one request. Some requests must still be
+// sent, and all routers together must stay within the budget.
 TEST(ColdHosts, ManyRoutersTogetherUseAColdParentWithinItsBudget) {
     constexpr int kRouters = 200;
     double early = 0;
@@ -337,7 +339,7 @@
         h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20, h.now)});
         for (int i = 0; i < 15; ++i) {
             const RequestId id = h.ask("cold" + std::to_string(i), 0, 1, 100);
-            h.end(id, 0, Outcome::noCopy);  // what the cache holds is asked for first
+            h.end(id, 0, Outcome::noCopy);  // a copy in the cache is requested first
             for (const Send& s : h.all<Send>())
                 if (s.host == "p1" || s.source == "p1") early += 0.1;
             h.end(id, 1, Outcome::served);
@@ -377,7 +379,7 @@
     h.ask("any", 0, 1, 50, 3s, 7);
     auto sent = h.one<Send>();
     ASSERT_TRUE(sent);
-    EXPECT_EQ(sent->oldest, 1ns);  // zero would mean: any age
+    EXPECT_EQ(sent->oldest, 1ns);  // zero would mean any age
     h.now += 5s;
     h.ask("any", 0, 1, 50, 3s, 7);
     EXPECT_LE(h.one<Send>()->oldest, 5s);
