--- a/src/core/requests.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -1,4 +1,4 @@
-#include "requests.hpp"
+#include "request_dispatcher.hpp"
 
 #include <algorithm>
 
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "requests.hpp"
+#include "request_dispatcher.hpp"
 
 namespace lotuslead::core {
 
--- a/src/disk/before.hpp
+++ b/src/disk/before.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "../core/requests.hpp"
+#include "../core/request_dispatcher.hpp"
 #include "../settings/disk.hpp"
 #include "pacer.hpp"
 #include "tier.hpp"
--- a/src/platform/call_form.hpp
+++ b/src/platform/call_form.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "../core/requests.hpp"
+#include "../core/request_dispatcher.hpp"
 #include "fields.hpp"
 
 namespace lotuslead::platform {
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "../core/requests.hpp"
+#include "../core/request_dispatcher.hpp"
 #include "../net/listener.hpp"
 #include "../net/loop.hpp"
 #include "../net/resp.hpp"
--- a/src/platform/store_words.hpp
+++ b/src/platform/store_words.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <utility>
 
-#include "../core/requests.hpp"
+#include "../core/request_dispatcher.hpp"
 #include "fields.hpp"
 
 namespace lotuslead::platform {
--- a/src/repository/front.hpp
+++ b/src/repository/front.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "../core/requests.hpp"
+#include "../core/request_dispatcher.hpp"
 #include "../net/http.hpp"
 #include "../net/listener.hpp"
 #include "../net/loop.hpp"
--- a/src/repository/upstreams.hpp
+++ b/src/repository/upstreams.hpp
@@ -8,7 +8,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "../core/requests.hpp"
+#include "../core/request_dispatcher.hpp"
 #include "../net/http.hpp"
 #include "../net/loop.hpp"
 #include "../net/stream.hpp"
