--- a/bench/scale/hollow_gateways.cpp
+++ b/bench/scale/hollow_gateways.cpp
@@ -16,7 +16,7 @@
 #include <stdexcept>
 #include <system_error>
 
-#include "core/decisions.hpp"
+#include "core/decision_facade.hpp"
 #include "core/service.hpp"
 #include "platform/bus.hpp"
 #include "scale_measures.hpp"
--- a/src/core/decisions.cpp
+++ b/src/core/decision_facade.cpp
@@ -1,4 +1,4 @@
-#include "decisions.hpp"
+#include "decision_facade.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/core/rules.hpp
+++ b/src/core/rules.hpp
@@ -10,7 +10,7 @@
 #include <optional>
 #include <string>
 
-#include "decisions.hpp"
+#include "decision_facade.hpp"
 
 namespace lotuslead::core {
 
--- a/src/platform/copy_clock.hpp
+++ b/src/platform/copy_clock.hpp
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <optional>
 
-#include "../core/decisions.hpp"
+#include "../core/decision_facade.hpp"
 
 namespace lotuslead::platform {
 
--- a/src/platform/front_limits.hpp
+++ b/src/platform/front_limits.hpp
@@ -5,7 +5,7 @@
 #include <chrono>
 #include <cstddef>
 
-#include "../core/decisions.hpp"
+#include "../core/decision_facade.hpp"
 
 namespace lotuslead::platform::limits {
 
