--- a/bench/scale/hollow_gateways.cpp
+++ b/bench/scale/hollow_gateways.cpp
@@ -18,7 +18,7 @@
 
 #include "core/decision_facade.hpp"
 #include "core/service.hpp"
-#include "platform/bus.hpp"
+#include "platform/bus_reader.hpp"
 #include "scale_measures.hpp"
 
 namespace lotuslead::scale {
--- a/src/platform/bus.cpp
+++ b/src/platform/bus_reader.cpp
@@ -1,4 +1,4 @@
-#include "bus.hpp"
+#include "bus_reader.hpp"
 
 #include <algorithm>
 #include <cstdio>
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -11,7 +11,7 @@
 #include "../core/service.hpp"
 #include "../disk/before.hpp"
 #include "../net/system_errors.hpp"
-#include "bus.hpp"
+#include "bus_reader.hpp"
 
 namespace lotuslead::platform {
 
