--- a/src/platform/service.hpp
+++ b/src/platform/service.hpp
@@ -3,7 +3,7 @@
 
 #include "front.hpp"
 #include "front_service.hpp"
-#include "stores.hpp"
+#include "store_connections.hpp"
 
 namespace lotuslead::platform {
 
--- a/src/platform/stores.cpp
+++ b/src/platform/store_connections.cpp
@@ -1,4 +1,4 @@
-#include "stores.hpp"
+#include "store_connections.hpp"
 
 #include <algorithm>
 #include <cstdio>
