--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -13,7 +13,7 @@
 #include "../net/resp.hpp"
 #include "../net/stream.hpp"
 #include "copy_clock.hpp"
-#include "silence.hpp"
+#include "silence_timeout.hpp"
 
 namespace lotuslead::platform {
 
--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -7,7 +7,7 @@
 #include <unordered_map>
 
 #include "harness.hpp"
-#include "platform/silence.hpp"
+#include "platform/silence_timeout.hpp"
 
 namespace lotuslead::testing {
 namespace {
