--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -6,7 +6,7 @@
 
 #include "../core/service.hpp"
 #include "../support/hash.hpp"
-#include "store_words.hpp"
+#include "store_protocol.hpp"
 
 namespace lotuslead::platform {
 
