--- a/src/platform/client_messages.cpp
+++ b/src/platform/client_messages.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "call_form.hpp"
+#include "call_validation.hpp"
 
 namespace lotuslead::platform {
 
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -8,7 +8,7 @@
 #include <utility>
 
 #include "../support/trace.hpp"
-#include "call_form.hpp"
+#include "call_validation.hpp"
 #include "client_messages.hpp"
 #include "front_limits.hpp"
 
