--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -12,7 +12,7 @@
 #include "../net/loop.hpp"
 #include "../net/resp.hpp"
 #include "../net/stream.hpp"
-#include "copy_clock.hpp"
+#include "copy_age.hpp"
 #include "silence_timeout.hpp"
 
 namespace lotuslead::platform {
