--- a/tests/agent_changes_test.cpp
+++ b/tests/agent_changes_test.cpp
@@ -2,7 +2,7 @@
 // fork that fails.
 #include "agents.hpp"
 #include "faults.hpp"
-#include "moments.hpp"
+#include "scenarios.hpp"
 
 namespace {
 
--- a/tests/catch_up_test.cpp
+++ b/tests/catch_up_test.cpp
@@ -1,6 +1,6 @@
 // The event bus tells much in pages: a gateway that starts is not ready before the last of them, and loses
 // and repeats nothing where a page is broken off.
-#include "moments.hpp"
+#include "scenarios.hpp"
 
 namespace {
 
--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -8,7 +8,7 @@
 // have been, whatever the clocks say. The same clock judged `minted`: with a purge's age right and the
 // clock wrong, good copies passed for too old.
 #include "faults.hpp"
-#include "moments.hpp"
+#include "scenarios.hpp"
 
 namespace {
 
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,7 +1,7 @@
 // What comes in one turn, in whatever order the gateway looks at it, and answers that say what they may not.
 #include <sys/stat.h>
 
-#include "moments.hpp"
+#include "scenarios.hpp"
 
 namespace {
 
--- a/tests/departed_clients_test.cpp
+++ b/tests/departed_clients_test.cpp
@@ -1,7 +1,7 @@
 // A client that closes its connection or cancels is gone: from 0.1 s on no attempt is begun for it, neither a
 // first nor a further one, at either front.
-#include "moments.hpp"
 #include "repository_server.hpp"
+#include "scenarios.hpp"
 
 namespace {
 
--- a/tests/fleet_operations_test.cpp
+++ b/tests/fleet_operations_test.cpp
@@ -2,7 +2,7 @@
 // door while discovery is down, requests in pieces and stores that are killed.
 #include <set>
 
-#include "moments.hpp"
+#include "scenarios.hpp"
 
 namespace {
 
--- a/tests/held_up_test.cpp
+++ b/tests/held_up_test.cpp
@@ -1,8 +1,8 @@
 // What waited unread: while the process was stopped, while bytes came few at a time, at an address that
 // moved.
 #include "faults.hpp"
-#include "moments.hpp"
 #include "repository_server.hpp"
+#include "scenarios.hpp"
 
 namespace {
 
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -1,8 +1,8 @@
 // Moments that are rare in service, each forced: what comes between two lines of the gateway's own.
-#include "moments.hpp"
-
 #include <sys/stat.h>
 
+#include "scenarios.hpp"
+
 namespace {
 
 using namespace lotuslead::testing;
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -1,7 +1,7 @@
 // Stories in which system calls of the gateway fail for a moment, in ways that Linux documents: nothing that
 // a client asked for is lost, and no signal.
 #include "faults.hpp"
-#include "moments.hpp"
+#include "scenarios.hpp"
 
 namespace {
 
