--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -45,7 +45,7 @@
         ++owner_.counters_.connects;
         timer_ = owner_.loop_.after(owner_.connectTimeout_, [this] {
             timed_ = false;
-            fail(Outcome::noConnection, Verdict::one);
+            fail(Outcome::noConnection, HealthReport::one);
         });
         timed_ = true;
     }
@@ -98,7 +98,7 @@
             // A store that takes no bytes would be told behind the request itself, which may by then be out
             // at another one: a close gives up all that is open here.
             if (stream_.unsent() > 0)
-                fail(Outcome::broken, Verdict::none, true);
+                fail(Outcome::broken, HealthReport::none, true);
             else
                 restIfIdle();
             return false;
@@ -109,15 +109,15 @@
     // What was written may have run. What was not goes by another connection, if this one did come up and the
     // store is not gone. The end of one connection is one word on its store, however many attempts it ends,
     // and none where the connection was new or at rest.
-    enum class Verdict { none, one };
-    void fail(Outcome whenWritten, Verdict verdict, bool moveOn = false) {
+    enum class HealthReport { none, one };
+    void fail(Outcome whenWritten, HealthReport healthReport, bool moveOn = false) {
         if (std::exchange(ended_, true)) return;
         stopTimer();
         stop(stallTimer_);
         stop(silenceTimer_);
         stream_.close();
         const auto self = shared_from_this();
-        bool blameless = verdict == Verdict::none;
+        bool blameless = healthReport == HealthReport::none;
         for (const auto& [label, sent] : out_)
             report(sent.request, sent.attempt, whenWritten, std::exchange(blameless, true));
         out_.clear();
@@ -171,9 +171,9 @@
             std::fprintf(stderr, "store %s: malformed answer, connection closed\n", host_.c_str());
         }
         if (why == End::reset || (why == End::closedByPeer && !out_.empty())) ++owner_.counters_.resets;
-        if (why == End::refused) return fail(Outcome::noConnection, Verdict::one);
-        if (why == End::unavailable) return fail(Outcome::noConnection, Verdict::none);
-        fail(Outcome::broken, heard_ ? Verdict::one : Verdict::none, true);
+        if (why == End::refused) return fail(Outcome::noConnection, HealthReport::one);
+        if (why == End::unavailable) return fail(Outcome::noConnection, HealthReport::none);
+        fail(Outcome::broken, heard_ ? HealthReport::one : HealthReport::none, true);
     }
     bool streamData(std::string_view data) override {
         lastByte_ = owner_.loop_.now();
@@ -189,7 +189,7 @@
         stallTimer_ = owner_.loop_.after(wait, [this] {
             stallTimer_.reset();
             ++owner_.counters_.stalled;
-            fail(Outcome::broken, Verdict::none, true);
+            fail(Outcome::broken, HealthReport::none, true);
         });
         return true;
     }
@@ -205,7 +205,7 @@
             if (left.count() > 0) return watchSilence(left);
             if (echoAt_ > waitsSince()) {
                 ++owner_.counters_.stuck;
-                return fail(Outcome::broken, Verdict::one, true);
+                return fail(Outcome::broken, HealthReport::one, true);
             }
             if (!owner_.mayProbe_) return watchSilence(owner_.silence_.limit());
             ++owner_.counters_.echoes;
@@ -355,7 +355,7 @@
         const Micros wait = shunned_ ? Micros{0} : owner_.idleClose_;
         timer_ = owner_.loop_.after(wait, [this] {
             timed_ = false;
-            fail(Outcome::broken, Verdict::none, true);
+            fail(Outcome::broken, HealthReport::none, true);
         });
     }
     void stop(std::optional<net::Loop::TimerKey>& timer) {
@@ -473,14 +473,14 @@
 
 void Stores::dropAll(Store& store) {
     const auto links = store.links;
-    for (const auto& link : links) link->fail(Outcome::broken, Link::Verdict::none);
+    for (const auto& link : links) link->fail(Outcome::broken, Link::HealthReport::none);
 }
 
 // Lists come late: a connection may be the new process's already.
 void Stores::dropBefore(Store& store, Micros restart) {
     const auto links = store.links;
     for (const auto& link : links)
-        if (!link->openedSince(restart)) link->fail(Outcome::broken, Link::Verdict::none, true);
+        if (!link->openedSince(restart)) link->fail(Outcome::broken, Link::HealthReport::none, true);
 }
 
 void Stores::drop(const std::string& host, Link* link) {
@@ -518,7 +518,7 @@
         if (!link->waitsForAnswers() || link->silentFor() < silence_.limit() + kStuck) continue;
         if (store.answeredWrittenAt <= link->waitsSince()) continue;
         ++counters_.stuck;
-        link->fail(Outcome::broken, Link::Verdict::none, true);
+        link->fail(Outcome::broken, Link::HealthReport::none, true);
     }
 }
 
