--- a/bench/scale/hollow_gateways.cpp
+++ b/bench/scale/hollow_gateways.cpp
@@ -144,20 +144,20 @@
         for (std::size_t end; (end = pending_.find('\n')) != std::string::npos;) {
             std::istringstream words(pending_.substr(0, end));
             pending_.erase(0, end + 1);
-            std::string verb;
+            std::string kind;
             std::size_t count = 0;
-            words >> verb >> count;
-            obey(verb, std::min(count, gateways_.size()));
+            words >> kind >> count;
+            obey(kind, std::min(count, gateways_.size()));
         }
         return true;
     }
-    void obey(const std::string& verb, std::size_t count) {
-        if (verb == "status") return answer();
-        if (verb == "reconnect")
+    void obey(const std::string& kind, std::size_t count) {
+        if (kind == "status") return answer();
+        if (kind == "reconnect")
             for (const auto& gateway : gateways_) gateway->reconnect();
-        if (verb == "disconnect")
+        if (kind == "disconnect")
             for (std::size_t i = 0; i < count; ++i) gateways_[i]->disconnect();
-        if (verb != "restart") return;
+        if (kind != "restart") return;
         // All are lost before the first is back, as when their zone is.
         for (std::size_t i = 0; i < count; ++i) gateways_[i].reset();
         for (std::size_t i = 0; i < count; ++i) gateways_[i] = make(i);
@@ -263,8 +263,8 @@
     ::waitpid(pid_, nullptr, 0);
 }
 
-void HollowProcess::command(const char* verb, std::size_t count) {
-    const std::string line = std::string(verb) + " " + std::to_string(count) + "\n";
+void HollowProcess::command(const char* kind, std::size_t count) {
+    const std::string line = std::string(kind) + " " + std::to_string(count) + "\n";
     if (::write(commands_, line.data(), line.size()) != static_cast<ssize_t>(line.size()))
         throw std::runtime_error("a process of hollow gateways has ended");
 }
--- a/bench/scale/hollow_gateways.hpp
+++ b/bench/scale/hollow_gateways.hpp
@@ -91,7 +91,7 @@
     HollowStatus status();
 
 private:
-    void command(const char* verb, std::size_t count);
+    void command(const char* kind, std::size_t count);
 
     std::size_t count_;
     pid_t pid_ = -1;
--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -147,7 +147,7 @@
              std::max(object->second.atMs, group->second.atMs)}};
 }
 
-void Decisions::limitByPurge(Micros now, const Request& request, Verdict& send) const {
+void Decisions::limitByPurge(Micros now, const Request& request, Decision& send) const {
     const auto purge = lastPurgeOf(request);
     if (!purge) return;
     constexpr Micros kRounding{1000};
@@ -159,7 +159,7 @@
     return duration_cast<std::chrono::milliseconds>(when + unixAhead_).count();
 }
 
-Verdict Decisions::pick(Micros now, const Request& request) {
+Decision Decisions::pick(Micros now, const Request& request) {
     lotuslead::Request asked;
     asked.id = request.id;
     asked.classIndex = request.classIndex;
@@ -171,14 +171,14 @@
     asked.write = words_.settings.classes[static_cast<std::size_t>(request.classIndex)].neverKept;
     attempts_[request.id] = 0;
     router_.handle(moduleTime(now), asked, actions_);
-    for (Verdict& verdict : collect(now))
-        if (verdict.verb != Verb::cancel) return verdict;
-    Verdict none;
+    for (Decision& decision : collect(now))
+        if (decision.kind != DecisionKind::cancel) return decision;
+    Decision none;
     none.request = request.id;
     return none;
 }
 
-std::vector<Verdict> Decisions::report(Micros now, const AttemptReport& report) {
+std::vector<Decision> Decisions::report(Micros now, const AttemptReport& report) {
     AttemptEnded ended;
     ended.request = report.request;
     ended.attempt = report.attempt;
@@ -196,13 +196,13 @@
     return collect(now);
 }
 
-std::vector<Verdict> Decisions::clientGone(Micros now, RequestId request) {
+std::vector<Decision> Decisions::clientGone(Micros now, RequestId request) {
     attempts_.erase(request);
     router_.handleClientGone(moduleTime(now), request, actions_);
     return collect(now);
 }
 
-std::vector<Verdict> Decisions::tick(Micros now) {
+std::vector<Decision> Decisions::tick(Micros now) {
     while (!timers_.empty() && timers_.begin()->first <= now) {
         const TimerId timer = timers_.begin()->second;
         timers_.erase(timers_.begin());
@@ -223,53 +223,53 @@
     return found == hosts_.end() ? ListedHost{} : found->second;
 }
 
-std::vector<Verdict> Decisions::collect(Micros now) {
-    std::vector<Verdict> verdicts;
+std::vector<Decision> Decisions::collect(Micros now) {
+    std::vector<Decision> decisions;
     const auto take = [&](const auto& action) {
         using Kind = std::decay_t<decltype(action)>;
-        Verdict verdict;
+        Decision decision;
         if constexpr (std::is_same_v<Kind, Send>) {
-            verdict.verb = Verb::send;
-            verdict.request = action.request;
-            verdict.attempt = attempts_[action.request]++;
-            verdict.host = action.host;
-            if (!action.plain && action.source != action.host) verdict.source = action.source;
-            verdict.keepRank = action.plain ? 0 : action.keepRank;
-            verdict.rank = action.rank;
-            verdict.oldest = duration_cast<Micros>(action.oldest);
+            decision.kind = DecisionKind::send;
+            decision.request = action.request;
+            decision.attempt = attempts_[action.request]++;
+            decision.host = action.host;
+            if (!action.plain && action.source != action.host) decision.source = action.source;
+            decision.keepRank = action.plain ? 0 : action.keepRank;
+            decision.rank = action.rank;
+            decision.oldest = duration_cast<Micros>(action.oldest);
             // Rounded down to nothing it would mean "any age".
-            if (action.oldest.count() > 0 && verdict.oldest.count() == 0) verdict.oldest = Micros{1};
-            verdict.join = action.join;
-            verdict.heldOnly = action.heldOnly;
-            verdict.renew = action.renew;
-            verdict.timeout = duration_cast<Micros>(action.timeout);
-            verdict.pickedAt = now;
+            if (action.oldest.count() > 0 && decision.oldest.count() == 0) decision.oldest = Micros{1};
+            decision.join = action.join;
+            decision.heldOnly = action.heldOnly;
+            decision.renew = action.renew;
+            decision.timeout = duration_cast<Micros>(action.timeout);
+            decision.pickedAt = now;
         } else if constexpr (std::is_same_v<Kind, Refuse>) {
-            verdict.verb = Verb::refuse;
-            verdict.request = action.request;
-            verdict.pause = duration_cast<Micros>(action.retryIn);
-            verdict.why = action.why;
+            decision.kind = DecisionKind::refuse;
+            decision.request = action.request;
+            decision.pause = duration_cast<Micros>(action.retryIn);
+            decision.why = action.why;
             attempts_.erase(action.request);
         } else if constexpr (std::is_same_v<Kind, Fail>) {
-            verdict.verb = Verb::fail;
-            verdict.request = action.request;
-            verdict.why = action.why;
+            decision.kind = DecisionKind::fail;
+            decision.request = action.request;
+            decision.why = action.why;
             attempts_.erase(action.request);
         } else if constexpr (std::is_same_v<Kind, Cancel>) {
-            verdict.verb = Verb::cancel;
-            verdict.request = action.request;
-            verdict.attempt = action.attempt;
+            decision.kind = DecisionKind::cancel;
+            decision.request = action.request;
+            decision.attempt = action.attempt;
         } else if constexpr (std::is_same_v<Kind, SetTimer>) {
             timers_.emplace(now + duration_cast<Micros>(action.delay) + Micros{1}, action.timer);
             return;
         } else {
             return;  // lists are pushed and nothing is probed on this deployment
         }
-        verdicts.push_back(std::move(verdict));
+        decisions.push_back(std::move(decision));
     };
     for (const Action& action : actions_) std::visit(take, action);
     actions_.clear();
-    return verdicts;
+    return decisions;
 }
 
 }  // namespace lotuslead::core
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -34,10 +34,10 @@
     std::string body;
 };
 
-enum class Verb { send, refuse, fail, cancel };
+enum class DecisionKind { send, refuse, fail, cancel };
 
-struct Verdict {
-    Verb verb = Verb::fail;
+struct Decision {
+    DecisionKind kind = DecisionKind::fail;
     RequestId request = 0;
     int attempt = 0;               // send and cancel
     Micros pause{};                // refuse: the client may come back after this
@@ -91,14 +91,14 @@
     // our wall clock may have been wrong when the process started.
     void purge(Micros now, const settings::BusEvent& event);
 
-    Verdict pick(Micros now, const Request& request);
-    std::vector<Verdict> report(Micros now, const AttemptReport& report);
-    std::vector<Verdict> clientGone(Micros now, RequestId request);
-    std::vector<Verdict> tick(Micros now);
+    Decision pick(Micros now, const Request& request);
+    std::vector<Decision> report(Micros now, const AttemptReport& report);
+    std::vector<Decision> clientGone(Micros now, RequestId request);
+    std::vector<Decision> tick(Micros now);
     Micros nextTick() const;  // Micros::max(): nothing is due
 
     // Fills in what a send has to know of purges.
-    void limitByPurge(Micros now, const Request& request, Verdict& send) const;
+    void limitByPurge(Micros now, const Request& request, Decision& send) const;
     // Whether a purge of the object or its group was told at or after this moment.
     bool purgedSince(const Request& request, Micros when) const;
     // What the list says of a host.
@@ -123,7 +123,7 @@
     // Empty where none is remembered.
     std::optional<HeardPurge> lastPurgeOf(const Request& request) const;
     Time moduleTime(Micros now) const { return now + kEpoch; }
-    std::vector<Verdict> collect(Micros now);
+    std::vector<Decision> collect(Micros now);
     void forgetOldPurges(Micros now);
     Settings shared() const;
     Time startOf(Micros now, const settings::ListedStore& store, const ListedHost& before,
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -116,7 +116,7 @@
     return checks_.allows(denial);
 }
 
-Denial Requests::denialOf(Micros now, const Job& job, const Verdict& send) const {
+Denial Requests::denialOf(Micros now, const Job& job, const Decision& send) const {
     SendFacts facts;
     facts.answered = job.answered;
     facts.now = now;
@@ -134,50 +134,50 @@
     return {listed.zone, listed.cell};
 }
 
-void Requests::follow(Micros now, std::vector<Verdict> verdicts) {
+void Requests::follow(Micros now, std::vector<Decision> decisions) {
     // Each verdict may lead to further ones; they are taken in the order in which they came.
-    for (std::size_t i = 0; i < verdicts.size(); ++i) {
-        Verdict verdict = std::move(verdicts[i]);
-        const auto found = jobs_.find(verdict.request);
+    for (std::size_t i = 0; i < decisions.size(); ++i) {
+        Decision decision = std::move(decisions[i]);
+        const auto found = jobs_.find(decision.request);
         if (found == jobs_.end()) continue;
         Job& job = found->second;
-        if (verdict.verb == Verb::cancel) {
-            if (!job.out || job.send.attempt != verdict.attempt) continue;
-            const bool unwritten = carrier_.cancel(now, verdict.request, verdict.attempt);
+        if (decision.kind == DecisionKind::cancel) {
+            if (!job.out || job.send.attempt != decision.attempt) continue;
+            const bool unwritten = carrier_.cancel(now, decision.request, decision.attempt);
             ++counters_.cancelled;
-            for (Verdict& next :
+            for (Decision& next :
                  close(now, job, {.outcome = unwritten ? Outcome::notSent : Outcome::cancelled}))
-                verdicts.push_back(std::move(next));
-            forgetIfDone(verdict.request);
+                decisions.push_back(std::move(next));
+            forgetIfDone(decision.request);
         } else if (job.answered) {
             continue;
-        } else if (verdict.verb == Verb::send) {
-            for (Verdict& next : begin(now, job, std::move(verdict))) verdicts.push_back(std::move(next));
+        } else if (decision.kind == DecisionKind::send) {
+            for (Decision& next : begin(now, job, std::move(decision))) decisions.push_back(std::move(next));
         } else {
-            giveUp(now, job, verdict);
-            forgetIfDone(verdict.request);
+            giveUp(now, job, decision);
+            forgetIfDone(decision.request);
         }
     }
 }
 
-void Requests::giveUp(Micros now, Job& job, const Verdict& verdict) {
+void Requests::giveUp(Micros now, Job& job, const Decision& decision) {
     const bool mayHave = job.out || job.earlier.has_value();
-    const bool refused = verdict.verb == Verb::refuse &&
+    const bool refused = decision.kind == DecisionKind::refuse &&
                          checks_.require(mayRefuse(job.rules, mayHave), "refusal", job.request.label);
-    ++counters_.gaveUp[static_cast<std::size_t>(verdict.why)];
+    ++counters_.gaveUp[static_cast<std::size_t>(decision.why)];
     if (Trace::on())
         Trace::write("give_up", {{"request", job.request.label},
                                  {"word", refused ? "refused" : "failed"},
-                                 {"why", nameOf(verdict.why)}});
+                                 {"why", nameOf(decision.why)}});
     Reply reply;
     reply.word = refused ? Reply::Word::refused : Reply::Word::failed;
-    reply.pause = verdict.pause;
+    reply.pause = decision.pause;
     reply.late = now >= job.request.deadline;
     reply.last = job.last;
     finish(job, std::move(reply));
 }
 
-std::vector<Verdict> Requests::begin(Micros now, Job& job, Verdict&& send) {
+std::vector<Decision> Requests::begin(Micros now, Job& job, Decision&& send) {
     const Denial denial = job.out ? Denial::attemptOut : denialOf(now, job, send);
     if (denial == Denial::attemptOut) {
         checks_.require(denial, "send", job.request.label);
@@ -204,7 +204,7 @@
     return {};
 }
 
-std::vector<Verdict> Requests::close(Micros now, Job& job, AttemptReport report) {
+std::vector<Decision> Requests::close(Micros now, Job& job, AttemptReport report) {
     job.out = false;
     job.last = report.outcome;
     if (mayHaveRun(report.outcome) && !job.earlier) job.earlier = EarlierRun{job.sentAt, job.sentTo};
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -47,7 +47,7 @@
 class Carrier {
 public:
     virtual ~Carrier() = default;
-    virtual void send(Micros now, const Request& request, const Verdict& send) = 0;
+    virtual void send(Micros now, const Request& request, const Decision& send) = 0;
     // Gives the attempt up; its outcome is not told any more. True: not a byte of it was written.
     virtual bool cancel(Micros now, RequestId request, int attempt) = 0;
 };
@@ -95,7 +95,7 @@
         Request request;
         ClassSettings rules;  // as they were when it was taken
         Answer answer;
-        Verdict send;
+        Decision send;
         Micros sentAt{};
         bool out = false;  // an attempt is
         bool answered = false;
@@ -104,13 +104,13 @@
         std::optional<EarlierRun> earlier;
     };
 
-    void follow(Micros now, std::vector<Verdict> verdicts);
-    std::vector<Verdict> begin(Micros now, Job& job, Verdict&& send);
-    Denial denialOf(Micros now, const Job& job, const Verdict& send) const;
+    void follow(Micros now, std::vector<Decision> decisions);
+    std::vector<Decision> begin(Micros now, Job& job, Decision&& send);
+    Denial denialOf(Micros now, const Job& job, const Decision& send) const;
     Locality localityOf(const std::string& host) const;
-    void giveUp(Micros now, Job& job, const Verdict& verdict);
+    void giveUp(Micros now, Job& job, const Decision& decision);
     void finish(Job& job, Reply&& reply);
-    std::vector<Verdict> close(Micros now, Job& job, AttemptReport report);
+    std::vector<Decision> close(Micros now, Job& job, AttemptReport report);
     void forgetIfDone(RequestId request);
 
     Decisions& decisions_;
--- a/src/disk/before.cpp
+++ b/src/disk/before.cpp
@@ -64,7 +64,7 @@
 }
 
 // Rounded down: a copy that is younger in whole milliseconds is younger.
-std::int64_t Before::oldestMs(const core::Request& request, const core::Verdict& send) const {
+std::int64_t Before::oldestMs(const core::Request& request, const core::Decision& send) const {
     const ClassSettings& c = classes_->at(static_cast<std::size_t>(request.classIndex));
     std::int64_t oldest = msOf(std::chrono::duration_cast<Micros>(c.freshFor));
     if (send.oldest.count() > 0) {
@@ -74,7 +74,7 @@
     return oldest;
 }
 
-void Before::send(Micros now, const core::Request& request, const core::Verdict& send) {
+void Before::send(Micros now, const core::Request& request, const core::Decision& send) {
     if (!keeps(request)) return inner_.send(now, request, send);
     now_ = now;
     const bool inParts = classes_->at(static_cast<std::size_t>(request.classIndex)).inParts;
@@ -90,7 +90,7 @@
     reading_.insert_or_assign(id, Reading{&request, send, std::move(key), ticket, until});
 }
 
-void Before::pass(Micros now, const core::Request& request, const core::Verdict& send, Key key) {
+void Before::pass(Micros now, const core::Request& request, const core::Decision& send, Key key) {
     out_.insert_or_assign(request.id, Out{std::move(key), send.attempt, send.rank});
     inner_.send(now, request, send);
 }
--- a/src/disk/before.hpp
+++ b/src/disk/before.hpp
@@ -41,7 +41,7 @@
     void use(Tier* tier, const settings::DiskSettings& settings, const Pacer& pacer);
     void reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t form, const Pacer& pacer);
 
-    void send(Micros now, const core::Request& request, const core::Verdict& send) override;
+    void send(Micros now, const core::Request& request, const core::Decision& send) override;
     bool cancel(Micros now, RequestId request, int attempt) override;
     // From the inner carrier.
     void ended(Micros now, core::AttemptEnd end);
@@ -55,7 +55,7 @@
 private:
     struct Reading {
         const core::Request* request;  // lives at least as long as the attempt is out
-        core::Verdict send;
+        core::Decision send;
         Key key;
         std::uint64_t ticket = 0;
         Micros until{};
@@ -67,8 +67,8 @@
     };
 
     bool keeps(const core::Request& request) const;
-    std::int64_t oldestMs(const core::Request& request, const core::Verdict& send) const;
-    void pass(Micros now, const core::Request& request, const core::Verdict& send, Key key);
+    std::int64_t oldestMs(const core::Request& request, const core::Decision& send) const;
+    void pass(Micros now, const core::Request& request, const core::Decision& send, Key key);
     void found(RequestId id, std::optional<Copy> copy);
 
     core::Carrier& inner_;
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -528,13 +528,13 @@
         found->second.answeredWrittenAt = std::max(found->second.answeredWrittenAt, writtenAt);
 }
 
-void Stores::send(Micros, const core::Request& request, const core::Verdict& send) {
+void Stores::send(Micros, const core::Request& request, const core::Decision& send) {
     places_[request.id] = {{}, send.attempt};
     carry({&request, send});
 }
 
 void Stores::carry(Waiting waiting) {
-    const core::Verdict& send = waiting.send;
+    const core::Decision& send = waiting.send;
     const auto place = places_.find(send.request);
     // Taken back meanwhile; its request may be gone, too.
     if (place == places_.end() || place->second.attempt != send.attempt) return;
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -36,7 +36,7 @@
     void reconfigure(const settings::Configuration& configuration);
     void share(int processes);  // of the descriptors
 
-    void send(core::Micros now, const core::Request& request, const core::Verdict& send) override;
+    void send(core::Micros now, const core::Request& request, const core::Decision& send) override;
     bool cancel(core::Micros now, RequestId request, int attempt) override;
 
     const Counters& counters() const { return counters_; }
@@ -53,7 +53,7 @@
     };
     struct Waiting {
         const core::Request* request;  // lives at least as long as the attempt is out
-        core::Verdict send;
+        core::Decision send;
         int moves = 0;  // to other connections
     };
     struct Place {
--- a/src/platform/store_protocol.hpp
+++ b/src/platform/store_protocol.hpp
@@ -39,7 +39,7 @@
     return std::nullopt;
 }
 
-inline std::string fieldsOf(const core::Request& request, const core::Verdict& send, core::Micros left) {
+inline std::string fieldsOf(const core::Request& request, const core::Decision& send, core::Micros left) {
     const auto ms = [](core::Micros t) { return static_cast<std::int64_t>(t.count() / 1000); };
     FieldWriter fields;
     fields.add("profile", request.className);
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -273,7 +273,7 @@
         for (const Waiting& w : std::exchange(server.waiting, {})) tell(w, Outcome::noConnection, blameless);
 }
 
-void Upstreams::send(Micros, const core::Request& request, const core::Verdict& send) {
+void Upstreams::send(Micros, const core::Request& request, const core::Decision& send) {
     out_[request.id] = send.attempt;
     servers_[send.host].waiting.push_back({&request, send});
     serveWaiting(send.host);
@@ -326,7 +326,7 @@
     return false;
 }
 
-std::string Upstreams::wordsFor(const core::Request& request, const core::Verdict& send) {
+std::string Upstreams::wordsFor(const core::Request& request, const core::Decision& send) {
     const Server& server = servers_[send.host];
     std::string words = "GET " + request.object + " HTTP/1.1\r\nHost: " + server.address + "\r\n";
     if (configuration_.base.words.settings.classes[static_cast<std::size_t>(request.classIndex)].inParts) {
--- a/src/repository/upstreams.hpp
+++ b/src/repository/upstreams.hpp
@@ -37,7 +37,7 @@
     void list(const settings::BusEvent& event);
     void share(int) {}  // its connections are few: kMostLinks to a server
     void reconfigure(const settings::RepositoryConfiguration& configuration);
-    void send(core::Micros now, const core::Request& request, const core::Verdict& send) override;
+    void send(core::Micros now, const core::Request& request, const core::Decision& send) override;
     bool cancel(core::Micros now, RequestId request, int attempt) override;
 
     const Counters& counters() const { return counters_; }
@@ -46,7 +46,7 @@
     class Link;
     struct Waiting {
         const core::Request* request;  // lives at least as long as the attempt is out
-        core::Verdict send;
+        core::Decision send;
     };
     struct Server {
         std::string address;
@@ -57,7 +57,7 @@
     };
 
     void serveWaiting(const std::string& host);
-    std::string wordsFor(const core::Request& request, const core::Verdict& send);
+    std::string wordsFor(const core::Request& request, const core::Decision& send);
     void tell(core::AttemptEnd end);
     void tell(const Waiting& waiting, Outcome outcome, bool blameless = false);
     void drop(const std::string& host, Link* link, bool blameless);
