--- a/bench/scale/hollow_gateways.cpp
+++ b/bench/scale/hollow_gateways.cpp
@@ -98,7 +98,7 @@
     std::size_t index_;
     ApplyTimes& times_;
     net::Micros startedAt_;
-    core::Decisions decisions_;
+    core::DecisionFacade decisions_;
     platform::BusReader reader_;
     std::vector<bool> known_;
     std::size_t knownCount_ = 0;
--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -19,31 +19,31 @@
 
 }  // namespace
 
-Decisions::Decisions(settings::Vocabulary words, std::uint64_t seed, Micros now, Micros unixAhead)
+DecisionFacade::DecisionFacade(settings::Vocabulary words, std::uint64_t seed, Micros now, Micros unixAhead)
     : words_(withoutSecondCopies(std::move(words))), router_(words_.settings, seed), unixAhead_(unixAhead) {
     router_.start(moduleTime(now), actions_);
     collect(now);
 }
 
-void Decisions::reconfigure(settings::Vocabulary words) {
+void DecisionFacade::reconfigure(settings::Vocabulary words) {
     words_ = withoutSecondCopies(std::move(words));
     router_.reconfigure(shared());
 }
 
-void Decisions::share(int processes) {
+void DecisionFacade::share(int processes) {
     if (processes == std::exchange(processes_, processes)) return;
     router_.reconfigure(shared());
 }
 
 // To the module the processes of a gateway are so many routers.
-Settings Decisions::shared() const {
+Settings DecisionFacade::shared() const {
     Settings settings = words_.settings;
     settings.routers = std::max(1, settings.routers) * processes_;
     for (int& routers : settings.routersByZone) routers *= processes_;
     return settings;
 }
 
-nlohmann::json Decisions::handOver(Micros now) {
+nlohmann::json DecisionFacade::handOver(Micros now) {
     using nlohmann::json;
     const Warmth known = router_.warmth(moduleTime(now));
     json work = json::object(), objects = json::array(), hosts = json::object();
@@ -56,7 +56,7 @@
 }
 
 // Both read the same machine's monotonic clock.
-void Decisions::takeOver(Micros now, const nlohmann::json& known) {
+void DecisionFacade::takeOver(Micros now, const nlohmann::json& known) {
     Warmth warmth;
     const auto time = [](const nlohmann::json& value) { return Time{value.get<std::int64_t>()}; };
     warmth.startedAt = time(known.at("startedAt"));
@@ -73,8 +73,8 @@
 // The list's clock and ours may be far apart: ours is read once, at the start, and may have been stepped.
 // What it can't be is kept out: a start that is still to come, and one of long ago that is news now. Either
 // counts as a start of this moment, which is the stricter end.
-Time Decisions::startOf(Micros now, const settings::ListedStore& store, const ListedHost& before,
-                        bool heardLive) const {
+Time DecisionFacade::startOf(Micros now, const settings::ListedStore& store, const ListedHost& before,
+                             bool heardLive) const {
     constexpr std::chrono::minutes kLongAgo{1};
     if (store.sinceMs <= 0) return Time{0};
     if (store.sinceMs == before.sinceMs) return before.startedAt;
@@ -83,7 +83,7 @@
     return std::max(Time{1}, moduleTime(impossible ? now : told));
 }
 
-void Decisions::list(Micros now, const settings::BusEvent& event, bool heardLive) {
+void DecisionFacade::list(Micros now, const settings::BusEvent& event, bool heardLive) {
     HostList list;
     list.whole = event.whole;
     // A whole list names hosts that stay.
@@ -112,7 +112,7 @@
     collect(now);
 }
 
-void Decisions::purge(Micros now, const settings::BusEvent& event) {
+void DecisionFacade::purge(Micros now, const settings::BusEvent& event) {
     Purge purge;
     purge.object = event.purgedObject.empty() ? 0 : fingerprint(event.purgedObject);
     purge.group = event.purgedGroup;
@@ -127,7 +127,7 @@
 
 // No send waits longer than its request may, so older purges are known to every pick that still counts; and
 // the module has forgotten them.
-void Decisions::forgetOldPurges(Micros now) {
+void DecisionFacade::forgetOldPurges(Micros now) {
     constexpr std::chrono::minutes kLongEnough{2};
     const Micros kept = kLongEnough + 2 * duration_cast<Micros>(words_.settings.purgeSettles);
     if (now - purgesSwept_ < kLongEnough) return;
@@ -137,7 +137,7 @@
     std::erase_if(groupPurges_, old);
 }
 
-std::optional<Decisions::HeardPurge> Decisions::lastPurgeOf(const Request& request) const {
+std::optional<DecisionFacade::HeardPurge> DecisionFacade::lastPurgeOf(const Request& request) const {
     const auto object = objectPurges_.find(request.object);
     const auto group = groupPurges_.find(request.group);
     if (object == objectPurges_.end() && group == groupPurges_.end()) return {};
@@ -147,7 +147,7 @@
              std::max(object->second.atMs, group->second.atMs)}};
 }
 
-void Decisions::limitByPurge(Micros now, const Request& request, Decision& send) const {
+void DecisionFacade::limitByPurge(Micros now, const Request& request, Decision& send) const {
     const auto purge = lastPurgeOf(request);
     if (!purge) return;
     constexpr Micros kRounding{1000};
@@ -155,11 +155,11 @@
     send.oldestByPurge = send.oldest + kRounding >= now - purge->heardAt;
 }
 
-std::int64_t Decisions::unixMsOf(Micros when) const {
+std::int64_t DecisionFacade::unixMsOf(Micros when) const {
     return duration_cast<std::chrono::milliseconds>(when + unixAhead_).count();
 }
 
-Decision Decisions::pick(Micros now, const Request& request) {
+Decision DecisionFacade::pick(Micros now, const Request& request) {
     lotuslead::Request asked;
     asked.id = request.id;
     asked.classIndex = request.classIndex;
@@ -178,7 +178,7 @@
     return none;
 }
 
-std::vector<Decision> Decisions::report(Micros now, const AttemptReport& report) {
+std::vector<Decision> DecisionFacade::report(Micros now, const AttemptReport& report) {
     AttemptEnded ended;
     ended.request = report.request;
     ended.attempt = report.attempt;
@@ -196,13 +196,13 @@
     return collect(now);
 }
 
-std::vector<Decision> Decisions::clientGone(Micros now, RequestId request) {
+std::vector<Decision> DecisionFacade::clientGone(Micros now, RequestId request) {
     attempts_.erase(request);
     router_.handleClientGone(moduleTime(now), request, actions_);
     return collect(now);
 }
 
-std::vector<Decision> Decisions::tick(Micros now) {
+std::vector<Decision> DecisionFacade::tick(Micros now) {
     while (!timers_.empty() && timers_.begin()->first <= now) {
         const TimerId timer = timers_.begin()->second;
         timers_.erase(timers_.begin());
@@ -211,19 +211,19 @@
     return collect(now);
 }
 
-Micros Decisions::nextTick() const { return timers_.empty() ? Micros::max() : timers_.begin()->first; }
+Micros DecisionFacade::nextTick() const { return timers_.empty() ? Micros::max() : timers_.begin()->first; }
 
-bool Decisions::purgedSince(const Request& request, Micros when) const {
+bool DecisionFacade::purgedSince(const Request& request, Micros when) const {
     const auto purge = lastPurgeOf(request);
     return purge && purge->heardAt >= when;
 }
 
-Decisions::ListedHost Decisions::hostOf(const std::string& name) const {
+DecisionFacade::ListedHost DecisionFacade::hostOf(const std::string& name) const {
     const auto found = hosts_.find(name);
     return found == hosts_.end() ? ListedHost{} : found->second;
 }
 
-std::vector<Decision> Decisions::collect(Micros now) {
+std::vector<Decision> DecisionFacade::collect(Micros now) {
     std::vector<Decision> decisions;
     const auto take = [&](const auto& action) {
         using Kind = std::decay_t<decltype(action)>;
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -71,10 +71,10 @@
     bool answered = false;  // by a copy of the gateway's own: the request is closed, and no host was asked
 };
 
-class Decisions {
+class DecisionFacade {
 public:
     // `unixAhead` is what the Unix clock shows beyond the monotonic one, fixed for the life of the process.
-    Decisions(settings::Vocabulary words, std::uint64_t seed, Micros now, Micros unixAhead);
+    DecisionFacade(settings::Vocabulary words, std::uint64_t seed, Micros now, Micros unixAhead);
 
     const settings::Vocabulary& words() const { return words_; }
     // In place of those before, of which they are the continuation (settings::continued).
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -130,7 +130,7 @@
 }
 
 Locality Requests::localityOf(const std::string& host) const {
-    const Decisions::ListedHost listed = decisions_.hostOf(host);
+    const DecisionFacade::ListedHost listed = decisions_.hostOf(host);
     return {listed.zone, listed.cell};
 }
 
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -73,7 +73,7 @@
     // platform's rule counts from the send; a front that promises more has such answers fetched anew.
     enum class PurgedMeanwhile { serve, fetchAnew };
 
-    Requests(Decisions& decisions, Carrier& carrier, PurgedMeanwhile purged = PurgedMeanwhile::serve)
+    Requests(DecisionFacade& decisions, Carrier& carrier, PurgedMeanwhile purged = PurgedMeanwhile::serve)
         : decisions_(decisions), carrier_(carrier), purged_(purged) {}
 
     void take(Micros now, Request request, Answer answer);
@@ -113,7 +113,7 @@
     std::vector<Decision> close(Micros now, Job& job, AttemptReport report);
     void forgetIfDone(RequestId request);
 
-    Decisions& decisions_;
+    DecisionFacade& decisions_;
     Carrier& carrier_;
     PurgedMeanwhile purged_;
     std::unordered_map<RequestId, Job> jobs_;
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -167,7 +167,7 @@
     Configuration configuration_;
     const char* opened_;
     Carrier carrier_;
-    core::Decisions decisions_;
+    core::DecisionFacade decisions_;
     disk::Before before_;
     core::Requests requests_;
     Front front_;
