--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-void Requests::take(Micros now, Request request, Answer answer) {
+void RequestDispatcher::take(Micros now, Request request, Answer answer) {
     const RequestId id = request.id;
     Job& job = jobs_[id];
     job.request = std::move(request);
@@ -43,7 +43,7 @@
     follow(now, {decisions_.pick(now, job.request)});
 }
 
-void Requests::withdraw(Micros now, RequestId id) {
+void RequestDispatcher::withdraw(Micros now, RequestId id) {
     const auto found = jobs_.find(id);
     if (found == jobs_.end() || found->second.answered) return;
     found->second.answered = true;
@@ -55,7 +55,7 @@
     forgetIfDone(id);
 }
 
-void Requests::ended(Micros now, AttemptEnd end) {
+void RequestDispatcher::ended(Micros now, AttemptEnd end) {
     const auto found = jobs_.find(end.request);
     // A late word on an attempt that was given up is nobody's any more.
     if (found == jobs_.end() || !found->second.out || found->second.send.attempt != end.attempt) return;
@@ -87,7 +87,7 @@
     forgetIfDone(end.request);
 }
 
-void Requests::turn(Micros now) {
+void RequestDispatcher::turn(Micros now) {
     follow(now, decisions_.tick(now));
     // Machines that went silent never reset: only this clock ends their attempts.
     while (!timeouts_.empty() && std::get<0>(*timeouts_.begin()) <= now) {
@@ -99,12 +99,12 @@
     }
 }
 
-Micros Requests::nextTurn() const {
+Micros RequestDispatcher::nextTurn() const {
     const Micros timeout = timeouts_.empty() ? Micros::max() : std::get<0>(*timeouts_.begin());
     return std::min(timeout, decisions_.nextTick());
 }
 
-bool Requests::mayBegin(Micros now, RequestId id, int attempt) {
+bool RequestDispatcher::mayBegin(Micros now, RequestId id, int attempt) {
     const auto found = jobs_.find(id);
     if (found == jobs_.end() || !found->second.out || found->second.send.attempt != attempt) return false;
     const Job& job = found->second;
@@ -116,7 +116,7 @@
     return checks_.allows(denial);
 }
 
-Denial Requests::denialOf(Micros now, const Job& job, const Decision& send) const {
+Denial RequestDispatcher::denialOf(Micros now, const Job& job, const Decision& send) const {
     SendFacts facts;
     facts.answered = job.answered;
     facts.now = now;
@@ -129,12 +129,12 @@
     return maySend(job.rules, facts, job.earlier);
 }
 
-Locality Requests::localityOf(const std::string& host) const {
+Locality RequestDispatcher::localityOf(const std::string& host) const {
     const DecisionFacade::ListedHost listed = decisions_.hostOf(host);
     return {listed.zone, listed.cell};
 }
 
-void Requests::follow(Micros now, std::vector<Decision> decisions) {
+void RequestDispatcher::follow(Micros now, std::vector<Decision> decisions) {
     // Each verdict may lead to further ones; they are taken in the order in which they came.
     for (std::size_t i = 0; i < decisions.size(); ++i) {
         Decision decision = std::move(decisions[i]);
@@ -160,7 +160,7 @@
     }
 }
 
-void Requests::giveUp(Micros now, Job& job, const Decision& decision) {
+void RequestDispatcher::giveUp(Micros now, Job& job, const Decision& decision) {
     const bool mayHave = job.out || job.earlier.has_value();
     const bool refused = decision.kind == DecisionKind::refuse &&
                          checks_.require(mayRefuse(job.rules, mayHave), "refusal", job.request.label);
@@ -177,7 +177,7 @@
     finish(job, std::move(reply));
 }
 
-std::vector<Decision> Requests::begin(Micros now, Job& job, Decision&& send) {
+std::vector<Decision> RequestDispatcher::begin(Micros now, Job& job, Decision&& send) {
     const Denial denial = job.out ? Denial::attemptOut : denialOf(now, job, send);
     if (denial == Denial::attemptOut) {
         checks_.require(denial, "send", job.request.label);
@@ -204,7 +204,7 @@
     return {};
 }
 
-std::vector<Decision> Requests::close(Micros now, Job& job, AttemptReport report) {
+std::vector<Decision> RequestDispatcher::close(Micros now, Job& job, AttemptReport report) {
     job.out = false;
     job.last = report.outcome;
     if (mayHaveRun(report.outcome) && !job.earlier) job.earlier = EarlierRun{job.sentAt, job.sentTo};
@@ -224,7 +224,7 @@
     return decisions_.report(now, report);
 }
 
-void Requests::finish(Job& job, Reply&& reply) {
+void RequestDispatcher::finish(Job& job, Reply&& reply) {
     if (!checks_.require(mayAnswer({.answered = job.answered}), "answer", job.request.label)) return;
     job.answered = true;
     --open_;
@@ -239,7 +239,7 @@
     if (answer) answer(job.request.id, std::move(reply));
 }
 
-void Requests::forgetIfDone(RequestId id) {
+void RequestDispatcher::forgetIfDone(RequestId id) {
     const auto found = jobs_.find(id);
     if (found != jobs_.end() && found->second.answered && !found->second.out) jobs_.erase(found);
 }
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -42,8 +42,8 @@
     Payload payload;
 };
 
-// Whoever carries attempts to the hosts. Outcomes come back by Requests::ended, never from within these
-// calls.
+// Whoever carries attempts to the hosts. Outcomes come back by RequestDispatcher::attemptEnded, never from
+// within these calls.
 class Carrier {
 public:
     virtual ~Carrier() = default;
@@ -65,7 +65,7 @@
     std::array<std::uint64_t, kGiveUps> gaveUp{};     // refused or failed without an answer, by GiveUp
 };
 
-class Requests {
+class RequestDispatcher {
 public:
     using Answer = std::function<void(RequestId, Reply&&)>;
 
@@ -73,7 +73,8 @@
     // platform's rule counts from the send; a front that promises more has such answers fetched anew.
     enum class PurgedMeanwhile { serve, fetchAnew };
 
-    Requests(DecisionFacade& decisions, Carrier& carrier, PurgedMeanwhile purged = PurgedMeanwhile::serve)
+    RequestDispatcher(DecisionFacade& decisions, Carrier& carrier,
+                      PurgedMeanwhile purged = PurgedMeanwhile::serve)
         : decisions_(decisions), carrier_(carrier), purged_(purged) {}
 
     void take(Micros now, Request request, Answer answer);
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -57,7 +57,7 @@
     std::fprintf(stderr, "%s\n", text.c_str());
 }
 
-inline void printRequestCounters(const std::string& name, const Requests& requests) {
+inline void printRequestCounters(const std::string& name, const RequestDispatcher& requests) {
     const Counters& r = requests.counters();
     printFigures(name, "requests",
                  {{"taken", r.taken},
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -418,7 +418,7 @@
     net::Stream stream_;
 };
 
-Front::Front(net::Loop& loop, core::Requests& requests, const settings::Configuration& configuration)
+Front::Front(net::Loop& loop, core::RequestDispatcher& requests, const settings::Configuration& configuration)
     : loop_(loop),
       requests_(requests),
       words_(configuration.words),
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -26,7 +26,7 @@
                       checks = 0, drained = 0, drainRefused = 0, endedByClient = 0, reset = 0;
     };
 
-    Front(net::Loop& loop, core::Requests& requests, const settings::Configuration& configuration);
+    Front(net::Loop& loop, core::RequestDispatcher& requests, const settings::Configuration& configuration);
     ~Front();
 
     void open();  // starts to listen
@@ -74,7 +74,7 @@
     std::unique_ptr<net::Listener> listenOn(const settings::Endpoint& address);
 
     net::Loop& loop_;
-    core::Requests& requests_;
+    core::RequestDispatcher& requests_;
     const settings::Vocabulary& words_;
     settings::Endpoint address_;
     settings::Limits limits_;
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -135,8 +135,8 @@
     }
 
 protected:
-    FrontService(net::Loop& loop, Source source, const char* opened, core::Requests::PurgedMeanwhile purged,
-                 disk::FrontForm form)
+    FrontService(net::Loop& loop, Source source, const char* opened,
+                 core::RequestDispatcher::PurgedMeanwhile purged, disk::FrontForm form)
         : loop_(loop),
           source_(std::move(source)),
           configuration_(source_()),
@@ -169,7 +169,7 @@
     Carrier carrier_;
     core::DecisionFacade decisions_;
     disk::Before before_;
-    core::Requests requests_;
+    core::RequestDispatcher requests_;
     Front front_;
 
 private:
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -470,7 +470,7 @@
     net::Stream stream_;
 };
 
-Front::Front(net::Loop& loop, core::Requests& requests,
+Front::Front(net::Loop& loop, core::RequestDispatcher& requests,
              const settings::RepositoryConfiguration& configuration)
     : loop_(loop), requests_(requests), configuration_(configuration), former_(loop) {
     takeLimits(configuration.base.limits);
--- a/src/repository/front.hpp
+++ b/src/repository/front.hpp
@@ -23,7 +23,8 @@
                       halfRequests = 0;
     };
 
-    Front(net::Loop& loop, core::Requests& requests, const settings::RepositoryConfiguration& configuration);
+    Front(net::Loop& loop, core::RequestDispatcher& requests,
+          const settings::RepositoryConfiguration& configuration);
     ~Front();
 
     void open();
@@ -60,7 +61,7 @@
     std::unique_ptr<net::Listener> listenOn(const settings::Endpoint& address);
 
     net::Loop& loop_;
-    core::Requests& requests_;
+    core::RequestDispatcher& requests_;
     const settings::RepositoryConfiguration& configuration_;
     std::size_t mostClients_ = 0;
     int processes_ = 1;
--- a/src/repository/service.cpp
+++ b/src/repository/service.cpp
@@ -31,7 +31,8 @@
 }  // namespace
 
 Service::Service(net::Loop& loop, Source source)
-    : FrontService(loop, std::move(source), "repository front", core::Requests::PurgedMeanwhile::fetchAnew,
+    : FrontService(loop, std::move(source), "repository front",
+                   core::RequestDispatcher::PurgedMeanwhile::fetchAnew,
                    {storable, versionOf, nullptr, true}) {}
 
 void Service::printOwnCounters(const std::string& name) const {
