--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -93,7 +93,7 @@
     while (!timeouts_.empty() && std::get<0>(*timeouts_.begin()) <= now) {
         const auto [at, id, attempt] = *timeouts_.begin();
         Job& job = jobs_.at(id);
-        const bool unwritten = carrier_.cancel(now, id, attempt);
+        const bool unwritten = transport_.cancel(now, id, attempt);
         follow(now, close(now, job, {.outcome = unwritten ? Outcome::notSent : Outcome::timedOut}));
         forgetIfDone(id);
     }
@@ -143,7 +143,7 @@
         Job& job = found->second;
         if (decision.kind == DecisionKind::cancel) {
             if (!job.out || job.send.attempt != decision.attempt) continue;
-            const bool unwritten = carrier_.cancel(now, decision.request, decision.attempt);
+            const bool unwritten = transport_.cancel(now, decision.request, decision.attempt);
             ++counters_.cancelled;
             for (Decision& next :
                  close(now, job, {.outcome = unwritten ? Outcome::notSent : Outcome::cancelled}))
@@ -200,7 +200,7 @@
                               {"attempt", std::to_string(job.send.attempt)},
                               {"host", job.send.host},
                               {"source", job.send.source}});
-    carrier_.send(now, job.request, job.send);
+    transport_.send(now, job.request, job.send);
     return {};
 }
 
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -44,9 +44,9 @@
 
 // Whoever carries attempts to the hosts. Outcomes come back by RequestDispatcher::attemptEnded, never from
 // within these calls.
-class Carrier {
+class AttemptTransport {
 public:
-    virtual ~Carrier() = default;
+    virtual ~AttemptTransport() = default;
     virtual void send(Micros now, const Request& request, const Decision& send) = 0;
     // Gives the attempt up; its outcome is not told any more. True: not a byte of it was written.
     virtual bool cancel(Micros now, RequestId request, int attempt) = 0;
@@ -73,9 +73,9 @@
     // platform's rule counts from the send; a front that promises more has such answers fetched anew.
     enum class PurgedMeanwhile { serve, fetchAnew };
 
-    RequestDispatcher(DecisionFacade& decisions, Carrier& carrier,
+    RequestDispatcher(DecisionFacade& decisions, AttemptTransport& transport,
                       PurgedMeanwhile purged = PurgedMeanwhile::serve)
-        : decisions_(decisions), carrier_(carrier), purged_(purged) {}
+        : decisions_(decisions), transport_(transport), purged_(purged) {}
 
     void take(Micros now, Request request, Answer answer);
     void withdraw(Micros now, RequestId request);  // the client has gone: no answer is owed
@@ -115,7 +115,7 @@
     void forgetIfDone(RequestId request);
 
     DecisionFacade& decisions_;
-    Carrier& carrier_;
+    AttemptTransport& transport_;
     PurgedMeanwhile purged_;
     std::unordered_map<RequestId, Job> jobs_;
     std::set<std::tuple<Micros, RequestId, int>> timeouts_;
--- a/src/disk/before.hpp
+++ b/src/disk/before.hpp
@@ -26,14 +26,14 @@
     bool datedHere = false;  // copies are dated by this gateway's wall clock, not by their origin's
 };
 
-class Before : public core::Carrier {
+class Before : public core::AttemptTransport {
 public:
     using Micros = core::Micros;
     struct Counters {
         std::uint64_t asked = 0, served = 0, unchanged = 0, slowReads = 0, linkFull = 0;
     };
 
-    Before(core::Carrier& inner, Micros unixAhead, FrontForm form)
+    Before(core::AttemptTransport& inner, Micros unixAhead, FrontForm form)
         : inner_(inner), unixAhead_(unixAhead), form_(std::move(form)) {}
 
     void listen(std::function<void(core::AttemptEnd)> ended) { ended_ = std::move(ended); }
@@ -71,7 +71,7 @@
     void pass(Micros now, const core::Request& request, const core::Decision& send, Key key);
     void found(RequestId id, std::optional<Copy> copy);
 
-    core::Carrier& inner_;
+    core::AttemptTransport& inner_;
     Micros unixAhead_;
     FrontForm form_;
     std::function<void(core::AttemptEnd)> ended_;
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -32,7 +32,7 @@
 inline std::uint64_t formOf(const settings::Configuration&) { return 0; }
 inline std::uint64_t formOf(const settings::RepositoryConfiguration& c) { return c.partBytes; }
 
-template <class Configuration, class Front, class Carrier>
+template <class Configuration, class Front, class Transport>
 class FrontService : public core::Service, private net::Handler {
 public:
     using Source = std::function<Configuration()>;  // throws settings::Malformed
@@ -72,7 +72,7 @@
             const settings::BusBatch known = settings::readBatch(baseOf(fresh).known);
             continueFrom(configuration_, fresh);
             front_.reconfigure(fresh);
-            carrier_.reconfigure(fresh);
+            transport_.reconfigure(fresh);
             decisions_.reconfigure(baseOf(fresh).words);
             configuration_ = std::move(fresh);
             reloadTier(freshDisk);
@@ -108,7 +108,7 @@
     bool deserted() const override { return front_.deserted(); }
     void share(int processes) override {
         front_.share(processes);
-        carrier_.share(processes);
+        transport_.share(processes);
         decisions_.share(processes);
     }
     void lastCall() override { front_.lastCall(); }
@@ -141,17 +141,17 @@
           source_(std::move(source)),
           configuration_(source_()),
           opened_(opened),
-          carrier_(loop_, configuration_),
+          transport_(loop_, configuration_),
           decisions_(baseOf(configuration_).words, baseOf(configuration_).seed, loop_.now(),
                      core::unixAhead()),
-          before_(carrier_, core::unixAhead(), std::move(form)),
+          before_(transport_, core::unixAhead(), std::move(form)),
           requests_(decisions_, before_, purged),
           front_(loop_, requests_, configuration_),
           bus_(loop_, [this](const settings::BusEvent& event) { apply(event); }) {
-        carrier_.listen({[this](RequestId request, int attempt) {
-                             return requests_.mayBegin(loop_.now(), request, attempt);
-                         },
-                         [this](core::AttemptEnd end) { before_.ended(loop_.now(), std::move(end)); }});
+        transport_.listen({[this](RequestId request, int attempt) {
+                               return requests_.mayBegin(loop_.now(), request, attempt);
+                           },
+                           [this](core::AttemptEnd end) { before_.ended(loop_.now(), std::move(end)); }});
         before_.listen([this](core::AttemptEnd end) { requests_.ended(loop_.now(), std::move(end)); });
         before_.reconfigure(&baseOf(configuration_).words.settings.classes, formOf(configuration_), pacer());
         bus_.listen({[this](std::int64_t from, std::int64_t last, const std::vector<std::int64_t>& numbers,
@@ -166,7 +166,7 @@
     Source source_;
     Configuration configuration_;
     const char* opened_;
-    Carrier carrier_;
+    Transport transport_;
     core::DecisionFacade decisions_;
     disk::Before before_;
     core::RequestDispatcher requests_;
@@ -183,7 +183,7 @@
         }
         // First the decisions: attempts that end with a host's connections are then not sent to it again.
         decisions_.list(loop_.now(), event, isOpen_ && bus_.caughtUp());
-        carrier_.list(event);
+        transport_.list(event);
     }
 
     // ----- the disk tier -----
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -16,7 +16,7 @@
 
 void Service::printOwnCounters(const std::string& name) const {
     const auto& f = front_.counters();
-    const auto& s = carrier_.counters();
+    const auto& s = transport_.counters();
     core::printFigures(name, "front",
                        {{"connections", f.connections},
                         {"turned_away", f.turnedAway},
@@ -50,8 +50,8 @@
                         {"late_answers", s.lateAnswers},
                         {"held_back", s.heldBack},
                         {"no_descriptor", s.noDescriptor},
-                        {"connections", carrier_.connections()},
-                        {"known", carrier_.known()}});
+                        {"connections", transport_.connections()},
+                        {"known", transport_.known()}});
 }
 
 }  // namespace lotuslead::platform
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -17,7 +17,7 @@
 
 namespace lotuslead::platform {
 
-class Stores : public core::Carrier {
+class Stores : public core::AttemptTransport {
 public:
     struct Callbacks {
         std::function<bool(RequestId, int)> mayBegin;  // may this attempt still be begun?
--- a/src/repository/service.cpp
+++ b/src/repository/service.cpp
@@ -37,7 +37,7 @@
 
 void Service::printOwnCounters(const std::string& name) const {
     const auto& f = front_.counters();
-    const auto& u = carrier_.counters();
+    const auto& u = transport_.counters();
     core::printFigures(name, "repository",
                        {{"connections", f.connections},
                         {"turned_away", f.turnedAway},
--- a/src/repository/upstreams.hpp
+++ b/src/repository/upstreams.hpp
@@ -20,7 +20,7 @@
 inline constexpr const char* kTotal = "total";  // bytes of the whole file
 inline constexpr const char* kFirst = "first";  // place of the payload's first byte in it
 
-class Upstreams : public core::Carrier {
+class Upstreams : public core::AttemptTransport {
 public:
     struct Callbacks {
         std::function<bool(RequestId, int)> mayBegin;
