--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -55,7 +55,7 @@
     forgetIfDone(id);
 }
 
-void RequestDispatcher::ended(Micros now, AttemptEnd end) {
+void RequestDispatcher::ended(Micros now, AttemptResult end) {
     const auto found = jobs_.find(end.request);
     // A late word on an attempt that was given up is nobody's any more.
     if (found == jobs_.end() || !found->second.out || found->second.send.attempt != end.attempt) return;
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -32,7 +32,7 @@
     Payload payload;
 };
 
-struct AttemptEnd {
+struct AttemptResult {
     RequestId request = 0;
     int attempt = 0;
     Outcome outcome = Outcome::error;
@@ -79,7 +79,7 @@
 
     void take(Micros now, Request request, Answer answer);
     void withdraw(Micros now, RequestId request);  // the client has gone: no answer is owed
-    void ended(Micros now, AttemptEnd end);
+    void ended(Micros now, AttemptResult end);
     void turn(Micros now);  // what is due by the clock
     Micros nextTurn() const;
 
--- a/src/disk/before.cpp
+++ b/src/disk/before.cpp
@@ -101,7 +101,7 @@
     Reading reading = std::move(at->second);
     reading_.erase(at);
     const core::Request& request = *reading.request;
-    core::AttemptEnd end;
+    core::AttemptResult end;
     end.request = id;
     end.attempt = reading.send.attempt;
     if (copy) {
@@ -143,7 +143,7 @@
     return inner_.cancel(now, request, attempt);
 }
 
-void Before::ended(Micros now, core::AttemptEnd end) {
+void Before::ended(Micros now, core::AttemptResult end) {
     now_ = now;
     const auto at = out_.find(end.request);
     if (at != out_.end() && at->second.attempt == end.attempt) {
--- a/src/disk/before.hpp
+++ b/src/disk/before.hpp
@@ -36,7 +36,7 @@
     Before(core::AttemptTransport& inner, Micros unixAhead, FrontForm form)
         : inner_(inner), unixAhead_(unixAhead), form_(std::move(form)) {}
 
-    void listen(std::function<void(core::AttemptEnd)> ended) { ended_ = std::move(ended); }
+    void listen(std::function<void(core::AttemptResult)> ended) { ended_ = std::move(ended); }
     // None: what is out goes on without it. `form`: what else a key must agree in.
     void use(Tier* tier, const settings::DiskSettings& settings, const Pacer& pacer);
     void reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t form, const Pacer& pacer);
@@ -44,7 +44,7 @@
     void send(Micros now, const core::Request& request, const core::Decision& send) override;
     bool cancel(Micros now, RequestId request, int attempt) override;
     // From the inner carrier.
-    void ended(Micros now, core::AttemptEnd end);
+    void ended(Micros now, core::AttemptResult end);
 
     void turn(Micros now);  // reads that take too long are given up, and the attempt goes out
     Micros nextTurn() const;
@@ -74,7 +74,7 @@
     core::AttemptTransport& inner_;
     Micros unixAhead_;
     FrontForm form_;
-    std::function<void(core::AttemptEnd)> ended_;
+    std::function<void(core::AttemptResult)> ended_;
     Tier* tier_ = nullptr;
     const std::vector<ClassSettings>* classes_ = nullptr;
     std::uint64_t keyForm_ = 0;
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -151,8 +151,8 @@
         transport_.listen({[this](RequestId request, int attempt) {
                                return requests_.mayBegin(loop_.now(), request, attempt);
                            },
-                           [this](core::AttemptEnd end) { before_.ended(loop_.now(), std::move(end)); }});
-        before_.listen([this](core::AttemptEnd end) { requests_.ended(loop_.now(), std::move(end)); });
+                           [this](core::AttemptResult end) { before_.ended(loop_.now(), std::move(end)); }});
+        before_.listen([this](core::AttemptResult end) { requests_.ended(loop_.now(), std::move(end)); });
         before_.reconfigure(&baseOf(configuration_).words.settings.classes, formOf(configuration_), pacer());
         bus_.listen({[this](std::int64_t from, std::int64_t last, const std::vector<std::int64_t>& numbers,
                             bool complete) {
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -10,7 +10,7 @@
 
 namespace lotuslead::platform {
 
-using core::AttemptEnd;
+using core::AttemptResult;
 using core::Micros;
 using namespace std::chrono_literals;
 
@@ -243,7 +243,7 @@
         if (!outcome) return false;
         const Fields fields(words.size() > 2 ? std::string_view(words[2]) : std::string_view{});
         if (*outcome == Outcome::served && !whole(words, fields, found->second)) return false;
-        AttemptEnd end;
+        AttemptResult end;
         end.request = found->second.request;
         end.attempt = found->second.attempt;
         end.outcome = *outcome;
@@ -340,7 +340,7 @@
     }
 
     void report(RequestId request, int attempt, Outcome outcome, bool blameless = false) {
-        AttemptEnd end;
+        AttemptResult end;
         end.blameless = blameless;
         end.request = request;
         end.attempt = attempt;
@@ -538,7 +538,7 @@
     const auto place = places_.find(send.request);
     // Taken back meanwhile; its request may be gone, too.
     if (place == places_.end() || place->second.attempt != send.attempt) return;
-    AttemptEnd end;
+    AttemptResult end;
     end.request = send.request;
     end.attempt = send.attempt;
     end.outcome = Outcome::noConnection;
@@ -563,10 +563,10 @@
     return link ? link->kill(request, attempt) : true;  // between two connections: not written on either
 }
 
-void Stores::tell(AttemptEnd end) {
+void Stores::tell(AttemptResult end) {
     // Later in the turn: the caller may be in the middle of the very request that this is about. And what its
     // client has said by then is known before the request is sent on.
-    auto shared = std::make_shared<AttemptEnd>(std::move(end));
+    auto shared = std::make_shared<AttemptResult>(std::move(end));
     loop_.whenAllIsHeard([this, shared] {
         const auto found = places_.find(shared->request);
         if (found == places_.end() || found->second.attempt != shared->attempt) return;
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -21,7 +21,7 @@
 public:
     struct Callbacks {
         std::function<bool(RequestId, int)> mayBegin;  // may this attempt still be begun?
-        std::function<void(core::AttemptEnd)> ended;
+        std::function<void(core::AttemptResult)> ended;
     };
     struct Counters {
         std::uint64_t connects = 0, connectFailures = 0, resets = 0, malformed = 0, stalled = 0, echoes = 0,
@@ -66,7 +66,7 @@
     void carry(Waiting waiting);
     void retireStuck(Store& store);
     void answered(const std::string& host, core::Micros writtenAt);
-    void tell(core::AttemptEnd end);
+    void tell(core::AttemptResult end);
     void forsake(const std::string& address, const settings::BusEvent& event);
     void drop(const std::string& host, Link* link);
     void dropAll(Store& store);
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -9,7 +9,7 @@
 
 namespace lotuslead::repository {
 
-using core::AttemptEnd;
+using core::AttemptResult;
 using core::Micros;
 using namespace std::chrono_literals;
 
@@ -137,9 +137,9 @@
         serveWhatWaited();
     }
 
-    AttemptEnd outcomeOf(const Waiting& work) {
+    AttemptResult outcomeOf(const Waiting& work) {
         const net::HttpHead& head = parser_.head();
-        AttemptEnd end;
+        AttemptResult end;
         end.request = work.send.request;
         end.attempt = work.send.attempt;
         end.outcome = Outcome::served;
@@ -350,7 +350,7 @@
 }
 
 void Upstreams::tell(const Waiting& waiting, Outcome outcome, bool blameless) {
-    AttemptEnd end;
+    AttemptResult end;
     end.blameless = blameless;
     end.request = waiting.send.request;
     end.attempt = waiting.send.attempt;
@@ -358,10 +358,10 @@
     tell(std::move(end));
 }
 
-void Upstreams::tell(AttemptEnd end) {
+void Upstreams::tell(AttemptResult end) {
     // Later in the turn: the caller may be in the middle of the very request that this is about. And what its
     // client has said by then is known before the request is sent on.
-    auto shared = std::make_shared<AttemptEnd>(std::move(end));
+    auto shared = std::make_shared<AttemptResult>(std::move(end));
     loop_.whenAllIsHeard([this, shared] {
         const auto found = out_.find(shared->request);
         if (found == out_.end() || found->second != shared->attempt) return;
--- a/src/repository/upstreams.hpp
+++ b/src/repository/upstreams.hpp
@@ -24,7 +24,7 @@
 public:
     struct Callbacks {
         std::function<bool(RequestId, int)> mayBegin;
-        std::function<void(core::AttemptEnd)> ended;
+        std::function<void(core::AttemptResult)> ended;
     };
     struct Counters {
         std::uint64_t connects = 0, connectFailures = 0, resets = 0, malformed = 0, tooOld = 0, heldBack = 0;
@@ -58,7 +58,7 @@
 
     void serveWaiting(const std::string& host);
     std::string wordsFor(const core::Request& request, const core::Decision& send);
-    void tell(core::AttemptEnd end);
+    void tell(core::AttemptResult end);
     void tell(const Waiting& waiting, Outcome outcome, bool blameless = false);
     void drop(const std::string& host, Link* link, bool blameless);
     void dropAll(Server& server);
