--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -190,7 +190,7 @@
         ended.sizeKb = -1;
     else if (words_.bytesPerKb > 0)
         ended.sizeKb = static_cast<double>(report.bytes) / words_.bytesPerKb;
-    ended.over = report.outcome == Outcome::served || report.answered;
+    ended.over = report.outcome == Outcome::served || report.servedLocally;
     if (ended.over) attempts_.erase(report.request);
     router_.handle(moduleTime(now), ended, actions_);
     return collect(now);
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -68,10 +68,10 @@
         end.outcome = Outcome::notSent;
     AttemptReport report;
     report.outcome = end.outcome;
-    if (end.own && end.outcome == Outcome::served) {
+    if (end.servedLocally && end.outcome == Outcome::served) {
         report.outcome = Outcome::notSent;  // to its host
-        report.answered = true;
-        ++counters_.own;
+        report.servedLocally = true;
+        ++counters_.servedLocally;
     }
     report.note = end.note;
     report.blameless = end.blameless;
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -37,8 +37,8 @@
     int attempt = 0;
     Outcome outcome = Outcome::error;
     Note note = Note::none;
-    bool blameless = false;  // it says nothing of its host that another end has not said
-    bool own = false;        // served from a copy of the gateway's own: no host was asked
+    bool blameless = false;      // it says nothing of its host that another end has not said
+    bool servedLocally = false;  // served from a copy of the gateway's own: no host was asked
     Payload payload;
 };
 
@@ -59,7 +59,7 @@
 
 struct Counters {
     std::uint64_t taken = 0, served = 0, unchanged = 0, refused = 0, failed = 0, gone = 0, overdue = 0;
-    std::uint64_t own = 0;  // served from a copy of the gateway's own
+    std::uint64_t servedLocally = 0;  // served from a copy of the gateway's own
     std::uint64_t sent = 0, cancelled = 0;
     std::array<std::uint64_t, kOutcomes> outcomes{};  // by Outcome
     std::array<std::uint64_t, kGiveUps> gaveUp{};     // refused or failed without an answer, by GiveUp
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -67,7 +67,7 @@
                   {"failed", r.failed},
                   {"gone", r.gone},
                   {"overdue", r.overdue},
-                  {"own", r.own},
+                  {"own", r.servedLocally},
                   {"open", requests.open()}});
     std::vector<Figure> attempts{{"sent", r.sent}};
     for (std::size_t i = 0; i < kOutcomes; ++i)
--- a/src/disk/before.cpp
+++ b/src/disk/before.cpp
@@ -122,7 +122,7 @@
     }
     ++counters_.served;
     if (end.payload.unchanged) ++counters_.unchanged;
-    end.own = true;
+    end.servedLocally = true;
     end.outcome = Outcome::served;
     end.note = Note::hit;
     end.payload.mintedMs = copy->mintedMs;
