--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -68,7 +68,8 @@
     bool blameless = false;
     std::size_t bytes = 0;  // served
     bool unchanged = false;
-    bool answered = false;  // by a copy of the gateway's own: the request is closed, and no host was asked
+    bool servedLocally =
+        false;  // by a copy of the gateway's own: the request is closed, and no host was asked
 };
 
 class DecisionFacade {
