--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -185,7 +185,7 @@
     ended.outcome = report.outcome;
     ended.elapsed = report.elapsed;
     ended.note = report.note;
-    ended.blameless = report.blameless;
+    ended.blameless = report.ignoreForHealth;
     if (report.unchanged)
         ended.sizeKb = -1;
     else if (words_.bytesPerKb > 0)
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -65,7 +65,7 @@
     Outcome outcome = Outcome::error;
     Micros elapsed{};
     Note note = Note::none;
-    bool blameless = false;
+    bool ignoreForHealth = false;
     std::size_t bytes = 0;  // served
     bool unchanged = false;
     bool servedLocally =
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -74,7 +74,7 @@
         ++counters_.servedLocally;
     }
     report.note = end.note;
-    report.blameless = end.blameless;
+    report.ignoreForHealth = end.ignoreForHealth;
     report.bytes = end.payload.body.size();
     report.unchanged = end.payload.unchanged;
     if (end.outcome == Outcome::served && !job.answered) {
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -37,8 +37,8 @@
     int attempt = 0;
     Outcome outcome = Outcome::error;
     Note note = Note::none;
-    bool blameless = false;      // it says nothing of its host that another end has not said
-    bool servedLocally = false;  // served from a copy of the gateway's own: no host was asked
+    bool ignoreForHealth = false;  // it says nothing of its host that another end has not said
+    bool servedLocally = false;    // served from a copy of the gateway's own: no host was asked
     Payload payload;
 };
 
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -351,7 +351,7 @@
 
 void Upstreams::tell(const Waiting& waiting, Outcome outcome, bool blameless) {
     AttemptResult end;
-    end.blameless = blameless;
+    end.ignoreForHealth = blameless;
     end.request = waiting.send.request;
     end.attempt = waiting.send.attempt;
     end.outcome = outcome;
