--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -117,9 +117,9 @@
         stop(silenceTimer_);
         stream_.close();
         const auto self = shared_from_this();
-        bool blameless = healthReport == HealthReport::none;
+        bool ignoreForHealth = healthReport == HealthReport::none;
         for (const auto& [label, sent] : out_)
-            report(sent.request, sent.attempt, whenWritten, std::exchange(blameless, true));
+            report(sent.request, sent.attempt, whenWritten, std::exchange(ignoreForHealth, true));
         out_.clear();
         const auto waiting = std::exchange(waiting_, {});
         owner_.loop_.retire(self);
@@ -134,7 +134,8 @@
                 // Later in the turn: the end may have come in the middle of another's send.
                 owner_.loop_.whenAllIsHeard([owner = &owner_, shared] { owner->carry(std::move(*shared)); });
             } else {
-                report(w.send.request, w.send.attempt, Outcome::noConnection, std::exchange(blameless, true));
+                report(w.send.request, w.send.attempt, Outcome::noConnection,
+                       std::exchange(ignoreForHealth, true));
             }
         }
     }
@@ -339,9 +340,9 @@
         given_[label] = now;
     }
 
-    void report(RequestId request, int attempt, Outcome outcome, bool blameless = false) {
+    void report(RequestId request, int attempt, Outcome outcome, bool ignoreForHealth = false) {
         AttemptResult end;
-        end.blameless = blameless;
+        end.ignoreForHealth = ignoreForHealth;
         end.request = request;
         end.attempt = attempt;
         end.outcome = outcome;
@@ -548,7 +549,7 @@
             return link->pull(std::move(waiting));
         }
         ++counters_.noDescriptor;
-        end.blameless = true;  // it is this process that has too many connections
+        end.ignoreForHealth = true;  // it is this process that has too many connections
     } catch (const settings::Malformed& problem) {
         std::fprintf(stderr, "store %s: %s\n", send.host.c_str(), problem.what());
     }
