--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -20,7 +20,7 @@
 struct Payload {
     std::string body;
     bool unchanged = false;  // the client's own copy is the one: no bytes
-    std::vector<std::pair<std::string, std::string>> facts;
+    std::vector<std::pair<std::string, std::string>> metadata;
     std::int64_t mintedMs = 0;  // Unix milliseconds: it is of then or later; zero: not told
 };
 
--- a/src/disk/before.cpp
+++ b/src/disk/before.cpp
@@ -126,7 +126,7 @@
     end.outcome = Outcome::served;
     end.note = Note::hit;
     end.payload.mintedMs = copy->mintedMs;
-    end.payload.facts = std::move(copy->facts);
+    end.payload.metadata = std::move(copy->facts);
     if (!end.payload.unchanged) end.payload.body = std::move(copy->body);
     ended_(std::move(end));
 }
@@ -152,9 +152,9 @@
         const bool fetched = end.outcome == Outcome::served && !end.payload.unchanged && tier_ != nullptr;
         if (fetched && form_.storable(out.key, end.payload)) {
             // Lent, not copied: most are not taken.
-            Copy copy{end.payload.mintedMs, std::move(end.payload.facts), std::move(end.payload.body)};
+            Copy copy{end.payload.mintedMs, std::move(end.payload.metadata), std::move(end.payload.body)};
             tier_->offer(momentOf(now), out.key, out.rank, copy);
-            end.payload.facts = std::move(copy.facts);
+            end.payload.metadata = std::move(copy.facts);
             end.payload.body = std::move(copy.body);
         }
     }
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -259,7 +259,7 @@
         if (end.outcome == Outcome::served) {
             end.payload.unchanged = words[1] == "current";
             end.payload.mintedMs = fields.whole("minted").value_or(0);
-            if (!fields.text("tag").empty()) end.payload.facts.emplace_back("tag", fields.text("tag"));
+            if (!fields.text("tag").empty()) end.payload.metadata.emplace_back("tag", fields.text("tag"));
             if (words.size() > 3) end.payload.body = std::move(words[3]);
         }
         owner_.answered(host_, found->second.writtenAt);
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -57,7 +57,7 @@
 }
 
 std::string factOf(const core::Payload& payload, std::string_view name) {
-    for (const auto& [key, value] : payload.facts)
+    for (const auto& [key, value] : payload.metadata)
         if (key == name) return value;
     return {};
 }
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -143,7 +143,7 @@
         end.request = work.send.request;
         end.attempt = work.send.attempt;
         end.outcome = Outcome::served;
-        auto& facts = end.payload.facts;
+        auto& facts = end.payload.metadata;
         for (const char* name : {"etag", "last-modified", "content-type"})
             if (const std::string* value = head.field(name)) facts.emplace_back(name, *value);
         int status = head.status;
