--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -247,7 +247,7 @@
         } else if constexpr (std::is_same_v<Kind, Refuse>) {
             decision.kind = DecisionKind::refuse;
             decision.request = action.request;
-            decision.pause = duration_cast<Micros>(action.retryIn);
+            decision.retryAfter = duration_cast<Micros>(action.retryIn);
             decision.why = action.why;
             attempts_.erase(action.request);
         } else if constexpr (std::is_same_v<Kind, Fail>) {
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -40,7 +40,7 @@
     DecisionKind kind = DecisionKind::fail;
     RequestId request = 0;
     int attempt = 0;               // send and cancel
-    Micros pause{};                // refuse: the client may come back after this
+    Micros retryAfter{};           // refuse: the client may come back after this
     GiveUp why = GiveUp::noRoute;  // refuse and fail
     // send:
     std::string host;
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -79,7 +79,7 @@
     report.unchanged = end.payload.unchanged;
     if (end.outcome == Outcome::served && !job.answered) {
         Reply reply;
-        reply.word = Reply::Word::served;
+        reply.kind = Reply::Kind::served;
         reply.payload = std::move(end.payload);
         finish(job, std::move(reply));
     }
@@ -170,10 +170,10 @@
                                  {"word", refused ? "refused" : "failed"},
                                  {"why", nameOf(decision.why)}});
     Reply reply;
-    reply.word = refused ? Reply::Word::refused : Reply::Word::failed;
-    reply.pause = decision.pause;
-    reply.late = now >= job.request.deadline;
-    reply.last = job.last;
+    reply.kind = refused ? Reply::Kind::refused : Reply::Kind::failed;
+    reply.retryAfter = decision.retryAfter;
+    reply.deadlineExceeded = now >= job.request.deadline;
+    reply.lastOutcome = job.lastOutcome;
     finish(job, std::move(reply));
 }
 
@@ -206,7 +206,7 @@
 
 std::vector<Decision> RequestDispatcher::close(Micros now, Job& job, AttemptReport report) {
     job.out = false;
-    job.last = report.outcome;
+    job.lastOutcome = report.outcome;
     if (mayHaveRun(report.outcome) && !job.earlier) job.earlier = EarlierRun{job.sentAt, job.sentTo};
     if (Trace::on())
         Trace::write("end", {{"request", job.request.label},
@@ -228,12 +228,12 @@
     if (!checks_.require(mayAnswer({.answered = job.answered}), "answer", job.request.label)) return;
     job.answered = true;
     --open_;
-    using Word = Reply::Word;
-    ++(reply.word == Word::served    ? counters_.served
-       : reply.word == Word::refused ? counters_.refused
+    using Kind = Reply::Kind;
+    ++(reply.kind == Kind::served    ? counters_.served
+       : reply.kind == Kind::refused ? counters_.refused
                                      : counters_.failed);
     if (reply.payload.unchanged) ++counters_.unchanged;
-    if (reply.late) ++counters_.overdue;
+    if (reply.deadlineExceeded) ++counters_.overdue;
     const Answer answer = std::move(job.answer);
     job.answer = nullptr;
     if (answer) answer(job.request.id, std::move(reply));
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -25,10 +25,10 @@
 };
 
 struct Reply {
-    enum class Word { served, refused, failed } word = Word::failed;
-    Micros pause{};               // with a refusal
-    bool late = false;            // the deadline ended it
-    std::optional<Outcome> last;  // of its last attempt, if it had one
+    enum class Kind { served, refused, failed } kind = Kind::failed;
+    Micros retryAfter{};                 // with a refusal
+    bool deadlineExceeded = false;       // the deadline ended it
+    std::optional<Outcome> lastOutcome;  // of its last attempt, if it had one
     Payload payload;
 };
 
@@ -100,7 +100,7 @@
         Micros sentAt{};
         bool out = false;  // an attempt is
         bool answered = false;
-        std::optional<Outcome> last;
+        std::optional<Outcome> lastOutcome;
         Locality sentTo;
         std::optional<EarlierRun> earlier;
     };
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -348,7 +348,7 @@
 
     void finish(const std::string& tag, Reply&& reply) {
         release(tag);
-        if (reply.word == Reply::Word::served) {
+        if (reply.kind == Reply::Kind::served) {
             strikes_ = 0;
             owner_.answer_.learn(static_cast<double>(reply.payload.body.size()));
             if (reply.payload.unchanged) {
@@ -358,13 +358,13 @@
                 answer(tag, "ERR", "-", {});
             } else
                 answer(tag, "SERVED", "-", std::move(reply.payload.body));
-        } else if (reply.word == Reply::Word::refused) {
-            answer(tag, "SHED", pauseFields(reply.pause), {});
+        } else if (reply.kind == Reply::Kind::refused) {
+            answer(tag, "SHED", pauseFields(reply.retryAfter), {});
         } else {
             answer(tag, "ERR", "-", {});
         }
         // Stores answer so what they can't use, such as ids that nobody knows.
-        if (reply.last == Outcome::error) strike();
+        if (reply.lastOutcome == Outcome::error) strike();
         endIfAnswered();
     }
 
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -253,7 +253,7 @@
     // ----- answers -----
 
     void take(Reply&& reply) {
-        if (reply.word != Reply::Word::served) return fail(reply);
+        if (reply.kind != Reply::Kind::served) return fail(reply);
         const core::Payload& payload = reply.payload;
         const std::uint64_t status = numberOf(factOf(payload, kStatus));
         const std::string tag = factOf(payload, "etag"), modified = factOf(payload, "last-modified");
@@ -331,17 +331,17 @@
 
     void fail(const Reply& reply) {
         if (job_->begun) return breakOff("no further part is to be had");
-        if (reply.late) {
+        if (reply.deadlineExceeded) {
             ++owner_.counters_.late;
             return plain(504);
         }
-        const auto last = reply.last.value_or(Outcome::notSent);
+        const auto last = reply.lastOutcome.value_or(Outcome::notSent);
         if (last == Outcome::error || last == Outcome::broken || last == Outcome::noConnection ||
             last == Outcome::timedOut) {
             ++owner_.counters_.upstreamFailed;
             return plain(502);
         }
-        unavailable(reply.pause);
+        unavailable(reply.retryAfter);
     }
 
     void unavailable(Micros pause) {
