--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -152,7 +152,7 @@
     if (!purge) return;
     constexpr Micros kRounding{1000};
     send.purgedMs = purge->atMs;
-    send.oldestByPurge = send.oldest + kRounding >= now - purge->heardAt;
+    send.maxAgeFromPurge = send.maxAge + kRounding >= now - purge->heardAt;
 }
 
 std::int64_t DecisionFacade::unixMsOf(Micros when) const {
@@ -236,9 +236,9 @@
             if (!action.plain && action.source != action.host) decision.source = action.source;
             decision.keepRank = action.plain ? 0 : action.keepRank;
             decision.rank = action.rank;
-            decision.oldest = duration_cast<Micros>(action.oldest);
+            decision.maxAge = duration_cast<Micros>(action.oldest);
             // Rounded down to nothing it would mean "any age".
-            if (action.oldest.count() > 0 && decision.oldest.count() == 0) decision.oldest = Micros{1};
+            if (action.oldest.count() > 0 && decision.maxAge.count() == 0) decision.maxAge = Micros{1};
             decision.join = action.join;
             decision.heldOnly = action.heldOnly;
             decision.renew = action.renew;
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -47,11 +47,11 @@
     std::string source;  // where a miss is filled from; empty: no fill
     int keepRank = 0;
     int rank = 0;     // of a copy of the gateway's own; zero: none is kept
-    Micros oldest{};  // zero: the class's fresh time
+    Micros maxAge{};  // zero: the class's fresh time
     // Of the last purge of the object or its group that is remembered, by the clock that dates purges and
     // copies: no copy made before may pass. Zero: none.
     std::int64_t purgedMs = 0;
-    bool oldestByPurge = false;  // `oldest` comes from that purge
+    bool maxAgeFromPurge = false;  // `oldest` comes from that purge
     bool join = false;
     bool heldOnly = false;
     bool renew = false;
--- a/src/disk/before.cpp
+++ b/src/disk/before.cpp
@@ -67,8 +67,8 @@
 std::int64_t Before::oldestMs(const core::Request& request, const core::Decision& send) const {
     const ClassSettings& c = classes_->at(static_cast<std::size_t>(request.classIndex));
     std::int64_t oldest = msOf(std::chrono::duration_cast<Micros>(c.freshFor));
-    if (send.oldest.count() > 0) {
-        const std::int64_t wanted = std::max<std::int64_t>(1, msOf(send.oldest));
+    if (send.maxAge.count() > 0) {
+        const std::int64_t wanted = std::max<std::int64_t>(1, msOf(send.maxAge));
         oldest = oldest > 0 ? std::min(oldest, wanted) : wanted;
     }
     return oldest;
--- a/src/platform/copy_age.hpp
+++ b/src/platform/copy_age.hpp
@@ -25,8 +25,8 @@
     // A copy made before is too old; zero: none is.
     std::int64_t leastMintedMs(core::Micros now, const core::Decision& send) const {
         const std::int64_t byPurge = send.purgedMs > 0 ? send.purgedMs - kAsTold.count() : 0;
-        if (send.oldest.count() <= 0 || send.oldestByPurge || !copiesAhead_) return byPurge;
-        const core::Micros least = now + std::min(unixAhead_, *copiesAhead_) - send.oldest - kAsTold;
+        if (send.maxAge.count() <= 0 || send.maxAgeFromPurge || !copiesAhead_) return byPurge;
+        const core::Micros least = now + std::min(unixAhead_, *copiesAhead_) - send.maxAge - kAsTold;
         return std::max(byPurge, least.count() / 1000);
     }
 
--- a/src/platform/store_protocol.hpp
+++ b/src/platform/store_protocol.hpp
@@ -50,7 +50,7 @@
     if (!send.source.empty()) fields.add("via", send.source);
     if (send.keepRank > 0) fields.add("tier", send.keepRank);
     // Rounded down, so that a copy from before a purge never passes; 0 would mean "any age".
-    if (send.oldest.count() > 0) fields.add("fresh", std::max<std::int64_t>(1, ms(send.oldest)));
+    if (send.maxAge.count() > 0) fields.add("fresh", std::max<std::int64_t>(1, ms(send.maxAge)));
     std::string how;
     const auto option = [&](bool on, const char* word) {
         if (on) how += (how.empty() ? "" : "+") + std::string(word);
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -180,8 +180,8 @@
         constexpr std::uint64_t kTenYears = 315'360'000;  // in seconds; no sum runs over
         const auto age =
             field ? static_cast<std::int64_t>(std::min(wholeOf(*field).value_or(0), kTenYears)) : 0;
-        if (end.outcome == Outcome::served && field && work.send.oldest >= kFinestAge &&
-            age + 1 > secondsOf(work.send.oldest)) {
+        if (end.outcome == Outcome::served && field && work.send.maxAge >= kFinestAge &&
+            age + 1 > secondsOf(work.send.maxAge)) {
             ++owner_.counters_.tooOld;
             end.outcome = Outcome::noCopy;
         }
@@ -337,8 +337,8 @@
     if (!request.known.empty()) words += "If-None-Match: " + request.known + "\r\n";
     std::string control;
     const auto add = [&](const std::string& word) { control += (control.empty() ? "" : ", ") + word; };
-    if (send.oldest.count() > 0)
-        add(send.oldest < kFinestAge ? "no-cache" : "max-age=" + std::to_string(secondsOf(send.oldest) - 1));
+    if (send.maxAge.count() > 0)
+        add(send.maxAge < kFinestAge ? "no-cache" : "max-age=" + std::to_string(secondsOf(send.maxAge) - 1));
     if (!server.origin) {
         if (send.source.empty() || send.heldOnly) add("only-if-cached");
         if (send.keepRank == 0) add("no-store");
