--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -151,7 +151,7 @@
     const auto purge = lastPurgeOf(request);
     if (!purge) return;
     constexpr Micros kRounding{1000};
-    send.purgedMs = purge->atMs;
+    send.lastPurgeMs = purge->atMs;
     send.maxAgeFromPurge = send.maxAge + kRounding >= now - purge->heardAt;
 }
 
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -50,7 +50,7 @@
     Micros maxAge{};  // zero: the class's fresh time
     // Of the last purge of the object or its group that is remembered, by the clock that dates purges and
     // copies: no copy made before may pass. Zero: none.
-    std::int64_t purgedMs = 0;
+    std::int64_t lastPurgeMs = 0;
     bool maxAgeFromPurge = false;  // `oldest` comes from that purge
     bool join = false;
     bool heldOnly = false;
--- a/src/platform/copy_age.hpp
+++ b/src/platform/copy_age.hpp
@@ -24,7 +24,7 @@
     }
     // A copy made before is too old; zero: none is.
     std::int64_t leastMintedMs(core::Micros now, const core::Decision& send) const {
-        const std::int64_t byPurge = send.purgedMs > 0 ? send.purgedMs - kAsTold.count() : 0;
+        const std::int64_t byPurge = send.lastPurgeMs > 0 ? send.lastPurgeMs - kAsTold.count() : 0;
         if (send.maxAge.count() <= 0 || send.maxAgeFromPurge || !copiesAhead_) return byPurge;
         const core::Micros least = now + std::min(unixAhead_, *copiesAhead_) - send.maxAge - kAsTold;
         return std::max(byPurge, least.count() / 1000);
