--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -235,13 +235,13 @@
             decision.host = action.host;
             if (!action.plain && action.source != action.host) decision.source = action.source;
             decision.keepRank = action.plain ? 0 : action.keepRank;
-            decision.rank = action.rank;
+            decision.localKeepRank = action.rank;
             decision.maxAge = duration_cast<Micros>(action.oldest);
             // Rounded down to nothing it would mean "any age".
             if (action.oldest.count() > 0 && decision.maxAge.count() == 0) decision.maxAge = Micros{1};
-            decision.join = action.join;
-            decision.heldOnly = action.heldOnly;
-            decision.renew = action.renew;
+            decision.joinFill = action.join;
+            decision.onlyIfCached = action.heldOnly;
+            decision.staleWhileRevalidate = action.renew;
             decision.timeout = duration_cast<Micros>(action.timeout);
             decision.pickedAt = now;
         } else if constexpr (std::is_same_v<Kind, Refuse>) {
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -46,15 +46,15 @@
     std::string host;
     std::string source;  // where a miss is filled from; empty: no fill
     int keepRank = 0;
-    int rank = 0;     // of a copy of the gateway's own; zero: none is kept
-    Micros maxAge{};  // zero: the class's fresh time
+    int localKeepRank = 0;  // of a copy of the gateway's own; zero: none is kept
+    Micros maxAge{};        // zero: the class's fresh time
     // Of the last purge of the object or its group that is remembered, by the clock that dates purges and
     // copies: no copy made before may pass. Zero: none.
     std::int64_t lastPurgeMs = 0;
     bool maxAgeFromPurge = false;  // `oldest` comes from that purge
-    bool join = false;
-    bool heldOnly = false;
-    bool renew = false;
+    bool joinFill = false;
+    bool onlyIfCached = false;
+    bool staleWhileRevalidate = false;
     Micros timeout{};
     Micros pickedAt{};
 };
--- a/src/disk/before.cpp
+++ b/src/disk/before.cpp
@@ -91,7 +91,7 @@
 }
 
 void Before::pass(Micros now, const core::Request& request, const core::Decision& send, Key key) {
-    out_.insert_or_assign(request.id, Out{std::move(key), send.attempt, send.rank});
+    out_.insert_or_assign(request.id, Out{std::move(key), send.attempt, send.localKeepRank});
     inner_.send(now, request, send);
 }
 
--- a/src/platform/store_protocol.hpp
+++ b/src/platform/store_protocol.hpp
@@ -55,9 +55,9 @@
     const auto option = [&](bool on, const char* word) {
         if (on) how += (how.empty() ? "" : "+") + std::string(word);
     };
-    option(send.join, "share");
-    option(send.heldOnly, "peek");
-    option(send.renew, "swr");
+    option(send.joinFill, "share");
+    option(send.onlyIfCached, "peek");
+    option(send.staleWhileRevalidate, "swr");
     if (!how.empty()) fields.add("opts", how);
     if (!request.known.empty()) fields.add("known", request.known);
     return std::string(fields.text());
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -168,7 +168,7 @@
         } else if (status == 410 || status == 404) {
             status = 404;
         } else if (status == 504) {  // also the answer to only-if-cached (RFC 9111, 5.2.1.7)
-            const bool held = work.send.source.empty() || work.send.heldOnly;
+            const bool held = work.send.source.empty() || work.send.onlyIfCached;
             end.outcome = held ? Outcome::noCopy : Outcome::error;
         } else if (status == 503 || status == 429) {
             end.outcome = Outcome::notTaken;
@@ -340,7 +340,7 @@
     if (send.maxAge.count() > 0)
         add(send.maxAge < kFinestAge ? "no-cache" : "max-age=" + std::to_string(secondsOf(send.maxAge) - 1));
     if (!server.origin) {
-        if (send.source.empty() || send.heldOnly) add("only-if-cached");
+        if (send.source.empty() || send.onlyIfCached) add("only-if-cached");
         if (send.keepRank == 0) add("no-store");
         // A cache that knows this field fills a miss from there; others go by their own set-up.
         if (!send.source.empty()) words += "Lotuslead-Source: " + servers_[send.source].address + "\r\n";
