--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -28,13 +28,13 @@
 
 }  // namespace
 
-void RequestDispatcher::take(Micros now, Request request, Answer answer) {
+void RequestDispatcher::submit(Micros now, Request request, Answer answer) {
     const RequestId id = request.id;
     Job& job = jobs_[id];
     job.request = std::move(request);
     job.rules = decisions_.words().settings.classes[static_cast<std::size_t>(job.request.classIndex)];
     job.answer = std::move(answer);
-    ++open_;
+    ++openCount_;
     ++counters_.taken;
     if (Trace::on())
         Trace::write("take", {{"request", job.request.label},
@@ -43,19 +43,19 @@
     follow(now, {decisions_.pick(now, job.request)});
 }
 
-void RequestDispatcher::withdraw(Micros now, RequestId id) {
+void RequestDispatcher::clientGone(Micros now, RequestId id) {
     const auto found = jobs_.find(id);
     if (found == jobs_.end() || found->second.answered) return;
     found->second.answered = true;
     found->second.answer = nullptr;
-    --open_;
+    --openCount_;
     ++counters_.gone;
     if (Trace::on()) Trace::write("withdraw", {{"request", found->second.request.label}});
     follow(now, decisions_.clientGone(now, id));
     forgetIfDone(id);
 }
 
-void RequestDispatcher::ended(Micros now, AttemptResult end) {
+void RequestDispatcher::attemptEnded(Micros now, AttemptResult end) {
     const auto found = jobs_.find(end.request);
     // A late word on an attempt that was given up is nobody's any more.
     if (found == jobs_.end() || !found->second.out || found->second.send.attempt != end.attempt) return;
@@ -227,7 +227,7 @@
 void RequestDispatcher::finish(Job& job, Reply&& reply) {
     if (!checks_.require(mayAnswer({.answered = job.answered}), "answer", job.request.label)) return;
     job.answered = true;
-    --open_;
+    --openCount_;
     using Kind = Reply::Kind;
     ++(reply.kind == Kind::served    ? counters_.served
        : reply.kind == Kind::refused ? counters_.refused
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -77,9 +77,9 @@
                       PurgedMeanwhile purged = PurgedMeanwhile::serve)
         : decisions_(decisions), transport_(transport), purged_(purged) {}
 
-    void take(Micros now, Request request, Answer answer);
-    void withdraw(Micros now, RequestId request);  // the client has gone: no answer is owed
-    void ended(Micros now, AttemptResult end);
+    void submit(Micros now, Request request, Answer answer);
+    void clientGone(Micros now, RequestId request);  // the client has gone: no answer is owed
+    void attemptEnded(Micros now, AttemptResult end);
     void turn(Micros now);  // what is due by the clock
     Micros nextTurn() const;
 
@@ -88,7 +88,7 @@
 
     RuleChecks& checks() { return checks_; }
     const RuleChecks& checks() const { return checks_; }
-    std::size_t open() const { return open_; }
+    std::size_t openCount() const { return openCount_; }
     const Counters& counters() const { return counters_; }
 
 private:
@@ -119,7 +119,7 @@
     PurgedMeanwhile purged_;
     std::unordered_map<RequestId, Job> jobs_;
     std::set<std::tuple<Micros, RequestId, int>> timeouts_;
-    std::size_t open_ = 0;
+    std::size_t openCount_ = 0;
     RuleChecks checks_;
     Counters counters_;
 };
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -68,7 +68,7 @@
                   {"gone", r.gone},
                   {"overdue", r.overdue},
                   {"own", r.servedLocally},
-                  {"open", requests.open()}});
+                  {"open", requests.openCount()}});
     std::vector<Figure> attempts{{"sent", r.sent}};
     for (std::size_t i = 0; i < kOutcomes; ++i)
         attempts.emplace_back(nameOf(static_cast<Outcome>(i)), r.outcomes[i]);
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -90,7 +90,7 @@
         open_.clear();
         for (const auto& [tag, call] : open) {
             owner_.labels_.erase(call.label);
-            owner_.requests_.withdraw(owner_.loop_.now(), call.id);
+            owner_.requests_.clientGone(owner_.loop_.now(), call.id);
         }
         input_.clear();
         count(0);
@@ -175,7 +175,7 @@
         while (!open_.empty()) {
             const auto [tag, call] = *open_.begin();
             release(tag);
-            owner_.requests_.withdraw(owner_.loop_.now(), call.id);
+            owner_.requests_.clientGone(owner_.loop_.now(), call.id);
             answer(tag, "ERR", "-", {});
         }
     }
@@ -254,7 +254,7 @@
         if (found == open_.end()) return;  // the answer was under way already
         const Call call = found->second;
         release(tag);
-        owner_.requests_.withdraw(owner_.loop_.now(), call.id);
+        owner_.requests_.clientGone(owner_.loop_.now(), call.id);
         if (owner_.loop_.now() - call.takenAt < kTakenBackAtOnce) strike();
     }
 
@@ -309,8 +309,8 @@
             Trace::write("call",
                          {{"client", std::to_string(number_)}, {"tag", tag}, {"request", request.label}});
         owner_.labels_.insert(request.label);
-        owner_.requests_.take(now, std::move(request),
-                              [this, tag](RequestId, Reply&& reply) { finish(tag, std::move(reply)); });
+        owner_.requests_.submit(now, std::move(request),
+                                [this, tag](RequestId, Reply&& reply) { finish(tag, std::move(reply)); });
         return true;
     }
 
@@ -548,7 +548,7 @@
 // What is held, and what the requests in hand may yet bring: as large as answers have been of late, and one
 // of them the largest there is. Who reads slowly leaves half of it to the others.
 bool Front::roomForOne(std::size_t backlog) const {
-    const auto open = static_cast<double>(requests_.open() + 1);
+    const auto open = static_cast<double>(requests_.openCount() + 1);
     const double coming =
         open * answer_.mean + kSpreads * std::sqrt(open) * answer_.deviation + kLargestAnswer;
     return coming + static_cast<double>(unsent_) <= static_cast<double>(mostFor(backlog));
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -112,8 +112,8 @@
         decisions_.share(processes);
     }
     void lastCall() override { front_.lastCall(); }
-    std::size_t openRequests() const override { return requests_.open(); }
-    bool settled() override { return requests_.open() == 0 && front_.settled(); }
+    std::size_t openRequests() const override { return requests_.openCount(); }
+    bool settled() override { return requests_.openCount() == 0 && front_.settled(); }
     core::Micros longestDeadline() const override {
         return core::longestGiveUp(baseOf(configuration_).words.settings);
     }
@@ -152,7 +152,8 @@
                                return requests_.mayBegin(loop_.now(), request, attempt);
                            },
                            [this](core::AttemptResult end) { before_.ended(loop_.now(), std::move(end)); }});
-        before_.listen([this](core::AttemptResult end) { requests_.ended(loop_.now(), std::move(end)); });
+        before_.listen(
+            [this](core::AttemptResult end) { requests_.attemptEnded(loop_.now(), std::move(end)); });
         before_.reconfigure(&baseOf(configuration_).words.settings.classes, formOf(configuration_), pacer());
         bus_.listen({[this](std::int64_t from, std::int64_t last, const std::vector<std::int64_t>& numbers,
                             bool complete) {
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -94,7 +94,7 @@
         if (job_->asked) {
             const RequestId id = *std::exchange(job_->asked, std::nullopt);
             settleExpected();
-            owner_.requests_.withdraw(owner_.loop_.now(), id);
+            owner_.requests_.clientGone(owner_.loop_.now(), id);
         }
         job_->begun ? breakOff("the process ends") : unavailable(1s);
     }
@@ -114,7 +114,7 @@
         if (job_ && job_->asked) {
             const RequestId id = *job_->asked;
             settleExpected();
-            owner_.requests_.withdraw(owner_.loop_.now(), id);
+            owner_.requests_.clientGone(owner_.loop_.now(), id);
         }
         job_.reset();
         count(0);
@@ -238,7 +238,7 @@
         const Micros now = owner_.loop_.now();
         request.deadline = now + std::chrono::duration_cast<Micros>(
                                      words[static_cast<std::size_t>(request.classIndex)].giveUp);
-        owner_.requests_.take(now, std::move(request), [this](RequestId, Reply&& reply) {
+        owner_.requests_.submit(now, std::move(request), [this](RequestId, Reply&& reply) {
             settleExpected();
             job_->asked.reset();
             take(std::move(reply));
