--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -87,7 +87,7 @@
     forgetIfDone(end.request);
 }
 
-void RequestDispatcher::turn(Micros now) {
+void RequestDispatcher::runTimers(Micros now) {
     follow(now, decisions_.tick(now));
     // Machines that went silent never reset: only this clock ends their attempts.
     while (!timeouts_.empty() && std::get<0>(*timeouts_.begin()) <= now) {
@@ -99,7 +99,7 @@
     }
 }
 
-Micros RequestDispatcher::nextTurn() const {
+Micros RequestDispatcher::nextTimerAt() const {
     const Micros timeout = timeouts_.empty() ? Micros::max() : std::get<0>(*timeouts_.begin());
     return std::min(timeout, decisions_.nextTick());
 }
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -80,8 +80,8 @@
     void submit(Micros now, Request request, Answer answer);
     void clientGone(Micros now, RequestId request);  // the client has gone: no answer is owed
     void attemptEnded(Micros now, AttemptResult end);
-    void turn(Micros now);  // what is due by the clock
-    Micros nextTurn() const;
+    void runTimers(Micros now);  // what is due by the clock
+    Micros nextTimerAt() const;
 
     // Whether the attempt, picked earlier, may still be begun; asked right before its first byte.
     bool mayBegin(Micros now, RequestId request, int attempt);
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -23,8 +23,8 @@
     // Reads its configuration again; what can't be used changes nothing, and is told. False, where it may be
     // tried again: the file can't be read now, for want of descriptors or memory.
     virtual bool reload(bool mayTryAgain) = 0;
-    virtual void turn(Micros now) = 0;  // what is due by the clock
-    virtual Micros nextTurn() const = 0;
+    virtual void runTimers(Micros now) = 0;  // what is due by the clock
+    virtual Micros nextTimerAt() const = 0;
     // Sends clients away, until it is taken back.
     virtual void drain() = 0;
     virtual void undrain() = 0;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -118,7 +118,7 @@
     start();
     while (phase_ != Phase::stopped) {
         Micros until = Micros::max();
-        for (const auto& service : services_) until = std::min(until, service->nextTurn());
+        for (const auto& service : services_) until = std::min(until, service->nextTimerAt());
         if (phase_ == Phase::starting || phase_ == Phase::leaving)
             until = std::min(until, loop_.now() + kLeaveTick);
         loop_.turn(until);
@@ -126,7 +126,7 @@
         if (std::exchange(leaveAsked_, false)) leave();
         reload();
         if (!loop_.holdsTimers())
-            for (const auto& service : services_) service->turn(loop_.now());
+            for (const auto& service : services_) service->runTimers(loop_.now());
         open();
         advance();
     }
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -90,11 +90,13 @@
         }
         return true;
     }
-    void turn(core::Micros now) override {
+    void runTimers(core::Micros now) override {
         before_.turn(now);
-        requests_.turn(now);
+        requests_.runTimers(now);
+    }
+    core::Micros nextTimerAt() const override {
+        return std::min(requests_.nextTimerAt(), before_.nextTurn());
     }
-    core::Micros nextTurn() const override { return std::min(requests_.nextTurn(), before_.nextTurn()); }
     void drain() override { front_.drain(); }
     void undrain() override { front_.undrain(); }
     void leave() override { front_.leave(); }
