--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -63,7 +63,7 @@
     const AnswerFacts answer{false, end.payload.unchanged, !job.request.known.empty()};
     if (end.outcome == Outcome::served && !checks_.require(mayAnswer(answer), "answer", job.request.label))
         end.outcome = Outcome::error;
-    if (end.outcome == Outcome::served && purged_ == PurgedMeanwhile::fetchAnew &&
+    if (end.outcome == Outcome::served && purged_ == PurgeDuringFetch::refetch &&
         decisions_.purgedSince(job.request, job.send.pickedAt))
         end.outcome = Outcome::notSent;
     AttemptReport report;
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -71,10 +71,10 @@
 
     // What was asked for before a purge was told and comes in after it may be older than the purge. The
     // platform's rule counts from the send; a front that promises more has such answers fetched anew.
-    enum class PurgedMeanwhile { serve, fetchAnew };
+    enum class PurgeDuringFetch { serve, refetch };
 
     RequestDispatcher(DecisionFacade& decisions, AttemptTransport& transport,
-                      PurgedMeanwhile purged = PurgedMeanwhile::serve)
+                      PurgeDuringFetch purged = PurgeDuringFetch::serve)
         : decisions_(decisions), transport_(transport), purged_(purged) {}
 
     void submit(Micros now, Request request, Answer answer);
@@ -116,7 +116,7 @@
 
     DecisionFacade& decisions_;
     AttemptTransport& transport_;
-    PurgedMeanwhile purged_;
+    PurgeDuringFetch purged_;
     std::unordered_map<RequestId, Job> jobs_;
     std::set<std::tuple<Micros, RequestId, int>> timeouts_;
     std::size_t openCount_ = 0;
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -138,7 +138,7 @@
 
 protected:
     FrontService(net::Loop& loop, Source source, const char* opened,
-                 core::RequestDispatcher::PurgedMeanwhile purged, disk::FrontForm form)
+                 core::RequestDispatcher::PurgeDuringFetch purged, disk::FrontForm form)
         : loop_(loop),
           source_(std::move(source)),
           configuration_(source_()),
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -3,7 +3,7 @@
 namespace lotuslead::platform {
 
 Service::Service(net::Loop& loop, Source source, const std::string& listening)
-    : FrontService(loop, std::move(source), "serving", core::RequestDispatcher::PurgedMeanwhile::serve,
+    : FrontService(loop, std::move(source), "serving", core::RequestDispatcher::PurgeDuringFetch::serve,
                    {[](const disk::Key&, const core::Payload& payload) { return payload.mintedMs > 0; },
                     [](const disk::Facts&) { return std::uint64_t{0}; }, "tag", false}) {
     if (listening.empty()) return;
--- a/src/repository/service.cpp
+++ b/src/repository/service.cpp
@@ -33,8 +33,8 @@
 
 Service::Service(net::Loop& loop, Source source)
     : FrontService(loop, std::move(source), "repository front",
-                   core::RequestDispatcher::PurgedMeanwhile::fetchAnew,
-                   {storable, versionOf, nullptr, true}) {}
+                   core::RequestDispatcher::PurgeDuringFetch::refetch, {storable, versionOf, nullptr, true}) {
+}
 
 void Service::printOwnCounters(const std::string& name) const {
     const auto& f = front_.counters();
