--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-void RequestDispatcher::submit(Micros now, Request request, Answer answer) {
+void RequestDispatcher::submit(Micros now, Request request, AnswerCallback answer) {
     const RequestId id = request.id;
     Job& job = jobs_[id];
     job.request = std::move(request);
@@ -234,7 +234,7 @@
                                      : counters_.failed);
     if (reply.payload.unchanged) ++counters_.unchanged;
     if (reply.deadlineExceeded) ++counters_.overdue;
-    const Answer answer = std::move(job.answer);
+    const AnswerCallback answer = std::move(job.answer);
     job.answer = nullptr;
     if (answer) answer(job.request.id, std::move(reply));
 }
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -67,7 +67,7 @@
 
 class RequestDispatcher {
 public:
-    using Answer = std::function<void(RequestId, Reply&&)>;
+    using AnswerCallback = std::function<void(RequestId, Reply&&)>;
 
     // What was asked for before a purge was told and comes in after it may be older than the purge. The
     // platform's rule counts from the send; a front that promises more has such answers fetched anew.
@@ -77,7 +77,7 @@
                       PurgeDuringFetch purged = PurgeDuringFetch::serve)
         : decisions_(decisions), transport_(transport), purged_(purged) {}
 
-    void submit(Micros now, Request request, Answer answer);
+    void submit(Micros now, Request request, AnswerCallback answer);
     void clientGone(Micros now, RequestId request);  // the client has gone: no answer is owed
     void attemptEnded(Micros now, AttemptResult end);
     void runTimers(Micros now);  // what is due by the clock
@@ -95,7 +95,7 @@
     struct Job {
         Request request;
         ClassSettings rules;  // as they were when it was taken
-        Answer answer;
+        AnswerCallback answer;
         Decision send;
         Micros sentAt{};
         bool out = false;  // an attempt is
