--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -49,7 +49,7 @@
     found->second.answered = true;
     found->second.answer = nullptr;
     --openCount_;
-    ++counters_.gone;
+    ++counters_.clientsGone;
     if (Trace::on()) Trace::write("withdraw", {{"request", found->second.request.label}});
     follow(now, decisions_.clientGone(now, id));
     forgetIfDone(id);
@@ -233,7 +233,7 @@
        : reply.kind == Kind::refused ? counters_.refused
                                      : counters_.failed);
     if (reply.payload.unchanged) ++counters_.unchanged;
-    if (reply.deadlineExceeded) ++counters_.overdue;
+    if (reply.deadlineExceeded) ++counters_.deadlineExceeded;
     const AnswerCallback answer = std::move(job.answer);
     job.answer = nullptr;
     if (answer) answer(job.request.id, std::move(reply));
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -58,7 +58,8 @@
 const char* nameOf(GiveUp why);
 
 struct Counters {
-    std::uint64_t taken = 0, served = 0, unchanged = 0, refused = 0, failed = 0, gone = 0, overdue = 0;
+    std::uint64_t taken = 0, served = 0, unchanged = 0, refused = 0, failed = 0, clientsGone = 0,
+                  deadlineExceeded = 0;
     std::uint64_t servedLocally = 0;  // served from a copy of the gateway's own
     std::uint64_t sent = 0, cancelled = 0;
     std::array<std::uint64_t, kOutcomes> outcomes{};  // by Outcome
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -65,8 +65,8 @@
                   {"unchanged", r.unchanged},
                   {"refused", r.refused},
                   {"failed", r.failed},
-                  {"gone", r.gone},
-                  {"overdue", r.overdue},
+                  {"gone", r.clientsGone},
+                  {"overdue", r.deadlineExceeded},
                   {"own", r.servedLocally},
                   {"open", requests.openCount()}});
     std::vector<Figure> attempts{{"sent", r.sent}};
