--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -30,41 +30,43 @@
 
 void RequestDispatcher::submit(Micros now, Request request, AnswerCallback answer) {
     const RequestId id = request.id;
-    Job& job = jobs_[id];
-    job.request = std::move(request);
-    job.rules = decisions_.words().settings.classes[static_cast<std::size_t>(job.request.classIndex)];
-    job.answer = std::move(answer);
+    RequestState& state = states_[id];
+    state.request = std::move(request);
+    state.classSettings =
+        decisions_.words().settings.classes[static_cast<std::size_t>(state.request.classIndex)];
+    state.answer = std::move(answer);
     ++openCount_;
     ++counters_.taken;
     if (Trace::on())
-        Trace::write("take", {{"request", job.request.label},
-                              {"class", job.request.className},
-                              {"left_us", std::to_string((job.request.deadline - now).count())}});
-    follow(now, {decisions_.pick(now, job.request)});
+        Trace::write("take", {{"request", state.request.label},
+                              {"class", state.request.className},
+                              {"left_us", std::to_string((state.request.deadline - now).count())}});
+    execute(now, {decisions_.pick(now, state.request)});
 }
 
 void RequestDispatcher::clientGone(Micros now, RequestId id) {
-    const auto found = jobs_.find(id);
-    if (found == jobs_.end() || found->second.answered) return;
+    const auto found = states_.find(id);
+    if (found == states_.end() || found->second.answered) return;
     found->second.answered = true;
     found->second.answer = nullptr;
     --openCount_;
     ++counters_.clientsGone;
     if (Trace::on()) Trace::write("withdraw", {{"request", found->second.request.label}});
-    follow(now, decisions_.clientGone(now, id));
+    execute(now, decisions_.clientGone(now, id));
     forgetIfDone(id);
 }
 
 void RequestDispatcher::attemptEnded(Micros now, AttemptResult end) {
-    const auto found = jobs_.find(end.request);
+    const auto found = states_.find(end.request);
     // A late word on an attempt that was given up is nobody's any more.
-    if (found == jobs_.end() || !found->second.out || found->second.send.attempt != end.attempt) return;
-    Job& job = found->second;
-    const AnswerFacts answer{false, end.payload.unchanged, !job.request.known.empty()};
-    if (end.outcome == Outcome::served && !checks_.require(mayAnswer(answer), "answer", job.request.label))
+    if (found == states_.end() || !found->second.attemptInFlight || found->second.send.attempt != end.attempt)
+        return;
+    RequestState& state = found->second;
+    const AnswerFacts answer{false, end.payload.unchanged, !state.request.known.empty()};
+    if (end.outcome == Outcome::served && !checks_.require(mayAnswer(answer), "answer", state.request.label))
         end.outcome = Outcome::error;
     if (end.outcome == Outcome::served && purged_ == PurgeDuringFetch::refetch &&
-        decisions_.purgedSince(job.request, job.send.pickedAt))
+        decisions_.purgedSince(state.request, state.send.pickedAt))
         end.outcome = Outcome::notSent;
     AttemptReport report;
     report.outcome = end.outcome;
@@ -77,24 +79,24 @@
     report.ignoreForHealth = end.ignoreForHealth;
     report.bytes = end.payload.body.size();
     report.unchanged = end.payload.unchanged;
-    if (end.outcome == Outcome::served && !job.answered) {
+    if (end.outcome == Outcome::served && !state.answered) {
         Reply reply;
         reply.kind = Reply::Kind::served;
         reply.payload = std::move(end.payload);
-        finish(job, std::move(reply));
+        finish(state, std::move(reply));
     }
-    follow(now, close(now, job, report));
+    execute(now, endAttempt(now, state, report));
     forgetIfDone(end.request);
 }
 
 void RequestDispatcher::runTimers(Micros now) {
-    follow(now, decisions_.tick(now));
+    execute(now, decisions_.tick(now));
     // Machines that went silent never reset: only this clock ends their attempts.
     while (!timeouts_.empty() && std::get<0>(*timeouts_.begin()) <= now) {
         const auto [at, id, attempt] = *timeouts_.begin();
-        Job& job = jobs_.at(id);
+        RequestState& state = states_.at(id);
         const bool unwritten = transport_.cancel(now, id, attempt);
-        follow(now, close(now, job, {.outcome = unwritten ? Outcome::notSent : Outcome::timedOut}));
+        execute(now, endAttempt(now, state, {.outcome = unwritten ? Outcome::notSent : Outcome::timedOut}));
         forgetIfDone(id);
     }
 }
@@ -105,28 +107,29 @@
 }
 
 bool RequestDispatcher::mayBegin(Micros now, RequestId id, int attempt) {
-    const auto found = jobs_.find(id);
-    if (found == jobs_.end() || !found->second.out || found->second.send.attempt != attempt) return false;
-    const Job& job = found->second;
-    const Denial denial = denialOf(now, job, job.send);
+    const auto found = states_.find(id);
+    if (found == states_.end() || !found->second.attemptInFlight || found->second.send.attempt != attempt)
+        return false;
+    const RequestState& state = found->second;
+    const Denial denial = denialOf(now, state, state.send);
     if (denial != Denial::none && Trace::on())
-        Trace::write(
-            "hold_back",
-            {{"request", job.request.label}, {"attempt", std::to_string(attempt)}, {"why", nameOf(denial)}});
+        Trace::write("hold_back", {{"request", state.request.label},
+                                   {"attempt", std::to_string(attempt)},
+                                   {"why", nameOf(denial)}});
     return checks_.allows(denial);
 }
 
-Denial RequestDispatcher::denialOf(Micros now, const Job& job, const Decision& send) const {
+Denial RequestDispatcher::denialOf(Micros now, const RequestState& state, const Decision& send) const {
     SendFacts facts;
-    facts.answered = job.answered;
+    facts.answered = state.answered;
     facts.now = now;
-    facts.deadline = job.request.deadline;
+    facts.deadline = state.request.deadline;
     facts.host = decisions_.hostOf(send.host).readiness;
     if (!send.source.empty()) facts.source = decisions_.hostOf(send.source).readiness;
     // A pick knows of all purges that were told before it, also in the same turn.
-    facts.purgedSincePick = now > send.pickedAt && decisions_.purgedSince(job.request, send.pickedAt);
+    facts.purgedSincePick = now > send.pickedAt && decisions_.purgedSince(state.request, send.pickedAt);
     facts.to = localityOf(send.host);
-    return maySend(job.rules, facts, job.earlier);
+    return maySend(state.classSettings, facts, state.earlier);
 }
 
 Locality RequestDispatcher::localityOf(const std::string& host) const {
@@ -134,99 +137,101 @@
     return {listed.zone, listed.cell};
 }
 
-void RequestDispatcher::follow(Micros now, std::vector<Decision> decisions) {
+void RequestDispatcher::execute(Micros now, std::vector<Decision> decisions) {
     // Each verdict may lead to further ones; they are taken in the order in which they came.
     for (std::size_t i = 0; i < decisions.size(); ++i) {
         Decision decision = std::move(decisions[i]);
-        const auto found = jobs_.find(decision.request);
-        if (found == jobs_.end()) continue;
-        Job& job = found->second;
+        const auto found = states_.find(decision.request);
+        if (found == states_.end()) continue;
+        RequestState& state = found->second;
         if (decision.kind == DecisionKind::cancel) {
-            if (!job.out || job.send.attempt != decision.attempt) continue;
+            if (!state.attemptInFlight || state.send.attempt != decision.attempt) continue;
             const bool unwritten = transport_.cancel(now, decision.request, decision.attempt);
             ++counters_.cancelled;
             for (Decision& next :
-                 close(now, job, {.outcome = unwritten ? Outcome::notSent : Outcome::cancelled}))
+                 endAttempt(now, state, {.outcome = unwritten ? Outcome::notSent : Outcome::cancelled}))
                 decisions.push_back(std::move(next));
             forgetIfDone(decision.request);
-        } else if (job.answered) {
+        } else if (state.answered) {
             continue;
         } else if (decision.kind == DecisionKind::send) {
-            for (Decision& next : begin(now, job, std::move(decision))) decisions.push_back(std::move(next));
+            for (Decision& next : startAttempt(now, state, std::move(decision)))
+                decisions.push_back(std::move(next));
         } else {
-            giveUp(now, job, decision);
+            giveUp(now, state, decision);
             forgetIfDone(decision.request);
         }
     }
 }
 
-void RequestDispatcher::giveUp(Micros now, Job& job, const Decision& decision) {
-    const bool mayHave = job.out || job.earlier.has_value();
-    const bool refused = decision.kind == DecisionKind::refuse &&
-                         checks_.require(mayRefuse(job.rules, mayHave), "refusal", job.request.label);
+void RequestDispatcher::giveUp(Micros now, RequestState& state, const Decision& decision) {
+    const bool mayHave = state.attemptInFlight || state.earlier.has_value();
+    const bool refused =
+        decision.kind == DecisionKind::refuse &&
+        checks_.require(mayRefuse(state.classSettings, mayHave), "refusal", state.request.label);
     ++counters_.gaveUp[static_cast<std::size_t>(decision.why)];
     if (Trace::on())
-        Trace::write("give_up", {{"request", job.request.label},
+        Trace::write("give_up", {{"request", state.request.label},
                                  {"word", refused ? "refused" : "failed"},
                                  {"why", nameOf(decision.why)}});
     Reply reply;
     reply.kind = refused ? Reply::Kind::refused : Reply::Kind::failed;
     reply.retryAfter = decision.retryAfter;
-    reply.deadlineExceeded = now >= job.request.deadline;
-    reply.lastOutcome = job.lastOutcome;
-    finish(job, std::move(reply));
+    reply.deadlineExceeded = now >= state.request.deadline;
+    reply.lastOutcome = state.lastOutcome;
+    finish(state, std::move(reply));
 }
 
-std::vector<Decision> RequestDispatcher::begin(Micros now, Job& job, Decision&& send) {
-    const Denial denial = job.out ? Denial::attemptOut : denialOf(now, job, send);
+std::vector<Decision> RequestDispatcher::startAttempt(Micros now, RequestState& state, Decision&& send) {
+    const Denial denial = state.attemptInFlight ? Denial::attemptOut : denialOf(now, state, send);
     if (denial == Denial::attemptOut) {
-        checks_.require(denial, "send", job.request.label);
+        checks_.require(denial, "send", state.request.label);
         return {};
     }
-    job.sentTo = localityOf(send.host);
-    job.send = std::move(send);
-    decisions_.limitByPurge(now, job.request, job.send);
-    job.sentAt = now;
-    job.out = true;
+    state.sentTo = localityOf(send.host);
+    state.send = std::move(send);
+    decisions_.limitByPurge(now, state.request, state.send);
+    state.sentAt = now;
+    state.attemptInFlight = true;
     // Never past the deadline: the final answer is owed by then.
-    Micros until = job.request.deadline;
-    if (job.send.timeout.count() > 0) until = std::min(until, now + job.send.timeout);
-    timeouts_.emplace(until, job.request.id, job.send.attempt);
+    Micros until = state.request.deadline;
+    if (state.send.timeout.count() > 0) until = std::min(until, now + state.send.timeout);
+    timeouts_.emplace(until, state.request.id, state.send.attempt);
     ++counters_.sent;
-    if (!checks_.require(denial, "send", job.request.label))
-        return close(now, job, {.outcome = Outcome::notSent});
+    if (!checks_.require(denial, "send", state.request.label))
+        return endAttempt(now, state, {.outcome = Outcome::notSent});
     if (Trace::on())
-        Trace::write("send", {{"request", job.request.label},
-                              {"attempt", std::to_string(job.send.attempt)},
-                              {"host", job.send.host},
-                              {"source", job.send.source}});
-    transport_.send(now, job.request, job.send);
+        Trace::write("send", {{"request", state.request.label},
+                              {"attempt", std::to_string(state.send.attempt)},
+                              {"host", state.send.host},
+                              {"source", state.send.source}});
+    transport_.send(now, state.request, state.send);
     return {};
 }
 
-std::vector<Decision> RequestDispatcher::close(Micros now, Job& job, AttemptReport report) {
-    job.out = false;
-    job.lastOutcome = report.outcome;
-    if (mayHaveRun(report.outcome) && !job.earlier) job.earlier = EarlierRun{job.sentAt, job.sentTo};
+std::vector<Decision> RequestDispatcher::endAttempt(Micros now, RequestState& state, AttemptReport report) {
+    state.attemptInFlight = false;
+    state.lastOutcome = report.outcome;
+    if (mayHaveRun(report.outcome) && !state.earlier) state.earlier = EarlierRun{state.sentAt, state.sentTo};
     if (Trace::on())
-        Trace::write("end", {{"request", job.request.label},
-                             {"attempt", std::to_string(job.send.attempt)},
+        Trace::write("end", {{"request", state.request.label},
+                             {"attempt", std::to_string(state.send.attempt)},
                              {"outcome", nameOf(report.outcome)},
-                             {"took_us", std::to_string((now - job.sentAt).count())}});
-    const Micros until = job.send.timeout.count() > 0
-                             ? std::min(job.request.deadline, job.sentAt + job.send.timeout)
-                             : job.request.deadline;
-    timeouts_.erase({until, job.request.id, job.send.attempt});
+                             {"took_us", std::to_string((now - state.sentAt).count())}});
+    const Micros until = state.send.timeout.count() > 0
+                             ? std::min(state.request.deadline, state.sentAt + state.send.timeout)
+                             : state.request.deadline;
+    timeouts_.erase({until, state.request.id, state.send.attempt});
     ++counters_.outcomes[static_cast<std::size_t>(report.outcome)];
-    report.request = job.request.id;
-    report.attempt = job.send.attempt;
-    report.elapsed = now - job.sentAt;
+    report.request = state.request.id;
+    report.attempt = state.send.attempt;
+    report.elapsed = now - state.sentAt;
     return decisions_.report(now, report);
 }
 
-void RequestDispatcher::finish(Job& job, Reply&& reply) {
-    if (!checks_.require(mayAnswer({.answered = job.answered}), "answer", job.request.label)) return;
-    job.answered = true;
+void RequestDispatcher::finish(RequestState& state, Reply&& reply) {
+    if (!checks_.require(mayAnswer({.answered = state.answered}), "answer", state.request.label)) return;
+    state.answered = true;
     --openCount_;
     using Kind = Reply::Kind;
     ++(reply.kind == Kind::served    ? counters_.served
@@ -234,14 +239,15 @@
                                      : counters_.failed);
     if (reply.payload.unchanged) ++counters_.unchanged;
     if (reply.deadlineExceeded) ++counters_.deadlineExceeded;
-    const AnswerCallback answer = std::move(job.answer);
-    job.answer = nullptr;
-    if (answer) answer(job.request.id, std::move(reply));
+    const AnswerCallback answer = std::move(state.answer);
+    state.answer = nullptr;
+    if (answer) answer(state.request.id, std::move(reply));
 }
 
 void RequestDispatcher::forgetIfDone(RequestId id) {
-    const auto found = jobs_.find(id);
-    if (found != jobs_.end() && found->second.answered && !found->second.out) jobs_.erase(found);
+    const auto found = states_.find(id);
+    if (found != states_.end() && found->second.answered && !found->second.attemptInFlight)
+        states_.erase(found);
 }
 
 }  // namespace lotuslead::core
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -93,32 +93,32 @@
     const Counters& counters() const { return counters_; }
 
 private:
-    struct Job {
+    struct RequestState {
         Request request;
-        ClassSettings rules;  // as they were when it was taken
+        ClassSettings classSettings;  // as they were when it was taken
         AnswerCallback answer;
         Decision send;
         Micros sentAt{};
-        bool out = false;  // an attempt is
+        bool attemptInFlight = false;  // an attempt is
         bool answered = false;
         std::optional<Outcome> lastOutcome;
         Locality sentTo;
         std::optional<EarlierRun> earlier;
     };
 
-    void follow(Micros now, std::vector<Decision> decisions);
-    std::vector<Decision> begin(Micros now, Job& job, Decision&& send);
-    Denial denialOf(Micros now, const Job& job, const Decision& send) const;
+    void execute(Micros now, std::vector<Decision> decisions);
+    std::vector<Decision> startAttempt(Micros now, RequestState& state, Decision&& send);
+    Denial denialOf(Micros now, const RequestState& state, const Decision& send) const;
     Locality localityOf(const std::string& host) const;
-    void giveUp(Micros now, Job& job, const Decision& decision);
-    void finish(Job& job, Reply&& reply);
-    std::vector<Decision> close(Micros now, Job& job, AttemptReport report);
+    void giveUp(Micros now, RequestState& state, const Decision& decision);
+    void finish(RequestState& state, Reply&& reply);
+    std::vector<Decision> endAttempt(Micros now, RequestState& state, AttemptReport report);
     void forgetIfDone(RequestId request);
 
     DecisionFacade& decisions_;
     AttemptTransport& transport_;
     PurgeDuringFetch purged_;
-    std::unordered_map<RequestId, Job> jobs_;
+    std::unordered_map<RequestId, RequestState> states_;
     std::set<std::tuple<Micros, RequestId, int>> timeouts_;
     std::size_t openCount_ = 0;
     RuleChecks checks_;
