--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -183,8 +183,8 @@
 }
 
 std::vector<Decision> RequestDispatcher::startAttempt(Micros now, RequestState& state, Decision&& send) {
-    const Denial denial = state.attemptInFlight ? Denial::attemptOut : denialOf(now, state, send);
-    if (denial == Denial::attemptOut) {
+    const Denial denial = state.attemptInFlight ? Denial::attemptInFlight : denialOf(now, state, send);
+    if (denial == Denial::attemptInFlight) {
         checks_.require(denial, "send", state.request.label);
         return {};
     }
--- a/src/core/rules.cpp
+++ b/src/core/rules.cpp
@@ -24,16 +24,16 @@
 Denial mayRepeat(const ClassSettings& rules, const std::optional<EarlierRun>& earlier, Micros now,
                  Locality to) {
     if (!earlier || rules.effect == Effect::safe) return Denial::none;
-    if (rules.effect == Effect::unsafe) return Denial::runsTwice;
-    if (now - earlier->sentAt >= rules.repeatWindow) return Denial::windowPassed;
-    if (rules.group == RepeatGroup::zone && to.zone != earlier->at.zone) return Denial::otherGroup;
-    if (rules.group == RepeatGroup::cell && to.cell != earlier->at.cell) return Denial::otherGroup;
+    if (rules.effect == Effect::unsafe) return Denial::mayRunTwice;
+    if (now - earlier->sentAt >= rules.repeatWindow) return Denial::keyWindowPassed;
+    if (rules.group == RepeatGroup::zone && to.zone != earlier->at.zone) return Denial::otherRepeatGroup;
+    if (rules.group == RepeatGroup::cell && to.cell != earlier->at.cell) return Denial::otherRepeatGroup;
     return Denial::none;
 }
 
 Denial maySend(const ClassSettings& rules, const SendFacts& facts, const std::optional<EarlierRun>& earlier) {
     if (facts.answered) return Denial::answered;
-    if (facts.attemptOut) return Denial::attemptOut;
+    if (facts.attemptInFlight) return Denial::attemptInFlight;
     if (facts.now >= facts.deadline) return Denial::deadlinePassed;
     if (facts.host != Readiness::ready) return Denial::hostNotReady;
     if (facts.source != Readiness::ready) return Denial::sourceNotReady;
@@ -45,18 +45,18 @@
     if (!mayHaveRun || rules.effect == Effect::safe) return Denial::none;
     // Wherever the client's next try goes, its key is known there.
     const bool keyKnown = rules.effect == Effect::keyed && rules.group == RepeatGroup::all;
-    return keyKnown ? Denial::none : Denial::promisesNoEffect;
+    return keyKnown ? Denial::none : Denial::mayHaveTakenEffect;
 }
 
 Denial mayAnswer(const AnswerFacts& facts) {
     if (facts.answered) return Denial::answered;
-    return facts.unchanged && !facts.copyNamed ? Denial::notNamed : Denial::none;
+    return facts.unchanged && !facts.copyIsNamed ? Denial::copyNotNamed : Denial::none;
 }
 
 Denial mayTake(const TakeFacts& facts) {
-    if (facts.ending) return Denial::ending;
+    if (facts.shuttingDown) return Denial::shuttingDown;
     if (facts.draining) return Denial::draining;
-    if (facts.connectionRetired) return Denial::connectionRetired;
+    if (facts.connectionClosing) return Denial::connectionClosing;
     if (facts.openOnConnection >= facts.mostOnConnection) return Denial::tooManyOpen;
     return facts.hasRoom ? Denial::none : Denial::noMemory;
 }
@@ -69,7 +69,7 @@
 
 Denial mayServe(const StartFacts& facts) {
     const bool ready = facts.prepared && !facts.awaitsHandOver;
-    return ready || facts.waitedLongEnough ? Denial::none : Denial::notPrepared;
+    return ready || facts.waitedLongEnough ? Denial::none : Denial::notReady;
 }
 
 bool RuleChecks::allows(Denial denial) {
--- a/src/core/rules.hpp
+++ b/src/core/rules.hpp
@@ -17,26 +17,26 @@
 // Why a step may not be taken; `none`: it may.
 enum class Denial : std::uint8_t {
     none,
-    answered,           // the request has its final answer, or its client has left
-    attemptOut,         // another attempt of the request is out
-    deadlinePassed,     // the client waits no longer
-    hostNotReady,       // draining or gone
-    sourceNotReady,     // likewise, as the source of a fill
-    purgedSincePick,    // the limit on age does not know of a purge
-    runsTwice,          // an attempt may have run, and the class allows no other
-    windowPassed,       // the server no longer knows the key of the attempt that may have run
-    otherGroup,         // the key is known in another zone or cell
-    promisesNoEffect,   // a refusal would, and an attempt may have run
-    notNamed,           // no server has named the client's copy
-    ending,             // the process answers what it has, and takes nothing more
-    draining,           // operators send clients away
-    connectionRetired,  // what follows on this connection can't be told apart or is useless
-    tooManyOpen,        // on one connection
-    noMemory,           // for the answer
-    requestOpen,        // an answer is owed on the connection
-    unreadBytes,        // a further request may have come
-    unsentAnswer,       // a close could take it back
-    notPrepared,        // lists or purges are still to be heard
+    answered,            // the request has its final answer, or its client has left
+    attemptInFlight,     // another attempt of the request is out
+    deadlinePassed,      // the client waits no longer
+    hostNotReady,        // draining or gone
+    sourceNotReady,      // likewise, as the source of a fill
+    purgedSincePick,     // the limit on age does not know of a purge
+    mayRunTwice,         // an attempt may have run, and the class allows no other
+    keyWindowPassed,     // the server no longer knows the key of the attempt that may have run
+    otherRepeatGroup,    // the key is known in another zone or cell
+    mayHaveTakenEffect,  // a refusal would, and an attempt may have run
+    copyNotNamed,        // no server has named the client's copy
+    shuttingDown,        // the process answers what it has, and takes nothing more
+    draining,            // operators send clients away
+    connectionClosing,   // what follows on this connection can't be told apart or is useless
+    tooManyOpen,         // on one connection
+    noMemory,            // for the answer
+    requestOpen,         // an answer is owed on the connection
+    unreadBytes,         // a further request may have come
+    unsentAnswer,        // a close could take it back
+    notReady,            // lists or purges are still to be heard
     count_
 };
 const char* nameOf(Denial denial);
@@ -58,7 +58,7 @@
 
 struct SendFacts {
     bool answered = false;
-    bool attemptOut = false;
+    bool attemptInFlight = false;
     Micros now{}, deadline{};
     Readiness host = Readiness::gone;
     Readiness source = Readiness::ready;  // where there is none it is in nobody's way
@@ -72,14 +72,14 @@
 
 struct AnswerFacts {
     bool answered = false;
-    bool unchanged = false;  // tells the client that its own copy holds
-    bool copyNamed = false;  // by the client, and by the server that answered
+    bool unchanged = false;    // tells the client that its own copy holds
+    bool copyIsNamed = false;  // by the client, and by the server that answered
 };
 Denial mayAnswer(const AnswerFacts& facts);
 
 struct TakeFacts {
-    bool ending = false, draining = false;
-    bool connectionRetired = false;
+    bool shuttingDown = false, draining = false;
+    bool connectionClosing = false;
     std::size_t openOnConnection = 0, mostOnConnection = 0;
     bool hasRoom = true;
 };
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -316,9 +316,9 @@
 
     core::TakeFacts takeFacts() const {
         core::TakeFacts facts;
-        facts.ending = owner_.lastCall_;
+        facts.shuttingDown = owner_.lastCall_;
         facts.draining = owner_.refuses();
-        facts.connectionRetired = retired_;
+        facts.connectionClosing = retired_;
         facts.openOnConnection = open_.size();
         facts.mostOnConnection = kOpenAConnection;
         return facts;
@@ -326,7 +326,7 @@
 
     void refuse(const std::string& tag, core::Denial denial) {
         using core::Denial;
-        const bool useless = denial == Denial::connectionRetired || denial == Denial::tooManyOpen;
+        const bool useless = denial == Denial::connectionClosing || denial == Denial::tooManyOpen;
         ++(useless                      ? owner_.counters_.beyondBound
            : denial == Denial::noMemory ? owner_.counters_.noRoom
                                         : owner_.counters_.drainRefused);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -34,7 +34,7 @@
         return maySend(rules, facts, {});
     };
     EXPECT_EQ(with([](SendFacts& f) { f.answered = true; }), Denial::answered);
-    EXPECT_EQ(with([](SendFacts& f) { f.attemptOut = true; }), Denial::attemptOut);
+    EXPECT_EQ(with([](SendFacts& f) { f.attemptInFlight = true; }), Denial::attemptInFlight);
     EXPECT_EQ(with([](SendFacts& f) { f.now = f.deadline; }), Denial::deadlinePassed);
     EXPECT_EQ(with([](SendFacts& f) { f.host = Readiness::draining; }), Denial::hostNotReady);
     EXPECT_EQ(with([](SendFacts& f) { f.host = Readiness::gone; }), Denial::hostNotReady);
@@ -45,30 +45,32 @@
 TEST(Rules, WhatMayHaveRunIsRepeatedOnlyAsItsClassAllows) {
     const EarlierRun earlier{8s, {1, 7}};
     EXPECT_EQ(mayRepeat(classOf(Effect::unsafe), {}, 10s, {1, 7}), Denial::none);
-    EXPECT_EQ(mayRepeat(classOf(Effect::unsafe), earlier, 10s, {1, 7}), Denial::runsTwice);
+    EXPECT_EQ(mayRepeat(classOf(Effect::unsafe), earlier, 10s, {1, 7}), Denial::mayRunTwice);
     EXPECT_EQ(mayRepeat(classOf(Effect::safe), earlier, 99s, {2, 8}), Denial::none);
     EXPECT_EQ(mayRepeat(classOf(Effect::keyed), earlier, 10s, {2, 8}), Denial::none);
-    EXPECT_EQ(mayRepeat(classOf(Effect::keyed), earlier, 11s, {1, 7}), Denial::windowPassed);
+    EXPECT_EQ(mayRepeat(classOf(Effect::keyed), earlier, 11s, {1, 7}), Denial::keyWindowPassed);
     EXPECT_EQ(mayRepeat(classOf(Effect::keyed, RepeatGroup::zone), earlier, 10s, {1, 8}), Denial::none);
-    EXPECT_EQ(mayRepeat(classOf(Effect::keyed, RepeatGroup::zone), earlier, 10s, {2, 7}), Denial::otherGroup);
+    EXPECT_EQ(mayRepeat(classOf(Effect::keyed, RepeatGroup::zone), earlier, 10s, {2, 7}),
+              Denial::otherRepeatGroup);
     EXPECT_EQ(mayRepeat(classOf(Effect::keyed, RepeatGroup::cell), earlier, 10s, {2, 7}), Denial::none);
-    EXPECT_EQ(mayRepeat(classOf(Effect::keyed, RepeatGroup::cell), earlier, 10s, {1, 8}), Denial::otherGroup);
+    EXPECT_EQ(mayRepeat(classOf(Effect::keyed, RepeatGroup::cell), earlier, 10s, {1, 8}),
+              Denial::otherRepeatGroup);
 }
 
 TEST(Rules, ARefusalPromisesThatNothingHasHappened) {
     EXPECT_EQ(mayRefuse(classOf(Effect::unsafe), false), Denial::none);
-    EXPECT_EQ(mayRefuse(classOf(Effect::unsafe), true), Denial::promisesNoEffect);
+    EXPECT_EQ(mayRefuse(classOf(Effect::unsafe), true), Denial::mayHaveTakenEffect);
     EXPECT_EQ(mayRefuse(classOf(Effect::safe), true), Denial::none);
     EXPECT_EQ(mayRefuse(classOf(Effect::keyed), true), Denial::none);
-    EXPECT_EQ(mayRefuse(classOf(Effect::keyed, RepeatGroup::zone), true), Denial::promisesNoEffect);
-    EXPECT_EQ(mayRefuse(classOf(Effect::keyed, RepeatGroup::cell), true), Denial::promisesNoEffect);
+    EXPECT_EQ(mayRefuse(classOf(Effect::keyed, RepeatGroup::zone), true), Denial::mayHaveTakenEffect);
+    EXPECT_EQ(mayRefuse(classOf(Effect::keyed, RepeatGroup::cell), true), Denial::mayHaveTakenEffect);
 }
 
 TEST(Rules, AnswersAreGivenOnceAndCopiesConfirmedOnlyWhenNamed) {
     EXPECT_EQ(mayAnswer({}), Denial::none);
     EXPECT_EQ(mayAnswer({.answered = true}), Denial::answered);
-    EXPECT_EQ(mayAnswer({.unchanged = true}), Denial::notNamed);
-    EXPECT_EQ(mayAnswer({.unchanged = true, .copyNamed = true}), Denial::none);
+    EXPECT_EQ(mayAnswer({.unchanged = true}), Denial::copyNotNamed);
+    EXPECT_EQ(mayAnswer({.unchanged = true, .copyIsNamed = true}), Denial::none);
 }
 
 TEST(Rules, RequestsAreTakenWithinTheBoundsOfProcessAndConnection) {
@@ -79,9 +81,9 @@
         change(facts);
         return mayTake(facts);
     };
-    EXPECT_EQ(with([](TakeFacts& f) { f.ending = true; }), Denial::ending);
+    EXPECT_EQ(with([](TakeFacts& f) { f.shuttingDown = true; }), Denial::shuttingDown);
     EXPECT_EQ(with([](TakeFacts& f) { f.draining = true; }), Denial::draining);
-    EXPECT_EQ(with([](TakeFacts& f) { f.connectionRetired = true; }), Denial::connectionRetired);
+    EXPECT_EQ(with([](TakeFacts& f) { f.connectionClosing = true; }), Denial::connectionClosing);
     EXPECT_EQ(with([](TakeFacts& f) { f.openOnConnection = 32; }), Denial::tooManyOpen);
     EXPECT_EQ(with([](TakeFacts& f) { f.hasRoom = false; }), Denial::noMemory);
 }
@@ -94,9 +96,9 @@
 }
 
 TEST(Rules, TheServiceOpensOnceItKnowsEnoughOrHasWaitedLong) {
-    EXPECT_EQ(mayServe({}), Denial::notPrepared);
+    EXPECT_EQ(mayServe({}), Denial::notReady);
     EXPECT_EQ(mayServe({.prepared = true}), Denial::none);
-    EXPECT_EQ(mayServe({.prepared = true, .awaitsHandOver = true}), Denial::notPrepared);
+    EXPECT_EQ(mayServe({.prepared = true, .awaitsHandOver = true}), Denial::notReady);
     EXPECT_EQ(mayServe({.waitedLongEnough = true}), Denial::none);
 }
 
@@ -106,10 +108,10 @@
     EXPECT_TRUE(checks.require(Denial::none, "send", "a"));
     EXPECT_FALSE(checks.allows(Denial::hostNotReady));
     EXPECT_EQ(checks.violations(), 0U);
-    EXPECT_FALSE(checks.require(Denial::runsTwice, "send", "a"));
+    EXPECT_FALSE(checks.require(Denial::mayRunTwice, "send", "a"));
     EXPECT_EQ(checks.violations(), 1U);
     EXPECT_EQ(checks.heldBack()[static_cast<std::size_t>(Denial::hostNotReady)], 1U);
-    EXPECT_STREQ(nameOf(Denial::notPrepared), "not_prepared");
+    EXPECT_STREQ(nameOf(Denial::notReady), "not_prepared");
 }
 
 }  // namespace
