--- a/src/core/rules.cpp
+++ b/src/core/rules.cpp
@@ -53,11 +53,11 @@
     return facts.unchanged && !facts.copyIsNamed ? Denial::copyNotNamed : Denial::none;
 }
 
-Denial mayTake(const TakeFacts& facts) {
+Denial mayAdmit(const AdmissionFacts& facts) {
     if (facts.shuttingDown) return Denial::shuttingDown;
     if (facts.draining) return Denial::draining;
     if (facts.connectionClosing) return Denial::connectionClosing;
-    if (facts.openOnConnection >= facts.mostOnConnection) return Denial::tooManyOpen;
+    if (facts.openOnConnection >= facts.maxOnConnection) return Denial::tooManyOpen;
     return facts.hasRoom ? Denial::none : Denial::noMemory;
 }
 
--- a/src/core/rules.hpp
+++ b/src/core/rules.hpp
@@ -77,13 +77,13 @@
 };
 Denial mayAnswer(const AnswerFacts& facts);
 
-struct TakeFacts {
+struct AdmissionFacts {
     bool shuttingDown = false, draining = false;
     bool connectionClosing = false;
-    std::size_t openOnConnection = 0, mostOnConnection = 0;
+    std::size_t openOnConnection = 0, maxOnConnection = 0;
     bool hasRoom = true;
 };
-Denial mayTake(const TakeFacts& facts);
+Denial mayAdmit(const AdmissionFacts& facts);
 
 // Of a connection that this process closes of its own accord.
 struct CloseFacts {
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -268,7 +268,7 @@
             return true;
         }
         lastCall_ = owner_.loop_.now();
-        if (const auto denial = core::mayTake(takeFacts()); denial != core::Denial::none) {
+        if (const auto denial = core::mayAdmit(admissionFacts()); denial != core::Denial::none) {
             refuse(tag, denial);
             return true;
         }
@@ -314,13 +314,13 @@
         return true;
     }
 
-    core::TakeFacts takeFacts() const {
-        core::TakeFacts facts;
+    core::AdmissionFacts admissionFacts() const {
+        core::AdmissionFacts facts;
         facts.shuttingDown = owner_.lastCall_;
         facts.draining = owner_.refuses();
         facts.connectionClosing = retired_;
         facts.openOnConnection = open_.size();
-        facts.mostOnConnection = kOpenAConnection;
+        facts.maxOnConnection = kOpenAConnection;
         return facts;
     }
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -74,18 +74,18 @@
 }
 
 TEST(Rules, RequestsAreTakenWithinTheBoundsOfProcessAndConnection) {
-    const TakeFacts good{.openOnConnection = 31, .mostOnConnection = 32};
-    EXPECT_EQ(mayTake(good), Denial::none);
+    const AdmissionFacts good{.openOnConnection = 31, .maxOnConnection = 32};
+    EXPECT_EQ(mayAdmit(good), Denial::none);
     const auto with = [&](auto change) {
-        TakeFacts facts = good;
+        AdmissionFacts facts = good;
         change(facts);
-        return mayTake(facts);
+        return mayAdmit(facts);
     };
-    EXPECT_EQ(with([](TakeFacts& f) { f.shuttingDown = true; }), Denial::shuttingDown);
-    EXPECT_EQ(with([](TakeFacts& f) { f.draining = true; }), Denial::draining);
-    EXPECT_EQ(with([](TakeFacts& f) { f.connectionClosing = true; }), Denial::connectionClosing);
-    EXPECT_EQ(with([](TakeFacts& f) { f.openOnConnection = 32; }), Denial::tooManyOpen);
-    EXPECT_EQ(with([](TakeFacts& f) { f.hasRoom = false; }), Denial::noMemory);
+    EXPECT_EQ(with([](AdmissionFacts& f) { f.shuttingDown = true; }), Denial::shuttingDown);
+    EXPECT_EQ(with([](AdmissionFacts& f) { f.draining = true; }), Denial::draining);
+    EXPECT_EQ(with([](AdmissionFacts& f) { f.connectionClosing = true; }), Denial::connectionClosing);
+    EXPECT_EQ(with([](AdmissionFacts& f) { f.openOnConnection = 32; }), Denial::tooManyOpen);
+    EXPECT_EQ(with([](AdmissionFacts& f) { f.hasRoom = false; }), Denial::noMemory);
 }
 
 TEST(Rules, AConnectionIsClosedOnlyWhereNothingIsOwedOnIt) {
