--- a/src/core/rules.cpp
+++ b/src/core/rules.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::uint64_t kMostToldViolations = 100;  // in the log; all are counted
+constexpr std::uint64_t kMaxLoggedViolations = 100;  // in the log; all are counted
 
 }  // namespace
 
@@ -80,7 +80,7 @@
 
 bool RuleChecks::require(Denial denial, const char* step, const std::string& subject) {
     if (denial == Denial::none) return true;
-    if (++violations_ <= kMostToldViolations)
+    if (++violations_ <= kMaxLoggedViolations)
         std::fprintf(stderr, "rule violation prevented: %s of %s: %s\n", step, subject.c_str(),
                      nameOf(denial));
     return false;
