--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -27,16 +27,16 @@
 
 void DecisionFacade::reconfigure(settings::Vocabulary words) {
     words_ = withoutSecondCopies(std::move(words));
-    router_.reconfigure(shared());
+    router_.reconfigure(settingsForAllProcesses());
 }
 
-void DecisionFacade::share(int processes) {
+void DecisionFacade::setProcessCount(int processes) {
     if (processes == std::exchange(processes_, processes)) return;
-    router_.reconfigure(shared());
+    router_.reconfigure(settingsForAllProcesses());
 }
 
 // To the module the processes of a gateway are so many routers.
-Settings DecisionFacade::shared() const {
+Settings DecisionFacade::settingsForAllProcesses() const {
     Settings settings = words_.settings;
     settings.routers = std::max(1, settings.routers) * processes_;
     for (int& routers : settings.routersByZone) routers *= processes_;
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -81,7 +81,7 @@
     // In place of those before, of which they are the continuation (settings::continued).
     void reconfigure(settings::Vocabulary words);
     // So many processes are one gateway now: each takes its part of what is allowed to all.
-    void share(int processes);
+    void setProcessCount(int processes);
     // What a successor on this machine should know, in JSON; of what it takes it keeps what it knows by name.
     nlohmann::json handOver(Micros now);
     void takeOver(Micros now, const nlohmann::json& known);  // throws where it is not of that form
@@ -126,7 +126,7 @@
     Time moduleTime(Micros now) const { return now + kEpoch; }
     std::vector<Decision> collect(Micros now);
     void forgetOldPurges(Micros now);
-    Settings shared() const;
+    Settings settingsForAllProcesses() const;
     Time startOf(Micros now, const settings::ListedStore& store, const ListedHost& before,
                  bool heardLive) const;
 
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -33,7 +33,7 @@
     virtual void yield() = 0;
     virtual bool deserted() const = 0;  // no client is connected
     // So many processes are one gateway now, and keep to its limits together.
-    virtual void share(int processes) = 0;
+    virtual void setProcessCount(int processes) = 0;
     // What a successor should know, under this name; it throws where it is not of that form.
     virtual const char* part() const = 0;
     virtual nlohmann::json handOver() = 0;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -110,7 +110,7 @@
 }
 
 void Gateway::processesChanged(int count) {
-    for (const auto& service : services_) service->share(count);
+    for (const auto& service : services_) service->setProcessCount(count);
     std::fprintf(stderr, "lotuslead: %d processes are one gateway now\n", count);
 }
 
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -471,7 +471,7 @@
 
 bool Front::saysNo() const { return leaving_ || (drainingSince_ && !yielding_); }
 
-void Front::share(int processes) {
+void Front::setProcessCount(int processes) {
     processes_ = processes;
     takeLimits();
 }
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -32,7 +32,7 @@
     void open();  // starts to listen
     // Uses this listening socket from open() on.
     void inherit(net::Descriptor listening) { inherited_ = std::move(listening); }
-    void share(int processes);  // of the limits
+    void setProcessCount(int processes);  // of the limits
     // Other limits, and perhaps another address; throws, with nothing changed, where that can't be listened
     // on.
     void reconfigure(const settings::Configuration& configuration);
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -108,10 +108,10 @@
     nlohmann::json handOver() override { return decisions_.handOver(loop_.now()); }
     void takeOver(const nlohmann::json& known) override { decisions_.takeOver(loop_.now(), known); }
     bool deserted() const override { return front_.deserted(); }
-    void share(int processes) override {
-        front_.share(processes);
-        transport_.share(processes);
-        decisions_.share(processes);
+    void setProcessCount(int processes) override {
+        front_.setProcessCount(processes);
+        transport_.setProcessCount(processes);
+        decisions_.setProcessCount(processes);
     }
     void lastCall() override { front_.lastCall(); }
     std::size_t openRequests() const override { return requests_.openCount(); }
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -408,7 +408,7 @@
     if (words.idleClose.count() > 0)
         idleClose_ = std::chrono::duration_cast<Micros>(words.idleClose) * 9 / 10;
     sockets_ = static_cast<std::size_t>(configuration.limits.sockets);
-    share(processes_);
+    setProcessCount(processes_);
     const Micros longest = core::longestGiveUp(words.settings);
     silence_.bound(longest / 2);
     longAnswer_ = std::min(kLongAnswer, longest / 2);
@@ -419,7 +419,7 @@
 }
 
 // What is left beside the clients' third, less what the process needs for itself and for operators.
-void Stores::share(int processes) {
+void Stores::setProcessCount(int processes) {
     processes_ = processes;
     const std::size_t rest = sockets_ - sockets_ / 3;
     const std::size_t own = std::min<std::size_t>(64, rest / 4);
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -34,7 +34,7 @@
     void listen(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
     void list(const settings::BusEvent& event);
     void reconfigure(const settings::Configuration& configuration);
-    void share(int processes);  // of the descriptors
+    void setProcessCount(int processes);  // of the descriptors
 
     void send(core::Micros now, const core::Request& request, const core::Decision& send) override;
     bool cancel(core::Micros now, RequestId request, int attempt) override;
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -484,7 +484,7 @@
     mostBytes_ /= static_cast<std::size_t>(processes_);
 }
 
-void Front::share(int processes) {
+void Front::setProcessCount(int processes) {
     processes_ = processes;
     takeLimits(configuration_.base.limits);
 }
--- a/src/repository/front.hpp
+++ b/src/repository/front.hpp
@@ -28,7 +28,7 @@
     ~Front();
 
     void open();
-    void share(int processes);  // of the limits
+    void setProcessCount(int processes);  // of the limits
     // Other limits and routes are read from the configuration that it was given; throws like the platform's
     // front.
     void reconfigure(const settings::RepositoryConfiguration& configuration);
--- a/src/repository/upstreams.hpp
+++ b/src/repository/upstreams.hpp
@@ -35,7 +35,7 @@
 
     void listen(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
     void list(const settings::BusEvent& event);
-    void share(int) {}  // its connections are few: kMostLinks to a server
+    void setProcessCount(int) {}  // its connections are few: kMostLinks to a server
     void reconfigure(const settings::RepositoryConfiguration& configuration);
     void send(core::Micros now, const core::Request& request, const core::Decision& send) override;
     bool cancel(core::Micros now, RequestId request, int attempt) override;
