--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -43,7 +43,7 @@
     return settings;
 }
 
-nlohmann::json DecisionFacade::handOver(Micros now) {
+nlohmann::json DecisionFacade::exportState(Micros now) {
     using nlohmann::json;
     const Warmth known = router_.warmth(moduleTime(now));
     json work = json::object(), objects = json::array(), hosts = json::object();
@@ -56,7 +56,7 @@
 }
 
 // Both read the same machine's monotonic clock.
-void DecisionFacade::takeOver(Micros now, const nlohmann::json& known) {
+void DecisionFacade::importState(Micros now, const nlohmann::json& known) {
     Warmth warmth;
     const auto time = [](const nlohmann::json& value) { return Time{value.get<std::int64_t>()}; };
     warmth.startedAt = time(known.at("startedAt"));
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -83,8 +83,8 @@
     // So many processes are one gateway now: each takes its part of what is allowed to all.
     void setProcessCount(int processes);
     // What a successor on this machine should know, in JSON; of what it takes it keeps what it knows by name.
-    nlohmann::json handOver(Micros now);
-    void takeOver(Micros now, const nlohmann::json& known);  // throws where it is not of that form
+    nlohmann::json exportState(Micros now);
+    void importState(Micros now, const nlohmann::json& known);  // throws where it is not of that form
 
     // `heardLive`: as it came about, and not from what was known at the start.
     void list(Micros now, const settings::BusEvent& event, bool heardLive);
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -36,8 +36,8 @@
     virtual void setProcessCount(int processes) = 0;
     // What a successor should know, under this name; it throws where it is not of that form.
     virtual const char* part() const = 0;
-    virtual nlohmann::json handOver() = 0;
-    virtual void takeOver(const nlohmann::json& known) = 0;
+    virtual nlohmann::json exportState() = 0;
+    virtual void importState(const nlohmann::json& known) = 0;
     // The end is near: what is open is answered at once, and what still comes is refused.
     virtual void lastCall() = 0;
     virtual std::size_t openRequests() const = 0;
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -105,8 +105,8 @@
         if (tier_) tier_->close();  // the successor waits for the folder
     }
     const char* part() const override { return opened_; }
-    nlohmann::json handOver() override { return decisions_.handOver(loop_.now()); }
-    void takeOver(const nlohmann::json& known) override { decisions_.takeOver(loop_.now(), known); }
+    nlohmann::json exportState() override { return decisions_.exportState(loop_.now()); }
+    void importState(const nlohmann::json& known) override { decisions_.importState(loop_.now(), known); }
     bool deserted() const override { return front_.deserted(); }
     void setProcessCount(int processes) override {
         front_.setProcessCount(processes);
