--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -94,7 +94,7 @@
 
 std::string Gateway::handOver() {
     nlohmann::json known = nlohmann::json::object();
-    for (const auto& service : services_) known[service->part()] = service->handOver();
+    for (const auto& service : services_) known[service->part()] = service->exportState();
     return known.dump();
 }
 
@@ -102,7 +102,7 @@
     try {
         const auto known = nlohmann::json::parse(what);
         for (const auto& service : services_)
-            if (known.contains(service->part())) service->takeOver(known.at(service->part()));
+            if (known.contains(service->part())) service->importState(known.at(service->part()));
         std::fprintf(stderr, "lotuslead: taken over what the predecessor knew, %zu bytes\n", what.size());
     } catch (const std::exception& problem) {
         std::fprintf(stderr, "lotuslead: cannot use what the predecessor knew: %s\n", problem.what());
