--- a/bench/scale/hollow_gateways.cpp
+++ b/bench/scale/hollow_gateways.cpp
@@ -71,10 +71,10 @@
 private:
     void apply(const settings::BusEvent& event) {
         if (event.isList) {
-            decisions_.list(loop_.now(), event, reader_.caughtUp());
+            decisions_.applyHostList(loop_.now(), event, reader_.caughtUp());
             return noteChange(event);
         }
-        decisions_.purge(loop_.now(), event);
+        decisions_.applyPurge(loop_.now(), event);
         const auto number = numberOf(event.purgedObject);
         if (!number) return;
         if (*number >= known_.size()) known_.resize(*number + 1);
--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -74,16 +74,16 @@
 // What it can't be is kept out: a start that is still to come, and one of long ago that is news now. Either
 // counts as a start of this moment, which is the stricter end.
 Time DecisionFacade::startOf(Micros now, const settings::ListedStore& store, const ListedHost& before,
-                             bool heardLive) const {
+                             bool receivedLive) const {
     constexpr std::chrono::minutes kLongAgo{1};
     if (store.sinceMs <= 0) return Time{0};
     if (store.sinceMs == before.sinceMs) return before.startedAt;
     const Micros told = std::chrono::milliseconds{store.sinceMs} - unixAhead_;
-    const bool impossible = told > now || (heardLive && told < now - kLongAgo);
+    const bool impossible = told > now || (receivedLive && told < now - kLongAgo);
     return std::max(Time{1}, moduleTime(impossible ? now : told));
 }
 
-void DecisionFacade::list(Micros now, const settings::BusEvent& event, bool heardLive) {
+void DecisionFacade::applyHostList(Micros now, const settings::BusEvent& event, bool receivedLive) {
     HostList list;
     list.whole = event.whole;
     // A whole list names hosts that stay.
@@ -100,7 +100,7 @@
         entry.readiness = store.readiness;
         const auto known = before.find(store.name);
         entry.startedAt =
-            startOf(now, store, known == before.end() ? ListedHost{} : known->second, heardLive);
+            startOf(now, store, known == before.end() ? ListedHost{} : known->second, receivedLive);
         // Nothing is kept of hosts that are gone: on a long day there is no end of them.
         if (store.readiness == Readiness::gone)
             hosts_.erase(store.name);
@@ -112,7 +112,7 @@
     collect(now);
 }
 
-void DecisionFacade::purge(Micros now, const settings::BusEvent& event) {
+void DecisionFacade::applyPurge(Micros now, const settings::BusEvent& event) {
     Purge purge;
     purge.object = event.purgedObject.empty() ? 0 : fingerprint(event.purgedObject);
     purge.group = event.purgedGroup;
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -87,10 +87,10 @@
     void importState(Micros now, const nlohmann::json& known);  // throws where it is not of that form
 
     // `heardLive`: as it came about, and not from what was known at the start.
-    void list(Micros now, const settings::BusEvent& event, bool heardLive);
+    void applyHostList(Micros now, const settings::BusEvent& event, bool receivedLive);
     // Counts as made when it is heard, the latest that it can have been: its date is another machine's, and
     // our wall clock may have been wrong when the process started.
-    void purge(Micros now, const settings::BusEvent& event);
+    void applyPurge(Micros now, const settings::BusEvent& event);
 
     Decision pick(Micros now, const Request& request);
     std::vector<Decision> report(Micros now, const AttemptReport& report);
@@ -128,7 +128,7 @@
     void forgetOldPurges(Micros now);
     Settings settingsForAllProcesses() const;
     Time startOf(Micros now, const settings::ListedStore& store, const ListedHost& before,
-                 bool heardLive) const;
+                 bool receivedLive) const;
 
     // The router's clock starts this far from zero, so that a host that started before this machine did has
     // a time above zero (zero stands for "long ago").
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -182,10 +182,10 @@
     void apply(const settings::BusEvent& event) {
         if (!event.isList) {
             if (tier_) purgeTier(event);
-            return decisions_.purge(loop_.now(), event);
+            return decisions_.applyPurge(loop_.now(), event);
         }
         // First the decisions: attempts that end with a host's connections are then not sent to it again.
-        decisions_.list(loop_.now(), event, isOpen_ && bus_.caughtUp());
+        decisions_.applyHostList(loop_.now(), event, isOpen_ && bus_.caughtUp());
         transport_.list(event);
     }
 
