--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -186,7 +186,7 @@
         }
         // First the decisions: attempts that end with a host's connections are then not sent to it again.
         decisions_.applyHostList(loop_.now(), event, isOpen_ && bus_.caughtUp());
-        transport_.list(event);
+        transport_.applyHostList(event);
     }
 
     // ----- the disk tier -----
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -428,7 +428,7 @@
 
 Stores::~Stores() = default;
 
-void Stores::list(const settings::BusEvent& event) {
+void Stores::applyHostList(const settings::BusEvent& event) {
     if (event.whole) {
         for (auto& [name, store] : stores_) {
             const bool kept = std::any_of(event.stores.begin(), event.stores.end(),
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -32,7 +32,7 @@
     ~Stores() override;
 
     void listen(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
-    void list(const settings::BusEvent& event);
+    void applyHostList(const settings::BusEvent& event);
     void reconfigure(const settings::Configuration& configuration);
     void setProcessCount(int processes);  // of the descriptors
 
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -237,7 +237,7 @@
 
 Upstreams::~Upstreams() = default;
 
-void Upstreams::list(const settings::BusEvent& event) {
+void Upstreams::applyHostList(const settings::BusEvent& event) {
     for (auto& [name, server] : servers_) {
         const bool named = std::any_of(event.stores.begin(), event.stores.end(),
                                        [&, &key = name](const auto& s) { return s.name == key; });
--- a/src/repository/upstreams.hpp
+++ b/src/repository/upstreams.hpp
@@ -34,7 +34,7 @@
     ~Upstreams() override;
 
     void listen(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
-    void list(const settings::BusEvent& event);
+    void applyHostList(const settings::BusEvent& event);
     void setProcessCount(int) {}  // its connections are few: kMostLinks to a server
     void reconfigure(const settings::RepositoryConfiguration& configuration);
     void send(core::Micros now, const core::Request& request, const core::Decision& send) override;
