--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -116,10 +116,10 @@
     Purge purge;
     purge.object = event.purgedObject.empty() ? 0 : fingerprint(event.purgedObject);
     purge.group = event.purgedGroup;
-    HeardPurge& heard =
+    ReceivedPurge& received =
         event.purgedObject.empty() ? groupPurges_[event.purgedGroup] : objectPurges_[event.purgedObject];
-    heard.heardAt = now;
-    heard.atMs = std::max(heard.atMs, event.purgedMs);
+    received.receivedAt = now;
+    received.purgeUnixMs = std::max(received.purgeUnixMs, event.purgedMs);
     forgetOldPurges(now);
     router_.handle(moduleTime(now), purge, actions_);
     collect(now);
@@ -128,31 +128,31 @@
 // No send waits longer than its request may, so older purges are known to every pick that still counts; and
 // the module has forgotten them.
 void DecisionFacade::forgetOldPurges(Micros now) {
-    constexpr std::chrono::minutes kLongEnough{2};
-    const Micros kept = kLongEnough + 2 * duration_cast<Micros>(words_.settings.purgeSettles);
-    if (now - purgesSwept_ < kLongEnough) return;
-    purgesSwept_ = now;
-    const auto old = [&](const auto& entry) { return now - entry.second.heardAt > kept; };
+    constexpr std::chrono::minutes kPurgeRetention{2};
+    const Micros kept = kPurgeRetention + 2 * duration_cast<Micros>(words_.settings.purgeSettles);
+    if (now - lastPurgeSweep_ < kPurgeRetention) return;
+    lastPurgeSweep_ = now;
+    const auto old = [&](const auto& entry) { return now - entry.second.receivedAt > kept; };
     std::erase_if(objectPurges_, old);
     std::erase_if(groupPurges_, old);
 }
 
-std::optional<DecisionFacade::HeardPurge> DecisionFacade::lastPurgeOf(const Request& request) const {
+std::optional<DecisionFacade::ReceivedPurge> DecisionFacade::lastPurgeOf(const Request& request) const {
     const auto object = objectPurges_.find(request.object);
     const auto group = groupPurges_.find(request.group);
     if (object == objectPurges_.end() && group == groupPurges_.end()) return {};
     if (object == objectPurges_.end()) return group->second;
     if (group == groupPurges_.end()) return object->second;
-    return {{std::max(object->second.heardAt, group->second.heardAt),
-             std::max(object->second.atMs, group->second.atMs)}};
+    return {{std::max(object->second.receivedAt, group->second.receivedAt),
+             std::max(object->second.purgeUnixMs, group->second.purgeUnixMs)}};
 }
 
 void DecisionFacade::limitByPurge(Micros now, const Request& request, Decision& send) const {
     const auto purge = lastPurgeOf(request);
     if (!purge) return;
     constexpr Micros kRounding{1000};
-    send.lastPurgeMs = purge->atMs;
-    send.maxAgeFromPurge = send.maxAge + kRounding >= now - purge->heardAt;
+    send.lastPurgeMs = purge->purgeUnixMs;
+    send.maxAgeFromPurge = send.maxAge + kRounding >= now - purge->receivedAt;
 }
 
 std::int64_t DecisionFacade::unixMsOf(Micros when) const {
@@ -215,7 +215,7 @@
 
 bool DecisionFacade::purgedSince(const Request& request, Micros when) const {
     const auto purge = lastPurgeOf(request);
-    return purge && purge->heardAt >= when;
+    return purge && purge->receivedAt >= when;
 }
 
 DecisionFacade::ListedHost DecisionFacade::hostOf(const std::string& name) const {
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -116,13 +116,13 @@
     std::int64_t unixMsOf(Micros when) const;
 
 private:
-    struct HeardPurge {
-        Micros heardAt{};
-        std::int64_t atMs = 0;  // as it was told
+    struct ReceivedPurge {
+        Micros receivedAt{};
+        std::int64_t purgeUnixMs = 0;  // as it was told
     };
 
     // Empty where none is remembered.
-    std::optional<HeardPurge> lastPurgeOf(const Request& request) const;
+    std::optional<ReceivedPurge> lastPurgeOf(const Request& request) const;
     Time moduleTime(Micros now) const { return now + kEpoch; }
     std::vector<Decision> collect(Micros now);
     void forgetOldPurges(Micros now);
@@ -142,9 +142,9 @@
     std::multimap<Micros, TimerId> timers_;
     std::unordered_map<RequestId, int> attempts_;        // made so far, of requests without a final answer
     std::unordered_map<std::string, ListedHost> hosts_;  // those that are not gone
-    std::unordered_map<std::string, HeardPurge> objectPurges_;
-    std::unordered_map<std::int64_t, HeardPurge> groupPurges_;
-    Micros purgesSwept_{};
+    std::unordered_map<std::string, ReceivedPurge> objectPurges_;
+    std::unordered_map<std::int64_t, ReceivedPurge> groupPurges_;
+    Micros lastPurgeSweep_{};
 };
 
 }  // namespace lotuslead::core
