--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -145,8 +145,8 @@
           opened_(opened),
           transport_(loop_, configuration_),
           decisions_(baseOf(configuration_).words, baseOf(configuration_).seed, loop_.now(),
-                     core::unixAhead()),
-          before_(transport_, core::unixAhead(), std::move(form)),
+                     core::unixClockOffset()),
+          before_(transport_, core::unixClockOffset(), std::move(form)),
           requests_(decisions_, before_, purged),
           front_(loop_, requests_, configuration_),
           bus_(loop_, [this](const settings::BusEvent& event) { apply(event); }) {
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -394,7 +394,7 @@
 };
 
 Stores::Stores(net::Loop& loop, const settings::Configuration& configuration)
-    : loop_(loop), unixAhead_(core::unixAhead()), copyClock_(unixAhead_) {
+    : loop_(loop), unixAhead_(core::unixClockOffset()), copyClock_(unixAhead_) {
     reconfigure(configuration);
 }
 
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -222,7 +222,7 @@
 };
 
 Upstreams::Upstreams(net::Loop& loop, const settings::RepositoryConfiguration& configuration)
-    : loop_(loop), unixAhead_(core::unixAhead()), configuration_(configuration) {
+    : loop_(loop), unixAhead_(core::unixClockOffset()), configuration_(configuration) {
     reconfigure(configuration);
 }
 
