--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -19,8 +19,11 @@
 
 }  // namespace
 
-DecisionFacade::DecisionFacade(settings::Vocabulary words, std::uint64_t seed, Micros now, Micros unixAhead)
-    : words_(withoutSecondCopies(std::move(words))), router_(words_.settings, seed), unixAhead_(unixAhead) {
+DecisionFacade::DecisionFacade(settings::Vocabulary words, std::uint64_t seed, Micros now,
+                               Micros unixClockOffset)
+    : words_(withoutSecondCopies(std::move(words))),
+      router_(words_.settings, seed),
+      unixClockOffset_(unixClockOffset) {
     router_.start(moduleTime(now), actions_);
     collect(now);
 }
@@ -78,7 +81,7 @@
     constexpr std::chrono::minutes kLongAgo{1};
     if (store.sinceMs <= 0) return Time{0};
     if (store.sinceMs == before.sinceMs) return before.startedAt;
-    const Micros told = std::chrono::milliseconds{store.sinceMs} - unixAhead_;
+    const Micros told = std::chrono::milliseconds{store.sinceMs} - unixClockOffset_;
     const bool impossible = told > now || (receivedLive && told < now - kLongAgo);
     return std::max(Time{1}, moduleTime(impossible ? now : told));
 }
@@ -156,7 +159,7 @@
 }
 
 std::int64_t DecisionFacade::unixMsOf(Micros when) const {
-    return duration_cast<std::chrono::milliseconds>(when + unixAhead_).count();
+    return duration_cast<std::chrono::milliseconds>(when + unixClockOffset_).count();
 }
 
 Decision DecisionFacade::pick(Micros now, const Request& request) {
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -74,8 +74,9 @@
 
 class DecisionFacade {
 public:
-    // `unixAhead` is what the Unix clock shows beyond the monotonic one, fixed for the life of the process.
-    DecisionFacade(settings::Vocabulary words, std::uint64_t seed, Micros now, Micros unixAhead);
+    // `unixClockOffset` is what the Unix clock shows beyond the monotonic one, fixed for the life of the
+    // process.
+    DecisionFacade(settings::Vocabulary words, std::uint64_t seed, Micros now, Micros unixClockOffset);
 
     const settings::Vocabulary& words() const { return words_; }
     // In place of those before, of which they are the continuation (settings::continued).
@@ -137,7 +138,7 @@
     settings::Vocabulary words_;
     int processes_ = 1;
     Router router_;
-    Micros unixAhead_;
+    Micros unixClockOffset_;
     Actions actions_;
     std::multimap<Micros, TimerId> timers_;
     std::unordered_map<RequestId, int> attempts_;        // made so far, of requests without a final answer
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -87,7 +87,7 @@
 // Beyond the monotonic clock: the Unix clock stands on the wire only, and by this one offset. Between two
 // looks at the clocks the process may be held up, by its own start or by others: the least difference is the
 // nearest.
-inline Micros unixAhead() {
+inline Micros unixClockOffset() {
     Micros least = Micros::max();
     for (int i = 0; i < 8; ++i) {
         const auto now = std::chrono::steady_clock::now().time_since_epoch();
--- a/src/platform/copy_age.hpp
+++ b/src/platform/copy_age.hpp
@@ -15,8 +15,8 @@
 // would look too old: the youngest copy seen bounds that.
 class CopyClock {
 public:
-    // `unixAhead`: what our wall clock showed beyond the monotonic one at the start.
-    explicit CopyClock(core::Micros unixAhead) : unixAhead_(unixAhead) {}
+    // `unixClockOffset`: what our wall clock showed beyond the monotonic one at the start.
+    explicit CopyClock(core::Micros unixClockOffset) : unixClockOffset_(unixClockOffset) {}
 
     void learn(core::Micros now, std::int64_t mintedMs) {
         const core::Micros ahead = std::chrono::milliseconds{mintedMs} - now;
@@ -26,7 +26,7 @@
     std::int64_t leastMintedMs(core::Micros now, const core::Decision& send) const {
         const std::int64_t byPurge = send.lastPurgeMs > 0 ? send.lastPurgeMs - kAsTold.count() : 0;
         if (send.maxAge.count() <= 0 || send.maxAgeFromPurge || !copiesAhead_) return byPurge;
-        const core::Micros least = now + std::min(unixAhead_, *copiesAhead_) - send.maxAge - kAsTold;
+        const core::Micros least = now + std::min(unixClockOffset_, *copiesAhead_) - send.maxAge - kAsTold;
         return std::max(byPurge, least.count() / 1000);
     }
 
@@ -34,7 +34,7 @@
     // An age is told in whole milliseconds, and clocks are read apart.
     static constexpr std::chrono::milliseconds kAsTold{50};
 
-    core::Micros unixAhead_;
+    core::Micros unixClockOffset_;
     std::optional<core::Micros> copiesAhead_;  // the clock that dates copies is ahead by that at least
 };
 
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -394,7 +394,7 @@
 };
 
 Stores::Stores(net::Loop& loop, const settings::Configuration& configuration)
-    : loop_(loop), unixAhead_(core::unixClockOffset()), copyClock_(unixAhead_) {
+    : loop_(loop), unixClockOffset_(core::unixClockOffset()), copyClock_(unixClockOffset_) {
     reconfigure(configuration);
 }
 
@@ -455,7 +455,7 @@
         if (moved)
             dropAll(store);
         else if (restarted)
-            dropBefore(store, std::chrono::milliseconds{listed.sinceMs} - unixAhead_);
+            dropBefore(store, std::chrono::milliseconds{listed.sinceMs} - unixClockOffset_);
         if (moved) forsake(listed.address, event);
         if (!listed.address.empty()) store.address = listed.address;
         store.sinceMs = listed.sinceMs;
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -73,7 +73,7 @@
     void dropBefore(Store& store, core::Micros restart);
 
     net::Loop& loop_;
-    core::Micros unixAhead_;
+    core::Micros unixClockOffset_;
     CopyClock copyClock_;
     core::Micros connectTimeout_{}, idleClose_{};
     std::size_t streams_ = 0;
