--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -24,7 +24,7 @@
     : words_(withoutSecondCopies(std::move(words))),
       router_(words_.settings, seed),
       unixClockOffset_(unixClockOffset) {
-    router_.start(moduleTime(now), actions_);
+    router_.start(routerTime(now), actions_);
     collect(now);
 }
 
@@ -48,7 +48,7 @@
 
 nlohmann::json DecisionFacade::exportState(Micros now) {
     using nlohmann::json;
-    const Warmth known = router_.warmth(moduleTime(now));
+    const Warmth known = router_.warmth(routerTime(now));
     json work = json::object(), objects = json::array(), hosts = json::object();
     for (std::size_t i = 0; i < known.meanWork.size(); ++i) work[words_.classNames[i]] = known.meanWork[i];
     for (const auto& [name, object] : known.objects)
@@ -70,20 +70,20 @@
     for (const auto& [name, h] : known.at("hosts").items())
         warmth.hosts.push_back(
             {{h.at(0), h.at(1).get<bool>(), time(h.at(2)), time(h.at(3)), h.at(4)}, name, h.at(5)});
-    router_.warm(moduleTime(now), warmth);
+    router_.warm(routerTime(now), warmth);
 }
 
 // The list's clock and ours may be far apart: ours is read once, at the start, and may have been stepped.
 // What it can't be is kept out: a start that is still to come, and one of long ago that is news now. Either
 // counts as a start of this moment, which is the stricter end.
-Time DecisionFacade::startOf(Micros now, const settings::ListedStore& store, const ListedHost& before,
-                             bool receivedLive) const {
-    constexpr std::chrono::minutes kLongAgo{1};
+Time DecisionFacade::hostStartTime(Micros now, const settings::ListedStore& store, const ListedHost& before,
+                                   bool receivedLive) const {
+    constexpr std::chrono::minutes kMaxReportDelay{1};
     if (store.sinceMs <= 0) return Time{0};
     if (store.sinceMs == before.sinceMs) return before.startedAt;
-    const Micros told = std::chrono::milliseconds{store.sinceMs} - unixClockOffset_;
-    const bool impossible = told > now || (receivedLive && told < now - kLongAgo);
-    return std::max(Time{1}, moduleTime(impossible ? now : told));
+    const Micros reported = std::chrono::milliseconds{store.sinceMs} - unixClockOffset_;
+    const bool impossible = reported > now || (receivedLive && reported < now - kMaxReportDelay);
+    return std::max(Time{1}, routerTime(impossible ? now : reported));
 }
 
 void DecisionFacade::applyHostList(Micros now, const settings::BusEvent& event, bool receivedLive) {
@@ -103,7 +103,7 @@
         entry.readiness = store.readiness;
         const auto known = before.find(store.name);
         entry.startedAt =
-            startOf(now, store, known == before.end() ? ListedHost{} : known->second, receivedLive);
+            hostStartTime(now, store, known == before.end() ? ListedHost{} : known->second, receivedLive);
         // Nothing is kept of hosts that are gone: on a long day there is no end of them.
         if (store.readiness == Readiness::gone)
             hosts_.erase(store.name);
@@ -111,7 +111,7 @@
             hosts_[store.name] = {store.readiness, entry.zone, entry.cell, store.sinceMs, entry.startedAt};
         list.entries.push_back(std::move(entry));
     }
-    router_.handle(moduleTime(now), list, actions_);
+    router_.handle(routerTime(now), list, actions_);
     collect(now);
 }
 
@@ -124,7 +124,7 @@
     received.receivedAt = now;
     received.purgeUnixMs = std::max(received.purgeUnixMs, event.purgedMs);
     forgetOldPurges(now);
-    router_.handle(moduleTime(now), purge, actions_);
+    router_.handle(routerTime(now), purge, actions_);
     collect(now);
 }
 
@@ -169,11 +169,11 @@
     asked.object = request.object.empty() ? 0 : fingerprint(request.object);
     asked.group = request.group;
     asked.part = request.part;
-    asked.deadline = moduleTime(request.deadline);
+    asked.deadline = routerTime(request.deadline);
     asked.repeated = request.repeated;
     asked.write = words_.settings.classes[static_cast<std::size_t>(request.classIndex)].neverKept;
     attempts_[request.id] = 0;
-    router_.handle(moduleTime(now), asked, actions_);
+    router_.handle(routerTime(now), asked, actions_);
     for (Decision& decision : collect(now))
         if (decision.kind != DecisionKind::cancel) return decision;
     Decision none;
@@ -195,13 +195,13 @@
         ended.sizeKb = static_cast<double>(report.bytes) / words_.bytesPerKb;
     ended.over = report.outcome == Outcome::served || report.servedLocally;
     if (ended.over) attempts_.erase(report.request);
-    router_.handle(moduleTime(now), ended, actions_);
+    router_.handle(routerTime(now), ended, actions_);
     return collect(now);
 }
 
 std::vector<Decision> DecisionFacade::clientGone(Micros now, RequestId request) {
     attempts_.erase(request);
-    router_.handleClientGone(moduleTime(now), request, actions_);
+    router_.handleClientGone(routerTime(now), request, actions_);
     return collect(now);
 }
 
@@ -209,7 +209,7 @@
     while (!timers_.empty() && timers_.begin()->first <= now) {
         const TimerId timer = timers_.begin()->second;
         timers_.erase(timers_.begin());
-        router_.handleTimer(moduleTime(now), timer, actions_);
+        router_.handleTimer(routerTime(now), timer, actions_);
     }
     return collect(now);
 }
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -124,16 +124,16 @@
 
     // Empty where none is remembered.
     std::optional<ReceivedPurge> lastPurgeOf(const Request& request) const;
-    Time moduleTime(Micros now) const { return now + kEpoch; }
+    Time routerTime(Micros now) const { return now + kRouterClockOffset; }
     std::vector<Decision> collect(Micros now);
     void forgetOldPurges(Micros now);
     Settings settingsForAllProcesses() const;
-    Time startOf(Micros now, const settings::ListedStore& store, const ListedHost& before,
-                 bool receivedLive) const;
+    Time hostStartTime(Micros now, const settings::ListedStore& store, const ListedHost& before,
+                       bool receivedLive) const;
 
     // The router's clock starts this far from zero, so that a host that started before this machine did has
     // a time above zero (zero stands for "long ago").
-    static constexpr std::chrono::hours kEpoch{24 * 365};
+    static constexpr std::chrono::hours kRouterClockOffset{24 * 365};
 
     settings::Vocabulary words_;
     int processes_ = 1;
