--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -12,24 +12,24 @@
 namespace {
 
 // Whatever a site allows, a request of the real gateway has one attempt out at a time.
-settings::Vocabulary withoutSecondCopies(settings::Vocabulary words) {
-    words.settings.secondCopies = false;
-    return words;
+settings::Vocabulary withoutSecondCopies(settings::Vocabulary vocabulary) {
+    vocabulary.settings.secondCopies = false;
+    return vocabulary;
 }
 
 }  // namespace
 
-DecisionFacade::DecisionFacade(settings::Vocabulary words, std::uint64_t seed, Micros now,
+DecisionFacade::DecisionFacade(settings::Vocabulary vocabulary, std::uint64_t seed, Micros now,
                                Micros unixClockOffset)
-    : words_(withoutSecondCopies(std::move(words))),
-      router_(words_.settings, seed),
+    : vocabulary_(withoutSecondCopies(std::move(vocabulary))),
+      router_(vocabulary_.settings, seed),
       unixClockOffset_(unixClockOffset) {
     router_.start(routerTime(now), actions_);
     collect(now);
 }
 
-void DecisionFacade::reconfigure(settings::Vocabulary words) {
-    words_ = withoutSecondCopies(std::move(words));
+void DecisionFacade::reconfigure(settings::Vocabulary vocabulary) {
+    vocabulary_ = withoutSecondCopies(std::move(vocabulary));
     router_.reconfigure(settingsForAllProcesses());
 }
 
@@ -40,7 +40,7 @@
 
 // To the module the processes of a gateway are so many routers.
 Settings DecisionFacade::settingsForAllProcesses() const {
-    Settings settings = words_.settings;
+    Settings settings = vocabulary_.settings;
     settings.routers = std::max(1, settings.routers) * processes_;
     for (int& routers : settings.routersByZone) routers *= processes_;
     return settings;
@@ -50,7 +50,8 @@
     using nlohmann::json;
     const Warmth known = router_.warmth(routerTime(now));
     json work = json::object(), objects = json::array(), hosts = json::object();
-    for (std::size_t i = 0; i < known.meanWork.size(); ++i) work[words_.classNames[i]] = known.meanWork[i];
+    for (std::size_t i = 0; i < known.meanWork.size(); ++i)
+        work[vocabulary_.classNames[i]] = known.meanWork[i];
     for (const auto& [name, object] : known.objects)
         objects.push_back({name, object.lastPart, object.manyViewers, object.work});
     for (const NamedHost& h : known.hosts)
@@ -63,7 +64,7 @@
     Warmth warmth;
     const auto time = [](const nlohmann::json& value) { return Time{value.get<std::int64_t>()}; };
     warmth.startedAt = time(known.at("startedAt"));
-    for (const std::string& name : words_.classNames)
+    for (const std::string& name : vocabulary_.classNames)
         warmth.meanWork.push_back(known.at("work").value(name, 0.0));
     for (const auto& o : known.at("objects"))
         warmth.objects.push_back({o.at(0), {o.at(1), o.at(2).get<bool>(), o.at(3)}});
@@ -96,8 +97,8 @@
     for (const settings::ListedStore& store : event.stores) {
         HostEntry entry;
         entry.name = store.name;
-        entry.role = words_.roleOf(store.shape);
-        entry.zone = words_.zoneOf(store.zone);
+        entry.role = vocabulary_.roleOf(store.shape);
+        entry.zone = vocabulary_.zoneOf(store.zone);
         entry.cell = store.cell;
         entry.weight = store.weight;
         entry.readiness = store.readiness;
@@ -132,7 +133,7 @@
 // the module has forgotten them.
 void DecisionFacade::forgetOldPurges(Micros now) {
     constexpr std::chrono::minutes kPurgeRetention{2};
-    const Micros kept = kPurgeRetention + 2 * duration_cast<Micros>(words_.settings.purgeSettles);
+    const Micros kept = kPurgeRetention + 2 * duration_cast<Micros>(vocabulary_.settings.purgeSettles);
     if (now - lastPurgeSweep_ < kPurgeRetention) return;
     lastPurgeSweep_ = now;
     const auto old = [&](const auto& entry) { return now - entry.second.receivedAt > kept; };
@@ -171,7 +172,7 @@
     asked.part = request.part;
     asked.deadline = routerTime(request.deadline);
     asked.repeated = request.repeated;
-    asked.write = words_.settings.classes[static_cast<std::size_t>(request.classIndex)].neverKept;
+    asked.write = vocabulary_.settings.classes[static_cast<std::size_t>(request.classIndex)].neverKept;
     attempts_[request.id] = 0;
     router_.handle(routerTime(now), asked, actions_);
     for (Decision& decision : collect(now))
@@ -191,8 +192,8 @@
     ended.blameless = report.ignoreForHealth;
     if (report.unchanged)
         ended.sizeKb = -1;
-    else if (words_.bytesPerKb > 0)
-        ended.sizeKb = static_cast<double>(report.bytes) / words_.bytesPerKb;
+    else if (vocabulary_.bytesPerKb > 0)
+        ended.sizeKb = static_cast<double>(report.bytes) / vocabulary_.bytesPerKb;
     ended.over = report.outcome == Outcome::served || report.servedLocally;
     if (ended.over) attempts_.erase(report.request);
     router_.handle(routerTime(now), ended, actions_);
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -76,11 +76,11 @@
 public:
     // `unixClockOffset` is what the Unix clock shows beyond the monotonic one, fixed for the life of the
     // process.
-    DecisionFacade(settings::Vocabulary words, std::uint64_t seed, Micros now, Micros unixClockOffset);
+    DecisionFacade(settings::Vocabulary vocabulary, std::uint64_t seed, Micros now, Micros unixClockOffset);
 
-    const settings::Vocabulary& words() const { return words_; }
+    const settings::Vocabulary& vocabulary() const { return vocabulary_; }
     // In place of those before, of which they are the continuation (settings::continued).
-    void reconfigure(settings::Vocabulary words);
+    void reconfigure(settings::Vocabulary vocabulary);
     // So many processes are one gateway now: each takes its part of what is allowed to all.
     void setProcessCount(int processes);
     // What a successor on this machine should know, in JSON; of what it takes it keeps what it knows by name.
@@ -135,7 +135,7 @@
     // a time above zero (zero stands for "long ago").
     static constexpr std::chrono::hours kRouterClockOffset{24 * 365};
 
-    settings::Vocabulary words_;
+    settings::Vocabulary vocabulary_;
     int processes_ = 1;
     Router router_;
     Micros unixClockOffset_;
