--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -30,12 +30,12 @@
     virtual void undrain() = 0;
     virtual void leave() = 0;  // the process is to end: health checks are told
     // As that, but another process serves at the same address: nobody need be told.
-    virtual void yield() = 0;
-    virtual bool deserted() const = 0;  // no client is connected
+    virtual void leaveToSuccessor() = 0;
+    virtual bool hasNoClients() const = 0;  // no client is connected
     // So many processes are one gateway now, and keep to its limits together.
     virtual void setProcessCount(int processes) = 0;
     // What a successor should know, under this name; it throws where it is not of that form.
-    virtual const char* part() const = 0;
+    virtual const char* stateKey() const = 0;
     virtual nlohmann::json exportState() = 0;
     virtual void importState(const nlohmann::json& known) = 0;
     // The end is near: what is open is answered at once, and what still comes is refused.
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -94,7 +94,7 @@
 
 std::string Gateway::handOver() {
     nlohmann::json known = nlohmann::json::object();
-    for (const auto& service : services_) known[service->part()] = service->exportState();
+    for (const auto& service : services_) known[service->stateKey()] = service->exportState();
     return known.dump();
 }
 
@@ -102,7 +102,7 @@
     try {
         const auto known = nlohmann::json::parse(what);
         for (const auto& service : services_)
-            if (known.contains(service->part())) service->importState(known.at(service->part()));
+            if (known.contains(service->stateKey())) service->importState(known.at(service->stateKey()));
         std::fprintf(stderr, "lotuslead: taken over what the predecessor knew, %zu bytes\n", what.size());
     } catch (const std::exception& problem) {
         std::fprintf(stderr, "lotuslead: cannot use what the predecessor knew: %s\n", problem.what());
@@ -203,7 +203,7 @@
     boundTime();
     // Without a successor new connections still come here for a while, and have nowhere else to go.
     handedOver_ = meeting_.successorServes();
-    for (const auto& service : services_) handedOver_ ? service->yield() : service->leave();
+    for (const auto& service : services_) handedOver_ ? service->leaveToSuccessor() : service->leave();
     std::fprintf(stderr, "lotuslead: leaving%s, %zu requests open\n", handedOver_ ? " to a successor" : "",
                  openRequests());
 }
@@ -227,7 +227,7 @@
     }
     bool settled = true;
     for (const auto& service : services_)
-        settled = service->settled() && (!handedOver_ || service->deserted()) && settled;
+        settled = service->settled() && (!handedOver_ || service->hasNoClients()) && settled;
     if (!settled && passed < kill - kBeforeKill) return;
     phase_ = Phase::stopped;
     std::fprintf(stderr, "lotuslead: stopped, %zu requests open\n", openRequests());
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -476,7 +476,7 @@
     takeLimits();
 }
 
-void Front::yield() {
+void Front::leaveToSuccessor() {
     stopListening();
     yielding_ = true;
     drain();
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -44,8 +44,8 @@
     void undrain();
     // Another process listens on the same socket: this one stops, and ends its connections as in a drain,
     // but says no to nobody.
-    void yield();
-    bool deserted() const { return clients_.empty(); }
+    void leaveToSuccessor();
+    bool hasNoClients() const { return clients_.empty(); }
     void lastCall();  // what is open is failed at once, what still comes refused
     // Nothing is owed, all answers are with the kernel and all that has come is read; who waits is taken in.
     bool settled();
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -100,14 +100,14 @@
     void drain() override { front_.drain(); }
     void undrain() override { front_.undrain(); }
     void leave() override { front_.leave(); }
-    void yield() override {
-        front_.yield();
+    void leaveToSuccessor() override {
+        front_.leaveToSuccessor();
         if (tier_) tier_->close();  // the successor waits for the folder
     }
-    const char* part() const override { return opened_; }
+    const char* stateKey() const override { return opened_; }
     nlohmann::json exportState() override { return decisions_.exportState(loop_.now()); }
     void importState(const nlohmann::json& known) override { decisions_.importState(loop_.now(), known); }
-    bool deserted() const override { return front_.deserted(); }
+    bool hasNoClients() const override { return front_.hasNoClients(); }
     void setProcessCount(int processes) override {
         front_.setProcessCount(processes);
         transport_.setProcessCount(processes);
--- a/src/repository/front.hpp
+++ b/src/repository/front.hpp
@@ -38,11 +38,11 @@
     // As at the platform's front: what still comes is served, and refused later on. Downloads go on.
     void drain();
     void undrain();
-    void yield() {
+    void leaveToSuccessor() {
         listener_.reset();
         drain();
     }
-    bool deserted() const { return clients_.empty(); }
+    bool hasNoClients() const { return clients_.empty(); }
     bool settled();  // as at the platform's front
     std::uint16_t port() const { return listener_->port(); }
     const Counters& counters() const { return counters_; }
