--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -39,7 +39,7 @@
     virtual nlohmann::json exportState() = 0;
     virtual void importState(const nlohmann::json& known) = 0;
     // The end is near: what is open is answered at once, and what still comes is refused.
-    virtual void lastCall() = 0;
+    virtual void failOpenRequests() = 0;
     virtual std::size_t openRequests() const = 0;
     // No answer is owed, all are with the kernel, and nothing that has come is unread. It takes in whoever
     // still waits at the door.
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -223,7 +223,7 @@
     const Micros kill = std::min(longest_, kMostDeadline) + kStillComing;
     if (passed >= kill - kLastCall && !std::exchange(lastCall_, true)) {
         std::fprintf(stderr, "lotuslead: last call, %zu requests open\n", openRequests());
-        for (const auto& service : services_) service->lastCall();
+        for (const auto& service : services_) service->failOpenRequests();
     }
     bool settled = true;
     for (const auto& service : services_)
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -566,7 +566,7 @@
 
 std::size_t Front::clientBacklog() const { return std::min(kClientBacklog, mostBytes_ / kClientsShare); }
 
-void Front::lastCall() {
+void Front::failOpenRequests() {
     lastCall_ = true;
     std::vector<std::shared_ptr<Client>> all;  // an end takes it from the table
     for (const auto& [key, client] : clients_) all.push_back(client);
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -46,7 +46,7 @@
     // but says no to nobody.
     void leaveToSuccessor();
     bool hasNoClients() const { return clients_.empty(); }
-    void lastCall();  // what is open is failed at once, what still comes refused
+    void failOpenRequests();  // what is open is failed at once, what still comes refused
     // Nothing is owed, all answers are with the kernel and all that has come is read; who waits is taken in.
     bool settled();
     std::size_t clients() const { return clients_.size(); }
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -113,7 +113,7 @@
         transport_.setProcessCount(processes);
         decisions_.setProcessCount(processes);
     }
-    void lastCall() override { front_.lastCall(); }
+    void failOpenRequests() override { front_.failOpenRequests(); }
     std::size_t openRequests() const override { return requests_.openCount(); }
     bool settled() override { return requests_.openCount() == 0 && front_.settled(); }
     core::Micros longestDeadline() const override {
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -555,7 +555,7 @@
 
 bool Front::roomFor(std::size_t bytes) const { return expected_ + unsent_ + bytes <= mostBytes_; }
 
-void Front::lastCall() {
+void Front::failOpenRequests() {
     lastCall_ = true;
     for (const auto& [key, client] : clients_) client->lastCall();
 }
--- a/src/repository/front.hpp
+++ b/src/repository/front.hpp
@@ -33,7 +33,7 @@
     // front.
     void reconfigure(const settings::RepositoryConfiguration& configuration);
     // What is open is answered or broken off at once, what still comes refused.
-    void lastCall();
+    void failOpenRequests();
     void leave() { leaving_ = true; }  // connections are not kept any more
     // As at the platform's front: what still comes is served, and refused later on. Downloads go on.
     void drain();
