--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -45,7 +45,7 @@
     // still waits at the door.
     virtual bool settled() = 0;
     virtual Micros longestDeadline() const = 0;
-    virtual std::optional<settings::Endpoint> operatorDoor() const = 0;
+    virtual std::optional<settings::Endpoint> operatorAddress() const = 0;
     virtual void printCounters() const = 0;
 };
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -152,7 +152,7 @@
 void Gateway::openDoor() {
     auto at = givenDoor_;
     for (const auto& service : services_)
-        if (!at) at = service->operatorDoor();
+        if (!at) at = service->operatorAddress();
     if (at == doorAt_) return;
     operators::Desk& desk = *this;
     auto door = at ? std::make_unique<operators::Door>(loop_, *at, desk) : nullptr;
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -119,7 +119,7 @@
     core::Micros longestDeadline() const override {
         return core::longestGiveUp(baseOf(configuration_).words.settings);
     }
-    std::optional<settings::Endpoint> operatorDoor() const override {
+    std::optional<settings::Endpoint> operatorAddress() const override {
         return baseOf(configuration_).operatorDoor;
     }
     void printCounters() const override {
