--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -44,7 +44,7 @@
     // No answer is owed, all are with the kernel, and nothing that has come is unread. It takes in whoever
     // still waits at the door.
     virtual bool settled() = 0;
-    virtual Micros longestDeadline() const = 0;
+    virtual Micros longestRequestTimeout() const = 0;
     virtual std::optional<settings::Endpoint> operatorAddress() const = 0;
     virtual void printCounters() const = 0;
 };
@@ -98,7 +98,7 @@
     return least;
 }
 
-inline Micros longestGiveUp(const Settings& settings) {
+inline Micros longestClientTimeout(const Settings& settings) {
     Micros longest{};
     for (const ClassSettings& c : settings.classes)
         longest = std::max(longest, std::chrono::duration_cast<Micros>(c.giveUp));
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -211,7 +211,7 @@
 // The file may be read again while this leaves: by which the platform goes is not known here.
 void Gateway::boundTime() {
     Micros longest{};
-    for (const auto& service : services_) longest = std::max(longest, service->longestDeadline());
+    for (const auto& service : services_) longest = std::max(longest, service->longestRequestTimeout());
     longest_ = std::min(longest_, longest);
 }
 
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -116,8 +116,8 @@
     void failOpenRequests() override { front_.failOpenRequests(); }
     std::size_t openRequests() const override { return requests_.openCount(); }
     bool settled() override { return requests_.openCount() == 0 && front_.settled(); }
-    core::Micros longestDeadline() const override {
-        return core::longestGiveUp(baseOf(configuration_).words.settings);
+    core::Micros longestRequestTimeout() const override {
+        return core::longestClientTimeout(baseOf(configuration_).words.settings);
     }
     std::optional<settings::Endpoint> operatorAddress() const override {
         return baseOf(configuration_).operatorDoor;
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -409,7 +409,7 @@
         idleClose_ = std::chrono::duration_cast<Micros>(words.idleClose) * 9 / 10;
     sockets_ = static_cast<std::size_t>(configuration.limits.sockets);
     setProcessCount(processes_);
-    const Micros longest = core::longestGiveUp(words.settings);
+    const Micros longest = core::longestClientTimeout(words.settings);
     silence_.bound(longest / 2);
     longAnswer_ = std::min(kLongAnswer, longest / 2);
     repeatable_.clear();
