--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -49,39 +49,40 @@
     virtual void printCounters() const = 0;
 };
 
-using Figure = std::pair<const char*, std::uint64_t>;
+using CounterValue = std::pair<const char*, std::uint64_t>;
 
-inline void printFigures(const std::string& name, const char* what, const std::vector<Figure>& figures) {
+inline void printCounterLine(const std::string& name, const char* what,
+                             const std::vector<CounterValue>& values) {
     std::string text = name + ": " + what;
-    for (const auto& [key, value] : figures) text += " " + std::string(key) + "=" + std::to_string(value);
+    for (const auto& [key, value] : values) text += " " + std::string(key) + "=" + std::to_string(value);
     std::fprintf(stderr, "%s\n", text.c_str());
 }
 
 inline void printRequestCounters(const std::string& name, const RequestDispatcher& requests) {
     const Counters& r = requests.counters();
-    printFigures(name, "requests",
-                 {{"taken", r.taken},
-                  {"served", r.served},
-                  {"unchanged", r.unchanged},
-                  {"refused", r.refused},
-                  {"failed", r.failed},
-                  {"gone", r.clientsGone},
-                  {"overdue", r.deadlineExceeded},
-                  {"own", r.servedLocally},
-                  {"open", requests.openCount()}});
-    std::vector<Figure> attempts{{"sent", r.sent}};
+    printCounterLine(name, "requests",
+                     {{"taken", r.taken},
+                      {"served", r.served},
+                      {"unchanged", r.unchanged},
+                      {"refused", r.refused},
+                      {"failed", r.failed},
+                      {"gone", r.clientsGone},
+                      {"overdue", r.deadlineExceeded},
+                      {"own", r.servedLocally},
+                      {"open", requests.openCount()}});
+    std::vector<CounterValue> attempts{{"sent", r.sent}};
     for (std::size_t i = 0; i < kOutcomes; ++i)
         attempts.emplace_back(nameOf(static_cast<Outcome>(i)), r.outcomes[i]);
-    printFigures(name, "attempts", attempts);
-    std::vector<Figure> gaveUp;
+    printCounterLine(name, "attempts", attempts);
+    std::vector<CounterValue> gaveUp;
     for (std::size_t i = 0; i < kGiveUps; ++i)
         gaveUp.emplace_back(nameOf(static_cast<GiveUp>(i)), r.gaveUp[i]);
-    printFigures(name, "gave_up", gaveUp);
-    std::vector<Figure> rules{{"violations", requests.checks().violations()}};
+    printCounterLine(name, "gave_up", gaveUp);
+    std::vector<CounterValue> rules{{"violations", requests.checks().violations()}};
     const RuleChecks::Counts& heldBack = requests.checks().heldBack();
     for (std::size_t i = 0; i < heldBack.size(); ++i)
         if (heldBack[i] > 0) rules.emplace_back(nameOf(static_cast<Denial>(i)), heldBack[i]);
-    printFigures(name, "rules", rules);
+    printCounterLine(name, "rules", rules);
 }
 
 // Beyond the monotonic clock: the Unix clock stands on the wire only, and by this one offset. Between two
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -255,7 +255,7 @@
     for (const auto& service : services_) service->printCounters();
     if (door_) {
         const auto& d = door_->counters();
-        core::printFigures("lotuslead", "operators", {{"calls", d.calls}, {"refused", d.refused}});
+        core::printCounterLine("lotuslead", "operators", {{"calls", d.calls}, {"refused", d.refused}});
     }
 }
 
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -128,12 +128,12 @@
         printOwnCounters(name);
         if (tier_) printTierCounters(name);
         const auto& b = bus_.counters();
-        core::printFigures(name, "bus",
-                           {{"polls", b.polls},
-                            {"moves", b.moves},
-                            {"bytes", b.bytes},
-                            {"events", b.events},
-                            {"reconnects", b.reconnects}});
+        core::printCounterLine(name, "bus",
+                               {{"polls", b.polls},
+                                {"moves", b.moves},
+                                {"bytes", b.bytes},
+                                {"events", b.events},
+                                {"reconnects", b.reconnects}});
     }
 
 protected:
@@ -253,41 +253,41 @@
         const auto& t = tier_->counters();
         const auto& s = tier_->shelf().counters();
         const auto& b = before_.counters();
-        core::printFigures(name, "disk",
-                           {{"asked", b.asked},
-                            {"hits", t.hits},
-                            {"misses", t.misses},
-                            {"hit_bytes", t.hitBytes},
-                            {"unchanged", b.unchanged},
-                            {"slow_reads", b.slowReads},
-                            {"link_full", b.linkFull},
-                            {"purged", t.purged + s.purged},
-                            {"expired", t.expired},
-                            {"unproved", t.unproved},
-                            {"torn", t.torn + t.cutTails},
-                            {"read_errors", t.readErrors},
-                            {"busy", t.busy}});
-        core::printFigures(name, "disk_kept",
-                           {{"parts", tier_->shelf().parts()},
-                            {"bytes", tier_->shelf().bytes()},
-                            {"live_bytes", tier_->shelf().liveBytes()},
-                            {"segments", tier_->shelf().segments()},
-                            {"offered", t.offered},
-                            {"admitted", s.admitted},
-                            {"to_main", s.toMain},
-                            {"unranked", s.unranked},
-                            {"full", s.full},
-                            {"queue_full", t.queueFull},
-                            {"paused", t.paused},
-                            {"evicted", s.evicted},
-                            {"moved", s.moved},
-                            {"reclaimed", s.reclaimed},
-                            {"queue", tier_->queuedBytes()},
-                            {"write_errors", t.writeErrors},
-                            {"marks", tier_->markCount()},
-                            {"log_errors", t.logErrors},
-                            {"floors", t.floors},
-                            {"superseded", t.superseded}});
+        core::printCounterLine(name, "disk",
+                               {{"asked", b.asked},
+                                {"hits", t.hits},
+                                {"misses", t.misses},
+                                {"hit_bytes", t.hitBytes},
+                                {"unchanged", b.unchanged},
+                                {"slow_reads", b.slowReads},
+                                {"link_full", b.linkFull},
+                                {"purged", t.purged + s.purged},
+                                {"expired", t.expired},
+                                {"unproved", t.unproved},
+                                {"torn", t.torn + t.cutTails},
+                                {"read_errors", t.readErrors},
+                                {"busy", t.busy}});
+        core::printCounterLine(name, "disk_kept",
+                               {{"parts", tier_->shelf().parts()},
+                                {"bytes", tier_->shelf().bytes()},
+                                {"live_bytes", tier_->shelf().liveBytes()},
+                                {"segments", tier_->shelf().segments()},
+                                {"offered", t.offered},
+                                {"admitted", s.admitted},
+                                {"to_main", s.toMain},
+                                {"unranked", s.unranked},
+                                {"full", s.full},
+                                {"queue_full", t.queueFull},
+                                {"paused", t.paused},
+                                {"evicted", s.evicted},
+                                {"moved", s.moved},
+                                {"reclaimed", s.reclaimed},
+                                {"queue", tier_->queuedBytes()},
+                                {"write_errors", t.writeErrors},
+                                {"marks", tier_->markCount()},
+                                {"log_errors", t.logErrors},
+                                {"floors", t.floors},
+                                {"superseded", t.superseded}});
     }
 
     bool isOpen_ = false;
