--- a/bench/scale/hollow_gateways.cpp
+++ b/bench/scale/hollow_gateways.cpp
@@ -16,9 +16,9 @@
 #include <stdexcept>
 #include <system_error>
 
-#include "core/decisions.hpp"
+#include "core/decision_facade.hpp"
 #include "core/service.hpp"
-#include "platform/bus.hpp"
+#include "platform/bus_reader.hpp"
 #include "scale_measures.hpp"
 
 namespace lotuslead::scale {
@@ -50,7 +50,7 @@
           index_(index),
           times_(times),
           startedAt_(loop.now()),
-          decisions_(configuration.words, index, loop.now(), core::unixAhead()),
+          decisions_(configuration.words, index, loop.now(), core::unixClockOffset()),
           reader_(loop, [this](const settings::BusEvent& event) { apply(event); }) {
         reader_.take(settings::readBatch(configuration_.known));
         reader_.moveTo(buses_);
@@ -71,10 +71,10 @@
 private:
     void apply(const settings::BusEvent& event) {
         if (event.isList) {
-            decisions_.list(loop_.now(), event, reader_.caughtUp());
+            decisions_.applyHostList(loop_.now(), event, reader_.caughtUp());
             return noteChange(event);
         }
-        decisions_.purge(loop_.now(), event);
+        decisions_.applyPurge(loop_.now(), event);
         const auto number = numberOf(event.purgedObject);
         if (!number) return;
         if (*number >= known_.size()) known_.resize(*number + 1);
@@ -98,7 +98,7 @@
     std::size_t index_;
     ApplyTimes& times_;
     net::Micros startedAt_;
-    core::Decisions decisions_;
+    core::DecisionFacade decisions_;
     platform::BusReader reader_;
     std::vector<bool> known_;
     std::size_t knownCount_ = 0;
@@ -144,20 +144,20 @@
         for (std::size_t end; (end = pending_.find('\n')) != std::string::npos;) {
             std::istringstream words(pending_.substr(0, end));
             pending_.erase(0, end + 1);
-            std::string verb;
+            std::string kind;
             std::size_t count = 0;
-            words >> verb >> count;
-            obey(verb, std::min(count, gateways_.size()));
+            words >> kind >> count;
+            obey(kind, std::min(count, gateways_.size()));
         }
         return true;
     }
-    void obey(const std::string& verb, std::size_t count) {
-        if (verb == "status") return answer();
-        if (verb == "reconnect")
+    void obey(const std::string& kind, std::size_t count) {
+        if (kind == "status") return answer();
+        if (kind == "reconnect")
             for (const auto& gateway : gateways_) gateway->reconnect();
-        if (verb == "disconnect")
+        if (kind == "disconnect")
             for (std::size_t i = 0; i < count; ++i) gateways_[i]->disconnect();
-        if (verb != "restart") return;
+        if (kind != "restart") return;
         // All are lost before the first is back, as when their zone is.
         for (std::size_t i = 0; i < count; ++i) gateways_[i].reset();
         for (std::size_t i = 0; i < count; ++i) gateways_[i] = make(i);
@@ -263,8 +263,8 @@
     ::waitpid(pid_, nullptr, 0);
 }
 
-void HollowProcess::command(const char* verb, std::size_t count) {
-    const std::string line = std::string(verb) + " " + std::to_string(count) + "\n";
+void HollowProcess::command(const char* kind, std::size_t count) {
+    const std::string line = std::string(kind) + " " + std::to_string(count) + "\n";
     if (::write(commands_, line.data(), line.size()) != static_cast<ssize_t>(line.size()))
         throw std::runtime_error("a process of hollow gateways has ended");
 }
--- /dev/null
+++ b/src/core/decision_facade.cpp
@@ -0,0 +1,279 @@
+#include "decision_facade.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "../support/hash.hpp"
+
+namespace lotuslead::core {
+
+using std::chrono::duration_cast;
+
+namespace {
+
+// Whatever a site allows, a request of the real gateway has one attempt out at a time.
+settings::Vocabulary withoutSecondCopies(settings::Vocabulary vocabulary) {
+    vocabulary.settings.secondCopies = false;
+    return vocabulary;
+}
+
+}  // namespace
+
+DecisionFacade::DecisionFacade(settings::Vocabulary vocabulary, std::uint64_t seed, Micros now,
+                               Micros unixClockOffset)
+    : vocabulary_(withoutSecondCopies(std::move(vocabulary))),
+      router_(vocabulary_.settings, seed),
+      unixClockOffset_(unixClockOffset) {
+    router_.start(routerTime(now), actions_);
+    collect(now);
+}
+
+void DecisionFacade::reconfigure(settings::Vocabulary vocabulary) {
+    vocabulary_ = withoutSecondCopies(std::move(vocabulary));
+    router_.reconfigure(settingsForAllProcesses());
+}
+
+void DecisionFacade::setProcessCount(int processes) {
+    if (processes == std::exchange(processes_, processes)) return;
+    router_.reconfigure(settingsForAllProcesses());
+}
+
+// To the module the processes of a gateway are so many routers.
+Settings DecisionFacade::settingsForAllProcesses() const {
+    Settings settings = vocabulary_.settings;
+    settings.routers = std::max(1, settings.routers) * processes_;
+    for (int& routers : settings.routersByZone) routers *= processes_;
+    return settings;
+}
+
+nlohmann::json DecisionFacade::exportState(Micros now) {
+    using nlohmann::json;
+    const LearnedState known = router_.learnedState(routerTime(now));
+    json work = json::object(), objects = json::array(), hosts = json::object();
+    for (std::size_t i = 0; i < known.meanWork.size(); ++i)
+        work[vocabulary_.classNames[i]] = known.meanWork[i];
+    for (const auto& [name, object] : known.objects)
+        objects.push_back({name, object.lastPart, object.manyViewers, object.work});
+    for (const NamedLearnedHost& h : known.hosts)
+        hosts[h.name] = {h.failures, h.out, h.outUntil.count(), h.pause.count(), h.link, h.coldWork};
+    return {{"startedAt", known.startedAt.count()}, {"work", work}, {"objects", objects}, {"hosts", hosts}};
+}
+
+// Both read the same machine's monotonic clock.
+void DecisionFacade::importState(Micros now, const nlohmann::json& known) {
+    LearnedState learnedState;
+    const auto time = [](const nlohmann::json& value) { return Time{value.get<std::int64_t>()}; };
+    learnedState.startedAt = time(known.at("startedAt"));
+    for (const std::string& name : vocabulary_.classNames)
+        learnedState.meanWork.push_back(known.at("work").value(name, 0.0));
+    for (const auto& o : known.at("objects"))
+        learnedState.objects.push_back({o.at(0), {o.at(1), o.at(2).get<bool>(), o.at(3)}});
+    for (const auto& [name, h] : known.at("hosts").items())
+        learnedState.hosts.push_back(
+            {{h.at(0), h.at(1).get<bool>(), time(h.at(2)), time(h.at(3)), h.at(4)}, name, h.at(5)});
+    router_.restore(routerTime(now), learnedState);
+}
+
+// The list's clock and ours may be far apart: ours is read once, at the start, and may have been stepped.
+// What it can't be is kept out: a start that is still to come, and one of long ago that is news now. Either
+// counts as a start of this moment, which is the stricter end.
+Time DecisionFacade::hostStartTime(Micros now, const settings::ListedStore& store, const ListedHost& before,
+                                   bool receivedLive) const {
+    constexpr std::chrono::minutes kMaxReportDelay{1};
+    if (store.sinceMs <= 0) return Time{0};
+    if (store.sinceMs == before.sinceMs) return before.startedAt;
+    const Micros reported = std::chrono::milliseconds{store.sinceMs} - unixClockOffset_;
+    const bool impossible = reported > now || (receivedLive && reported < now - kMaxReportDelay);
+    return std::max(Time{1}, routerTime(impossible ? now : reported));
+}
+
+void DecisionFacade::applyHostList(Micros now, const settings::BusEvent& event, bool receivedLive) {
+    HostList list;
+    list.whole = event.whole;
+    // A whole list names hosts that stay.
+    std::unordered_map<std::string, ListedHost> replaced;
+    if (event.whole) replaced.swap(hosts_);
+    const auto& before = event.whole ? replaced : hosts_;
+    for (const settings::ListedStore& store : event.stores) {
+        HostEntry entry;
+        entry.name = store.name;
+        entry.role = vocabulary_.roleOf(store.shape);
+        entry.zone = vocabulary_.zoneOf(store.zone);
+        entry.cell = store.cell;
+        entry.weight = store.weight;
+        entry.readiness = store.readiness;
+        const auto known = before.find(store.name);
+        entry.startedAt =
+            hostStartTime(now, store, known == before.end() ? ListedHost{} : known->second, receivedLive);
+        // Nothing is kept of hosts that are gone: on a long day there is no end of them.
+        if (store.readiness == Readiness::gone)
+            hosts_.erase(store.name);
+        else
+            hosts_[store.name] = {store.readiness, entry.zone, entry.cell, store.sinceMs, entry.startedAt};
+        list.entries.push_back(std::move(entry));
+    }
+    router_.handle(routerTime(now), list, actions_);
+    collect(now);
+}
+
+void DecisionFacade::applyPurge(Micros now, const settings::BusEvent& event) {
+    Purge purge;
+    purge.object = event.purgedObject.empty() ? 0 : fingerprint(event.purgedObject);
+    purge.group = event.purgedGroup;
+    ReceivedPurge& received =
+        event.purgedObject.empty() ? groupPurges_[event.purgedGroup] : objectPurges_[event.purgedObject];
+    received.receivedAt = now;
+    received.purgeUnixMs = std::max(received.purgeUnixMs, event.purgedMs);
+    forgetOldPurges(now);
+    router_.handle(routerTime(now), purge, actions_);
+    collect(now);
+}
+
+// No send waits longer than its request may, so older purges are known to every pick that still counts; and
+// the module has forgotten them.
+void DecisionFacade::forgetOldPurges(Micros now) {
+    constexpr std::chrono::minutes kPurgeRetention{2};
+    const Micros kept = kPurgeRetention + 2 * duration_cast<Micros>(vocabulary_.settings.purgeSettles);
+    if (now - lastPurgeSweep_ < kPurgeRetention) return;
+    lastPurgeSweep_ = now;
+    const auto old = [&](const auto& entry) { return now - entry.second.receivedAt > kept; };
+    std::erase_if(objectPurges_, old);
+    std::erase_if(groupPurges_, old);
+}
+
+std::optional<DecisionFacade::ReceivedPurge> DecisionFacade::lastPurgeOf(const Request& request) const {
+    const auto object = objectPurges_.find(request.object);
+    const auto group = groupPurges_.find(request.group);
+    if (object == objectPurges_.end() && group == groupPurges_.end()) return {};
+    if (object == objectPurges_.end()) return group->second;
+    if (group == groupPurges_.end()) return object->second;
+    return {{std::max(object->second.receivedAt, group->second.receivedAt),
+             std::max(object->second.purgeUnixMs, group->second.purgeUnixMs)}};
+}
+
+void DecisionFacade::limitByPurge(Micros now, const Request& request, Decision& send) const {
+    const auto purge = lastPurgeOf(request);
+    if (!purge) return;
+    constexpr Micros kRounding{1000};
+    send.lastPurgeMs = purge->purgeUnixMs;
+    send.maxAgeFromPurge = send.maxAge + kRounding >= now - purge->receivedAt;
+}
+
+std::int64_t DecisionFacade::unixMsOf(Micros when) const {
+    return duration_cast<std::chrono::milliseconds>(when + unixClockOffset_).count();
+}
+
+Decision DecisionFacade::pick(Micros now, const Request& request) {
+    lotuslead::Request asked;
+    asked.id = request.id;
+    asked.classIndex = request.classIndex;
+    asked.object = request.object.empty() ? 0 : fingerprint(request.object);
+    asked.group = request.group;
+    asked.part = request.part;
+    asked.deadline = routerTime(request.deadline);
+    asked.repeated = request.repeated;
+    asked.write = vocabulary_.settings.classes[static_cast<std::size_t>(request.classIndex)].neverKept;
+    attempts_[request.id] = 0;
+    router_.handle(routerTime(now), asked, actions_);
+    for (Decision& decision : collect(now))
+        if (decision.kind != DecisionKind::cancel) return decision;
+    Decision none;
+    none.request = request.id;
+    return none;
+}
+
+std::vector<Decision> DecisionFacade::report(Micros now, const AttemptReport& report) {
+    AttemptEnded ended;
+    ended.request = report.request;
+    ended.attempt = report.attempt;
+    ended.outcome = report.outcome;
+    ended.elapsed = report.elapsed;
+    ended.note = report.note;
+    ended.blameless = report.ignoreForHealth;
+    if (report.unchanged)
+        ended.sizeKb = -1;
+    else if (vocabulary_.bytesPerKb > 0)
+        ended.sizeKb = static_cast<double>(report.bytes) / vocabulary_.bytesPerKb;
+    ended.over = report.outcome == Outcome::served || report.servedLocally;
+    if (ended.over) attempts_.erase(report.request);
+    router_.handle(routerTime(now), ended, actions_);
+    return collect(now);
+}
+
+std::vector<Decision> DecisionFacade::clientGone(Micros now, RequestId request) {
+    attempts_.erase(request);
+    router_.handleClientGone(routerTime(now), request, actions_);
+    return collect(now);
+}
+
+std::vector<Decision> DecisionFacade::tick(Micros now) {
+    while (!timers_.empty() && timers_.begin()->first <= now) {
+        const TimerId timer = timers_.begin()->second;
+        timers_.erase(timers_.begin());
+        router_.handleTimer(routerTime(now), timer, actions_);
+    }
+    return collect(now);
+}
+
+Micros DecisionFacade::nextTick() const { return timers_.empty() ? Micros::max() : timers_.begin()->first; }
+
+bool DecisionFacade::purgedSince(const Request& request, Micros when) const {
+    const auto purge = lastPurgeOf(request);
+    return purge && purge->receivedAt >= when;
+}
+
+DecisionFacade::ListedHost DecisionFacade::hostOf(const std::string& name) const {
+    const auto found = hosts_.find(name);
+    return found == hosts_.end() ? ListedHost{} : found->second;
+}
+
+std::vector<Decision> DecisionFacade::collect(Micros now) {
+    std::vector<Decision> decisions;
+    const auto take = [&](const auto& action) {
+        using Kind = std::decay_t<decltype(action)>;
+        Decision decision;
+        if constexpr (std::is_same_v<Kind, Send>) {
+            decision.kind = DecisionKind::send;
+            decision.request = action.request;
+            decision.attempt = attempts_[action.request]++;
+            decision.host = action.host;
+            if (!action.plain && action.source != action.host) decision.source = action.source;
+            decision.keepRank = action.plain ? 0 : action.keepRank;
+            decision.localKeepRank = action.rank;
+            decision.maxAge = duration_cast<Micros>(action.oldest);
+            // Rounded down to nothing it would mean "any age".
+            if (action.oldest.count() > 0 && decision.maxAge.count() == 0) decision.maxAge = Micros{1};
+            decision.joinFill = action.join;
+            decision.onlyIfCached = action.heldOnly;
+            decision.staleWhileRevalidate = action.renew;
+            decision.timeout = duration_cast<Micros>(action.timeout);
+            decision.pickedAt = now;
+        } else if constexpr (std::is_same_v<Kind, Refuse>) {
+            decision.kind = DecisionKind::refuse;
+            decision.request = action.request;
+            decision.retryAfter = duration_cast<Micros>(action.retryIn);
+            decision.why = action.why;
+            attempts_.erase(action.request);
+        } else if constexpr (std::is_same_v<Kind, Fail>) {
+            decision.kind = DecisionKind::fail;
+            decision.request = action.request;
+            decision.why = action.why;
+            attempts_.erase(action.request);
+        } else if constexpr (std::is_same_v<Kind, Cancel>) {
+            decision.kind = DecisionKind::cancel;
+            decision.request = action.request;
+            decision.attempt = action.attempt;
+        } else if constexpr (std::is_same_v<Kind, SetTimer>) {
+            timers_.emplace(now + duration_cast<Micros>(action.delay) + Micros{1}, action.timer);
+            return;
+        } else {
+            return;  // lists are pushed and nothing is probed on this deployment
+        }
+        decisions.push_back(std::move(decision));
+    };
+    for (const Action& action : actions_) std::visit(take, action);
+    actions_.clear();
+    return decisions;
+}
+
+}  // namespace lotuslead::core
--- a/src/core/decisions.hpp
+++ b/src/core/decision_facade.hpp
@@ -34,27 +34,27 @@
     std::string body;
 };
 
-enum class Verb { send, refuse, fail, cancel };
+enum class DecisionKind { send, refuse, fail, cancel };
 
-struct Verdict {
-    Verb verb = Verb::fail;
+struct Decision {
+    DecisionKind kind = DecisionKind::fail;
     RequestId request = 0;
     int attempt = 0;                           // send and cancel
-    Micros pause{};                            // refuse: the client may come back after this
+    Micros retryAfter{};                       // refuse: the client may come back after this
     GiveUpReason why = GiveUpReason::noRoute;  // refuse and fail
     // send:
     std::string host;
     std::string source;  // where a miss is filled from; empty: no fill
     int keepRank = 0;
-    int rank = 0;     // of a copy of the gateway's own; zero: none is kept
-    Micros oldest{};  // zero: the class's fresh time
+    int localKeepRank = 0;  // of a copy of the gateway's own; zero: none is kept
+    Micros maxAge{};        // zero: the class's fresh time
     // Of the last purge of the object or its group that is remembered, by the clock that dates purges and
     // copies: no copy made before may pass. Zero: none.
-    std::int64_t purgedMs = 0;
-    bool oldestByPurge = false;  // `oldest` comes from that purge
-    bool join = false;
-    bool heldOnly = false;
-    bool renew = false;
+    std::int64_t lastPurgeMs = 0;
+    bool maxAgeFromPurge = false;  // `oldest` comes from that purge
+    bool joinFill = false;
+    bool onlyIfCached = false;
+    bool staleWhileRevalidate = false;
     Micros timeout{};
     Micros pickedAt{};
 };
@@ -65,40 +65,42 @@
     Outcome outcome = Outcome::error;
     Micros elapsed{};
     CacheStatus note = CacheStatus::none;
-    bool blameless = false;
+    bool ignoreForHealth = false;
     std::size_t bytes = 0;  // served
     bool unchanged = false;
-    bool answered = false;  // by a copy of the gateway's own: the request is closed, and no host was asked
+    bool servedLocally =
+        false;  // by a copy of the gateway's own: the request is closed, and no host was asked
 };
 
-class Decisions {
+class DecisionFacade {
 public:
-    // `unixAhead` is what the Unix clock shows beyond the monotonic one, fixed for the life of the process.
-    Decisions(settings::Vocabulary words, std::uint64_t seed, Micros now, Micros unixAhead);
+    // `unixClockOffset` is what the Unix clock shows beyond the monotonic one, fixed for the life of the
+    // process.
+    DecisionFacade(settings::Vocabulary vocabulary, std::uint64_t seed, Micros now, Micros unixClockOffset);
 
-    const settings::Vocabulary& words() const { return words_; }
+    const settings::Vocabulary& vocabulary() const { return vocabulary_; }
     // In place of those before, of which they are the continuation (settings::continued).
-    void reconfigure(settings::Vocabulary words);
+    void reconfigure(settings::Vocabulary vocabulary);
     // So many processes are one gateway now: each takes its part of what is allowed to all.
-    void share(int processes);
+    void setProcessCount(int processes);
     // What a successor on this machine should know, in JSON; of what it takes it keeps what it knows by name.
-    nlohmann::json handOver(Micros now);
-    void takeOver(Micros now, const nlohmann::json& known);  // throws where it is not of that form
+    nlohmann::json exportState(Micros now);
+    void importState(Micros now, const nlohmann::json& known);  // throws where it is not of that form
 
     // `heardLive`: as it came about, and not from what was known at the start.
-    void list(Micros now, const settings::BusEvent& event, bool heardLive);
+    void applyHostList(Micros now, const settings::BusEvent& event, bool receivedLive);
     // Counts as made when it is heard, the latest that it can have been: its date is another machine's, and
     // our wall clock may have been wrong when the process started.
-    void purge(Micros now, const settings::BusEvent& event);
+    void applyPurge(Micros now, const settings::BusEvent& event);
 
-    Verdict pick(Micros now, const Request& request);
-    std::vector<Verdict> report(Micros now, const AttemptReport& report);
-    std::vector<Verdict> clientGone(Micros now, RequestId request);
-    std::vector<Verdict> tick(Micros now);
+    Decision pick(Micros now, const Request& request);
+    std::vector<Decision> report(Micros now, const AttemptReport& report);
+    std::vector<Decision> clientGone(Micros now, RequestId request);
+    std::vector<Decision> tick(Micros now);
     Micros nextTick() const;  // Micros::max(): nothing is due
 
     // Fills in what a send has to know of purges.
-    void limitByPurge(Micros now, const Request& request, Verdict& send) const;
+    void limitByPurge(Micros now, const Request& request, Decision& send) const;
     // Whether a purge of the object or its group was told at or after this moment.
     bool purgedSince(const Request& request, Micros when) const;
     // What the list says of a host.
@@ -115,35 +117,35 @@
     std::int64_t unixMsOf(Micros when) const;
 
 private:
-    struct HeardPurge {
-        Micros heardAt{};
-        std::int64_t atMs = 0;  // as it was told
+    struct ReceivedPurge {
+        Micros receivedAt{};
+        std::int64_t purgeUnixMs = 0;  // as it was told
     };
 
     // Empty where none is remembered.
-    std::optional<HeardPurge> lastPurgeOf(const Request& request) const;
-    Time moduleTime(Micros now) const { return now + kEpoch; }
-    std::vector<Verdict> collect(Micros now);
+    std::optional<ReceivedPurge> lastPurgeOf(const Request& request) const;
+    Time routerTime(Micros now) const { return now + kRouterClockOffset; }
+    std::vector<Decision> collect(Micros now);
     void forgetOldPurges(Micros now);
-    Settings shared() const;
-    Time startOf(Micros now, const settings::ListedStore& store, const ListedHost& before,
-                 bool heardLive) const;
+    Settings settingsForAllProcesses() const;
+    Time hostStartTime(Micros now, const settings::ListedStore& store, const ListedHost& before,
+                       bool receivedLive) const;
 
     // The router's clock starts this far from zero, so that a host that started before this machine did has
     // a time above zero (zero stands for "long ago").
-    static constexpr std::chrono::hours kEpoch{24 * 365};
+    static constexpr std::chrono::hours kRouterClockOffset{24 * 365};
 
-    settings::Vocabulary words_;
+    settings::Vocabulary vocabulary_;
     int processes_ = 1;
     Router router_;
-    Micros unixAhead_;
+    Micros unixClockOffset_;
     Actions actions_;
     std::multimap<Micros, TimerId> timers_;
     std::unordered_map<RequestId, int> attempts_;        // made so far, of requests without a final answer
     std::unordered_map<std::string, ListedHost> hosts_;  // those that are not gone
-    std::unordered_map<std::string, HeardPurge> objectPurges_;
-    std::unordered_map<std::int64_t, HeardPurge> groupPurges_;
-    Micros purgesSwept_{};
+    std::unordered_map<std::string, ReceivedPurge> objectPurges_;
+    std::unordered_map<std::int64_t, ReceivedPurge> groupPurges_;
+    Micros lastPurgeSweep_{};
 };
 
 }  // namespace lotuslead::core
--- a/src/core/rules.cpp
+++ b/src/core/rules.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::uint64_t kMostToldViolations = 100;  // in the log; all are counted
+constexpr std::uint64_t kMaxLoggedViolations = 100;  // in the log; all are counted
 
 }  // namespace
 
@@ -24,16 +24,18 @@
 Denial mayRepeat(const ClassSettings& rules, const std::optional<EarlierRun>& earlier, Micros now,
                  Locality to) {
     if (!earlier || rules.effect == Effect::safe) return Denial::none;
-    if (rules.effect == Effect::unsafe) return Denial::runsTwice;
-    if (now - earlier->sentAt >= rules.repeatWindow) return Denial::windowPassed;
-    if (rules.group == DeduplicationScope::zone && to.zone != earlier->at.zone) return Denial::otherGroup;
-    if (rules.group == DeduplicationScope::cell && to.cell != earlier->at.cell) return Denial::otherGroup;
+    if (rules.effect == Effect::unsafe) return Denial::mayRunTwice;
+    if (now - earlier->sentAt >= rules.repeatWindow) return Denial::keyWindowPassed;
+    if (rules.group == DeduplicationScope::zone && to.zone != earlier->at.zone)
+        return Denial::otherRepeatGroup;
+    if (rules.group == DeduplicationScope::cell && to.cell != earlier->at.cell)
+        return Denial::otherRepeatGroup;
     return Denial::none;
 }
 
 Denial maySend(const ClassSettings& rules, const SendFacts& facts, const std::optional<EarlierRun>& earlier) {
     if (facts.answered) return Denial::answered;
-    if (facts.attemptOut) return Denial::attemptOut;
+    if (facts.attemptInFlight) return Denial::attemptInFlight;
     if (facts.now >= facts.deadline) return Denial::deadlinePassed;
     if (facts.host != Readiness::ready) return Denial::hostNotReady;
     if (facts.source != Readiness::ready) return Denial::sourceNotReady;
@@ -45,19 +47,19 @@
     if (!mayHaveRun || rules.effect == Effect::safe) return Denial::none;
     // Wherever the client's next try goes, its key is known there.
     const bool keyKnown = rules.effect == Effect::keyed && rules.group == DeduplicationScope::all;
-    return keyKnown ? Denial::none : Denial::promisesNoEffect;
+    return keyKnown ? Denial::none : Denial::mayHaveTakenEffect;
 }
 
 Denial mayAnswer(const AnswerFacts& facts) {
     if (facts.answered) return Denial::answered;
-    return facts.unchanged && !facts.copyNamed ? Denial::notNamed : Denial::none;
+    return facts.unchanged && !facts.copyIsNamed ? Denial::copyNotNamed : Denial::none;
 }
 
-Denial mayTake(const TakeFacts& facts) {
-    if (facts.ending) return Denial::ending;
+Denial mayAdmit(const AdmissionFacts& facts) {
+    if (facts.shuttingDown) return Denial::shuttingDown;
     if (facts.draining) return Denial::draining;
-    if (facts.connectionRetired) return Denial::connectionRetired;
-    if (facts.openOnConnection >= facts.mostOnConnection) return Denial::tooManyOpen;
+    if (facts.connectionClosing) return Denial::connectionClosing;
+    if (facts.openOnConnection >= facts.maxOnConnection) return Denial::tooManyOpen;
     return facts.hasRoom ? Denial::none : Denial::noMemory;
 }
 
@@ -69,7 +71,7 @@
 
 Denial mayServe(const StartFacts& facts) {
     const bool ready = facts.prepared && !facts.awaitsHandOver;
-    return ready || facts.waitedLongEnough ? Denial::none : Denial::notPrepared;
+    return ready || facts.waitedLongEnough ? Denial::none : Denial::notReady;
 }
 
 bool RuleChecks::allows(Denial denial) {
@@ -80,7 +82,7 @@
 
 bool RuleChecks::require(Denial denial, const char* step, const std::string& subject) {
     if (denial == Denial::none) return true;
-    if (++violations_ <= kMostToldViolations)
+    if (++violations_ <= kMaxLoggedViolations)
         std::fprintf(stderr, "rule violation prevented: %s of %s: %s\n", step, subject.c_str(),
                      nameOf(denial));
     return false;
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "requests.hpp"
+#include "request_dispatcher.hpp"
 
 namespace lotuslead::core {
 
@@ -23,71 +23,72 @@
     // Reads its configuration again; what can't be used changes nothing, and is told. False, where it may be
     // tried again: the file can't be read now, for want of descriptors or memory.
     virtual bool reload(bool mayTryAgain) = 0;
-    virtual void turn(Micros now) = 0;  // what is due by the clock
-    virtual Micros nextTurn() const = 0;
+    virtual void runTimers(Micros now) = 0;  // what is due by the clock
+    virtual Micros nextTimerAt() const = 0;
     // Sends clients away, until it is taken back.
     virtual void drain() = 0;
     virtual void undrain() = 0;
     virtual void leave() = 0;  // the process is to end: health checks are told
     // As that, but another process serves at the same address: nobody need be told.
-    virtual void yield() = 0;
-    virtual bool deserted() const = 0;  // no client is connected
+    virtual void leaveToSuccessor() = 0;
+    virtual bool hasNoClients() const = 0;  // no client is connected
     // So many processes are one gateway now, and keep to its limits together.
-    virtual void share(int processes) = 0;
+    virtual void setProcessCount(int processes) = 0;
     // What a successor should know, under this name; it throws where it is not of that form.
-    virtual const char* part() const = 0;
-    virtual nlohmann::json handOver() = 0;
-    virtual void takeOver(const nlohmann::json& known) = 0;
+    virtual const char* stateKey() const = 0;
+    virtual nlohmann::json exportState() = 0;
+    virtual void importState(const nlohmann::json& known) = 0;
     // The end is near: what is open is answered at once, and what still comes is refused.
-    virtual void lastCall() = 0;
+    virtual void failOpenRequests() = 0;
     virtual std::size_t openRequests() const = 0;
     // No answer is owed, all are with the kernel, and nothing that has come is unread. It takes in whoever
     // still waits at the door.
     virtual bool settled() = 0;
-    virtual Micros longestDeadline() const = 0;
-    virtual std::optional<settings::Endpoint> operatorDoor() const = 0;
+    virtual Micros longestRequestTimeout() const = 0;
+    virtual std::optional<settings::Endpoint> operatorAddress() const = 0;
     virtual void printCounters() const = 0;
 };
 
-using Figure = std::pair<const char*, std::uint64_t>;
+using CounterValue = std::pair<const char*, std::uint64_t>;
 
-inline void printFigures(const std::string& name, const char* what, const std::vector<Figure>& figures) {
+inline void printCounterLine(const std::string& name, const char* what,
+                             const std::vector<CounterValue>& values) {
     std::string text = name + ": " + what;
-    for (const auto& [key, value] : figures) text += " " + std::string(key) + "=" + std::to_string(value);
+    for (const auto& [key, value] : values) text += " " + std::string(key) + "=" + std::to_string(value);
     std::fprintf(stderr, "%s\n", text.c_str());
 }
 
-inline void printRequestCounters(const std::string& name, const Requests& requests) {
+inline void printRequestCounters(const std::string& name, const RequestDispatcher& requests) {
     const Counters& r = requests.counters();
-    printFigures(name, "requests",
-                 {{"taken", r.taken},
-                  {"served", r.served},
-                  {"unchanged", r.unchanged},
-                  {"refused", r.refused},
-                  {"failed", r.failed},
-                  {"gone", r.gone},
-                  {"overdue", r.overdue},
-                  {"own", r.own},
-                  {"open", requests.open()}});
-    std::vector<Figure> attempts{{"sent", r.sent}};
+    printCounterLine(name, "requests",
+                     {{"taken", r.taken},
+                      {"served", r.served},
+                      {"unchanged", r.unchanged},
+                      {"refused", r.refused},
+                      {"failed", r.failed},
+                      {"gone", r.clientsGone},
+                      {"overdue", r.deadlineExceeded},
+                      {"own", r.servedLocally},
+                      {"open", requests.openCount()}});
+    std::vector<CounterValue> attempts{{"sent", r.sent}};
     for (std::size_t i = 0; i < kOutcomes; ++i)
         attempts.emplace_back(nameOf(static_cast<Outcome>(i)), r.outcomes[i]);
-    printFigures(name, "attempts", attempts);
-    std::vector<Figure> gaveUp;
+    printCounterLine(name, "attempts", attempts);
+    std::vector<CounterValue> gaveUp;
     for (std::size_t i = 0; i < kGiveUps; ++i)
         gaveUp.emplace_back(nameOf(static_cast<GiveUpReason>(i)), r.gaveUp[i]);
-    printFigures(name, "gave_up", gaveUp);
-    std::vector<Figure> rules{{"violations", requests.checks().violations()}};
+    printCounterLine(name, "gave_up", gaveUp);
+    std::vector<CounterValue> rules{{"violations", requests.checks().violations()}};
     const RuleChecks::Counts& heldBack = requests.checks().heldBack();
     for (std::size_t i = 0; i < heldBack.size(); ++i)
         if (heldBack[i] > 0) rules.emplace_back(nameOf(static_cast<Denial>(i)), heldBack[i]);
-    printFigures(name, "rules", rules);
+    printCounterLine(name, "rules", rules);
 }
 
 // Beyond the monotonic clock: the Unix clock stands on the wire only, and by this one offset. Between two
 // looks at the clocks the process may be held up, by its own start or by others: the least difference is the
 // nearest.
-inline Micros unixAhead() {
+inline Micros unixClockOffset() {
     Micros least = Micros::max();
     for (int i = 0; i < 8; ++i) {
         const auto now = std::chrono::steady_clock::now().time_since_epoch();
@@ -98,7 +99,7 @@
     return least;
 }
 
-inline Micros longestGiveUp(const Settings& settings) {
+inline Micros longestClientTimeout(const Settings& settings) {
     Micros longest{};
     for (const ClassSettings& c : settings.classes)
         longest = std::max(longest, std::chrono::duration_cast<Micros>(c.giveUp));
--- a/src/disk/before.cpp
+++ b/src/disk/before.cpp
@@ -64,17 +64,17 @@
 }
 
 // Rounded down: a copy that is younger in whole milliseconds is younger.
-std::int64_t Before::oldestMs(const core::Request& request, const core::Verdict& send) const {
+std::int64_t Before::oldestMs(const core::Request& request, const core::Decision& send) const {
     const ClassSettings& c = classes_->at(static_cast<std::size_t>(request.classIndex));
     std::int64_t oldest = msOf(std::chrono::duration_cast<Micros>(c.freshFor));
-    if (send.oldest.count() > 0) {
-        const std::int64_t wanted = std::max<std::int64_t>(1, msOf(send.oldest));
+    if (send.maxAge.count() > 0) {
+        const std::int64_t wanted = std::max<std::int64_t>(1, msOf(send.maxAge));
         oldest = oldest > 0 ? std::min(oldest, wanted) : wanted;
     }
     return oldest;
 }
 
-void Before::send(Micros now, const core::Request& request, const core::Verdict& send) {
+void Before::send(Micros now, const core::Request& request, const core::Decision& send) {
     if (!keeps(request)) return inner_.send(now, request, send);
     now_ = now;
     const bool inParts = classes_->at(static_cast<std::size_t>(request.classIndex)).inParts;
@@ -90,8 +90,8 @@
     reading_.insert_or_assign(id, Reading{&request, send, std::move(key), ticket, until});
 }
 
-void Before::pass(Micros now, const core::Request& request, const core::Verdict& send, Key key) {
-    out_.insert_or_assign(request.id, Out{std::move(key), send.attempt, send.rank});
+void Before::pass(Micros now, const core::Request& request, const core::Decision& send, Key key) {
+    out_.insert_or_assign(request.id, Out{std::move(key), send.attempt, send.localKeepRank});
     inner_.send(now, request, send);
 }
 
@@ -101,7 +101,7 @@
     Reading reading = std::move(at->second);
     reading_.erase(at);
     const core::Request& request = *reading.request;
-    core::AttemptEnd end;
+    core::AttemptResult end;
     end.request = id;
     end.attempt = reading.send.attempt;
     if (copy) {
@@ -122,11 +122,11 @@
     }
     ++counters_.served;
     if (end.payload.unchanged) ++counters_.unchanged;
-    end.own = true;
+    end.servedLocally = true;
     end.outcome = Outcome::served;
     end.note = CacheStatus::hit;
     end.payload.mintedMs = copy->mintedMs;
-    end.payload.facts = std::move(copy->facts);
+    end.payload.metadata = std::move(copy->facts);
     if (!end.payload.unchanged) end.payload.body = std::move(copy->body);
     ended_(std::move(end));
 }
@@ -143,7 +143,7 @@
     return inner_.cancel(now, request, attempt);
 }
 
-void Before::ended(Micros now, core::AttemptEnd end) {
+void Before::ended(Micros now, core::AttemptResult end) {
     now_ = now;
     const auto at = out_.find(end.request);
     if (at != out_.end() && at->second.attempt == end.attempt) {
@@ -152,9 +152,9 @@
         const bool fetched = end.outcome == Outcome::served && !end.payload.unchanged && tier_ != nullptr;
         if (fetched && form_.storable(out.key, end.payload)) {
             // Lent, not copied: most are not taken.
-            Copy copy{end.payload.mintedMs, std::move(end.payload.facts), std::move(end.payload.body)};
+            Copy copy{end.payload.mintedMs, std::move(end.payload.metadata), std::move(end.payload.body)};
             tier_->offer(momentOf(now), out.key, out.rank, copy);
-            end.payload.facts = std::move(copy.facts);
+            end.payload.metadata = std::move(copy.facts);
             end.payload.body = std::move(copy.body);
         }
     }
--- a/src/disk/before.hpp
+++ b/src/disk/before.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "../core/requests.hpp"
+#include "../core/request_dispatcher.hpp"
 #include "../settings/disk.hpp"
 #include "pacer.hpp"
 #include "tier.hpp"
@@ -26,25 +26,25 @@
     bool datedHere = false;  // copies are dated by this gateway's wall clock, not by their origin's
 };
 
-class Before : public core::Carrier {
+class Before : public core::AttemptTransport {
 public:
     using Micros = core::Micros;
     struct Counters {
         std::uint64_t asked = 0, served = 0, unchanged = 0, slowReads = 0, linkFull = 0;
     };
 
-    Before(core::Carrier& inner, Micros unixAhead, FrontForm form)
+    Before(core::AttemptTransport& inner, Micros unixAhead, FrontForm form)
         : inner_(inner), unixAhead_(unixAhead), form_(std::move(form)) {}
 
-    void listen(std::function<void(core::AttemptEnd)> ended) { ended_ = std::move(ended); }
+    void listen(std::function<void(core::AttemptResult)> ended) { ended_ = std::move(ended); }
     // None: what is out goes on without it. `form`: what else a key must agree in.
     void use(Tier* tier, const settings::DiskSettings& settings, const Pacer& pacer);
     void reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t form, const Pacer& pacer);
 
-    void send(Micros now, const core::Request& request, const core::Verdict& send) override;
+    void send(Micros now, const core::Request& request, const core::Decision& send) override;
     bool cancel(Micros now, RequestId request, int attempt) override;
     // From the inner carrier.
-    void ended(Micros now, core::AttemptEnd end);
+    void ended(Micros now, core::AttemptResult end);
 
     void turn(Micros now);  // reads that take too long are given up, and the attempt goes out
     Micros nextTurn() const;
@@ -55,7 +55,7 @@
 private:
     struct Reading {
         const core::Request* request;  // lives at least as long as the attempt is out
-        core::Verdict send;
+        core::Decision send;
         Key key;
         std::uint64_t ticket = 0;
         Micros until{};
@@ -67,14 +67,14 @@
     };
 
     bool keeps(const core::Request& request) const;
-    std::int64_t oldestMs(const core::Request& request, const core::Verdict& send) const;
-    void pass(Micros now, const core::Request& request, const core::Verdict& send, Key key);
+    std::int64_t oldestMs(const core::Request& request, const core::Decision& send) const;
+    void pass(Micros now, const core::Request& request, const core::Decision& send, Key key);
     void found(RequestId id, std::optional<Copy> copy);
 
-    core::Carrier& inner_;
+    core::AttemptTransport& inner_;
     Micros unixAhead_;
     FrontForm form_;
-    std::function<void(core::AttemptEnd)> ended_;
+    std::function<void(core::AttemptResult)> ended_;
     Tier* tier_ = nullptr;
     const std::vector<ClassSettings>* classes_ = nullptr;
     std::uint64_t keyForm_ = 0;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -94,7 +94,7 @@
 
 std::string Gateway::handOver() {
     nlohmann::json known = nlohmann::json::object();
-    for (const auto& service : services_) known[service->part()] = service->handOver();
+    for (const auto& service : services_) known[service->stateKey()] = service->exportState();
     return known.dump();
 }
 
@@ -102,7 +102,7 @@
     try {
         const auto known = nlohmann::json::parse(what);
         for (const auto& service : services_)
-            if (known.contains(service->part())) service->takeOver(known.at(service->part()));
+            if (known.contains(service->stateKey())) service->importState(known.at(service->stateKey()));
         std::fprintf(stderr, "lotuslead: taken over what the predecessor knew, %zu bytes\n", what.size());
     } catch (const std::exception& problem) {
         std::fprintf(stderr, "lotuslead: cannot use what the predecessor knew: %s\n", problem.what());
@@ -110,7 +110,7 @@
 }
 
 void Gateway::processesChanged(int count) {
-    for (const auto& service : services_) service->share(count);
+    for (const auto& service : services_) service->setProcessCount(count);
     std::fprintf(stderr, "lotuslead: %d processes are one gateway now\n", count);
 }
 
@@ -118,7 +118,7 @@
     start();
     while (phase_ != Phase::stopped) {
         Micros until = Micros::max();
-        for (const auto& service : services_) until = std::min(until, service->nextTurn());
+        for (const auto& service : services_) until = std::min(until, service->nextTimerAt());
         if (phase_ == Phase::starting || phase_ == Phase::leaving)
             until = std::min(until, loop_.now() + kLeaveTick);
         loop_.turn(until);
@@ -126,7 +126,7 @@
         if (std::exchange(leaveAsked_, false)) leave();
         reload();
         if (!loop_.holdsTimers())
-            for (const auto& service : services_) service->turn(loop_.now());
+            for (const auto& service : services_) service->runTimers(loop_.now());
         open();
         advance();
     }
@@ -152,7 +152,7 @@
 void Gateway::openDoor() {
     auto at = givenDoor_;
     for (const auto& service : services_)
-        if (!at) at = service->operatorDoor();
+        if (!at) at = service->operatorAddress();
     if (at == doorAt_) return;
     operators::Desk& desk = *this;
     auto door = at ? std::make_unique<operators::Door>(loop_, *at, desk) : nullptr;
@@ -203,7 +203,7 @@
     boundTime();
     // Without a successor new connections still come here for a while, and have nowhere else to go.
     handedOver_ = meeting_.successorServes();
-    for (const auto& service : services_) handedOver_ ? service->yield() : service->leave();
+    for (const auto& service : services_) handedOver_ ? service->leaveToSuccessor() : service->leave();
     std::fprintf(stderr, "lotuslead: leaving%s, %zu requests open\n", handedOver_ ? " to a successor" : "",
                  openRequests());
 }
@@ -211,7 +211,7 @@
 // The file may be read again while this leaves: by which the platform goes is not known here.
 void Gateway::boundTime() {
     Micros longest{};
-    for (const auto& service : services_) longest = std::max(longest, service->longestDeadline());
+    for (const auto& service : services_) longest = std::max(longest, service->longestRequestTimeout());
     longest_ = std::min(longest_, longest);
 }
 
@@ -223,11 +223,11 @@
     const Micros kill = std::min(longest_, kMostDeadline) + kStillComing;
     if (passed >= kill - kLastCall && !std::exchange(lastCall_, true)) {
         std::fprintf(stderr, "lotuslead: last call, %zu requests open\n", openRequests());
-        for (const auto& service : services_) service->lastCall();
+        for (const auto& service : services_) service->failOpenRequests();
     }
     bool settled = true;
     for (const auto& service : services_)
-        settled = service->settled() && (!handedOver_ || service->deserted()) && settled;
+        settled = service->settled() && (!handedOver_ || service->hasNoClients()) && settled;
     if (!settled && passed < kill - kBeforeKill) return;
     phase_ = Phase::stopped;
     std::fprintf(stderr, "lotuslead: stopped, %zu requests open\n", openRequests());
@@ -255,7 +255,7 @@
     for (const auto& service : services_) service->printCounters();
     if (door_) {
         const auto& d = door_->counters();
-        core::printFigures("lotuslead", "operators", {{"calls", d.calls}, {"refused", d.refused}});
+        core::printCounterLine("lotuslead", "operators", {{"calls", d.calls}, {"refused", d.refused}});
     }
 }
 
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -8,7 +8,7 @@
 #include <utility>
 
 #include "../support/trace.hpp"
-#include "call_form.hpp"
+#include "call_validation.hpp"
 #include "client_messages.hpp"
 #include "front_limits.hpp"
 
@@ -90,7 +90,7 @@
         open_.clear();
         for (const auto& [tag, call] : open) {
             owner_.labels_.erase(call.label);
-            owner_.requests_.withdraw(owner_.loop_.now(), call.id);
+            owner_.requests_.clientGone(owner_.loop_.now(), call.id);
         }
         input_.clear();
         count(0);
@@ -175,7 +175,7 @@
         while (!open_.empty()) {
             const auto [tag, call] = *open_.begin();
             release(tag);
-            owner_.requests_.withdraw(owner_.loop_.now(), call.id);
+            owner_.requests_.clientGone(owner_.loop_.now(), call.id);
             answer(tag, "ERR", "-", {});
         }
     }
@@ -254,7 +254,7 @@
         if (found == open_.end()) return;  // the answer was under way already
         const Call call = found->second;
         release(tag);
-        owner_.requests_.withdraw(owner_.loop_.now(), call.id);
+        owner_.requests_.clientGone(owner_.loop_.now(), call.id);
         if (owner_.loop_.now() - call.takenAt < kTakenBackAtOnce) strike();
     }
 
@@ -268,7 +268,7 @@
             return true;
         }
         lastCall_ = owner_.loop_.now();
-        if (const auto denial = core::mayTake(takeFacts()); denial != core::Denial::none) {
+        if (const auto denial = core::mayAdmit(admissionFacts()); denial != core::Denial::none) {
             refuse(tag, denial);
             return true;
         }
@@ -309,24 +309,24 @@
             Trace::write("call",
                          {{"client", std::to_string(number_)}, {"tag", tag}, {"request", request.label}});
         owner_.labels_.insert(request.label);
-        owner_.requests_.take(now, std::move(request),
-                              [this, tag](RequestId, Reply&& reply) { finish(tag, std::move(reply)); });
+        owner_.requests_.submit(now, std::move(request),
+                                [this, tag](RequestId, Reply&& reply) { finish(tag, std::move(reply)); });
         return true;
     }
 
-    core::TakeFacts takeFacts() const {
-        core::TakeFacts facts;
-        facts.ending = owner_.lastCall_;
+    core::AdmissionFacts admissionFacts() const {
+        core::AdmissionFacts facts;
+        facts.shuttingDown = owner_.lastCall_;
         facts.draining = owner_.refuses();
-        facts.connectionRetired = retired_;
+        facts.connectionClosing = retired_;
         facts.openOnConnection = open_.size();
-        facts.mostOnConnection = kOpenAConnection;
+        facts.maxOnConnection = kOpenAConnection;
         return facts;
     }
 
     void refuse(const std::string& tag, core::Denial denial) {
         using core::Denial;
-        const bool useless = denial == Denial::connectionRetired || denial == Denial::tooManyOpen;
+        const bool useless = denial == Denial::connectionClosing || denial == Denial::tooManyOpen;
         ++(useless                      ? owner_.counters_.beyondBound
            : denial == Denial::noMemory ? owner_.counters_.noRoom
                                         : owner_.counters_.drainRefused);
@@ -348,7 +348,7 @@
 
     void finish(const std::string& tag, Reply&& reply) {
         release(tag);
-        if (reply.word == Reply::Word::served) {
+        if (reply.kind == Reply::Kind::served) {
             strikes_ = 0;
             owner_.answer_.add(static_cast<double>(reply.payload.body.size()));
             if (reply.payload.unchanged) {
@@ -358,13 +358,13 @@
                 answer(tag, "ERR", "-", {});
             } else
                 answer(tag, "SERVED", "-", std::move(reply.payload.body));
-        } else if (reply.word == Reply::Word::refused) {
-            answer(tag, "SHED", pauseFields(reply.pause), {});
+        } else if (reply.kind == Reply::Kind::refused) {
+            answer(tag, "SHED", pauseFields(reply.retryAfter), {});
         } else {
             answer(tag, "ERR", "-", {});
         }
         // Stores answer so what they can't use, such as ids that nobody knows.
-        if (reply.last == Outcome::error) strike();
+        if (reply.lastOutcome == Outcome::error) strike();
         endIfAnswered();
     }
 
@@ -418,7 +418,7 @@
     net::Stream stream_;
 };
 
-Front::Front(net::Loop& loop, core::Requests& requests, const settings::Configuration& configuration)
+Front::Front(net::Loop& loop, core::RequestDispatcher& requests, const settings::Configuration& configuration)
     : loop_(loop),
       requests_(requests),
       words_(configuration.words),
@@ -471,12 +471,12 @@
 
 bool Front::saysNo() const { return leaving_ || (drainingSince_ && !yielding_); }
 
-void Front::share(int processes) {
+void Front::setProcessCount(int processes) {
     processes_ = processes;
     takeLimits();
 }
 
-void Front::yield() {
+void Front::leaveToSuccessor() {
     stopListening();
     yielding_ = true;
     drain();
@@ -548,7 +548,7 @@
 // What is held, and what the requests in hand may yet bring: as large as answers have been of late, and one
 // of them the largest there is. Who reads slowly leaves half of it to the others.
 bool Front::roomForOne(std::size_t backlog) const {
-    const auto open = static_cast<double>(requests_.open() + 1);
+    const auto open = static_cast<double>(requests_.openCount() + 1);
     const double coming =
         open * answer_.mean + kSpreads * std::sqrt(open) * answer_.deviation + kLargestAnswer;
     return coming + static_cast<double>(unsent_) <= static_cast<double>(mostFor(backlog));
@@ -566,7 +566,7 @@
 
 std::size_t Front::clientBacklog() const { return std::min(kClientBacklog, mostBytes_ / kClientsShare); }
 
-void Front::lastCall() {
+void Front::failOpenRequests() {
     lastCall_ = true;
     std::vector<std::shared_ptr<Client>> all;  // an end takes it from the table
     for (const auto& [key, client] : clients_) all.push_back(client);
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "../core/requests.hpp"
+#include "../core/request_dispatcher.hpp"
 #include "../net/listener.hpp"
 #include "../net/loop.hpp"
 #include "../net/resp.hpp"
@@ -26,13 +26,13 @@
                       checks = 0, drained = 0, drainRefused = 0, endedByClient = 0, reset = 0;
     };
 
-    Front(net::Loop& loop, core::Requests& requests, const settings::Configuration& configuration);
+    Front(net::Loop& loop, core::RequestDispatcher& requests, const settings::Configuration& configuration);
     ~Front();
 
     void open();  // starts to listen
     // Uses this listening socket from open() on.
     void inherit(net::Descriptor listening) { inherited_ = std::move(listening); }
-    void share(int processes);  // of the limits
+    void setProcessCount(int processes);  // of the limits
     // Other limits, and perhaps another address; throws, with nothing changed, where that can't be listened
     // on.
     void reconfigure(const settings::Configuration& configuration);
@@ -44,9 +44,9 @@
     void undrain();
     // Another process listens on the same socket: this one stops, and ends its connections as in a drain,
     // but says no to nobody.
-    void yield();
-    bool deserted() const { return clients_.empty(); }
-    void lastCall();  // what is open is failed at once, what still comes refused
+    void leaveToSuccessor();
+    bool hasNoClients() const { return clients_.empty(); }
+    void failOpenRequests();  // what is open is failed at once, what still comes refused
     // Nothing is owed, all answers are with the kernel and all that has come is read; who waits is taken in.
     bool settled();
     std::size_t clients() const { return clients_.size(); }
@@ -74,7 +74,7 @@
     std::unique_ptr<net::Listener> listenOn(const settings::Endpoint& address);
 
     net::Loop& loop_;
-    core::Requests& requests_;
+    core::RequestDispatcher& requests_;
     const settings::Vocabulary& words_;
     settings::Endpoint address_;
     settings::Limits limits_;
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -11,7 +11,7 @@
 #include "../core/service.hpp"
 #include "../disk/before.hpp"
 #include "../net/system_errors.hpp"
-#include "bus.hpp"
+#include "bus_reader.hpp"
 
 namespace lotuslead::platform {
 
@@ -32,7 +32,7 @@
 inline std::uint64_t formOf(const settings::Configuration&) { return 0; }
 inline std::uint64_t formOf(const settings::RepositoryConfiguration& c) { return c.partBytes; }
 
-template <class Configuration, class Front, class Carrier>
+template <class Configuration, class Front, class Transport>
 class FrontService : public core::Service, private net::Handler {
 public:
     using Source = std::function<Configuration()>;  // throws settings::Malformed
@@ -72,7 +72,7 @@
             const settings::BusBatch known = settings::readBatch(baseOf(fresh).known);
             continueFrom(configuration_, fresh);
             front_.reconfigure(fresh);
-            carrier_.reconfigure(fresh);
+            transport_.reconfigure(fresh);
             decisions_.reconfigure(baseOf(fresh).words);
             configuration_ = std::move(fresh);
             reloadTier(freshDisk);
@@ -90,34 +90,36 @@
         }
         return true;
     }
-    void turn(core::Micros now) override {
+    void runTimers(core::Micros now) override {
         before_.turn(now);
-        requests_.turn(now);
+        requests_.runTimers(now);
+    }
+    core::Micros nextTimerAt() const override {
+        return std::min(requests_.nextTimerAt(), before_.nextTurn());
     }
-    core::Micros nextTurn() const override { return std::min(requests_.nextTurn(), before_.nextTurn()); }
     void drain() override { front_.drain(); }
     void undrain() override { front_.undrain(); }
     void leave() override { front_.leave(); }
-    void yield() override {
-        front_.yield();
+    void leaveToSuccessor() override {
+        front_.leaveToSuccessor();
         if (tier_) tier_->close();  // the successor waits for the folder
     }
-    const char* part() const override { return opened_; }
-    nlohmann::json handOver() override { return decisions_.handOver(loop_.now()); }
-    void takeOver(const nlohmann::json& known) override { decisions_.takeOver(loop_.now(), known); }
-    bool deserted() const override { return front_.deserted(); }
-    void share(int processes) override {
-        front_.share(processes);
-        carrier_.share(processes);
-        decisions_.share(processes);
+    const char* stateKey() const override { return opened_; }
+    nlohmann::json exportState() override { return decisions_.exportState(loop_.now()); }
+    void importState(const nlohmann::json& known) override { decisions_.importState(loop_.now(), known); }
+    bool hasNoClients() const override { return front_.hasNoClients(); }
+    void setProcessCount(int processes) override {
+        front_.setProcessCount(processes);
+        transport_.setProcessCount(processes);
+        decisions_.setProcessCount(processes);
     }
-    void lastCall() override { front_.lastCall(); }
-    std::size_t openRequests() const override { return requests_.open(); }
-    bool settled() override { return requests_.open() == 0 && front_.settled(); }
-    core::Micros longestDeadline() const override {
-        return core::longestGiveUp(baseOf(configuration_).words.settings);
+    void failOpenRequests() override { front_.failOpenRequests(); }
+    std::size_t openRequests() const override { return requests_.openCount(); }
+    bool settled() override { return requests_.openCount() == 0 && front_.settled(); }
+    core::Micros longestRequestTimeout() const override {
+        return core::longestClientTimeout(baseOf(configuration_).words.settings);
     }
-    std::optional<settings::Endpoint> operatorDoor() const override {
+    std::optional<settings::Endpoint> operatorAddress() const override {
         return baseOf(configuration_).operatorDoor;
     }
     void printCounters() const override {
@@ -126,33 +128,34 @@
         printOwnCounters(name);
         if (tier_) printTierCounters(name);
         const auto& b = bus_.counters();
-        core::printFigures(name, "bus",
-                           {{"polls", b.polls},
-                            {"moves", b.moves},
-                            {"bytes", b.bytes},
-                            {"events", b.events},
-                            {"reconnects", b.reconnects}});
+        core::printCounterLine(name, "bus",
+                               {{"polls", b.polls},
+                                {"moves", b.moves},
+                                {"bytes", b.bytes},
+                                {"events", b.events},
+                                {"reconnects", b.reconnects}});
     }
 
 protected:
-    FrontService(net::Loop& loop, Source source, const char* opened, core::Requests::PurgedMeanwhile purged,
-                 disk::FrontForm form)
+    FrontService(net::Loop& loop, Source source, const char* opened,
+                 core::RequestDispatcher::PurgeDuringFetch purged, disk::FrontForm form)
         : loop_(loop),
           source_(std::move(source)),
           configuration_(source_()),
           opened_(opened),
-          carrier_(loop_, configuration_),
+          transport_(loop_, configuration_),
           decisions_(baseOf(configuration_).words, baseOf(configuration_).seed, loop_.now(),
-                     core::unixAhead()),
-          before_(carrier_, core::unixAhead(), std::move(form)),
+                     core::unixClockOffset()),
+          before_(transport_, core::unixClockOffset(), std::move(form)),
           requests_(decisions_, before_, purged),
           front_(loop_, requests_, configuration_),
           bus_(loop_, [this](const settings::BusEvent& event) { apply(event); }) {
-        carrier_.listen({[this](RequestId request, int attempt) {
-                             return requests_.mayBegin(loop_.now(), request, attempt);
-                         },
-                         [this](core::AttemptEnd end) { before_.ended(loop_.now(), std::move(end)); }});
-        before_.listen([this](core::AttemptEnd end) { requests_.ended(loop_.now(), std::move(end)); });
+        transport_.listen({[this](RequestId request, int attempt) {
+                               return requests_.mayBegin(loop_.now(), request, attempt);
+                           },
+                           [this](core::AttemptResult end) { before_.ended(loop_.now(), std::move(end)); }});
+        before_.listen(
+            [this](core::AttemptResult end) { requests_.attemptEnded(loop_.now(), std::move(end)); });
         before_.reconfigure(&baseOf(configuration_).words.settings.classes, formOf(configuration_), pacer());
         bus_.listen({[this](std::int64_t from, std::int64_t last, const std::vector<std::int64_t>& numbers,
                             bool complete) {
@@ -166,10 +169,10 @@
     Source source_;
     Configuration configuration_;
     const char* opened_;
-    Carrier carrier_;
-    core::Decisions decisions_;
+    Transport transport_;
+    core::DecisionFacade decisions_;
     disk::Before before_;
-    core::Requests requests_;
+    core::RequestDispatcher requests_;
     Front front_;
 
 private:
@@ -179,11 +182,11 @@
     void apply(const settings::BusEvent& event) {
         if (!event.isList) {
             if (tier_) purgeTier(event);
-            return decisions_.purge(loop_.now(), event);
+            return decisions_.applyPurge(loop_.now(), event);
         }
         // First the decisions: attempts that end with a host's connections are then not sent to it again.
-        decisions_.list(loop_.now(), event, isOpen_ && bus_.caughtUp());
-        carrier_.list(event);
+        decisions_.applyHostList(loop_.now(), event, isOpen_ && bus_.caughtUp());
+        transport_.applyHostList(event);
     }
 
     // ----- the disk tier -----
@@ -250,41 +253,41 @@
         const auto& t = tier_->counters();
         const auto& s = tier_->shelf().counters();
         const auto& b = before_.counters();
-        core::printFigures(name, "disk",
-                           {{"asked", b.asked},
-                            {"hits", t.hits},
-                            {"misses", t.misses},
-                            {"hit_bytes", t.hitBytes},
-                            {"unchanged", b.unchanged},
-                            {"slow_reads", b.slowReads},
-                            {"link_full", b.linkFull},
-                            {"purged", t.purged + s.purged},
-                            {"expired", t.expired},
-                            {"unproved", t.unproved},
-                            {"torn", t.torn + t.cutTails},
-                            {"read_errors", t.readErrors},
-                            {"busy", t.busy}});
-        core::printFigures(name, "disk_kept",
-                           {{"parts", tier_->shelf().parts()},
-                            {"bytes", tier_->shelf().bytes()},
-                            {"live_bytes", tier_->shelf().liveBytes()},
-                            {"segments", tier_->shelf().segments()},
-                            {"offered", t.offered},
-                            {"admitted", s.admitted},
-                            {"to_main", s.toMain},
-                            {"unranked", s.unranked},
-                            {"full", s.full},
-                            {"queue_full", t.queueFull},
-                            {"paused", t.paused},
-                            {"evicted", s.evicted},
-                            {"moved", s.moved},
-                            {"reclaimed", s.reclaimed},
-                            {"queue", tier_->queuedBytes()},
-                            {"write_errors", t.writeErrors},
-                            {"marks", tier_->markCount()},
-                            {"log_errors", t.logErrors},
-                            {"floors", t.floors},
-                            {"superseded", t.superseded}});
+        core::printCounterLine(name, "disk",
+                               {{"asked", b.asked},
+                                {"hits", t.hits},
+                                {"misses", t.misses},
+                                {"hit_bytes", t.hitBytes},
+                                {"unchanged", b.unchanged},
+                                {"slow_reads", b.slowReads},
+                                {"link_full", b.linkFull},
+                                {"purged", t.purged + s.purged},
+                                {"expired", t.expired},
+                                {"unproved", t.unproved},
+                                {"torn", t.torn + t.cutTails},
+                                {"read_errors", t.readErrors},
+                                {"busy", t.busy}});
+        core::printCounterLine(name, "disk_kept",
+                               {{"parts", tier_->shelf().parts()},
+                                {"bytes", tier_->shelf().bytes()},
+                                {"live_bytes", tier_->shelf().liveBytes()},
+                                {"segments", tier_->shelf().segments()},
+                                {"offered", t.offered},
+                                {"admitted", s.admitted},
+                                {"to_main", s.toMain},
+                                {"unranked", s.unranked},
+                                {"full", s.full},
+                                {"queue_full", t.queueFull},
+                                {"paused", t.paused},
+                                {"evicted", s.evicted},
+                                {"moved", s.moved},
+                                {"reclaimed", s.reclaimed},
+                                {"queue", tier_->queuedBytes()},
+                                {"write_errors", t.writeErrors},
+                                {"marks", tier_->markCount()},
+                                {"log_errors", t.logErrors},
+                                {"floors", t.floors},
+                                {"superseded", t.superseded}});
     }
 
     bool isOpen_ = false;
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -3,7 +3,7 @@
 namespace lotuslead::platform {
 
 Service::Service(net::Loop& loop, Source source, const std::string& listening)
-    : FrontService(loop, std::move(source), "serving", core::Requests::PurgedMeanwhile::serve,
+    : FrontService(loop, std::move(source), "serving", core::RequestDispatcher::PurgeDuringFetch::serve,
                    {[](const disk::Key&, const core::Payload& payload) { return payload.mintedMs > 0; },
                     [](const disk::Facts&) { return std::uint64_t{0}; }, "tag", false}) {
     if (listening.empty()) return;
@@ -16,42 +16,42 @@
 
 void Service::printOwnCounters(const std::string& name) const {
     const auto& f = front_.counters();
-    const auto& s = carrier_.counters();
-    core::printFigures(name, "front",
-                       {{"connections", f.connections},
-                        {"turned_away", f.turnedAway},
-                        {"closed_idle", f.closedIdle},
-                        {"silent", f.silent},
-                        {"half_messages", f.halfMessages},
-                        {"malformed", f.malformed},
-                        {"unusable", f.unusable},
-                        {"beyond_bound", f.beyondBound},
-                        {"retired", f.retired},
-                        {"no_room", f.noRoom},
-                        {"dropped", f.dropped},
-                        {"checks", f.checks},
-                        {"drained", f.drained},
-                        {"drain_refused", f.drainRefused},
-                        {"ended_by_client", f.endedByClient},
-                        {"reset", f.reset},
-                        {"accept_failures", front_.accepts().failures},
-                        {"closed_unread", front_.accepts().closedUnread},
-                        {"clients", front_.clients()}});
-    core::printFigures(name, "stores",
-                       {{"connects", s.connects},
-                        {"connect_failures", s.connectFailures},
-                        {"resets", s.resets},
-                        {"malformed", s.malformed},
-                        {"stalled", s.stalled},
-                        {"echoes", s.echoes},
-                        {"stuck", s.stuck},
-                        {"moved_on", s.movedOn},
-                        {"too_old", s.tooOld},
-                        {"late_answers", s.lateAnswers},
-                        {"held_back", s.heldBack},
-                        {"no_descriptor", s.noDescriptor},
-                        {"connections", carrier_.connections()},
-                        {"known", carrier_.known()}});
+    const auto& s = transport_.counters();
+    core::printCounterLine(name, "front",
+                           {{"connections", f.connections},
+                            {"turned_away", f.turnedAway},
+                            {"closed_idle", f.closedIdle},
+                            {"silent", f.silent},
+                            {"half_messages", f.halfMessages},
+                            {"malformed", f.malformed},
+                            {"unusable", f.unusable},
+                            {"beyond_bound", f.beyondBound},
+                            {"retired", f.retired},
+                            {"no_room", f.noRoom},
+                            {"dropped", f.dropped},
+                            {"checks", f.checks},
+                            {"drained", f.drained},
+                            {"drain_refused", f.drainRefused},
+                            {"ended_by_client", f.endedByClient},
+                            {"reset", f.reset},
+                            {"accept_failures", front_.accepts().failures},
+                            {"closed_unread", front_.accepts().closedUnread},
+                            {"clients", front_.clients()}});
+    core::printCounterLine(name, "stores",
+                           {{"connects", s.connects},
+                            {"connect_failures", s.connectFailures},
+                            {"resets", s.resets},
+                            {"malformed", s.malformed},
+                            {"stalled", s.stalled},
+                            {"echoes", s.echoes},
+                            {"stuck", s.stuck},
+                            {"moved_on", s.movedOn},
+                            {"too_old", s.tooOld},
+                            {"late_answers", s.lateAnswers},
+                            {"held_back", s.heldBack},
+                            {"no_descriptor", s.noDescriptor},
+                            {"connections", transport_.connections()},
+                            {"known", transport_.known()}});
 }
 
 }  // namespace lotuslead::platform
--- a/src/platform/stores.cpp
+++ b/src/platform/store_connections.cpp
@@ -1,4 +1,4 @@
-#include "stores.hpp"
+#include "store_connections.hpp"
 
 #include <algorithm>
 #include <cstdio>
@@ -6,11 +6,11 @@
 
 #include "../core/service.hpp"
 #include "../support/hash.hpp"
-#include "store_words.hpp"
+#include "store_protocol.hpp"
 
 namespace lotuslead::platform {
 
-using core::AttemptEnd;
+using core::AttemptResult;
 using core::Micros;
 using namespace std::chrono_literals;
 
@@ -45,7 +45,7 @@
         ++owner_.counters_.connects;
         timer_ = owner_.loop_.after(owner_.connectTimeout_, [this] {
             timed_ = false;
-            fail(Outcome::noConnection, Verdict::one);
+            fail(Outcome::noConnection, HealthReport::one);
         });
         timed_ = true;
     }
@@ -98,7 +98,7 @@
             // A store that takes no bytes would be told behind the request itself, which may by then be out
             // at another one: a close gives up all that is open here.
             if (stream_.unsent() > 0)
-                fail(Outcome::broken, Verdict::none, true);
+                fail(Outcome::broken, HealthReport::none, true);
             else
                 restIfIdle();
             return false;
@@ -109,17 +109,17 @@
     // What was written may have run. What was not goes by another connection, if this one did come up and the
     // store is not gone. The end of one connection is one word on its store, however many attempts it ends,
     // and none where the connection was new or at rest.
-    enum class Verdict { none, one };
-    void fail(Outcome whenWritten, Verdict verdict, bool moveOn = false) {
+    enum class HealthReport { none, one };
+    void fail(Outcome whenWritten, HealthReport healthReport, bool moveOn = false) {
         if (std::exchange(ended_, true)) return;
         stopTimer();
         stop(stallTimer_);
         stop(silenceTimer_);
         stream_.close();
         const auto self = shared_from_this();
-        bool blameless = verdict == Verdict::none;
+        bool ignoreForHealth = healthReport == HealthReport::none;
         for (const auto& [label, sent] : out_)
-            report(sent.request, sent.attempt, whenWritten, std::exchange(blameless, true));
+            report(sent.request, sent.attempt, whenWritten, std::exchange(ignoreForHealth, true));
         out_.clear();
         const auto waiting = std::exchange(waiting_, {});
         owner_.loop_.retire(self);
@@ -134,7 +134,8 @@
                 // Later in the turn: the end may have come in the middle of another's send.
                 owner_.loop_.whenAllIsHeard([owner = &owner_, shared] { owner->carry(std::move(*shared)); });
             } else {
-                report(w.send.request, w.send.attempt, Outcome::noConnection, std::exchange(blameless, true));
+                report(w.send.request, w.send.attempt, Outcome::noConnection,
+                       std::exchange(ignoreForHealth, true));
             }
         }
     }
@@ -171,9 +172,9 @@
             std::fprintf(stderr, "store %s: malformed answer, connection closed\n", host_.c_str());
         }
         if (why == End::reset || (why == End::closedByPeer && !out_.empty())) ++owner_.counters_.resets;
-        if (why == End::refused) return fail(Outcome::noConnection, Verdict::one);
-        if (why == End::unavailable) return fail(Outcome::noConnection, Verdict::none);
-        fail(Outcome::broken, heard_ ? Verdict::one : Verdict::none, true);
+        if (why == End::refused) return fail(Outcome::noConnection, HealthReport::one);
+        if (why == End::unavailable) return fail(Outcome::noConnection, HealthReport::none);
+        fail(Outcome::broken, heard_ ? HealthReport::one : HealthReport::none, true);
     }
     bool streamData(std::string_view data) override {
         lastByte_ = owner_.loop_.now();
@@ -189,7 +190,7 @@
         stallTimer_ = owner_.loop_.after(wait, [this] {
             stallTimer_.reset();
             ++owner_.counters_.stalled;
-            fail(Outcome::broken, Verdict::none, true);
+            fail(Outcome::broken, HealthReport::none, true);
         });
         return true;
     }
@@ -205,7 +206,7 @@
             if (left.count() > 0) return watchSilence(left);
             if (echoAt_ > waitsSince()) {
                 ++owner_.counters_.stuck;
-                return fail(Outcome::broken, Verdict::one, true);
+                return fail(Outcome::broken, HealthReport::one, true);
             }
             if (!owner_.mayProbe_) return watchSilence(owner_.silence_.limit());
             ++owner_.counters_.echoes;
@@ -243,7 +244,7 @@
         if (!outcome) return false;
         const Fields fields(words.size() > 2 ? std::string_view(words[2]) : std::string_view{});
         if (*outcome == Outcome::served && !whole(words, fields, found->second)) return false;
-        AttemptEnd end;
+        AttemptResult end;
         end.request = found->second.request;
         end.attempt = found->second.attempt;
         end.outcome = *outcome;
@@ -258,7 +259,7 @@
         if (end.outcome == Outcome::served) {
             end.payload.unchanged = words[1] == "current";
             end.payload.mintedMs = fields.whole("minted").value_or(0);
-            if (!fields.text("tag").empty()) end.payload.facts.emplace_back("tag", fields.text("tag"));
+            if (!fields.text("tag").empty()) end.payload.metadata.emplace_back("tag", fields.text("tag"));
             if (words.size() > 3) end.payload.body = std::move(words[3]);
         }
         owner_.answered(host_, found->second.writtenAt);
@@ -339,9 +340,9 @@
         given_[label] = now;
     }
 
-    void report(RequestId request, int attempt, Outcome outcome, bool blameless = false) {
-        AttemptEnd end;
-        end.blameless = blameless;
+    void report(RequestId request, int attempt, Outcome outcome, bool ignoreForHealth = false) {
+        AttemptResult end;
+        end.ignoreForHealth = ignoreForHealth;
         end.request = request;
         end.attempt = attempt;
         end.outcome = outcome;
@@ -355,7 +356,7 @@
         const Micros wait = shunned_ ? Micros{0} : owner_.idleClose_;
         timer_ = owner_.loop_.after(wait, [this] {
             timed_ = false;
-            fail(Outcome::broken, Verdict::none, true);
+            fail(Outcome::broken, HealthReport::none, true);
         });
     }
     void stop(std::optional<net::Loop::TimerKey>& timer) {
@@ -393,7 +394,7 @@
 };
 
 Stores::Stores(net::Loop& loop, const settings::Configuration& configuration)
-    : loop_(loop), unixAhead_(core::unixAhead()), copyClock_(unixAhead_) {
+    : loop_(loop), unixClockOffset_(core::unixClockOffset()), copyClock_(unixClockOffset_) {
     reconfigure(configuration);
 }
 
@@ -407,8 +408,8 @@
     if (words.idleClose.count() > 0)
         idleClose_ = std::chrono::duration_cast<Micros>(words.idleClose) * 9 / 10;
     sockets_ = static_cast<std::size_t>(configuration.limits.sockets);
-    share(processes_);
-    const Micros longest = core::longestGiveUp(words.settings);
+    setProcessCount(processes_);
+    const Micros longest = core::longestClientTimeout(words.settings);
     silence_.bound(longest / 2);
     longAnswer_ = std::min(kLongAnswer, longest / 2);
     repeatable_.clear();
@@ -418,7 +419,7 @@
 }
 
 // What is left beside the clients' third, less what the process needs for itself and for operators.
-void Stores::share(int processes) {
+void Stores::setProcessCount(int processes) {
     processes_ = processes;
     const std::size_t rest = sockets_ - sockets_ / 3;
     const std::size_t own = std::min<std::size_t>(64, rest / 4);
@@ -427,7 +428,7 @@
 
 Stores::~Stores() = default;
 
-void Stores::list(const settings::BusEvent& event) {
+void Stores::applyHostList(const settings::BusEvent& event) {
     if (event.whole) {
         for (auto& [name, store] : stores_) {
             const bool kept = std::any_of(event.stores.begin(), event.stores.end(),
@@ -454,7 +455,7 @@
         if (moved)
             dropAll(store);
         else if (restarted)
-            dropBefore(store, std::chrono::milliseconds{listed.sinceMs} - unixAhead_);
+            dropBefore(store, std::chrono::milliseconds{listed.sinceMs} - unixClockOffset_);
         if (moved) forsake(listed.address, event);
         if (!listed.address.empty()) store.address = listed.address;
         store.sinceMs = listed.sinceMs;
@@ -473,14 +474,14 @@
 
 void Stores::dropAll(Store& store) {
     const auto links = store.links;
-    for (const auto& link : links) link->fail(Outcome::broken, Link::Verdict::none);
+    for (const auto& link : links) link->fail(Outcome::broken, Link::HealthReport::none);
 }
 
 // Lists come late: a connection may be the new process's already.
 void Stores::dropBefore(Store& store, Micros restart) {
     const auto links = store.links;
     for (const auto& link : links)
-        if (!link->openedSince(restart)) link->fail(Outcome::broken, Link::Verdict::none, true);
+        if (!link->openedSince(restart)) link->fail(Outcome::broken, Link::HealthReport::none, true);
 }
 
 void Stores::drop(const std::string& host, Link* link) {
@@ -518,7 +519,7 @@
         if (!link->waitsForAnswers() || link->silentFor() < silence_.limit() + kStuck) continue;
         if (store.answeredWrittenAt <= link->waitsSince()) continue;
         ++counters_.stuck;
-        link->fail(Outcome::broken, Link::Verdict::none, true);
+        link->fail(Outcome::broken, Link::HealthReport::none, true);
     }
 }
 
@@ -528,17 +529,17 @@
         found->second.answeredWrittenAt = std::max(found->second.answeredWrittenAt, writtenAt);
 }
 
-void Stores::send(Micros, const core::Request& request, const core::Verdict& send) {
+void Stores::send(Micros, const core::Request& request, const core::Decision& send) {
     places_[request.id] = {{}, send.attempt};
     carry({&request, send});
 }
 
 void Stores::carry(Waiting waiting) {
-    const core::Verdict& send = waiting.send;
+    const core::Decision& send = waiting.send;
     const auto place = places_.find(send.request);
     // Taken back meanwhile; its request may be gone, too.
     if (place == places_.end() || place->second.attempt != send.attempt) return;
-    AttemptEnd end;
+    AttemptResult end;
     end.request = send.request;
     end.attempt = send.attempt;
     end.outcome = Outcome::noConnection;
@@ -548,7 +549,7 @@
             return link->pull(std::move(waiting));
         }
         ++counters_.noDescriptor;
-        end.blameless = true;  // it is this process that has too many connections
+        end.ignoreForHealth = true;  // it is this process that has too many connections
     } catch (const settings::Malformed& problem) {
         std::fprintf(stderr, "store %s: %s\n", send.host.c_str(), problem.what());
     }
@@ -563,10 +564,10 @@
     return link ? link->kill(request, attempt) : true;  // between two connections: not written on either
 }
 
-void Stores::tell(AttemptEnd end) {
+void Stores::tell(AttemptResult end) {
     // Later in the turn: the caller may be in the middle of the very request that this is about. And what its
     // client has said by then is known before the request is sent on.
-    auto shared = std::make_shared<AttemptEnd>(std::move(end));
+    auto shared = std::make_shared<AttemptResult>(std::move(end));
     loop_.whenAllIsHeard([this, shared] {
         const auto found = places_.find(shared->request);
         if (found == places_.end() || found->second.attempt != shared->attempt) return;
--- a/src/platform/stores.hpp
+++ b/src/platform/store_connections.hpp
@@ -8,20 +8,20 @@
 #include <unordered_map>
 #include <vector>
 
-#include "../core/requests.hpp"
+#include "../core/request_dispatcher.hpp"
 #include "../net/loop.hpp"
 #include "../net/resp.hpp"
 #include "../net/stream.hpp"
-#include "copy_clock.hpp"
-#include "silence.hpp"
+#include "copy_age.hpp"
+#include "silence_timeout.hpp"
 
 namespace lotuslead::platform {
 
-class Stores : public core::Carrier {
+class Stores : public core::AttemptTransport {
 public:
     struct Callbacks {
         std::function<bool(RequestId, int)> mayBegin;  // may this attempt still be begun?
-        std::function<void(core::AttemptEnd)> ended;
+        std::function<void(core::AttemptResult)> ended;
     };
     struct Counters {
         std::uint64_t connects = 0, connectFailures = 0, resets = 0, malformed = 0, stalled = 0, echoes = 0,
@@ -32,11 +32,11 @@
     ~Stores() override;
 
     void listen(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
-    void list(const settings::BusEvent& event);
+    void applyHostList(const settings::BusEvent& event);
     void reconfigure(const settings::Configuration& configuration);
-    void share(int processes);  // of the descriptors
+    void setProcessCount(int processes);  // of the descriptors
 
-    void send(core::Micros now, const core::Request& request, const core::Verdict& send) override;
+    void send(core::Micros now, const core::Request& request, const core::Decision& send) override;
     bool cancel(core::Micros now, RequestId request, int attempt) override;
 
     const Counters& counters() const { return counters_; }
@@ -53,7 +53,7 @@
     };
     struct Waiting {
         const core::Request* request;  // lives at least as long as the attempt is out
-        core::Verdict send;
+        core::Decision send;
         int moves = 0;  // to other connections
     };
     struct Place {
@@ -66,14 +66,14 @@
     void carry(Waiting waiting);
     void retireStuck(Store& store);
     void answered(const std::string& host, core::Micros writtenAt);
-    void tell(core::AttemptEnd end);
+    void tell(core::AttemptResult end);
     void forsake(const std::string& address, const settings::BusEvent& event);
     void drop(const std::string& host, Link* link);
     void dropAll(Store& store);
     void dropBefore(Store& store, core::Micros restart);
 
     net::Loop& loop_;
-    core::Micros unixAhead_;
+    core::Micros unixClockOffset_;
     CopyClock copyClock_;
     core::Micros connectTimeout_{}, idleClose_{};
     std::size_t streams_ = 0;
--- a/src/platform/store_words.hpp
+++ b/src/platform/store_protocol.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <utility>
 
-#include "../core/requests.hpp"
+#include "../core/request_dispatcher.hpp"
 #include "fields.hpp"
 
 namespace lotuslead::platform {
@@ -40,7 +40,7 @@
     return std::nullopt;
 }
 
-inline std::string fieldsOf(const core::Request& request, const core::Verdict& send, core::Micros left) {
+inline std::string fieldsOf(const core::Request& request, const core::Decision& send, core::Micros left) {
     const auto ms = [](core::Micros t) { return static_cast<std::int64_t>(t.count() / 1000); };
     FieldWriter fields;
     fields.add("profile", request.className);
@@ -51,14 +51,14 @@
     if (!send.source.empty()) fields.add("via", send.source);
     if (send.keepRank > 0) fields.add("tier", send.keepRank);
     // Rounded down, so that a copy from before a purge never passes; 0 would mean "any age".
-    if (send.oldest.count() > 0) fields.add("fresh", std::max<std::int64_t>(1, ms(send.oldest)));
+    if (send.maxAge.count() > 0) fields.add("fresh", std::max<std::int64_t>(1, ms(send.maxAge)));
     std::string how;
     const auto option = [&](bool on, const char* word) {
         if (on) how += (how.empty() ? "" : "+") + std::string(word);
     };
-    option(send.join, "share");
-    option(send.heldOnly, "peek");
-    option(send.renew, "swr");
+    option(send.joinFill, "share");
+    option(send.onlyIfCached, "peek");
+    option(send.staleWhileRevalidate, "swr");
     if (!how.empty()) fields.add("opts", how);
     if (!request.known.empty()) fields.add("known", request.known);
     return std::string(fields.text());
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -57,7 +57,7 @@
 }
 
 std::string factOf(const core::Payload& payload, std::string_view name) {
-    for (const auto& [key, value] : payload.facts)
+    for (const auto& [key, value] : payload.metadata)
         if (key == name) return value;
     return {};
 }
@@ -94,7 +94,7 @@
         if (job_->asked) {
             const RequestId id = *std::exchange(job_->asked, std::nullopt);
             settleExpected();
-            owner_.requests_.withdraw(owner_.loop_.now(), id);
+            owner_.requests_.clientGone(owner_.loop_.now(), id);
         }
         job_->begun ? breakOff("the process ends") : unavailable(1s);
     }
@@ -114,7 +114,7 @@
         if (job_ && job_->asked) {
             const RequestId id = *job_->asked;
             settleExpected();
-            owner_.requests_.withdraw(owner_.loop_.now(), id);
+            owner_.requests_.clientGone(owner_.loop_.now(), id);
         }
         job_.reset();
         count(0);
@@ -238,7 +238,7 @@
         const Micros now = owner_.loop_.now();
         request.deadline = now + std::chrono::duration_cast<Micros>(
                                      words[static_cast<std::size_t>(request.classIndex)].giveUp);
-        owner_.requests_.take(now, std::move(request), [this](RequestId, Reply&& reply) {
+        owner_.requests_.submit(now, std::move(request), [this](RequestId, Reply&& reply) {
             settleExpected();
             job_->asked.reset();
             take(std::move(reply));
@@ -253,7 +253,7 @@
     // ----- answers -----
 
     void take(Reply&& reply) {
-        if (reply.word != Reply::Word::served) return fail(reply);
+        if (reply.kind != Reply::Kind::served) return fail(reply);
         const core::Payload& payload = reply.payload;
         const std::uint64_t status = numberOf(factOf(payload, kStatus));
         const std::string tag = factOf(payload, "etag"), modified = factOf(payload, "last-modified");
@@ -331,17 +331,17 @@
 
     void fail(const Reply& reply) {
         if (job_->begun) return breakOff("no further part is to be had");
-        if (reply.late) {
+        if (reply.deadlineExceeded) {
             ++owner_.counters_.late;
             return plain(504);
         }
-        const auto last = reply.last.value_or(Outcome::notSent);
+        const auto last = reply.lastOutcome.value_or(Outcome::notSent);
         if (last == Outcome::error || last == Outcome::broken || last == Outcome::noConnection ||
             last == Outcome::timedOut) {
             ++owner_.counters_.upstreamFailed;
             return plain(502);
         }
-        unavailable(reply.pause);
+        unavailable(reply.retryAfter);
     }
 
     void unavailable(Micros pause) {
@@ -470,7 +470,7 @@
     net::Stream stream_;
 };
 
-Front::Front(net::Loop& loop, core::Requests& requests,
+Front::Front(net::Loop& loop, core::RequestDispatcher& requests,
              const settings::RepositoryConfiguration& configuration)
     : loop_(loop), requests_(requests), configuration_(configuration), former_(loop) {
     takeLimits(configuration.base.limits);
@@ -484,7 +484,7 @@
     mostBytes_ /= static_cast<std::size_t>(processes_);
 }
 
-void Front::share(int processes) {
+void Front::setProcessCount(int processes) {
     processes_ = processes;
     takeLimits(configuration_.base.limits);
 }
@@ -555,7 +555,7 @@
 
 bool Front::roomFor(std::size_t bytes) const { return expected_ + unsent_ + bytes <= mostBytes_; }
 
-void Front::lastCall() {
+void Front::failOpenRequests() {
     lastCall_ = true;
     for (const auto& [key, client] : clients_) client->lastCall();
 }
--- a/src/repository/front.hpp
+++ b/src/repository/front.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "../core/requests.hpp"
+#include "../core/request_dispatcher.hpp"
 #include "../net/http.hpp"
 #include "../net/listener.hpp"
 #include "../net/loop.hpp"
@@ -23,25 +23,26 @@
                       halfRequests = 0;
     };
 
-    Front(net::Loop& loop, core::Requests& requests, const settings::RepositoryConfiguration& configuration);
+    Front(net::Loop& loop, core::RequestDispatcher& requests,
+          const settings::RepositoryConfiguration& configuration);
     ~Front();
 
     void open();
-    void share(int processes);  // of the limits
+    void setProcessCount(int processes);  // of the limits
     // Other limits and routes are read from the configuration that it was given; throws like the platform's
     // front.
     void reconfigure(const settings::RepositoryConfiguration& configuration);
     // What is open is answered or broken off at once, what still comes refused.
-    void lastCall();
+    void failOpenRequests();
     void leave() { leaving_ = true; }  // connections are not kept any more
     // As at the platform's front: what still comes is served, and refused later on. Downloads go on.
     void drain();
     void undrain();
-    void yield() {
+    void leaveToSuccessor() {
         listener_.reset();
         drain();
     }
-    bool deserted() const { return clients_.empty(); }
+    bool hasNoClients() const { return clients_.empty(); }
     bool settled();  // as at the platform's front
     std::uint16_t port() const { return listener_->port(); }
     const Counters& counters() const { return counters_; }
@@ -60,7 +61,7 @@
     std::unique_ptr<net::Listener> listenOn(const settings::Endpoint& address);
 
     net::Loop& loop_;
-    core::Requests& requests_;
+    core::RequestDispatcher& requests_;
     const settings::RepositoryConfiguration& configuration_;
     std::size_t mostClients_ = 0;
     int processes_ = 1;
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -9,7 +9,7 @@
 
 namespace lotuslead::repository {
 
-using core::AttemptEnd;
+using core::AttemptResult;
 using core::Micros;
 using namespace std::chrono_literals;
 
@@ -137,13 +137,13 @@
         serveWhatWaited();
     }
 
-    AttemptEnd outcomeOf(const Waiting& work) {
+    AttemptResult outcomeOf(const Waiting& work) {
         const net::HttpHead& head = parser_.head();
-        AttemptEnd end;
+        AttemptResult end;
         end.request = work.send.request;
         end.attempt = work.send.attempt;
         end.outcome = Outcome::served;
-        auto& facts = end.payload.facts;
+        auto& facts = end.payload.metadata;
         for (const char* name : {"etag", "last-modified", "content-type"})
             if (const std::string* value = head.field(name)) facts.emplace_back(name, *value);
         int status = head.status;
@@ -168,7 +168,7 @@
         } else if (status == 410 || status == 404) {
             status = 404;
         } else if (status == 504) {  // also the answer to only-if-cached (RFC 9111, 5.2.1.7)
-            const bool held = work.send.source.empty() || work.send.heldOnly;
+            const bool held = work.send.source.empty() || work.send.onlyIfCached;
             end.outcome = held ? Outcome::noCopy : Outcome::error;
         } else if (status == 503 || status == 429) {
             end.outcome = Outcome::notTaken;
@@ -180,8 +180,8 @@
         constexpr std::uint64_t kTenYears = 315'360'000;  // in seconds; no sum runs over
         const auto age =
             field ? static_cast<std::int64_t>(std::min(wholeOf(*field).value_or(0), kTenYears)) : 0;
-        if (end.outcome == Outcome::served && field && work.send.oldest >= kFinestAge &&
-            age + 1 > secondsOf(work.send.oldest)) {
+        if (end.outcome == Outcome::served && field && work.send.maxAge >= kFinestAge &&
+            age + 1 > secondsOf(work.send.maxAge)) {
             ++owner_.counters_.tooOld;
             end.outcome = Outcome::noCopy;
         }
@@ -222,7 +222,7 @@
 };
 
 Upstreams::Upstreams(net::Loop& loop, const settings::RepositoryConfiguration& configuration)
-    : loop_(loop), unixAhead_(core::unixAhead()), configuration_(configuration) {
+    : loop_(loop), unixAhead_(core::unixClockOffset()), configuration_(configuration) {
     reconfigure(configuration);
 }
 
@@ -237,7 +237,7 @@
 
 Upstreams::~Upstreams() = default;
 
-void Upstreams::list(const settings::BusEvent& event) {
+void Upstreams::applyHostList(const settings::BusEvent& event) {
     for (auto& [name, server] : servers_) {
         const bool named = std::any_of(event.stores.begin(), event.stores.end(),
                                        [&, &key = name](const auto& s) { return s.name == key; });
@@ -273,7 +273,7 @@
         for (const Waiting& w : std::exchange(server.waiting, {})) tell(w, Outcome::noConnection, blameless);
 }
 
-void Upstreams::send(Micros, const core::Request& request, const core::Verdict& send) {
+void Upstreams::send(Micros, const core::Request& request, const core::Decision& send) {
     out_[request.id] = send.attempt;
     servers_[send.host].waiting.push_back({&request, send});
     serveWaiting(send.host);
@@ -326,7 +326,7 @@
     return false;
 }
 
-std::string Upstreams::wordsFor(const core::Request& request, const core::Verdict& send) {
+std::string Upstreams::wordsFor(const core::Request& request, const core::Decision& send) {
     const Server& server = servers_[send.host];
     std::string words = "GET " + request.object + " HTTP/1.1\r\nHost: " + server.address + "\r\n";
     if (configuration_.base.words.settings.classes[static_cast<std::size_t>(request.classIndex)].inParts) {
@@ -337,10 +337,10 @@
     if (!request.known.empty()) words += "If-None-Match: " + request.known + "\r\n";
     std::string control;
     const auto add = [&](const std::string& word) { control += (control.empty() ? "" : ", ") + word; };
-    if (send.oldest.count() > 0)
-        add(send.oldest < kFinestAge ? "no-cache" : "max-age=" + std::to_string(secondsOf(send.oldest) - 1));
+    if (send.maxAge.count() > 0)
+        add(send.maxAge < kFinestAge ? "no-cache" : "max-age=" + std::to_string(secondsOf(send.maxAge) - 1));
     if (!server.origin) {
-        if (send.source.empty() || send.heldOnly) add("only-if-cached");
+        if (send.source.empty() || send.onlyIfCached) add("only-if-cached");
         if (send.keepRank == 0) add("no-store");
         // A cache that knows this field fills a miss from there; others go by their own set-up.
         if (!send.source.empty()) words += "Lotuslead-Source: " + servers_[send.source].address + "\r\n";
@@ -350,18 +350,18 @@
 }
 
 void Upstreams::tell(const Waiting& waiting, Outcome outcome, bool blameless) {
-    AttemptEnd end;
-    end.blameless = blameless;
+    AttemptResult end;
+    end.ignoreForHealth = blameless;
     end.request = waiting.send.request;
     end.attempt = waiting.send.attempt;
     end.outcome = outcome;
     tell(std::move(end));
 }
 
-void Upstreams::tell(AttemptEnd end) {
+void Upstreams::tell(AttemptResult end) {
     // Later in the turn: the caller may be in the middle of the very request that this is about. And what its
     // client has said by then is known before the request is sent on.
-    auto shared = std::make_shared<AttemptEnd>(std::move(end));
+    auto shared = std::make_shared<AttemptResult>(std::move(end));
     loop_.whenAllIsHeard([this, shared] {
         const auto found = out_.find(shared->request);
         if (found == out_.end() || found->second != shared->attempt) return;
--- a/src/repository/upstreams.hpp
+++ b/src/repository/upstreams.hpp
@@ -8,7 +8,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "../core/requests.hpp"
+#include "../core/request_dispatcher.hpp"
 #include "../net/http.hpp"
 #include "../net/loop.hpp"
 #include "../net/stream.hpp"
@@ -20,11 +20,11 @@
 inline constexpr const char* kTotal = "total";  // bytes of the whole file
 inline constexpr const char* kFirst = "first";  // place of the payload's first byte in it
 
-class Upstreams : public core::Carrier {
+class Upstreams : public core::AttemptTransport {
 public:
     struct Callbacks {
         std::function<bool(RequestId, int)> mayBegin;
-        std::function<void(core::AttemptEnd)> ended;
+        std::function<void(core::AttemptResult)> ended;
     };
     struct Counters {
         std::uint64_t connects = 0, connectFailures = 0, resets = 0, malformed = 0, tooOld = 0, heldBack = 0;
@@ -34,10 +34,10 @@
     ~Upstreams() override;
 
     void listen(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
-    void list(const settings::BusEvent& event);
-    void share(int) {}  // its connections are few: kMostLinks to a server
+    void applyHostList(const settings::BusEvent& event);
+    void setProcessCount(int) {}  // its connections are few: kMostLinks to a server
     void reconfigure(const settings::RepositoryConfiguration& configuration);
-    void send(core::Micros now, const core::Request& request, const core::Verdict& send) override;
+    void send(core::Micros now, const core::Request& request, const core::Decision& send) override;
     bool cancel(core::Micros now, RequestId request, int attempt) override;
 
     const Counters& counters() const { return counters_; }
@@ -46,7 +46,7 @@
     class Link;
     struct Waiting {
         const core::Request* request;  // lives at least as long as the attempt is out
-        core::Verdict send;
+        core::Decision send;
     };
     struct Server {
         std::string address;
@@ -57,8 +57,8 @@
     };
 
     void serveWaiting(const std::string& host);
-    std::string wordsFor(const core::Request& request, const core::Verdict& send);
-    void tell(core::AttemptEnd end);
+    std::string wordsFor(const core::Request& request, const core::Decision& send);
+    void tell(core::AttemptResult end);
     void tell(const Waiting& waiting, Outcome outcome, bool blameless = false);
     void drop(const std::string& host, Link* link, bool blameless);
     void dropAll(Server& server);
--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -8,7 +8,7 @@
 #include <unordered_map>
 
 #include "harness.hpp"
-#include "platform/silence.hpp"
+#include "platform/silence_timeout.hpp"
 
 namespace lotuslead::testing {
 namespace {
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -34,7 +34,7 @@
         return maySend(rules, facts, {});
     };
     EXPECT_EQ(with([](SendFacts& f) { f.answered = true; }), Denial::answered);
-    EXPECT_EQ(with([](SendFacts& f) { f.attemptOut = true; }), Denial::attemptOut);
+    EXPECT_EQ(with([](SendFacts& f) { f.attemptInFlight = true; }), Denial::attemptInFlight);
     EXPECT_EQ(with([](SendFacts& f) { f.now = f.deadline; }), Denial::deadlinePassed);
     EXPECT_EQ(with([](SendFacts& f) { f.host = Readiness::draining; }), Denial::hostNotReady);
     EXPECT_EQ(with([](SendFacts& f) { f.host = Readiness::gone; }), Denial::hostNotReady);
@@ -45,49 +45,49 @@
 TEST(Rules, WhatMayHaveRunIsRepeatedOnlyAsItsClassAllows) {
     const EarlierRun earlier{8s, {1, 7}};
     EXPECT_EQ(mayRepeat(classOf(Effect::unsafe), {}, 10s, {1, 7}), Denial::none);
-    EXPECT_EQ(mayRepeat(classOf(Effect::unsafe), earlier, 10s, {1, 7}), Denial::runsTwice);
+    EXPECT_EQ(mayRepeat(classOf(Effect::unsafe), earlier, 10s, {1, 7}), Denial::mayRunTwice);
     EXPECT_EQ(mayRepeat(classOf(Effect::safe), earlier, 99s, {2, 8}), Denial::none);
     EXPECT_EQ(mayRepeat(classOf(Effect::keyed), earlier, 10s, {2, 8}), Denial::none);
-    EXPECT_EQ(mayRepeat(classOf(Effect::keyed), earlier, 11s, {1, 7}), Denial::windowPassed);
+    EXPECT_EQ(mayRepeat(classOf(Effect::keyed), earlier, 11s, {1, 7}), Denial::keyWindowPassed);
     EXPECT_EQ(mayRepeat(classOf(Effect::keyed, DeduplicationScope::zone), earlier, 10s, {1, 8}),
               Denial::none);
     EXPECT_EQ(mayRepeat(classOf(Effect::keyed, DeduplicationScope::zone), earlier, 10s, {2, 7}),
-              Denial::otherGroup);
+              Denial::otherRepeatGroup);
     EXPECT_EQ(mayRepeat(classOf(Effect::keyed, DeduplicationScope::cell), earlier, 10s, {2, 7}),
               Denial::none);
     EXPECT_EQ(mayRepeat(classOf(Effect::keyed, DeduplicationScope::cell), earlier, 10s, {1, 8}),
-              Denial::otherGroup);
+              Denial::otherRepeatGroup);
 }
 
 TEST(Rules, ARefusalPromisesThatNothingHasHappened) {
     EXPECT_EQ(mayRefuse(classOf(Effect::unsafe), false), Denial::none);
-    EXPECT_EQ(mayRefuse(classOf(Effect::unsafe), true), Denial::promisesNoEffect);
+    EXPECT_EQ(mayRefuse(classOf(Effect::unsafe), true), Denial::mayHaveTakenEffect);
     EXPECT_EQ(mayRefuse(classOf(Effect::safe), true), Denial::none);
     EXPECT_EQ(mayRefuse(classOf(Effect::keyed), true), Denial::none);
-    EXPECT_EQ(mayRefuse(classOf(Effect::keyed, DeduplicationScope::zone), true), Denial::promisesNoEffect);
-    EXPECT_EQ(mayRefuse(classOf(Effect::keyed, DeduplicationScope::cell), true), Denial::promisesNoEffect);
+    EXPECT_EQ(mayRefuse(classOf(Effect::keyed, DeduplicationScope::zone), true), Denial::mayHaveTakenEffect);
+    EXPECT_EQ(mayRefuse(classOf(Effect::keyed, DeduplicationScope::cell), true), Denial::mayHaveTakenEffect);
 }
 
 TEST(Rules, AnswersAreGivenOnceAndCopiesConfirmedOnlyWhenNamed) {
     EXPECT_EQ(mayAnswer({}), Denial::none);
     EXPECT_EQ(mayAnswer({.answered = true}), Denial::answered);
-    EXPECT_EQ(mayAnswer({.unchanged = true}), Denial::notNamed);
-    EXPECT_EQ(mayAnswer({.unchanged = true, .copyNamed = true}), Denial::none);
+    EXPECT_EQ(mayAnswer({.unchanged = true}), Denial::copyNotNamed);
+    EXPECT_EQ(mayAnswer({.unchanged = true, .copyIsNamed = true}), Denial::none);
 }
 
 TEST(Rules, RequestsAreTakenWithinTheBoundsOfProcessAndConnection) {
-    const TakeFacts good{.openOnConnection = 31, .mostOnConnection = 32};
-    EXPECT_EQ(mayTake(good), Denial::none);
+    const AdmissionFacts good{.openOnConnection = 31, .maxOnConnection = 32};
+    EXPECT_EQ(mayAdmit(good), Denial::none);
     const auto with = [&](auto change) {
-        TakeFacts facts = good;
+        AdmissionFacts facts = good;
         change(facts);
-        return mayTake(facts);
+        return mayAdmit(facts);
     };
-    EXPECT_EQ(with([](TakeFacts& f) { f.ending = true; }), Denial::ending);
-    EXPECT_EQ(with([](TakeFacts& f) { f.draining = true; }), Denial::draining);
-    EXPECT_EQ(with([](TakeFacts& f) { f.connectionRetired = true; }), Denial::connectionRetired);
-    EXPECT_EQ(with([](TakeFacts& f) { f.openOnConnection = 32; }), Denial::tooManyOpen);
-    EXPECT_EQ(with([](TakeFacts& f) { f.hasRoom = false; }), Denial::noMemory);
+    EXPECT_EQ(with([](AdmissionFacts& f) { f.shuttingDown = true; }), Denial::shuttingDown);
+    EXPECT_EQ(with([](AdmissionFacts& f) { f.draining = true; }), Denial::draining);
+    EXPECT_EQ(with([](AdmissionFacts& f) { f.connectionClosing = true; }), Denial::connectionClosing);
+    EXPECT_EQ(with([](AdmissionFacts& f) { f.openOnConnection = 32; }), Denial::tooManyOpen);
+    EXPECT_EQ(with([](AdmissionFacts& f) { f.hasRoom = false; }), Denial::noMemory);
 }
 
 TEST(Rules, AConnectionIsClosedOnlyWhereNothingIsOwedOnIt) {
@@ -98,9 +98,9 @@
 }
 
 TEST(Rules, TheServiceOpensOnceItKnowsEnoughOrHasWaitedLong) {
-    EXPECT_EQ(mayServe({}), Denial::notPrepared);
+    EXPECT_EQ(mayServe({}), Denial::notReady);
     EXPECT_EQ(mayServe({.prepared = true}), Denial::none);
-    EXPECT_EQ(mayServe({.prepared = true, .awaitsHandOver = true}), Denial::notPrepared);
+    EXPECT_EQ(mayServe({.prepared = true, .awaitsHandOver = true}), Denial::notReady);
     EXPECT_EQ(mayServe({.waitedLongEnough = true}), Denial::none);
 }
 
@@ -110,10 +110,10 @@
     EXPECT_TRUE(checks.require(Denial::none, "send", "a"));
     EXPECT_FALSE(checks.allows(Denial::hostNotReady));
     EXPECT_EQ(checks.violations(), 0U);
-    EXPECT_FALSE(checks.require(Denial::runsTwice, "send", "a"));
+    EXPECT_FALSE(checks.require(Denial::mayRunTwice, "send", "a"));
     EXPECT_EQ(checks.violations(), 1U);
     EXPECT_EQ(checks.heldBack()[static_cast<std::size_t>(Denial::hostNotReady)], 1U);
-    EXPECT_STREQ(nameOf(Denial::notPrepared), "not_prepared");
+    EXPECT_STREQ(nameOf(Denial::notReady), "not_prepared");
 }
 
 }  // namespace
