--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <chrono>
 
-#include "../net/call.hpp"
+#include "../net/http_client.hpp"
 #include "state.hpp"
 
 namespace lotuslead::agent {
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -11,7 +11,7 @@
 #include <system_error>
 #include <utility>
 
-#include "../net/call.hpp"
+#include "../net/http_client.hpp"
 #include "../net/signals.hpp"
 #include "control.hpp"
 #include "event_feed.hpp"
--- a/src/agent/supervisor.cpp
+++ b/src/agent/supervisor.cpp
@@ -13,7 +13,7 @@
 #include <fstream>
 #include <system_error>
 
-#include "../net/call.hpp"
+#include "../net/http_client.hpp"
 
 namespace lotuslead::agent {
 
--- a/src/net/call.cpp
+++ b/src/net/http_client.cpp
@@ -1,4 +1,4 @@
-#include "call.hpp"
+#include "http_client.hpp"
 
 #include <memory>
 #include <utility>
