--- a/src/agent/control.hpp
+++ b/src/agent/control.hpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "../config/check.hpp"
-#include "../net/calls.hpp"
+#include "../net/http_server.hpp"
 #include "../net/loop.hpp"
 #include "consensus.hpp"
 #include "settings.hpp"
--- a/src/agent/event_feed.hpp
+++ b/src/agent/event_feed.hpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "../config/store.hpp"
-#include "../net/calls.hpp"
+#include "../net/http_server.hpp"
 #include "../net/loop.hpp"
 #include "consensus.hpp"
 
--- a/src/net/calls.cpp
+++ b/src/net/http_server.cpp
@@ -1,4 +1,4 @@
-#include "calls.hpp"
+#include "http_server.hpp"
 
 #include <algorithm>
 
--- a/src/operator/door.hpp
+++ b/src/operator/door.hpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "../net/calls.hpp"
+#include "../net/http_server.hpp"
 
 namespace lotuslead::operators {
 
