--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -8,7 +8,7 @@
 #include "../core/service.hpp"
 #include "../net/loop.hpp"
 #include "../operator/door.hpp"
-#include "meeting.hpp"
+#include "handover.hpp"
 
 namespace lotuslead::gateway {
 
--- a/src/gateway/meeting.cpp
+++ b/src/gateway/handover.cpp
@@ -1,4 +1,4 @@
-#include "meeting.hpp"
+#include "handover.hpp"
 
 #include <sys/socket.h>
 #include <sys/un.h>
