--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -7,7 +7,7 @@
 
 #include "../core/service.hpp"
 #include "../net/loop.hpp"
-#include "../operator/door.hpp"
+#include "../operator/operator_server.hpp"
 #include "handover.hpp"
 
 namespace lotuslead::gateway {
--- a/src/operator/door.cpp
+++ b/src/operator/operator_server.cpp
@@ -1,4 +1,4 @@
-#include "door.hpp"
+#include "operator_server.hpp"
 
 namespace lotuslead::operators {
 
