--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -9,12 +9,12 @@
 namespace lotuslead::agent {
 
 using nlohmann::json;
-using Answer = net::CallServer::Answer;
+using Answer = net::HttpServer::Response;
 
 namespace {
 
 constexpr std::int64_t kMostHoldMs = 10'000;
-constexpr net::CallServer::Limits kLimits{1024, 2 * config::kMostTransaction, std::chrono::seconds{15}};
+constexpr net::HttpServer::Limits kLimits{1024, 2 * config::kMostTransaction, std::chrono::seconds{15}};
 
 Answer jsonAnswer(int status, const json& body) { return {status, body.dump() + "\n", {}}; }
 
--- a/src/agent/control.hpp
+++ b/src/agent/control.hpp
@@ -24,7 +24,7 @@
     void changed();  // the store is: watches are answered
 
 private:
-    using Reply = net::CallServer::Reply;
+    using Reply = net::HttpServer::SendResponse;
     struct Watch {
         config::Revision from = 0;
         std::string prefix;
@@ -58,7 +58,7 @@
     Consensus& consensus_;
     Supervisor& supervisor_;
     std::list<Watch> watches_;
-    net::CallServer server_;
+    net::HttpServer server_;
 };
 
 }  // namespace lotuslead::agent
--- a/src/agent/event_feed.cpp
+++ b/src/agent/event_feed.cpp
@@ -15,7 +15,7 @@
 // everywhere.
 constexpr net::Micros kGather = std::chrono::milliseconds{250};
 constexpr std::size_t kMostPages = 128;  // kept made, 128 KB each at most: an hour of 26 purges a second
-constexpr net::CallServer::Limits kLimits{4096, 1024, std::chrono::seconds{8}, true};
+constexpr net::HttpServer::Limits kLimits{4096, 1024, std::chrono::seconds{8}, true};
 
 }  // namespace
 
@@ -25,7 +25,7 @@
       store_(store),
       consensus_(consensus),
       server_(loop, at, kLimits, net::Priority::usual,
-              [this](const net::HttpHead& head, const std::string&, net::CallServer::Reply reply) {
+              [this](const net::HttpHead& head, const std::string&, net::HttpServer::SendResponse reply) {
                   handle(head, std::move(reply));
               }) {}
 
@@ -34,7 +34,7 @@
     if (gathering_) loop_.cancel(*gathering_);
 }
 
-void EventFeed::handle(const net::HttpHead& head, net::CallServer::Reply reply) {
+void EventFeed::handle(const net::HttpHead& head, net::HttpServer::SendResponse reply) {
     const Target target(head.target);
     if (target.path != "/bus/read") return reply({404, "no such thing\n", {}});
     if (head.method != "GET") return reply({405, "GET only\n", {}});
@@ -62,7 +62,7 @@
     });
 }
 
-void EventFeed::answer(std::int64_t from, const net::CallServer::Reply& reply) {
+void EventFeed::answer(std::int64_t from, const net::HttpServer::SendResponse& reply) {
     if (madeFrom_ != from || madeTo_ != store_.lastEvent()) {
         made_ = page(from);
         madeFrom_ = from;
--- a/src/agent/event_feed.hpp
+++ b/src/agent/event_feed.hpp
@@ -33,12 +33,12 @@
 private:
     struct Waiting {
         std::int64_t from = 0;
-        net::CallServer::Reply reply;
+        net::HttpServer::SendResponse reply;
         net::Loop::TimerKey timer;
     };
 
-    void handle(const net::HttpHead& head, net::CallServer::Reply reply);
-    void answer(std::int64_t from, const net::CallServer::Reply& reply);
+    void handle(const net::HttpHead& head, net::HttpServer::SendResponse reply);
+    void answer(std::int64_t from, const net::HttpServer::SendResponse& reply);
     void answerWaiting();
     std::string page(std::int64_t from);
 
@@ -55,7 +55,7 @@
     net::Micros answeredAt_{};                              // those who waited, last
     std::optional<net::Loop::TimerKey> gathering_;
     Counters counters_;
-    net::CallServer server_;
+    net::HttpServer server_;
 };
 
 }  // namespace lotuslead::agent
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -36,9 +36,9 @@
 
 }  // namespace
 
-class CallServer::Caller : public Stream::User, public std::enable_shared_from_this<Caller> {
+class HttpServer::Caller : public Stream::User, public std::enable_shared_from_this<Caller> {
 public:
-    Caller(CallServer& owner, Descriptor fd)
+    Caller(HttpServer& owner, Descriptor fd)
         : owner_(owner),
           parser_(makeParser()),
           timer_(makeTimer()),
@@ -66,12 +66,12 @@
         }
         keepsAlive_ = owner_.limits_.keepAlive && parser_.head().keepAlive();
         if (keepsAlive_ && !data.empty()) return false;
-        owner_.handle_(parser_.head(), parser_.body(), [self = weak_from_this()](const Answer& a) {
+        owner_.handle_(parser_.head(), parser_.body(), [self = weak_from_this()](const Response& a) {
             if (const auto caller = self.lock()) caller->answer(a);
         });
         return true;
     }
-    void answer(const Answer& a) {
+    void answer(const Response& a) {
         answered_ = true;
         std::string words = "HTTP/1.1 " + std::to_string(a.status) + " " + reasonOf(a.status) + "\r\n";
         if (!a.field.first.empty()) words += a.field.first + ": " + a.field.second + "\r\n";
@@ -97,7 +97,7 @@
     }
     void streamEnded(Stream::End) override { end(); }
 
-    CallServer& owner_;
+    HttpServer& owner_;
     HttpParser parser_;
     bool asked_ = false, answered_ = false;
     bool keepsAlive_ = false;  // a further call may follow the one in hand
@@ -105,8 +105,8 @@
     Stream stream_;
 };
 
-CallServer::CallServer(Loop& loop, const settings::Endpoint& at, Limits limits, Priority priority,
-                       Handle handle)
+HttpServer::HttpServer(Loop& loop, const settings::Endpoint& at, Limits limits, Priority priority,
+                       RequestHandler handle)
     : loop_(loop),
       limits_(limits),
       priority_(priority),
@@ -114,9 +114,9 @@
       listener_(
           loop, at, [this](Descriptor fd) { accept(std::move(fd)); }, priority) {}
 
-CallServer::~CallServer() = default;
+HttpServer::~HttpServer() = default;
 
-void CallServer::accept(Descriptor fd) {
+void HttpServer::accept(Descriptor fd) {
     if (callers_.size() >= limits_.callers) {
         auto idle = std::find_if(callers_.begin(), callers_.end(),
                                  [](const auto& caller) { return !caller->asked(); });
@@ -130,7 +130,7 @@
     callers_.push_back(std::make_shared<Caller>(*this, std::move(fd)));
 }
 
-void CallServer::forget(Caller* caller) {
+void HttpServer::forget(Caller* caller) {
     const auto found = std::find_if(callers_.begin(), callers_.end(),
                                     [&](const auto& held) { return held.get() == caller; });
     if (found == callers_.end()) return;
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -15,15 +15,16 @@
 
 namespace lotuslead::net {
 
-class CallServer {
+class HttpServer {
 public:
-    struct Answer {
+    struct Response {
         int status = 200;
         std::string body;
         std::pair<std::string, std::string> field;  // one further field of the head, where its name is given
     };
-    using Reply = std::function<void(Answer)>;
-    using Handle = std::function<void(const HttpHead& head, const std::string& body, Reply reply)>;
+    using SendResponse = std::function<void(Response)>;
+    using RequestHandler =
+        std::function<void(const HttpHead& head, const std::string& body, SendResponse sendResponse)>;
     struct Limits {
         std::size_t callers = 64;  // beyond it the one that has asked nothing for longest makes room
         std::size_t body = 1024 * 1024;
@@ -31,8 +32,9 @@
         bool keepAlive = false;                  // whoever wants to may ask again on its connection
     };
 
-    CallServer(Loop& loop, const settings::Endpoint& at, Limits limits, Priority priority, Handle handle);
-    ~CallServer();
+    HttpServer(Loop& loop, const settings::Endpoint& at, Limits limits, Priority priority,
+               RequestHandler handle);
+    ~HttpServer();
     std::uint16_t port() const { return listener_.port(); }
 
 private:
@@ -44,7 +46,7 @@
     Loop& loop_;
     Limits limits_;
     Priority priority_;
-    Handle handle_;
+    RequestHandler handle_;
     std::list<std::shared_ptr<Caller>> callers_;  // by the time at which they connected
     Listener listener_;
 };
--- a/src/operator/operator_server.cpp
+++ b/src/operator/operator_server.cpp
@@ -7,20 +7,20 @@
 using namespace std::chrono_literals;
 
 // Callers that connect and finish no call must not keep others out: a caller waits 1 s.
-constexpr net::CallServer::Limits kLimits{24, 4 * 1024, 3s};
+constexpr net::HttpServer::Limits kLimits{24, 4 * 1024, 3s};
 
 }  // namespace
 
 Door::Door(net::Loop& loop, const settings::Endpoint& at, Desk& desk)
     : desk_(desk),
       server_(loop, at, kLimits, net::Priority::first,
-              [this](const net::HttpHead& head, const std::string&, net::CallServer::Reply reply) {
-                  net::CallServer::Answer given = answer(head);
+              [this](const net::HttpHead& head, const std::string&, net::HttpServer::SendResponse reply) {
+                  net::HttpServer::Response given = answer(head);
                   ++(given.status == 200 ? counters_.calls : counters_.refused);
                   reply(std::move(given));
               }) {}
 
-net::CallServer::Answer Door::answer(const net::HttpHead& head) {
+net::HttpServer::Response Door::answer(const net::HttpHead& head) {
     const std::string path = head.target.substr(0, head.target.find('?'));
     const bool ready = path == "/ready", drain = path == "/drain", undrain = path == "/undrain";
     if (!ready && !drain && !undrain) return {404, "no such call\n", {}};
--- a/src/operator/operator_server.hpp
+++ b/src/operator/operator_server.hpp
@@ -29,11 +29,11 @@
     const Counters& counters() const { return counters_; }
 
 private:
-    net::CallServer::Answer answer(const net::HttpHead& head);
+    net::HttpServer::Response answer(const net::HttpHead& head);
 
     Desk& desk_;
     Counters counters_;
-    net::CallServer server_;
+    net::HttpServer server_;
 };
 
 }  // namespace lotuslead::operators
