--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -341,11 +341,11 @@
     }
     const auto door = supervisor_.door(name);
     if (!door) return reply({409, "it has no operators' door\n", {}});
-    net::call(loop_, *door, head.method, "/" + what, std::chrono::seconds{2},
-              [reply](int status, std::string body) {
-                  reply(status != 0 ? Answer{status, std::move(body), {}}
-                                    : Answer{503, "its door does not answer\n", {}});
-              });
+    net::sendHttpRequest(loop_, *door, head.method, "/" + what, std::chrono::seconds{2},
+                         [reply](int status, std::string body) {
+                             reply(status != 0 ? Answer{status, std::move(body), {}}
+                                               : Answer{503, "its door does not answer\n", {}});
+                         });
 }
 
 json Control::status() {
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -159,11 +159,11 @@
     std::size_t reached = 0, asked = 0;
     for (const Member& m : configuration.members) {
         ++asked;
-        net::call(loop, settings::readEndpoint(m.control, "control"), "GET", "/status",
-                  std::chrono::seconds{2}, [&](int status, const std::string&) {
-                      reached += status != 0;
-                      --asked;
-                  });
+        net::sendHttpRequest(loop, settings::readEndpoint(m.control, "control"), "GET", "/status",
+                             std::chrono::seconds{2}, [&](int status, const std::string&) {
+                                 reached += status != 0;
+                                 --asked;
+                             });
     }
     while (asked > 0) loop.turn(loop.now() + std::chrono::milliseconds{100});
     if (reached > 0) {
--- a/src/agent/supervisor.cpp
+++ b/src/agent/supervisor.cpp
@@ -188,20 +188,21 @@
     };
     Process* process = current();
     if (!process) return;
-    net::call(loop_, *process->nextDoor, "GET", "/ready", kAnswers,
-              [this, name, successor, until, current](int status, const std::string&) {
-                  Process* asked = current();
-                  if (!asked) return;
-                  if (status == 200) {
-                      asked->successorServes = true;
-                      ::kill(asked->pid, SIGTERM);
-                  } else if (loop_.now() >= until) {
-                      ::kill(successor, SIGKILL);
-                  } else {
-                      loop_.after(kAskAgain,
-                                  [this, name, successor, until] { awaitReady(name, successor, until); });
-                  }
-              });
+    net::sendHttpRequest(loop_, *process->nextDoor, "GET", "/ready", kAnswers,
+                         [this, name, successor, until, current](int status, const std::string&) {
+                             Process* asked = current();
+                             if (!asked) return;
+                             if (status == 200) {
+                                 asked->successorServes = true;
+                                 ::kill(asked->pid, SIGTERM);
+                             } else if (loop_.now() >= until) {
+                                 ::kill(successor, SIGKILL);
+                             } else {
+                                 loop_.after(kAskAgain, [this, name, successor, until] {
+                                     awaitReady(name, successor, until);
+                                 });
+                             }
+                         });
 }
 
 // The old process has ended. Where the successor does not serve yet it will, or
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -10,8 +10,8 @@
 namespace lotuslead::net {
 
 // Status 0: no whole answer came in time.
-using Called = std::function<void(int status, std::string body)>;
-void call(Loop& loop, const settings::Endpoint& to, const std::string& method, const std::string& target,
-          Micros within, Called called);
+using ResponseCallback = std::function<void(int status, std::string body)>;
+void sendHttpRequest(Loop& loop, const settings::Endpoint& to, const std::string& method,
+                     const std::string& target, Micros timeout, ResponseCallback onResponse);
 
 }  // namespace lotuslead::net
