--- a/src/gateway/handover.cpp
+++ b/src/gateway/handover.cpp
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-class Meeting::Peer : public net::Stream::User {
+class Meeting::Peer : public net::Stream::Observer {
 public:
     Peer(Meeting& owner, net::Descriptor fd) : owner_(owner), stream_(owner.loop_, std::move(fd), *this) {}
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-class PendingRequest : public Stream::User {
+class PendingRequest : public Stream::Observer {
 public:
     PendingRequest(Loop& loop, const settings::Endpoint& to, std::string requestText, Micros timeout,
                    ResponseCallback onResponse)
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-class HttpServer::Caller : public Stream::User, public std::enable_shared_from_this<Caller> {
+class HttpServer::Caller : public Stream::Observer, public std::enable_shared_from_this<Caller> {
 public:
     Caller(HttpServer& owner, Descriptor fd)
         : owner_(owner),
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -38,15 +38,15 @@
 
 }  // namespace
 
-Stream::Stream(Loop& loop, Descriptor fd, User& user, Priority priority)
-    : loop_(loop), fd_(std::move(fd)), user_(user), state_(State::open) {
+Stream::Stream(Loop& loop, Descriptor fd, Observer& observer, Priority priority)
+    : loop_(loop), fd_(std::move(fd)), observer_(observer), state_(State::open) {
     noDelay(fd_.get());
     ::setsockopt(fd_.get(), SOL_SOCKET, SO_SNDBUF, &kSendBuffer, sizeof kSendBuffer);
     id_ = loop_.add(fd_.get(), EPOLLIN | EPOLLOUT | EPOLLRDHUP, *this, priority);
 }
 
-Stream::Stream(Loop& loop, const settings::Endpoint& to, User& user, Priority priority)
-    : loop_(loop), user_(user), state_(State::connecting), to_(addressOf(to)), priority_(priority) {
+Stream::Stream(Loop& loop, const settings::Endpoint& to, Observer& observer, Priority priority)
+    : loop_(loop), observer_(observer), state_(State::connecting), to_(addressOf(to)), priority_(priority) {
     connect();
 }
 
@@ -177,7 +177,7 @@
 void Stream::end(End why) {
     if (state_ == State::closed) return;
     close();
-    user_.streamEnded(why);
+    observer_.streamEnded(why);
 }
 
 void Stream::write(std::string bytes) {
@@ -265,7 +265,7 @@
         }
         if ((events & EPOLLOUT) == 0) return 0;
         state_ = State::open;
-        user_.streamOpened();
+        observer_.streamOpened();
         if (state_ == State::closed) return 0;
     }
     if ((events & EPOLLERR) != 0 && (events & EPOLLIN) == 0) {
@@ -284,7 +284,7 @@
             if (closing_)
                 allWritten();
             else
-                user_.streamDrained();
+                observer_.streamFlushed();
         }
     }
     if (state_ == State::open && (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP)) != 0) return readSome();
@@ -324,7 +324,7 @@
             end(End::closedByPeer);
             return 0;
         }
-        if (!user_.streamData({chunk.data(), static_cast<std::size_t>(got)})) {
+        if (!observer_.streamData({chunk.data(), static_cast<std::size_t>(got)})) {
             end(End::malformed);
             return 0;
         }
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -22,19 +22,19 @@
         reset,
         malformed,
     };
-    class User {
+    class Observer {
     public:
-        virtual ~User() = default;
+        virtual ~Observer() = default;
         virtual void streamOpened() {}
         // False: the peer sent what it may not; the stream ends as malformed.
         virtual bool streamData(std::string_view data) = 0;
-        virtual void streamDrained() {}  // all that was written is with the kernel
+        virtual void streamFlushed() {}  // all that was written is with the kernel
         virtual void streamEnded(End end) = 0;
     };
 
-    Stream(Loop& loop, Descriptor fd, User& user, Priority priority = Priority::usual);  // accepted
+    Stream(Loop& loop, Descriptor fd, Observer& observer, Priority priority = Priority::usual);  // accepted
     // Connects; may end in the next turn.
-    Stream(Loop& loop, const settings::Endpoint& to, User& user, Priority priority = Priority::usual);
+    Stream(Loop& loop, const settings::Endpoint& to, Observer& observer, Priority priority = Priority::usual);
     ~Stream() override;
     Stream(const Stream&) = delete;
     Stream& operator=(const Stream&) = delete;
@@ -43,7 +43,7 @@
     bool closed() const { return state_ == State::closed; }
     void write(std::string bytes);  // queued, and sent as far as the kernel takes it
     // As that, but only if a byte can go out at once; false: none did, and nothing is queued. With room again
-    // streamDrained comes, or streamEnded.
+    // streamFlushed comes, or streamEnded.
     bool writeIfRoom(std::string bytes);
     std::size_t unsent() const { return unsent_; }
     void pauseReading(bool paused);
@@ -83,7 +83,7 @@
 
     Loop& loop_;
     Descriptor fd_;
-    User& user_;
+    Observer& observer_;
     State state_;
     Loop::HandlerId id_ = 0;
     std::deque<std::string> queue_;
--- a/src/platform/bus.cpp
+++ b/src/platform/bus.cpp
@@ -87,7 +87,7 @@
     asked_ = false;
     if (stream_) loop_.retire(stream_);
     // First in a turn: a call that has come with a drain is picked when the drain is known.
-    stream_ = std::make_shared<net::Stream>(loop_, bus(), static_cast<net::Stream::User&>(*this),
+    stream_ = std::make_shared<net::Stream>(loop_, bus(), static_cast<net::Stream::Observer&>(*this),
                                             net::Priority::first);
     arm(kConnect, [this] { reconnect("no connection in time"); });
 }
--- a/src/platform/bus.hpp
+++ b/src/platform/bus.hpp
@@ -14,7 +14,7 @@
 
 namespace lotuslead::platform {
 
-class BusReader : private net::Stream::User {
+class BusReader : private net::Stream::Observer {
 public:
     using Apply = std::function<void(const settings::BusEvent&)>;
     struct Counters {
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-class Front::Client : public net::Stream::User, public std::enable_shared_from_this<Front::Client> {
+class Front::Client : public net::Stream::Observer, public std::enable_shared_from_this<Front::Client> {
 public:
     Client(Front& owner, net::Descriptor fd)
         : owner_(owner),
@@ -192,7 +192,7 @@
         retire();
     }
 
-    void streamDrained() override { settle(); }
+    void streamFlushed() override { settle(); }
     void streamEnded(net::Stream::End why) override {
         ++(why == net::Stream::End::closedByPeer ? owner_.counters_.endedByClient : owner_.counters_.reset);
         if (Trace::on())
--- a/src/platform/stores.cpp
+++ b/src/platform/stores.cpp
@@ -35,7 +35,7 @@
 
 // One connection. A PULL is put into words only when its first byte can go out at once: until then it can be
 // taken back, and what has changed since it was picked is looked at again.
-class Stores::Link : public net::Stream::User, public std::enable_shared_from_this<Link> {
+class Stores::Link : public net::Stream::Observer, public std::enable_shared_from_this<Link> {
 public:
     Link(Stores& owner, std::string host, const settings::Endpoint& to)
         : owner_(owner),
@@ -155,7 +155,7 @@
         flushWhatWaited();
         restIfIdle();
     }
-    void streamDrained() override { flushWhatWaited(); }
+    void streamFlushed() override { flushWhatWaited(); }
     // Its client may have left in this very turn.
     void flushWhatWaited() {
         if (waiting_.empty()) return;
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -70,7 +70,7 @@
 
 }  // namespace
 
-class Front::Client : public net::Stream::User {
+class Front::Client : public net::Stream::Observer {
 public:
     Client(Front& owner, net::Descriptor fd)
         : owner_(owner),
@@ -421,7 +421,7 @@
 
     // ----- the connection -----
 
-    void streamDrained() override {
+    void streamFlushed() override {
         touch();
         count(0);
         askOnceTaken();
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-class Upstreams::Link : public net::Stream::User, public std::enable_shared_from_this<Link> {
+class Upstreams::Link : public net::Stream::Observer, public std::enable_shared_from_this<Link> {
 public:
     Link(Upstreams& owner, std::string host, const settings::Endpoint& to)
         : owner_(owner),
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -21,7 +21,7 @@
 using namespace std::chrono_literals;
 
 // A stream that a peer has connected to, and the peer's own socket.
-class Pair : public Stream::User {
+class Pair : public Stream::Observer {
 public:
     explicit Pair(Loop& loop) {
         Descriptor listening = listenOn({"127.0.0.1", 0});
@@ -34,7 +34,7 @@
         stream = std::make_unique<Stream>(loop, std::move(fd), *this);
     }
     bool streamData(std::string_view) override { return true; }
-    void streamDrained() override { ++drained; }
+    void streamFlushed() override { ++drained; }
     void streamEnded(Stream::End) override { ended = true; }
 
     Descriptor peer;
@@ -101,7 +101,7 @@
 }
 
 // Calls back with what comes in.
-class Listens : public Stream::User {
+class Listens : public Stream::Observer {
 public:
     Listens(Loop& loop, std::function<void()> heard) : heard_(std::move(heard)) {
         std::array<int, 2> ends{};
