--- a/src/gateway/handover.cpp
+++ b/src/gateway/handover.cpp
@@ -55,7 +55,7 @@
         }
         return true;
     }
-    void streamEnded(net::Stream::End) override { owner_.ended(*this); }
+    void streamEnded(net::Stream::CloseReason) override { owner_.ended(*this); }
 
     Meeting& owner_;
     net::RespParser parser_{kLimits};
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -29,7 +29,7 @@
         finish(complete ? parser_.head().status : 0, complete ? parser_.body() : std::string{});
         return true;
     }
-    void streamEnded(Stream::End) override {
+    void streamEnded(Stream::CloseReason) override {
         const bool complete = parser_.endOfStream();
         finish(complete ? parser_.head().status : 0, complete ? parser_.body() : std::string{});
     }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -95,7 +95,7 @@
     Loop::TimerKey makeTimer() {
         return owner_.loop_.after(owner_.limits_.call, [this] { end(); });
     }
-    void streamEnded(Stream::End) override { end(); }
+    void streamEnded(Stream::CloseReason) override { end(); }
 
     HttpServer& owner_;
     HttpParser parser_;
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -64,8 +64,8 @@
         return;
     }
     fd_.reset();
-    if (!isLocalConnectFailure(error)) return endLater(End::refused);
-    if (++connectTries_ >= kConnectTries) return endLater(End::unavailable);
+    if (!isLocalConnectFailure(error)) return endLater(CloseReason::connectFailed);
+    if (++connectTries_ >= kConnectTries) return endLater(CloseReason::localShortage);
     retry_ = loop_.after(kShortageWait * connectTries_, [this] {
         retry_.reset();
         connect();
@@ -81,10 +81,10 @@
     return result == 0 || errno == EINPROGRESS || errno == EALREADY || errno == EISCONN ? 0 : errno;
 }
 
-void Stream::endLater(End why) {
-    retry_ = loop_.after(Micros{0}, [this, why] {
+void Stream::endLater(CloseReason reason) {
+    retry_ = loop_.after(Micros{0}, [this, reason] {
         retry_.reset();
-        end(why);
+        end(reason);
     });
 }
 
@@ -123,13 +123,13 @@
     const std::size_t left = untaken();
     const bool moves = left < left_;
     if (moves) takenAt_ = loop_.now();
-    if (left_ == 0 || (!moves && loop_.now() - takenAt_ > kNotTaken)) return end(End::closedByPeer);
+    if (left_ == 0 || (!moves && loop_.now() - takenAt_ > kNotTaken)) return end(CloseReason::closedByPeer);
     left_ = left;
     timer_ = loop_.after(gentleFor_, [this] { endGently(); });
 }
 
 void Stream::allWritten() {
-    if (!gentle_) return end(End::closedByPeer);
+    if (!gentle_) return end(CloseReason::closedByPeer);
     // Once: each call makes an edge of its own, on which the next would follow, without a pause.
     if (!std::exchange(shut_, true)) ::shutdown(fd_.get(), SHUT_WR);
 }
@@ -174,10 +174,10 @@
     return unsent_ + static_cast<std::size_t>(unacknowledged);
 }
 
-void Stream::end(End why) {
+void Stream::end(CloseReason reason) {
     if (state_ == State::closed) return;
     close();
-    observer_.streamEnded(why);
+    observer_.streamEnded(reason);
 }
 
 void Stream::write(std::string bytes) {
@@ -260,7 +260,7 @@
         socklen_t size = sizeof problem;
         ::getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &problem, &size);
         if (problem != 0) {
-            end(End::refused);
+            end(CloseReason::connectFailed);
             return 0;
         }
         if ((events & EPOLLOUT) == 0) return 0;
@@ -269,13 +269,13 @@
         if (state_ == State::closed) return 0;
     }
     if ((events & EPOLLERR) != 0 && (events & EPOLLIN) == 0) {
-        end(End::reset);
+        end(CloseReason::reset);
         return 0;
     }
     if ((events & (EPOLLRDHUP | EPOLLHUP)) != 0) peerLeft_ = true;
     // What it asked for before it left is wanted by nobody: taken now, it would only be sent on.
     if (peerLeft_ && dropWithPeer_ && !gentle_) {
-        end(End::closedByPeer);
+        end(CloseReason::closedByPeer);
         return 0;
     }
     if ((events & EPOLLOUT) != 0) {
@@ -298,7 +298,7 @@
         readable_ = true;
         if (paused_) {
             // Its end makes no further edge, and stands behind what is not read: it must not wait for that.
-            if (peerLeft_) end(End::closedByPeer);
+            if (peerLeft_) end(CloseReason::closedByPeer);
             return 0;
         }
         const ssize_t got = ::recv(fd_.get(), chunk.data(), chunk.size(), 0);
@@ -306,7 +306,7 @@
         if (got < 0 && wouldBlock(errno)) {
             readable_ = false;
             unreadSince_.reset();
-            if (broken_) end(End::reset);
+            if (broken_) end(CloseReason::reset);
             return 0;
         }
         if (got < 0 && isShortage(errno)) {
@@ -314,18 +314,18 @@
             return 0;
         }
         if (got <= 0) {
-            end(got == 0 ? End::closedByPeer : End::reset);
+            end(got == 0 ? CloseReason::closedByPeer : CloseReason::reset);
             return 0;
         }
         all += static_cast<std::size_t>(got);
         if (gentle_) {
             dropped_ += static_cast<std::size_t>(got);
             if (dropped_ <= kMostDropped) continue;
-            end(End::closedByPeer);
+            end(CloseReason::closedByPeer);
             return 0;
         }
         if (!observer_.streamData({chunk.data(), static_cast<std::size_t>(got)})) {
-            end(End::malformed);
+            end(CloseReason::malformed);
             return 0;
         }
         if (state_ == State::closed) return 0;
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -15,9 +15,9 @@
 
 class Stream : public Handler {
 public:
-    enum class End {
-        refused,      // never came up
-        unavailable,  // never came up, for want of something on this machine: the peer was not asked
+    enum class CloseReason {
+        connectFailed,  // never came up
+        localShortage,  // never came up, for want of something on this machine: the peer was not asked
         closedByPeer,
         reset,
         malformed,
@@ -29,7 +29,7 @@
         // False: the peer sent what it may not; the stream ends as malformed.
         virtual bool streamData(std::string_view data) = 0;
         virtual void streamFlushed() {}  // all that was written is with the kernel
-        virtual void streamEnded(End end) = 0;
+        virtual void streamEnded(CloseReason reason) = 0;
     };
 
     Stream(Loop& loop, Descriptor fd, Observer& observer, Priority priority = Priority::usual);  // accepted
@@ -71,11 +71,11 @@
 
     void connect();
     int connectOnce();
-    void endLater(End why);
+    void endLater(CloseReason reason);
     void flush();
     void sendFailed(int error);
     void lookAgain(std::uint32_t events);
-    void end(End why);
+    void end(CloseReason reason);
     void allWritten();
     void endGently();
     std::size_t untaken() const;  // of what was written, by the peer's machine
--- a/src/platform/bus.cpp
+++ b/src/platform/bus.cpp
@@ -178,13 +178,13 @@
     return true;
 }
 
-void BusReader::streamEnded(net::Stream::End why) {
+void BusReader::streamEnded(net::Stream::CloseReason why) {
     // An answer without a length ends with its connection.
-    if (why == net::Stream::End::closedByPeer && parser_.endOfStream() && takeAnswer()) return;
-    reconnect(why == net::Stream::End::refused       ? "connection refused"
-              : why == net::Stream::End::unavailable ? "no descriptor or memory for a connection"
-              : why == net::Stream::End::malformed   ? "malformed answer"
-                                                     : "connection ended");
+    if (why == net::Stream::CloseReason::closedByPeer && parser_.endOfStream() && takeAnswer()) return;
+    reconnect(why == net::Stream::CloseReason::connectFailed   ? "connection refused"
+              : why == net::Stream::CloseReason::localShortage ? "no descriptor or memory for a connection"
+              : why == net::Stream::CloseReason::malformed     ? "malformed answer"
+                                                               : "connection ended");
 }
 
 }  // namespace lotuslead::platform
--- a/src/platform/bus.hpp
+++ b/src/platform/bus.hpp
@@ -54,7 +54,7 @@
 private:
     void streamOpened() override;
     bool streamData(std::string_view data) override;
-    void streamEnded(net::Stream::End why) override;
+    void streamEnded(net::Stream::CloseReason why) override;
 
     const settings::Endpoint& bus() const { return buses_[at_]; }
     void connect();
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -193,12 +193,14 @@
     }
 
     void streamFlushed() override { settle(); }
-    void streamEnded(net::Stream::End why) override {
-        ++(why == net::Stream::End::closedByPeer ? owner_.counters_.endedByClient : owner_.counters_.reset);
+    void streamEnded(net::Stream::CloseReason why) override {
+        ++(why == net::Stream::CloseReason::closedByPeer ? owner_.counters_.endedByClient
+                                                         : owner_.counters_.reset);
         if (Trace::on())
-            Trace::write("client_end", {{"client", std::to_string(number_)},
-                                        {"why", why == net::Stream::End::closedByPeer ? "closed" : "reset"},
-                                        {"open", std::to_string(open_.size())}});
+            Trace::write("client_end",
+                         {{"client", std::to_string(number_)},
+                          {"why", why == net::Stream::CloseReason::closedByPeer ? "closed" : "reset"},
+                          {"open", std::to_string(open_.size())}});
         abandon();
         owner_.forget(this);
     }
--- a/src/platform/stores.cpp
+++ b/src/platform/stores.cpp
@@ -163,16 +163,16 @@
             if (const auto link = self.lock()) link->flush();
         });
     }
-    void streamEnded(net::Stream::End why) override {
-        using End = net::Stream::End;
-        if (why == End::refused || why == End::unavailable) ++owner_.counters_.connectFailures;
+    void streamEnded(net::Stream::CloseReason why) override {
+        using End = net::Stream::CloseReason;
+        if (why == End::connectFailed || why == End::localShortage) ++owner_.counters_.connectFailures;
         if (why == End::malformed) {
             ++owner_.counters_.malformed;
             std::fprintf(stderr, "store %s: malformed answer, connection closed\n", host_.c_str());
         }
         if (why == End::reset || (why == End::closedByPeer && !out_.empty())) ++owner_.counters_.resets;
-        if (why == End::refused) return fail(Outcome::noConnection, Verdict::one);
-        if (why == End::unavailable) return fail(Outcome::noConnection, Verdict::none);
+        if (why == End::connectFailed) return fail(Outcome::noConnection, Verdict::one);
+        if (why == End::localShortage) return fail(Outcome::noConnection, Verdict::none);
         fail(Outcome::broken, heard_ ? Verdict::one : Verdict::none, true);
     }
     bool streamData(std::string_view data) override {
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -426,7 +426,7 @@
         count(0);
         askOnceTaken();
     }
-    void streamEnded(net::Stream::End) override {
+    void streamEnded(net::Stream::CloseReason) override {
         abandon();
         owner_.forget(this);
     }
@@ -445,7 +445,7 @@
             }
             // While an answer is fetched its own deadline holds.
             if (job_ && job_->asked) return touch();
-            streamEnded(net::Stream::End::closedByPeer);
+            streamEnded(net::Stream::CloseReason::closedByPeer);
         });
     }
     void count(std::size_t unsent) {
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -113,10 +113,10 @@
         }
         return true;
     }
-    void streamEnded(net::Stream::End why) override {
-        using End = net::Stream::End;
+    void streamEnded(net::Stream::CloseReason why) override {
+        using End = net::Stream::CloseReason;
         if (why == End::closedByPeer && work_ && parser_.endOfStream()) return answered(false);
-        const bool cameUp = why != End::refused && why != End::unavailable;
+        const bool cameUp = why != End::connectFailed && why != End::localShortage;
         if (!cameUp) ++owner_.counters_.connectFailures;
         if (why == End::reset) ++owner_.counters_.resets;
         if (why == End::malformed) {
@@ -124,7 +124,7 @@
             std::fprintf(stderr, "repository server %s: malformed answer, connection closed\n",
                          host_.c_str());
         }
-        blameless_ = why == End::unavailable;
+        blameless_ = why == End::localShortage;
         fail(cameUp ? Outcome::broken : Outcome::noConnection);
     }
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -35,7 +35,7 @@
     }
     bool streamData(std::string_view) override { return true; }
     void streamFlushed() override { ++drained; }
-    void streamEnded(Stream::End) override { ended = true; }
+    void streamEnded(Stream::CloseReason) override { ended = true; }
 
     Descriptor peer;
     std::unique_ptr<Stream> stream;
@@ -116,7 +116,7 @@
         heard_();
         return true;
     }
-    void streamEnded(Stream::End) override {}
+    void streamEnded(Stream::CloseReason) override {}
 
     std::function<void()> heard_;
     Descriptor peer_;
