--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -85,7 +85,7 @@
     // Not while the call is being read or answered: the parser is in use.
     void finish() {
         if (!answered_) return;
-        if (!keepsAlive_) return stream_.closeGently(kGentle);
+        if (!keepsAlive_) return stream_.closeLingering(kGentle);
         asked_ = answered_ = false;
         parser_ = makeParser();
         owner_.loop_.cancel(timer_);
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -99,15 +99,15 @@
     if (id_ != 0) loop_.remove(id_, fd_.get());
     fd_.reset();
     queue_.clear();
-    unsent_ = 0;
+    unsentBytes_ = 0;
 }
 
 void Stream::closeAfterWriting() {
     closing_ = true;
-    if (unsent_ == 0) allWritten();
+    if (unsentBytes_ == 0) allWritten();
 }
 
-void Stream::closeGently(Micros within) {
+void Stream::closeLingering(Micros within) {
     if (state_ != State::open || std::exchange(gentle_, true)) return;
     gentleFor_ = within;
     left_ = untaken();
@@ -147,9 +147,9 @@
 
 }  // namespace
 
-bool Stream::quiet() const { return !broken_ && peek(fd_.get()) < 0 && wouldBlock(errno); }
+bool Stream::nothingUnread() const { return !broken_ && peek(fd_.get()) < 0 && wouldBlock(errno); }
 
-bool Stream::peerEnded() const {
+bool Stream::peerHasClosed() const {
     if (broken_) return true;
     const ssize_t got = peek(fd_.get());
     if (got <= 0) return got == 0 || (!wouldBlock(errno) && !isShortage(errno));
@@ -161,7 +161,7 @@
     return ready > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-Micros Stream::sinceLastArrival() const {
+Micros Stream::timeSinceLastReceive() const {
     tcp_info info{};
     socklen_t size = sizeof info;
     if (::getsockopt(fd_.get(), IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return Micros{0};
@@ -171,7 +171,7 @@
 std::size_t Stream::untaken() const {
     int unacknowledged = 0;
     if (::ioctl(fd_.get(), SIOCOUTQ, &unacknowledged) != 0) unacknowledged = 0;
-    return unsent_ + static_cast<std::size_t>(unacknowledged);
+    return unsentBytes_ + static_cast<std::size_t>(unacknowledged);
 }
 
 void Stream::end(CloseReason reason) {
@@ -182,12 +182,12 @@
 
 void Stream::write(std::string bytes) {
     if (state_ == State::closed || bytes.empty()) return;
-    unsent_ += bytes.size();
+    unsentBytes_ += bytes.size();
     queue_.push_back(std::move(bytes));
     if (state_ == State::open && queue_.size() == 1) flush();
 }
 
-bool Stream::writeIfRoom(std::string bytes) {
+bool Stream::tryWrite(std::string bytes) {
     if (state_ != State::open || !queue_.empty()) return false;
     ssize_t sent = 0;
     do sent = ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
@@ -198,7 +198,7 @@
     }
     if (static_cast<std::size_t>(sent) == bytes.size()) return true;
     headSent_ = static_cast<std::size_t>(sent);
-    unsent_ = bytes.size() - headSent_;
+    unsentBytes_ = bytes.size() - headSent_;
     queue_.push_back(std::move(bytes));
     flush();  // a short write is no word of a full buffer: the next edge may never come
     return true;
@@ -219,7 +219,7 @@
         const ssize_t sent = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
         if (sent < 0 && errno == EINTR) continue;
         if (sent < 0) return sendFailed(errno);
-        unsent_ -= static_cast<std::size_t>(sent);
+        unsentBytes_ -= static_cast<std::size_t>(sent);
         headSent_ += static_cast<std::size_t>(sent);
         while (!queue_.empty() && headSent_ >= queue_.front().size()) {
             headSent_ -= queue_.front().size();
@@ -280,7 +280,7 @@
     }
     if ((events & EPOLLOUT) != 0) {
         flush();
-        if (state_ == State::open && unsent_ == 0) {
+        if (state_ == State::open && unsentBytes_ == 0) {
             if (closing_)
                 allWritten();
             else
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -44,25 +44,25 @@
     void write(std::string bytes);  // queued, and sent as far as the kernel takes it
     // As that, but only if a byte can go out at once; false: none did, and nothing is queued. With room again
     // streamFlushed comes, or streamEnded.
-    bool writeIfRoom(std::string bytes);
-    std::size_t unsent() const { return unsent_; }
+    bool tryWrite(std::string bytes);
+    std::size_t unsentBytes() const { return unsentBytes_; }
     void pauseReading(bool paused);
     void close();              // at once; nothing is told any more
     void closeAfterWriting();  // once all is with the kernel
     // As that, but what the peer still sends is read and dropped until it closes too, the time is up or it
     // has sent too much: a close over unread bytes would be a reset, which takes back from the peer what it
     // has not yet read.
-    void closeGently(Micros within);
-    bool quiet() const;                             // nothing has come in that was not read
-    bool peerEnded() const;                         // its end has come, read or not
-    void readSoon() { loop_.again(id_, EPOLLIN); }  // in the next turn; its end, if it has come
+    void closeLingering(Micros within);
+    bool nothingUnread() const;                         // nothing has come in that was not read
+    bool peerHasClosed() const;                         // its end has come, read or not
+    void readNextTurn() { loop_.again(id_, EPOLLIN); }  // in the next turn; its end, if it has come
     // Once the peer has left, what it sent before that is not read any more.
-    void dropWithPeer() { dropWithPeer_ = true; }
+    void dropInputOnPeerClose() { dropWithPeer_ = true; }
     // What has come in was more than a turn's share, for some turns now.
-    bool readingLags() const { return unreadSince_ && loop_.now() - *unreadSince_ > kLag; }
+    bool readBacklogged() const { return unreadSince_ && loop_.now() - *unreadSince_ > kLag; }
     // How long ago the last byte came in, read or not; zero where the system does not tell.
-    Micros sinceLastArrival() const;
-    bool allTaken() const { return untaken() == 0; }  // the peer's machine has all that was written
+    Micros timeSinceLastReceive() const;
+    bool allAcknowledged() const { return untaken() == 0; }  // the peer's machine has all that was written
 
     std::uint32_t ready(std::uint32_t events) override;
 
@@ -88,7 +88,7 @@
     Loop::HandlerId id_ = 0;
     std::deque<std::string> queue_;
     std::size_t headSent_ = 0;
-    std::size_t unsent_ = 0;
+    std::size_t unsentBytes_ = 0;
     bool paused_ = false;
     bool readable_ = false;  // an edge came while paused
     bool peerLeft_ = false;  // its end was seen behind what is still to be read
--- a/src/platform/bus.cpp
+++ b/src/platform/bus.cpp
@@ -134,7 +134,7 @@
         if (status == net::HttpParser::Status::needMore) break;
         begunAt_.reset();
         // Each answer leads to the next poll: answers to nothing would do so without end.
-        const bool due = std::exchange(asked_, false) && stream_->unsent() == 0;
+        const bool due = std::exchange(asked_, false) && stream_->unsentBytes() == 0;
         if (status != net::HttpParser::Status::message || !due || !takeAnswer() || !data.empty())
             return false;
     }
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -36,21 +36,23 @@
           lastUsed_(connectedAt_),
           lastByte_(connectedAt_),
           stream_(owner.loop_, std::move(fd), *this) {
-        stream_.dropWithPeer();
+        stream_.dropInputOnPeerClose();
         watch(kFirstMessage);
     }
     ~Client() override { abandon(); }
 
-    bool idle() const { return open_.empty() && input_.empty() && stream_.unsent() == 0; }
+    bool idle() const { return open_.empty() && input_.empty() && stream_.unsentBytes() == 0; }
     // Idle, has been used, and nothing of a further call has come, read or unread.
-    bool resting() const { return idle() && used_ && !retired_ && !input_.midMessage() && stream_.quiet(); }
-    bool silent() const { return !used_ && input_.empty() && stream_.quiet(); }
+    bool resting() const {
+        return idle() && used_ && !retired_ && !input_.midMessage() && stream_.nothingUnread();
+    }
+    bool silent() const { return !used_ && input_.empty() && stream_.nothingUnread(); }
     bool half() const { return input_.midMessage(); }
     bool fresh() const { return !used_; }
     bool young() const { return owner_.loop_.now() - lastUsed_ < (half() ? kStalledYoung : kSilentYoung); }
     // The process may end: nothing of a request is here, and none is to be expected right now.
     bool settled() const {
-        if (!idle() || (!ending_ && !stream_.quiet())) return false;
+        if (!idle() || (!ending_ && !stream_.nothingUnread())) return false;
         const Micros still = owner_.loop_.now() - lastByte_;
         return ending_ || (used_ ? !half() || still >= kHalfAtTheEnd : still >= kSilentYoung);
     }
@@ -60,7 +62,7 @@
         settle();
     }
     core::CloseFacts closeFacts() const {
-        return {open_.size(), !input_.empty() || !stream_.quiet(), stream_.unsent()};
+        return {open_.size(), !input_.empty() || !stream_.nothingUnread(), stream_.unsentBytes()};
     }
     Micros lastUsed() const { return lastUsed_; }  // before its first message: when something last came
 
@@ -68,10 +70,10 @@
     // sees it before it asks again. `since` is when refusals began, `last`: it is time for those that were
     // refused something and have older requests open.
     void endForDrain(std::optional<Micros> since, bool last) {
-        if (ending_ || !stream_.allTaken()) return;
+        if (ending_ || !stream_.allAcknowledged()) return;
         const Micros now = owner_.loop_.now();
         if (last && since && lastCall_ >= *since) failOpen();
-        if (ending_ || !open_.empty() || !input_.empty() || !stream_.quiet()) return;
+        if (ending_ || !open_.empty() || !input_.empty() || !stream_.nothingUnread()) return;
         if (input_.midMessage() && !last) return;
         if (!used_ && now - connectedAt_ < kSilentDrained) return;
         // A request may have come since it was looked at.
@@ -127,9 +129,9 @@
     // What comes in may have been sent while this process was held up, or before it listened.
     Micros waitedUnread() const {
         const bool fromBeforeTheStart = owner_.loop_.now() - owner_.openedAt_ < kJustOpened;
-        const bool mayBeOld = fromBeforeTheStart || owner_.loop_.heldUpOfLate() || stream_.readingLags();
+        const bool mayBeOld = fromBeforeTheStart || owner_.loop_.heldUpOfLate() || stream_.readBacklogged();
         if (!mayBeOld) return owner_.loop_.heldUp();
-        const Micros told = std::min(stream_.sinceLastArrival(), kLongestUnread);
+        const Micros told = std::min(stream_.timeSinceLastReceive(), kLongestUnread);
         return told.count() > 0 ? told : owner_.loop_.heldUp();
     }
 
@@ -154,7 +156,7 @@
         settle();
     }
 
-    bool behind() const { return stream_.unsent() > owner_.clientBacklog() && !owner_.lastCall_; }
+    bool behind() const { return stream_.unsentBytes() > owner_.clientBacklog() && !owner_.lastCall_; }
     // What comes next can't be told apart any more. What was taken has its answer, and the client the time to
     // read it.
     void spoilt() {
@@ -183,7 +185,7 @@
         if (!retired_ || !open_.empty() || !input_.empty() || std::exchange(ending_, true)) return;
         if (Trace::on()) Trace::write("client_close", {{"client", std::to_string(number_)}});
         stopWatch();
-        stream_.closeGently(kGentle);
+        stream_.closeLingering(kGentle);
     }
     // Useless messages in a row: nothing is gained by reading on.
     void strike() {
@@ -390,7 +392,7 @@
     // A client that does not read its answers gets no further ones until it does; it is read on as far as
     // what it says can be held.
     void settle() {
-        count(stream_.unsent() + input_.heldBytes());
+        count(stream_.unsentBytes() + input_.heldBytes());
         if (ending_ || stream_.closed()) return;
         stream_.pauseReading(!input_.hasRoom());
         if (input_.empty() || behind() || resume_) return;
--- a/src/platform/stores.cpp
+++ b/src/platform/stores.cpp
@@ -97,7 +97,7 @@
             stream_.write(std::move(words));
             // A store that takes no bytes would be told behind the request itself, which may by then be out
             // at another one: a close gives up all that is open here.
-            if (stream_.unsent() > 0)
+            if (stream_.unsentBytes() > 0)
                 fail(Outcome::broken, Verdict::none, true);
             else
                 restIfIdle();
@@ -286,10 +286,10 @@
 
     void flush() {
         if (owner_.loop_.stale()) return flushNextTurn();
-        while (stream_.opened() && !waiting_.empty() && stream_.unsent() == 0) {
+        while (stream_.opened() && !waiting_.empty() && stream_.unsentBytes() == 0) {
             // The store has closed, and that has not been handled yet: what is written now would be lost, and
             // count as perhaps run.
-            if (stream_.peerEnded()) return stream_.readSoon();
+            if (stream_.peerHasClosed()) return stream_.readNextTurn();
             const Waiting& next = waiting_.front();
             const Micros now = owner_.loop_.now();
             const Micros waited = now - next.send.pickedAt;
@@ -304,7 +304,7 @@
             const std::string fields = fieldsOf(request, next.send, leftOf(next));
             net::appendResp(words, {"PULL", request.label, fields, request.body});
             // No room for its first byte: it waits on, and is looked at again before it goes.
-            if (!stream_.writeIfRoom(std::move(words))) return;
+            if (!stream_.tryWrite(std::move(words))) return;
             if (out_.empty()) waitsSince_ = now;
             if (!silenceTimer_) watchSilence(owner_.silence_.limit());
             out_[request.label] = {next.send.request,
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -79,14 +79,16 @@
           lastMoved_(connectedAt_),
           halfSince_(connectedAt_),
           stream_(owner.loop_, std::move(fd), *this) {
-        stream_.dropWithPeer();
+        stream_.dropInputOnPeerClose();
         touch();
     }
     ~Client() override { abandon(); }
 
-    bool idle() const { return !job_ && stream_.unsent() == 0; }
+    bool idle() const { return !job_ && stream_.unsentBytes() == 0; }
     // At rest: nothing of a further request has come, read or unread.
-    bool resting() const { return idle() && ahead_.empty() && !parser_.midMessage() && stream_.quiet(); }
+    bool resting() const {
+        return idle() && ahead_.empty() && !parser_.midMessage() && stream_.nothingUnread();
+    }
     Micros lastMoved() const { return lastMoved_; }
     bool settled() const { return closing_ ? idle() : resting(); }
     void lastCall() {
@@ -99,11 +101,12 @@
         job_->begun ? breakOff("the process ends") : unavailable(1s);
     }
     void endForDrain() {
-        if (job_ || closing_ || !ahead_.empty() || !stream_.allTaken() || !stream_.quiet()) return;
+        if (job_ || closing_ || !ahead_.empty() || !stream_.allAcknowledged() || !stream_.nothingUnread())
+            return;
         if (parser_.midMessage() || owner_.loop_.now() - connectedAt_ < kSilentDrained) return;
         ++owner_.counters_.drained;
         closing_ = true;
-        stream_.closeGently(kSilentDrained);
+        stream_.closeLingering(kSilentDrained);
     }
     void abandon() {
         stream_.close();
@@ -309,7 +312,7 @@
         if (job_->at < first || job_->at >= upTo) return breakOff("the upstream sent another part");
         stream_.write(payload.body.substr(job_->at - first, upTo - job_->at));
         job_->at = upTo;
-        count(stream_.unsent());
+        count(stream_.unsentBytes());
         touch();
         if (job_->at == job_->end) return done();
         askOnceTaken();
@@ -317,7 +320,7 @@
 
     // The next part is fetched when the client has room for it.
     void askOnceTaken() {
-        if (!job_ || !job_->begun || job_->asked || stream_.unsent() > owner_.configuration_.partBytes)
+        if (!job_ || !job_->begun || job_->asked || stream_.unsentBytes() > owner_.configuration_.partBytes)
             return;
         ask(job_->at / owner_.configuration_.partBytes);
     }
@@ -402,7 +405,7 @@
         const bool keep = job_->keep;
         job_.reset();
         restarts_ = 0;
-        count(stream_.unsent());
+        count(stream_.unsentBytes());
         touch();
         // What comes next is taken later in the turn, so that a row of short answers does not nest.
         if (keep) return later(&Client::takeRequests);
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -67,7 +67,7 @@
     bool connecting() const { return !ended_ && !stream_.opened(); }
     // One whose close has come and is not handled yet would lose what is written now; and what it says
     // unasked, such as 408 before it closes, would pass for the answer.
-    bool ready() const { return !ended_ && stream_.opened() && !work_ && stream_.quiet(); }
+    bool ready() const { return !ended_ && stream_.opened() && !work_ && stream_.nothingUnread(); }
     bool has(RequestId request) const { return work_ && work_->send.request == request; }
 
     void take(const Waiting& work) {
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -49,26 +49,26 @@
     Pair pair(loop);
     const std::string piece(512, 'x');
     std::size_t begun = 0;
-    while (pair.stream->writeIfRoom(piece)) begun += piece.size();
+    while (pair.stream->tryWrite(piece)) begun += piece.size();
     ASSERT_GT(begun, 0u);
-    EXPECT_FALSE(pair.stream->writeIfRoom("late"));
+    EXPECT_FALSE(pair.stream->tryWrite("late"));
     loop.turn(loop.now());
     pair.drained = 0;  // the edge of a new connection
     std::string got(begun, 0);
     EXPECT_EQ(::recv(pair.peer.get(), got.data(), got.size(), MSG_WAITALL), static_cast<ssize_t>(begun));
     while (pair.drained == 0 && !pair.ended) loop.turn(loop.now() + 1s);
-    EXPECT_EQ(pair.stream->unsent(), 0u);
+    EXPECT_EQ(pair.stream->unsentBytes(), 0u);
     EXPECT_EQ(::recv(pair.peer.get(), got.data(), 1, MSG_DONTWAIT), -1);
-    EXPECT_TRUE(pair.stream->writeIfRoom("again"));
+    EXPECT_TRUE(pair.stream->tryWrite("again"));
     EXPECT_EQ(::recv(pair.peer.get(), got.data(), 5, MSG_WAITALL), 5);
 }
 
 TEST(Stream, AnEndThatIsNotHandledYetIsSeen) {
     Loop loop;
     Pair pair(loop);
-    EXPECT_FALSE(pair.stream->peerEnded());
+    EXPECT_FALSE(pair.stream->peerHasClosed());
     pair.peer.reset();
-    EXPECT_TRUE(pair.stream->peerEnded());
+    EXPECT_TRUE(pair.stream->peerHasClosed());
 }
 
 // Its end makes no edge of its own once reading goes on, and what came before it stays unread.
@@ -86,7 +86,7 @@
     Loop loop;
     Pair pair(loop);
     pair.stream->write("last words");
-    pair.stream->closeGently(200ms);
+    pair.stream->closeLingering(200ms);
     int turns = 0;
     while (!pair.ended && turns < 1000) {
         loop.turn(loop.now() + 1s);
