--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -66,7 +66,7 @@
       consensus_(consensus),
       supervisor_(supervisor),
       server_(loop, settings::readEndpoint(configuration.self().control, "control"), kLimits,
-              net::Priority::usual, [this](const net::HttpHead& head, const std::string& body, Reply reply) {
+              net::Priority::normal, [this](const net::HttpHead& head, const std::string& body, Reply reply) {
                   handle(head, body, std::move(reply));
               }) {}
 
--- a/src/agent/event_feed.cpp
+++ b/src/agent/event_feed.cpp
@@ -24,7 +24,7 @@
     : loop_(loop),
       store_(store),
       consensus_(consensus),
-      server_(loop, at, kLimits, net::Priority::usual,
+      server_(loop, at, kLimits, net::Priority::normal,
               [this](const net::HttpHead& head, const std::string&, net::HttpServer::SendResponse reply) {
                   handle(head, std::move(reply));
               }) {}
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -125,7 +125,7 @@
         // Only now: a successor that has just said that it serves has been heard.
         if (std::exchange(leaveAsked_, false)) leave();
         reload();
-        if (!loop_.holdsTimers())
+        if (!loop_.timersDeferred())
             for (const auto& service : services_) service->turn(loop_.now());
         open();
         advance();
@@ -157,7 +157,7 @@
     operators::Desk& desk = *this;
     auto door = at ? std::make_unique<operators::Door>(loop_, *at, desk) : nullptr;
     // It may be in the middle of an answer.
-    loop_.retire(std::shared_ptr<operators::Door>(std::move(door_)));
+    loop_.destroyAfterTurn(std::shared_ptr<operators::Door>(std::move(door_)));
     door_ = std::move(door);
     doorAt_ = at;
     if (door_) std::fprintf(stderr, "lotuslead: operators at %s:%u\n", doorAt_->host.c_str(), door_->port());
--- a/src/gateway/handover.cpp
+++ b/src/gateway/handover.cpp
@@ -123,7 +123,7 @@
     auto& ending = isSuccessor ? successor_ : predecessor_;
     if (isSuccessor) successorServes_ = false;
     if (!isSuccessor) stopWaiting();
-    loop_.retire(std::exchange(ending, nullptr));
+    loop_.destroyAfterTurn(std::exchange(ending, nullptr));
     count();
 }
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -37,7 +37,7 @@
         if (!self_) return;
         loop_.cancel(timer_);
         stream_.close();
-        loop_.retire(std::exchange(self_, nullptr));
+        loop_.destroyAfterTurn(std::exchange(self_, nullptr));
         onResponse_(status, std::move(body));
     }
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -134,7 +134,7 @@
     const auto found = std::find_if(callers_.begin(), callers_.end(),
                                     [&](const auto& held) { return held.get() == caller; });
     if (found == callers_.end()) return;
-    loop_.retire(*found);
+    loop_.destroyAfterTurn(*found);
     callers_.erase(found);
 }
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -132,7 +132,7 @@
     if (!retry_)
         retry_ = loop_.after(kAcceptAgain, [this] {
             retry_.reset();
-            loop_.again(id_, EPOLLIN);
+            loop_.callNextTurn(id_, EPOLLIN);
         });
     return 0;
 }
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -30,10 +30,10 @@
     };
 
     Listener(Loop& loop, const settings::Endpoint& at, Accepted accepted,
-             Priority priority = Priority::usual);
+             Priority priority = Priority::normal);
     // One that listens already. Other processes may share it: a connection that was there may be gone, and it
     // is only ever closed, never shut down.
-    Listener(Loop& loop, Descriptor listening, Accepted accepted, Priority priority = Priority::usual);
+    Listener(Loop& loop, Descriptor listening, Accepted accepted, Priority priority = Priority::normal);
     ~Listener() override;
 
     std::uint16_t port() const;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -57,7 +57,7 @@
     again_.erase(id);
 }
 
-void Loop::again(HandlerId id, std::uint32_t events) { again_[id] |= events; }
+void Loop::callNextTurn(HandlerId id, std::uint32_t events) { again_[id] |= events; }
 
 Loop::TimerKey Loop::after(Micros delay, std::function<void()> task) {
     const TimerKey key{now_ + delay, nextId_++};
@@ -119,7 +119,7 @@
     handleInOrder(collectDue(wait));
     runTimers();
     runPosted();
-    retired_.clear();
+    destroyedAfterTurn_.clear();
 }
 
 // All that is ready, so that the order holds among all of it and not only among the first.
@@ -151,10 +151,10 @@
 // back a call meanwhile is heard in the next turn, before a timer or an answer that waited for the end of
 // this one.
 void Loop::runTimers() {
-    const bool mayHold = !std::exchange(holdsTimers_, false);
+    const bool mayHold = !std::exchange(timersDeferred_, false);
     while (!timers_.empty() && timers_.begin()->first.first <= now_) {
-        if (mayHold && stale()) {
-            holdsTimers_ = true;
+        if (mayHold && turnOverran()) {
+            timersDeferred_ = true;
             return;
         }
         const auto task = std::move(timers_.begin()->second);
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -29,7 +29,7 @@
 };
 
 // The order in which the events of a turn are handled.
-enum class Priority : std::uint8_t { first, usual, count_ };
+enum class Priority : std::uint8_t { high, normal, count_ };
 
 class Loop {
 public:
@@ -43,26 +43,26 @@
     static Micros clock();
     // For so long what is read in this turn may have waited: the turn before was as long, or the process was
     // held up.
-    Micros heldUp() const { return std::accumulate(heldUp_.begin(), heldUp_.end(), Micros{0}); }
+    Micros stallTime() const { return std::accumulate(heldUp_.begin(), heldUp_.end(), Micros{0}); }
     // The process was held up for long a moment ago: what is read now may have waited, too.
-    bool heldUpOfLate() const { return now_ - heldUpAt_ < kOfLate; }
+    bool recentlyStalled() const { return now_ - heldUpAt_ < kOfLate; }
     // The turn has taken so long that what it has heard may be out of date: what begins anything waits for
     // the next one.
-    bool stale() const { return clock() - now_ > kStale; }
+    bool turnOverran() const { return clock() - now_ > kStale; }
     // Timers wait for the next turn, since this one is stale: what they decide goes by what clients and
     // servers had said by now. Never in two turns in a row.
-    bool holdsTimers() const { return holdsTimers_; }
-    HandlerId add(int fd, std::uint32_t events, Handler& handler, Priority priority = Priority::usual);
+    bool timersDeferred() const { return timersDeferred_; }
+    HandlerId add(int fd, std::uint32_t events, Handler& handler, Priority priority = Priority::normal);
     void remove(HandlerId id, int fd);
-    void again(HandlerId id, std::uint32_t events);  // in the next turn, without a new edge
+    void callNextTurn(HandlerId id, std::uint32_t events);  // in the next turn, without a new edge
 
     TimerKey after(Micros delay, std::function<void()> task);
     void cancel(TimerKey key) { timers_.erase(key); }
     void post(std::function<void()> task) { posted_.push_back(std::move(task)); }
     // At the end of the turn, when all that came with it has been heard: who has left, what is drained.
-    void whenAllIsHeard(std::function<void()> task) { after(Micros{0}, std::move(task)); }
+    void atEndOfTurn(std::function<void()> task) { after(Micros{0}, std::move(task)); }
     // Destroys it once nothing on the stack can be using it any more.
-    void retire(std::shared_ptr<void> object) { retired_.push_back(std::move(object)); }
+    void destroyAfterTurn(std::shared_ptr<void> object) { destroyedAfterTurn_.push_back(std::move(object)); }
 
     // One turn: waits until something is ready, a timer is due or `until` has come.
     void turn(Micros until);
@@ -75,7 +75,7 @@
 
     struct Registered {
         Handler* handler = nullptr;
-        Priority priority = Priority::usual;
+        Priority priority = Priority::normal;
     };
 
     using Events = std::array<epoll_event, 256>;
@@ -104,9 +104,9 @@
     std::map<HandlerId, Unwatched> unwatched_;  // those that the kernel had no memory for
     Due again_;
     std::map<TimerKey, std::function<void()>> timers_;
-    bool holdsTimers_ = false;
+    bool timersDeferred_ = false;
     std::vector<std::function<void()>> posted_;
-    std::vector<std::shared_ptr<void>> retired_;
+    std::vector<std::shared_ptr<void>> destroyedAfterTurn_;
 };
 
 }  // namespace lotuslead::net
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -235,7 +235,7 @@
     // connection broke has been read. Reading may find nothing wrong: Linux tells an error once.
     broken_ = true;
     paused_ = false;
-    loop_.again(id_, EPOLLIN);
+    loop_.callNextTurn(id_, EPOLLIN);
 }
 
 // A shortage passes without an edge.
@@ -244,14 +244,14 @@
     if (retry_) return;
     retry_ = loop_.after(kShortageWait, [this] {
         retry_.reset();
-        loop_.again(id_, std::exchange(lookAgainFor_, 0));
+        loop_.callNextTurn(id_, std::exchange(lookAgainFor_, 0));
     });
 }
 
 void Stream::pauseReading(bool paused) {
     if (paused_ == paused || state_ == State::closed) return;
     paused_ = paused;
-    if (!paused && readable_) loop_.again(id_, EPOLLIN);
+    if (!paused && readable_) loop_.callNextTurn(id_, EPOLLIN);
 }
 
 std::uint32_t Stream::ready(std::uint32_t events) {
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -32,9 +32,10 @@
         virtual void streamEnded(CloseReason reason) = 0;
     };
 
-    Stream(Loop& loop, Descriptor fd, Observer& observer, Priority priority = Priority::usual);  // accepted
+    Stream(Loop& loop, Descriptor fd, Observer& observer, Priority priority = Priority::normal);  // accepted
     // Connects; may end in the next turn.
-    Stream(Loop& loop, const settings::Endpoint& to, Observer& observer, Priority priority = Priority::usual);
+    Stream(Loop& loop, const settings::Endpoint& to, Observer& observer,
+           Priority priority = Priority::normal);
     ~Stream() override;
     Stream(const Stream&) = delete;
     Stream& operator=(const Stream&) = delete;
@@ -53,9 +54,9 @@
     // has sent too much: a close over unread bytes would be a reset, which takes back from the peer what it
     // has not yet read.
     void closeLingering(Micros within);
-    bool nothingUnread() const;                         // nothing has come in that was not read
-    bool peerHasClosed() const;                         // its end has come, read or not
-    void readNextTurn() { loop_.again(id_, EPOLLIN); }  // in the next turn; its end, if it has come
+    bool nothingUnread() const;                                // nothing has come in that was not read
+    bool peerHasClosed() const;                                // its end has come, read or not
+    void readNextTurn() { loop_.callNextTurn(id_, EPOLLIN); }  // in the next turn; its end, if it has come
     // Once the peer has left, what it sent before that is not read any more.
     void dropInputOnPeerClose() { dropWithPeer_ = true; }
     // What has come in was more than a turn's share, for some turns now.
@@ -107,7 +108,7 @@
     std::uint32_t lookAgainFor_ = 0;
     sockaddr_in to_{};
     int connectTries_ = 0;
-    Priority priority_ = Priority::usual;
+    Priority priority_ = Priority::normal;
 };
 
 }  // namespace lotuslead::net
--- a/src/operator/operator_server.cpp
+++ b/src/operator/operator_server.cpp
@@ -13,7 +13,7 @@
 
 Door::Door(net::Loop& loop, const settings::Endpoint& at, Desk& desk)
     : desk_(desk),
-      server_(loop, at, kLimits, net::Priority::first,
+      server_(loop, at, kLimits, net::Priority::high,
               [this](const net::HttpHead& head, const std::string&, net::HttpServer::SendResponse reply) {
                   net::HttpServer::Response given = answer(head);
                   ++(given.status == 200 ? counters_.calls : counters_.refused);
--- a/src/platform/bus.cpp
+++ b/src/platform/bus.cpp
@@ -85,10 +85,10 @@
     parser_ = net::HttpParser(net::HttpParser::Kind::response, kLimits);
     begunAt_.reset();
     asked_ = false;
-    if (stream_) loop_.retire(stream_);
+    if (stream_) loop_.destroyAfterTurn(stream_);
     // First in a turn: a call that has come with a drain is picked when the drain is known.
     stream_ = std::make_shared<net::Stream>(loop_, bus(), static_cast<net::Stream::Observer&>(*this),
-                                            net::Priority::first);
+                                            net::Priority::high);
     arm(kConnect, [this] { reconnect("no connection in time"); });
 }
 
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -129,10 +129,11 @@
     // What comes in may have been sent while this process was held up, or before it listened.
     Micros waitedUnread() const {
         const bool fromBeforeTheStart = owner_.loop_.now() - owner_.openedAt_ < kJustOpened;
-        const bool mayBeOld = fromBeforeTheStart || owner_.loop_.heldUpOfLate() || stream_.readBacklogged();
-        if (!mayBeOld) return owner_.loop_.heldUp();
+        const bool mayBeOld =
+            fromBeforeTheStart || owner_.loop_.recentlyStalled() || stream_.readBacklogged();
+        if (!mayBeOld) return owner_.loop_.stallTime();
         const Micros told = std::min(stream_.timeSinceLastReceive(), kLongestUnread);
-        return told.count() > 0 ? told : owner_.loop_.heldUp();
+        return told.count() > 0 ? told : owner_.loop_.stallTime();
     }
 
     // A share of the turn for each client: a burst of one waits in its own connection, not in the others'
@@ -587,7 +588,7 @@
 void Front::forget(Client* client) {
     const auto found = clients_.find(client);
     if (found == clients_.end()) return;
-    loop_.retire(found->second);
+    loop_.destroyAfterTurn(found->second);
     clients_.erase(found);
 }
 
--- a/src/platform/stores.cpp
+++ b/src/platform/stores.cpp
@@ -122,7 +122,7 @@
             report(sent.request, sent.attempt, whenWritten, std::exchange(blameless, true));
         out_.clear();
         const auto waiting = std::exchange(waiting_, {});
-        owner_.loop_.retire(self);
+        owner_.loop_.destroyAfterTurn(self);
         owner_.drop(host_, this);
         for (const Waiting& w : waiting) {
             if (moveOn && w.moves < kMostMoves) {
@@ -132,7 +132,7 @@
                 const auto place = owner_.places_.find(w.send.request);
                 if (place != owner_.places_.end()) place->second.link.reset();  // not written on any
                 // Later in the turn: the end may have come in the middle of another's send.
-                owner_.loop_.whenAllIsHeard([owner = &owner_, shared] { owner->carry(std::move(*shared)); });
+                owner_.loop_.atEndOfTurn([owner = &owner_, shared] { owner->carry(std::move(*shared)); });
             } else {
                 report(w.send.request, w.send.attempt, Outcome::noConnection, std::exchange(blameless, true));
             }
@@ -159,7 +159,7 @@
     // Its client may have left in this very turn.
     void flushWhatWaited() {
         if (waiting_.empty()) return;
-        owner_.loop_.whenAllIsHeard([self = weak_from_this()] {
+        owner_.loop_.atEndOfTurn([self = weak_from_this()] {
             if (const auto link = self.lock()) link->flush();
         });
     }
@@ -285,7 +285,7 @@
     }
 
     void flush() {
-        if (owner_.loop_.stale()) return flushNextTurn();
+        if (owner_.loop_.turnOverran()) return flushNextTurn();
         while (stream_.opened() && !waiting_.empty() && stream_.unsentBytes() == 0) {
             // The store has closed, and that has not been handled yet: what is written now would be lost, and
             // count as perhaps run.
@@ -567,7 +567,7 @@
     // Later in the turn: the caller may be in the middle of the very request that this is about. And what its
     // client has said by then is known before the request is sent on.
     auto shared = std::make_shared<AttemptEnd>(std::move(end));
-    loop_.whenAllIsHeard([this, shared] {
+    loop_.atEndOfTurn([this, shared] {
         const auto found = places_.find(shared->request);
         if (found == places_.end() || found->second.attempt != shared->attempt) return;
         places_.erase(found);
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -573,7 +573,7 @@
 void Front::forget(Client* client) {
     const auto found = clients_.find(client);
     if (found == clients_.end()) return;
-    loop_.retire(found->second);
+    loop_.destroyAfterTurn(found->second);
     clients_.erase(found);
 }
 
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -83,7 +83,7 @@
         const auto self = shared_from_this();
         if (work_) owner_.tell(*work_, outcome);
         work_.reset();
-        owner_.loop_.retire(self);
+        owner_.loop_.destroyAfterTurn(self);
         owner_.drop(host_, this, blameless_);
     }
     // HTTP/1.1 has no other way to give a request up.
@@ -99,7 +99,7 @@
     }
     // Its client may have left in this very turn.
     void serveWhatWaited() {
-        owner_.loop_.whenAllIsHeard([self = shared_from_this()] { self->owner_.serveWaiting(self->host_); });
+        owner_.loop_.atEndOfTurn([self = shared_from_this()] { self->owner_.serveWaiting(self->host_); });
     }
     bool streamData(std::string_view data) override {
         while (!data.empty()) {
@@ -362,7 +362,7 @@
     // Later in the turn: the caller may be in the middle of the very request that this is about. And what its
     // client has said by then is known before the request is sent on.
     auto shared = std::make_shared<AttemptEnd>(std::move(end));
-    loop_.whenAllIsHeard([this, shared] {
+    loop_.atEndOfTurn([this, shared] {
         const auto found = out_.find(shared->request);
         if (found == out_.end() || found->second != shared->attempt) return;
         out_.erase(found);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -132,7 +132,7 @@
     Listens late(loop, [&] { order += "late "; });
     Listens first(loop, [&] {
         order += "first ";
-        loop.whenAllIsHeard([&] { order += "timer "; });
+        loop.atEndOfTurn([&] { order += "timer "; });
         late.send();
         std::this_thread::sleep_for(kHeldUp);
     });
@@ -146,7 +146,7 @@
     int timers = 0;
     std::unique_ptr<Listens> busy;
     busy = std::make_unique<Listens>(loop, [&] {
-        loop.whenAllIsHeard([&] {
+        loop.atEndOfTurn([&] {
             ++timers;
             busy->send();
         });
@@ -165,10 +165,10 @@
     Listens slow(loop, [] { std::this_thread::sleep_for(kHeldUp); });
     slow.send();
     loop.turn(loop.now());
-    EXPECT_FALSE(loop.heldUpOfLate());
+    EXPECT_FALSE(loop.recentlyStalled());
     loop.turn(loop.now() + kHeldUp + 5ms);
-    EXPECT_TRUE(loop.heldUpOfLate());
-    EXPECT_GE(loop.heldUp(), kHeldUp);
+    EXPECT_TRUE(loop.recentlyStalled());
+    EXPECT_GE(loop.stallTime(), kHeldUp);
 }
 
 // Of more than one look at the kernel brings, too.
