--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -60,7 +60,7 @@
     return fd;
 }
 
-Descriptor inheritedListener(const std::string& number, const settings::Endpoint& at) {
+Descriptor adoptListeningSocket(const std::string& number, const settings::Endpoint& at) {
     int fd = -1;
     const auto read = std::from_chars(number.data(), number.data() + number.size(), fd);
     if (read.ec != std::errc{} || read.ptr != number.data() + number.size() || fd < 0)
@@ -151,19 +151,19 @@
     spare_.reset(::open("/dev/null", O_RDONLY | O_CLOEXEC));
 }
 
-void FormerListener::replace(std::unique_ptr<Listener>& current, std::unique_ptr<Listener> next) {
+void PreviousListener::replace(std::unique_ptr<Listener>& current, std::unique_ptr<Listener> next) {
     close();  // of several moves in a row the last counts
     listener_ = std::exchange(current, std::move(next));
     timer_ = loop_.after(kFormerAddress, [this] { closeOnceEmpty(); });
 }
 
-void FormerListener::closeOnceEmpty() {
+void PreviousListener::closeOnceEmpty() {
     timer_.reset();
-    if (listener_->takeWaiting()) return listener_.reset();
+    if (listener_->acceptPending()) return listener_.reset();
     timer_ = loop_.after(kAcceptAgain, [this] { closeOnceEmpty(); });
 }
 
-void FormerListener::close() {
+void PreviousListener::close() {
     if (timer_) loop_.cancel(*timer_);
     timer_.reset();
     listener_.reset();
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -16,7 +16,7 @@
 
 // A listening socket that was inherited; throws settings::Malformed, with the reason alone, where the
 // descriptor is not one or has another address (port 0 stands for any).
-Descriptor inheritedListener(const std::string& number, const settings::Endpoint& at);
+Descriptor adoptListeningSocket(const std::string& number, const settings::Endpoint& at);
 
 // A connection that waits is owed an answer, so a failing accept is tried again: at once where Linux says
 // that the connection itself is gone, after a pause where something is short. Only where no descriptor is to
@@ -39,7 +39,7 @@
     std::uint16_t port() const;
     const Counters& counters() const { return counters_; }
     // Takes in connections that wait; false: there may be more.
-    bool takeWaiting() { return ready(EPOLLIN) == 0 && !retry_; }
+    bool acceptPending() { return ready(EPOLLIN) == 0 && !retry_; }
     std::uint32_t ready(std::uint32_t events) override;
 
 private:
@@ -59,15 +59,15 @@
 
 // Where the address has moved: the socket at the old one goes on for a while, since whoever has connected
 // there, or is about to, is owed an answer.
-class FormerListener {
+class PreviousListener {
 public:
-    explicit FormerListener(Loop& loop) : loop_(loop) {}
-    ~FormerListener() { close(); }
+    explicit PreviousListener(Loop& loop) : loop_(loop) {}
+    ~PreviousListener() { close(); }
 
     // `current` becomes `next`, and what it was is kept open.
     void replace(std::unique_ptr<Listener>& current, std::unique_ptr<Listener> next);
     void close();
-    bool settled() { return !listener_ || listener_->takeWaiting(); }
+    bool settled() { return !listener_ || listener_->acceptPending(); }
 
 private:
     void closeOnceEmpty();
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -94,7 +94,7 @@
     RequestId nextId_ = 1;
     std::uint64_t lastClient_ = 0;
     std::unique_ptr<net::Listener> listener_;
-    net::FormerListener former_;
+    net::PreviousListener former_;
     std::unordered_map<Client*, std::shared_ptr<Client>> clients_;
     std::unordered_set<std::string> labels_;  // of the open requests
     Counters counters_;
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -8,7 +8,7 @@
                     [](const disk::Facts&) { return std::uint64_t{0}; }, "tag", false}) {
     if (listening.empty()) return;
     try {
-        front_.inherit(net::inheritedListener(listening, configuration_.listen));
+        front_.inherit(net::adoptListeningSocket(listening, configuration_.listen));
     } catch (const settings::Malformed& problem) {
         throw settings::Malformed(std::string("variable LB_SOCKET_FD: ") + problem.what());
     }
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -564,7 +564,7 @@
 }
 
 bool Front::settled() {
-    if (listener_ && !listener_->takeWaiting()) return false;
+    if (listener_ && !listener_->acceptPending()) return false;
     if (!former_.settled()) return false;
     return std::all_of(clients_.begin(), clients_.end(),
                        [](const auto& entry) { return entry.second->settled(); });
--- a/src/repository/front.hpp
+++ b/src/repository/front.hpp
@@ -73,7 +73,7 @@
     std::optional<net::Loop::TimerKey> sweep_;
     RequestId nextId_ = 1;
     std::unique_ptr<net::Listener> listener_;
-    net::FormerListener former_;
+    net::PreviousListener former_;
     std::unordered_map<Client*, std::shared_ptr<Client>> clients_;
     Counters counters_;
 };
