--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -83,7 +83,7 @@
         return true;
     } catch (const std::system_error& problem) {
         const int error = problem.code().value();
-        const bool mayPass = net::isShortage(error) || error == EADDRINUSE || error == EINTR;
+        const bool mayPass = net::isResourceShortage(error) || error == EADDRINUSE || error == EINTR;
         if (!mayPass || loop_.now() - startedAt_ >= kLongestCatchUp) throw;
         if (problem.what() != addressProblem_)
             std::fprintf(stderr, "lotuslead: %s; it is tried again\n", problem.what());
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -26,20 +26,20 @@
     std::ostringstream text;
     if (file && text << file.rdbuf()) return text.str();
     const std::string problem = std::string(variable) + ": cannot read '" + path + "'";
-    if (net::isShortage(errno)) throw std::system_error(errno, std::generic_category(), problem);
+    if (net::isResourceShortage(errno)) throw std::system_error(errno, std::generic_category(), problem);
     throw settings::Malformed(problem);
 }
 
 // Before there is a loop: made again, for up to 2 s, while descriptors or memory are short.
 template <class Make>
-auto whileShort(Make make) {
+auto retryWhileShort(Make make) {
     constexpr int kTries = 200;
     constexpr std::chrono::milliseconds kWait{10};
     for (int i = 1;; ++i) {
         try {
             return make();
         } catch (const std::system_error& problem) {
-            if (i == kTries || !net::isShortage(problem.code().value())) throw;
+            if (i == kTries || !net::isResourceShortage(problem.code().value())) throw;
         }
         std::this_thread::sleep_for(kWait);
     }
@@ -74,10 +74,10 @@
         if (const char* given = variable("LB_OPERATOR")) door = settings::readEndpoint(given, "LB_OPERATOR");
         const char* diskFile = variable("LB_DISK");
         const auto disk = [=] { return settings::readDiskFile(contentsOf("LB_DISK", diskFile)); };
-        if (diskFile) (void)whileShort(disk);  // a bad file ends the start, whichever front it is for
+        if (diskFile) (void)retryWhileShort(disk);  // a bad file ends the start, whichever front it is for
         gateway::Gateway gateway(door, variable("TMPDIR"));
         if (platformFile) {
-            gateway.add(whileShort([&] {
+            gateway.add(retryWhileShort([&] {
                 auto service = std::make_unique<platform::Service>(
                     gateway.loop(),
                     [=] { return settings::readConfiguration(contentsOf("LB_CONFIG", platformFile)); },
@@ -87,7 +87,7 @@
             }));
         }
         if (repositoryFile) {
-            gateway.add(whileShort([&] {
+            gateway.add(retryWhileShort([&] {
                 auto service = std::make_unique<repository::Service>(gateway.loop(), [=] {
                     return settings::readRepositoryConfiguration(contentsOf("LB_REPOSITORY", repositoryFile));
                 });
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-Loop::Loop() : epoll_(retriedAtStart([] { return ::epoll_create1(EPOLL_CLOEXEC); })), now_(clock()) {
+Loop::Loop() : epoll_(retryWhileShort([] { return ::epoll_create1(EPOLL_CLOEXEC); })), now_(clock()) {
     if (!epoll_) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
--- a/src/net/signals.hpp
+++ b/src/net/signals.hpp
@@ -15,7 +15,7 @@
 
 // Of a blocked set; throws std::system_error.
 inline Descriptor watchSignals(const sigset_t& set) {
-    Descriptor fd(retriedAtStart([&] { return ::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC); }));
+    Descriptor fd(retryWhileShort([&] { return ::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC); }));
     if (!fd) throw std::system_error(errno, std::generic_category(), "signalfd");
     return fd;
 }
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -152,7 +152,7 @@
 bool Stream::peerHasClosed() const {
     if (broken_) return true;
     const ssize_t got = peek(fd_.get());
-    if (got <= 0) return got == 0 || (!wouldBlock(errno) && !isShortage(errno));
+    if (got <= 0) return got == 0 || (!wouldBlock(errno) && !isResourceShortage(errno));
     // Its end may stand behind what is still to be read.
     pollfd look{fd_.get(), POLLRDHUP, 0};
     int ready = 0;
@@ -230,7 +230,7 @@
 
 void Stream::sendFailed(int error) {
     if (wouldBlock(error)) return;  // an edge tells when there is room
-    if (isShortage(error)) return lookAgain(EPOLLOUT);
+    if (isResourceShortage(error)) return lookAgain(EPOLLOUT);
     // Told in the next turn, never from within the caller's own write, and after what has come in before the
     // connection broke has been read. Reading may find nothing wrong: Linux tells an error once.
     broken_ = true;
@@ -309,7 +309,7 @@
             if (broken_) end(CloseReason::reset);
             return 0;
         }
-        if (got < 0 && isShortage(errno)) {
+        if (got < 0 && isResourceShortage(errno)) {
             lookAgain(EPOLLIN);
             return 0;
         }
--- a/src/net/system_errors.hpp
+++ b/src/net/system_errors.hpp
@@ -9,7 +9,7 @@
 
 // Memory or descriptors of this machine are short. Nothing has happened, and the same call may succeed in a
 // moment; no edge of epoll tells when.
-inline bool isShortage(int error) {
+inline bool isResourceShortage(int error) {
     return error == ENOBUFS || error == ENOMEM || error == EMFILE || error == ENFILE;
 }
 
@@ -17,7 +17,7 @@
 
 // socket or connect failed on this machine: no word on the peer, which has not been asked.
 inline bool isLocalConnectFailure(int error) {
-    return isShortage(error) || error == EADDRNOTAVAIL || error == EAGAIN || error == ENETUNREACH ||
+    return isResourceShortage(error) || error == EADDRNOTAVAIL || error == EAGAIN || error == ENETUNREACH ||
            error == ENETDOWN || error == ECONNABORTED;
 }
 
@@ -28,11 +28,11 @@
 // while this machine is short of something. Returns what the last call did, a negative number with errno set
 // where it failed.
 template <class Call>
-int retriedAtStart(Call call) {
+int retryWhileShort(Call call) {
     constexpr int kTries = 200;
     constexpr std::chrono::milliseconds kWait{10};
     int result = call();
-    for (int i = 1; i < kTries && result < 0 && (isShortage(errno) || errno == EINTR); ++i) {
+    for (int i = 1; i < kTries && result < 0 && (isResourceShortage(errno) || errno == EINTR); ++i) {
         std::this_thread::sleep_for(kWait);
         result = call();
     }
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -81,7 +81,7 @@
             bus_.moveTo(baseOf(configuration_).bus);
             std::fprintf(stderr, "%s: configuration read again\n", name.c_str());
         } catch (const std::system_error& problem) {
-            if (mayTryAgain && net::isShortage(problem.code().value())) return false;
+            if (mayTryAgain && net::isResourceShortage(problem.code().value())) return false;
             std::fprintf(stderr, "%s: configuration not taken, the old one stays: %s\n", name.c_str(),
                          problem.what());
         } catch (const std::exception& problem) {
