--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -8,7 +8,7 @@
 
 namespace lotuslead::net {
 
-inline sockaddr_in addressOf(const settings::Endpoint& endpoint) {
+inline sockaddr_in socketAddress(const settings::Endpoint& endpoint) {
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(endpoint.port);
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -51,7 +51,7 @@
 Descriptor listenOn(const settings::Endpoint& at) {
     Descriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     const int on = 1;
-    const sockaddr_in address = addressOf(at);
+    const sockaddr_in address = socketAddress(at);
     if (!fd || ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
         ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
         ::listen(fd.get(), kBacklog) != 0)
@@ -71,7 +71,7 @@
         ::getsockopt(fd, SOL_SOCKET, SO_TYPE, &kind, &size) != 0 || kind != SOCK_STREAM)
         throw settings::Malformed("descriptor " + number + " is no listening socket");
     sockaddr_in is{};
-    const sockaddr_in wanted = addressOf(at);
+    const sockaddr_in wanted = socketAddress(at);
     size = sizeof is;
     if (::getsockname(fd, reinterpret_cast<sockaddr*>(&is), &size) != 0 || is.sin_family != AF_INET ||
         is.sin_addr.s_addr != wanted.sin_addr.s_addr || (at.port != 0 && is.sin_port != wanted.sin_port))
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -46,7 +46,11 @@
 }
 
 Stream::Stream(Loop& loop, const settings::Endpoint& to, Observer& observer, Priority priority)
-    : loop_(loop), observer_(observer), state_(State::connecting), to_(addressOf(to)), priority_(priority) {
+    : loop_(loop),
+      observer_(observer),
+      state_(State::connecting),
+      to_(socketAddress(to)),
+      priority_(priority) {
     connect();
 }
 
