--- a/src/gateway/handover.cpp
+++ b/src/gateway/handover.cpp
@@ -50,7 +50,7 @@
         while (!data.empty()) {
             const auto status = parser_.feed(data);
             if (status == net::RespParser::Status::malformed) return false;
-            if (status == net::RespParser::Status::message) owner_.received(*this, parser_.take());
+            if (status == net::RespParser::Status::message) owner_.received(*this, parser_.takeMessage());
             if (stream_.closed()) return true;
         }
         return true;
--- a/src/net/resp.cpp
+++ b/src/net/resp.cpp
@@ -74,7 +74,7 @@
     return Status::needMore;
 }
 
-std::vector<std::string> RespParser::take() { return std::exchange(elements_, {}); }
+std::vector<std::string> RespParser::takeMessage() { return std::exchange(elements_, {}); }
 
 void appendResp(std::string& out, std::initializer_list<std::string_view> elements) {
     out += '*';
--- a/src/net/resp.hpp
+++ b/src/net/resp.hpp
@@ -22,9 +22,9 @@
 
     // Takes from the front of `data` what belongs to the message in hand. After `message`, take() has it.
     Status feed(std::string_view& data);
-    std::vector<std::string> take();
+    std::vector<std::string> takeMessage();
     // What the message in hand may hold in memory.
-    std::size_t held() const { return state_ == State::start ? 0 : total_; }
+    std::size_t bufferedBytes() const { return state_ == State::start ? 0 : total_; }
     bool midMessage() const { return state_ != State::start || !line_.empty(); }
 
 private:
--- a/src/platform/client_messages.cpp
+++ b/src/platform/client_messages.cpp
@@ -29,7 +29,7 @@
         const Status status = parser_.feed(rest);
         malformed_ = status == Status::malformed;
         if (status != Status::message) continue;
-        messages_.push_back({parser_.take(), bytesSince_});
+        messages_.push_back({parser_.takeMessage(), bytesSince_});
         messageBytes_ += bytesOf(messages_.back().words);
     }
     bytes_.erase(0, bytes_.size() - rest.size());
--- a/src/platform/client_messages.hpp
+++ b/src/platform/client_messages.hpp
@@ -40,7 +40,7 @@
     bool midMessage() const { return parser_.midMessage(); }
     bool malformed() const { return malformed_; }  // what follows the messages can't be read
     bool hasRoom() const { return !malformed_ && bytes_.empty(); }
-    std::size_t heldBytes() const { return bytes_.size() + messageBytes_ + parser_.held(); }
+    std::size_t heldBytes() const { return bytes_.size() + messageBytes_ + parser_.bufferedBytes(); }
     void clear();
 
 private:
--- a/src/platform/stores.cpp
+++ b/src/platform/stores.cpp
@@ -221,7 +221,7 @@
         while (!data.empty()) {
             const auto status = parser_.feed(data);
             if (status == net::RespParser::Status::malformed) return false;
-            if (status == net::RespParser::Status::message && !take(parser_.take())) return false;
+            if (status == net::RespParser::Status::message && !take(parser_.takeMessage())) return false;
         }
         return true;
     }
