--- a/bench/scale/hollow_gateways.cpp
+++ b/bench/scale/hollow_gateways.cpp
@@ -50,7 +50,7 @@
           index_(index),
           times_(times),
           startedAt_(loop.now()),
-          decisions_(configuration.words, index, loop.now(), core::unixAhead()),
+          decisions_(configuration.decoded, index, loop.now(), core::unixAhead()),
           reader_(loop, [this](const settings::BusEvent& event) { apply(event); }) {
         reader_.take(settings::readBatch(configuration_.known));
         reader_.moveTo(buses_);
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -190,11 +190,11 @@
 
 struct Instance {
     Router router;
-    settings::Vocabulary words;
+    settings::DecodedSettings words;
 };
 
 // The gateway and the adapter share one decoder of the settings; only event lines are worth simdjson.
-settings::Vocabulary settingsOf(element info) {
+settings::DecodedSettings settingsOf(element info) {
     try {
         return settings::readSettings(nlohmann::json::parse(std::string(simdjson::minify(info))));
     } catch (const settings::Malformed& problem) {
@@ -290,7 +290,7 @@
             seed = static_cast<std::uint64_t>(wholeOr(event, "salt", 0));
         const auto info = valueAt(event, "info");
         if (!info) throw Malformed("field 'info' is missing");
-        settings::Vocabulary words = settingsOf(*info);
+        settings::DecodedSettings words = settingsOf(*info);
         Router router(words.settings, seed);
         instances_[who] = std::make_unique<Instance>(Instance{std::move(router), std::move(words)});
         instances_[who]->router.start(now_, actions_);
@@ -341,7 +341,7 @@
         to.router.handle(now_, list, actions_);
     }
 
-    static Request requestOf(const settings::Vocabulary& words, element event) {
+    static Request requestOf(const settings::DecodedSettings& words, element event) {
         Request request;
         request.id = requestId(event);
         const std::string profile(needText(event, "profile"));
--- a/src/core/decisions.cpp
+++ b/src/core/decisions.cpp
@@ -12,20 +12,20 @@
 namespace {
 
 // Whatever a site allows, a request of the real gateway has one attempt out at a time.
-settings::Vocabulary withoutSecondCopies(settings::Vocabulary words) {
+settings::DecodedSettings withoutSecondCopies(settings::DecodedSettings words) {
     words.settings.secondCopies = false;
     return words;
 }
 
 }  // namespace
 
-Decisions::Decisions(settings::Vocabulary words, std::uint64_t seed, Micros now, Micros unixAhead)
+Decisions::Decisions(settings::DecodedSettings words, std::uint64_t seed, Micros now, Micros unixAhead)
     : words_(withoutSecondCopies(std::move(words))), router_(words_.settings, seed), unixAhead_(unixAhead) {
     router_.start(moduleTime(now), actions_);
     collect(now);
 }
 
-void Decisions::reconfigure(settings::Vocabulary words) {
+void Decisions::reconfigure(settings::DecodedSettings words) {
     words_ = withoutSecondCopies(std::move(words));
     router_.reconfigure(shared());
 }
--- a/src/core/decisions.hpp
+++ b/src/core/decisions.hpp
@@ -74,11 +74,11 @@
 class Decisions {
 public:
     // `unixAhead` is what the Unix clock shows beyond the monotonic one, fixed for the life of the process.
-    Decisions(settings::Vocabulary words, std::uint64_t seed, Micros now, Micros unixAhead);
+    Decisions(settings::DecodedSettings words, std::uint64_t seed, Micros now, Micros unixAhead);
 
-    const settings::Vocabulary& words() const { return words_; }
+    const settings::DecodedSettings& words() const { return words_; }
     // In place of those before, of which they are the continuation (settings::continued).
-    void reconfigure(settings::Vocabulary words);
+    void reconfigure(settings::DecodedSettings words);
     // So many processes are one gateway now: each takes its part of what is allowed to all.
     void share(int processes);
     // What a successor on this machine should know, in JSON; of what it takes it keeps what it knows by name.
@@ -133,7 +133,7 @@
     // a time above zero (zero stands for "long ago").
     static constexpr std::chrono::hours kEpoch{24 * 365};
 
-    settings::Vocabulary words_;
+    settings::DecodedSettings words_;
     int processes_ = 1;
     Router router_;
     Micros unixAhead_;
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -426,7 +426,7 @@
 Front::Front(net::Loop& loop, core::Requests& requests, const settings::Configuration& configuration)
     : loop_(loop),
       requests_(requests),
-      words_(configuration.words),
+      words_(configuration.decoded),
       address_(configuration.listen),
       former_(loop) {
     limits_ = configuration.limits;
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -75,7 +75,7 @@
 
     net::Loop& loop_;
     core::Requests& requests_;
-    const settings::Vocabulary& words_;
+    const settings::DecodedSettings& words_;
     settings::Endpoint address_;
     settings::Limits limits_;
     int processes_ = 1;
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -19,13 +19,13 @@
 inline const settings::Configuration& baseOf(const settings::RepositoryConfiguration& c) { return c.base; }
 // What follows a configuration at the same instance: classes keep their places.
 inline void continueFrom(const settings::Configuration& before, settings::Configuration& fresh) {
-    fresh.words = settings::continued(before.words, fresh.words);
+    fresh.decoded = settings::continued(before.decoded, fresh.decoded);
 }
 inline void continueFrom(const settings::RepositoryConfiguration& before,
                          settings::RepositoryConfiguration& fresh) {
     continueFrom(before.base, fresh.base);
     for (settings::Route& route : fresh.routes)
-        route.classIndex = fresh.base.words.classes.at(route.className);
+        route.classIndex = fresh.base.decoded.classes.at(route.className);
 }
 
 // What else a copy's key must agree in: parts of another size are other parts.
@@ -73,7 +73,7 @@
             continueFrom(configuration_, fresh);
             front_.reconfigure(fresh);
             carrier_.reconfigure(fresh);
-            decisions_.reconfigure(baseOf(fresh).words);
+            decisions_.reconfigure(baseOf(fresh).decoded);
             configuration_ = std::move(fresh);
             reloadTier(freshDisk);
             bus_.obeyWithin(drainGrace());
@@ -115,7 +115,7 @@
     std::size_t openRequests() const override { return requests_.open(); }
     bool settled() override { return requests_.open() == 0 && front_.settled(); }
     core::Micros longestDeadline() const override {
-        return core::longestGiveUp(baseOf(configuration_).words.settings);
+        return core::longestGiveUp(baseOf(configuration_).decoded.settings);
     }
     std::optional<settings::Endpoint> operatorDoor() const override {
         return baseOf(configuration_).operatorDoor;
@@ -142,7 +142,7 @@
           configuration_(source_()),
           opened_(opened),
           carrier_(loop_, configuration_),
-          decisions_(baseOf(configuration_).words, baseOf(configuration_).seed, loop_.now(),
+          decisions_(baseOf(configuration_).decoded, baseOf(configuration_).seed, loop_.now(),
                      core::unixAhead()),
           before_(carrier_, core::unixAhead(), std::move(form)),
           requests_(decisions_, before_, purged),
@@ -153,7 +153,8 @@
                          },
                          [this](core::AttemptEnd end) { before_.ended(loop_.now(), std::move(end)); }});
         before_.listen([this](core::AttemptEnd end) { requests_.ended(loop_.now(), std::move(end)); });
-        before_.reconfigure(&baseOf(configuration_).words.settings.classes, formOf(configuration_), pacer());
+        before_.reconfigure(&baseOf(configuration_).decoded.settings.classes, formOf(configuration_),
+                            pacer());
         bus_.listen({[this](std::int64_t from, std::int64_t last, const std::vector<std::int64_t>& numbers,
                             bool complete) {
                          if (tier_) tier_->told(before_.momentOf(loop_.now()), from, last, numbers, complete);
@@ -174,7 +175,7 @@
 
 private:
     core::Micros drainGrace() const {
-        return std::chrono::duration_cast<core::Micros>(baseOf(configuration_).words.settings.drainGrace);
+        return std::chrono::duration_cast<core::Micros>(baseOf(configuration_).decoded.settings.drainGrace);
     }
     void apply(const settings::BusEvent& event) {
         if (!event.isList) {
@@ -221,7 +222,7 @@
     // Limits hold at once; what the folder was opened with holds for the life of the process.
     void reloadTier(const std::optional<settings::DiskSettings>& fresh) {
         const auto& base = baseOf(configuration_);
-        before_.reconfigure(&base.words.settings.classes, formOf(configuration_), pacer());
+        before_.reconfigure(&base.decoded.settings.classes, formOf(configuration_), pacer());
         if (!tier_ || !fresh) {
             if (fresh || tier_)
                 std::fprintf(stderr, "%s: disk tier: it is switched on and off at a start only\n",
--- a/src/platform/stores.cpp
+++ b/src/platform/stores.cpp
@@ -398,7 +398,7 @@
 }
 
 void Stores::reconfigure(const settings::Configuration& configuration) {
-    const settings::Vocabulary& words = configuration.words;
+    const settings::DecodedSettings& words = configuration.decoded;
     connectTimeout_ = kConnectTimeout;
     idleClose_ = kIdleClose;
     streams_ = kStreams;
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -209,7 +209,7 @@
         if (owner_.refuses()) return unavailable(1s);
         job_->route = *route;
         job_->path = *path;
-        const auto& classes = owner_.configuration_.base.words.settings.classes;
+        const auto& classes = owner_.configuration_.base.decoded.settings.classes;
         job_->file = classes[static_cast<std::size_t>(route->classIndex)].inParts;
         if (!job_->head) job_->range = rangeOf(head.field("range"));
         job_->ifRange = text("if-range");
@@ -237,7 +237,7 @@
         request.group = job_->route.group;
         request.part = static_cast<std::int64_t>(part);
         if (!job_->file && !job_->range) request.known = job_->ifNoneMatch;
-        const auto& words = configuration.base.words.settings.classes;
+        const auto& words = configuration.base.decoded.settings.classes;
         const Micros now = owner_.loop_.now();
         request.deadline = now + std::chrono::duration_cast<Micros>(
                                      words[static_cast<std::size_t>(request.classIndex)].giveUp);
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -227,12 +227,12 @@
 }
 
 void Upstreams::reconfigure(const settings::RepositoryConfiguration& configuration) {
-    const settings::Vocabulary& words = configuration.base.words;
+    const settings::DecodedSettings& decoded = configuration.base.decoded;
     const auto given = [](Time t, Micros otherwise) {
         return t.count() > 0 ? std::chrono::duration_cast<Micros>(t) : otherwise;
     };
-    connectTimeout_ = given(words.connectTimeout, kConnectTimeout);
-    idleClose_ = given(words.idleClose * 9 / 10, kIdleClose);
+    connectTimeout_ = given(decoded.connectTimeout, kConnectTimeout);
+    idleClose_ = given(decoded.idleClose * 9 / 10, kIdleClose);
 }
 
 Upstreams::~Upstreams() = default;
@@ -255,7 +255,7 @@
             std::fprintf(stderr, "repository server %s: %s\n", listed.name.c_str(), problem.what());
         }
         server.sinceMs = listed.sinceMs;
-        server.origin = configuration_.base.words.roleOf(listed.shape) == Role::origin;
+        server.origin = configuration_.base.decoded.roleOf(listed.shape) == Role::origin;
     }
 }
 
@@ -329,7 +329,7 @@
 std::string Upstreams::wordsFor(const core::Request& request, const core::Verdict& send) {
     const Server& server = servers_[send.host];
     std::string words = "GET " + request.object + " HTTP/1.1\r\nHost: " + server.address + "\r\n";
-    if (configuration_.base.words.settings.classes[static_cast<std::size_t>(request.classIndex)].inParts) {
+    if (configuration_.base.decoded.settings.classes[static_cast<std::size_t>(request.classIndex)].inParts) {
         const auto first = static_cast<std::uint64_t>(request.part) * configuration_.partBytes;
         words += "Range: bytes=" + std::to_string(first) + "-" +
                  std::to_string(first + configuration_.partBytes - 1) + "\r\n";
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -80,8 +80,8 @@
     return name.is_string() ? name.get<std::string>() : std::string{};
 }
 
-void readExtra(Vocabulary& words, const json& info, const json& extra) {
-    Settings& settings = words.settings;
+void readExtra(DecodedSettings& decoded, const json& info, const json& extra) {
+    Settings& settings = decoded.settings;
     settings.direct = flagOr(extra, "direct", false);
     settings.joins = flagOr(extra, "joins", false);
     settings.paceKb = numberOr(extra, "flowKbPerS", 0);
@@ -94,8 +94,8 @@
     settings.parentFallMultiple = numberOr(extra, "parentBreaksAt", 0);
     settings.originFallMultiple = numberOr(extra, "rootFallMultiple", 0);
     settings.originFallWindow = timeOr(extra, "rootFall");
-    words.parentShape = shapeAt(info, wholeOr(extra, "parentKind", -1));
-    words.originShape = shapeAt(info, wholeOr(extra, "originKind", -1));
+    decoded.parentShape = shapeAt(info, wholeOr(extra, "parentKind", -1));
+    decoded.originShape = shapeAt(info, wholeOr(extra, "originKind", -1));
     const auto whole = [](const json& item, const char* key) { return static_cast<int>(number(item, key)); };
     for (const json& item : listOrEmpty(extra, "hubOf")) settings.zoneHub.push_back(whole(item, "hubOf"));
     for (const json& item : listOrEmpty(extra, "instancesByZone"))
@@ -156,34 +156,34 @@
 
 }  // namespace
 
-Role Vocabulary::roleOf(const std::string& shape) const {
+Role DecodedSettings::roleOf(const std::string& shape) const {
     if (!originShape.empty() && shape == originShape) return Role::origin;
     if (!parentShape.empty() && shape == parentShape) return Role::parent;
     return Role::cache;
 }
 
-int Vocabulary::zoneOf(const std::string& name) const {
+int DecodedSettings::zoneOf(const std::string& name) const {
     const auto found = zones.find(name);
     return found == zones.end() ? -1 : found->second;
 }
 
-Vocabulary readSettings(const json& info) {
-    Vocabulary words;
-    Settings& settings = words.settings;
+DecodedSettings readSettings(const json& info) {
+    DecodedSettings decoded;
+    Settings& settings = decoded.settings;
     for (const json& item : listOrEmpty(info, "categories")) {
-        words.classNames.push_back(needText(item, "name"));
+        decoded.classNames.push_back(needText(item, "name"));
         const int at = static_cast<int>(settings.classes.size());
-        if (!words.classes.emplace(words.classNames.back(), at).second)
-            throw Malformed("field 'categories' names '" + words.classNames.back() + "' twice");
+        if (!decoded.classes.emplace(decoded.classNames.back(), at).second)
+            throw Malformed("field 'categories' names '" + decoded.classNames.back() + "' twice");
         settings.classes.push_back(readClass(item));
     }
     int place = 0;
     for (const json& item : listOrEmpty(info, "zones")) {
         if (!item.is_string()) wrongType("zones", "a list of names");
-        words.zoneNames.push_back(item.get<std::string>());
-        words.zones.emplace(words.zoneNames.back(), place++);
+        decoded.zoneNames.push_back(item.get<std::string>());
+        decoded.zones.emplace(decoded.zoneNames.back(), place++);
     }
-    settings.zone = words.zoneOf(textOr(info, "zone", ""));
+    settings.zone = decoded.zoneOf(textOr(info, "zone", ""));
     settings.routers = static_cast<int>(wholeOr(info, "balancers", 1));
     settings.weights = weightsOf(textOr(info, "weights", "silent"));
     settings.mustAskForList = textOr(info, "discovery", "pushed") == "on_request";
@@ -195,9 +195,9 @@
     settings.retryHints = flagOr(allowed, "retryAfter", false);
     settings.mostTries = static_cast<int>(std::min<std::int64_t>(needPositive(allowed, "mostTries"), 1000));
     settings.maxRetryHint = timeOr(allowed, "maxRetryAfter");
-    words.connectTimeout = timeOr(allowed, "connectTimeout");
-    words.idleClose = timeOr(allowed, "keepalive");
-    words.streamsPerConnection = static_cast<int>(wholeOr(allowed, "streamsPerConn", 0));
+    decoded.connectTimeout = timeOr(allowed, "connectTimeout");
+    decoded.idleClose = timeOr(allowed, "keepalive");
+    decoded.streamsPerConnection = static_cast<int>(wholeOr(allowed, "streamsPerConn", 0));
 
     const json& rules = objectOrEmpty(info, "obligations");
     settings.answerGrace = timeOr(rules, "graceToAnswer");
@@ -209,7 +209,7 @@
     settings.fallWindow = timeOr(rules, "fall");
 
     readExtra(words, info, objectOrEmpty(info, "extra"));
-    return words;
+    return decoded;
 }
 
 namespace {
@@ -236,26 +236,27 @@
 
 }  // namespace
 
-Vocabulary continued(const Vocabulary& before, const Vocabulary& fresh) {
-    Vocabulary words = fresh;
-    words.classNames = before.classNames;
-    words.zoneNames = before.zoneNames;
-    const auto classes = placesOf(fresh.classNames, words.classNames);
-    const auto zones = placesOf(fresh.zoneNames, words.zoneNames);
+DecodedSettings continued(const DecodedSettings& before, const DecodedSettings& fresh) {
+    DecodedSettings decoded = fresh;
+    decoded.classNames = before.classNames;
+    decoded.zoneNames = before.zoneNames;
+    const auto classes = placesOf(fresh.classNames, decoded.classNames);
+    const auto zones = placesOf(fresh.zoneNames, decoded.zoneNames);
     const auto place = [](const std::vector<std::size_t>& places, int at) {
         return at < 0 ? at : static_cast<int>(places.at(static_cast<std::size_t>(at)));
     };
-    for (auto& [name, at] : words.classes) at = place(classes, at);
-    for (auto& [name, at] : words.zones) at = place(zones, at);
-    Settings& s = words.settings;
+    for (auto& [name, at] : decoded.classes) at = place(classes, at);
+    for (auto& [name, at] : decoded.zones) at = place(zones, at);
+    Settings& s = decoded.settings;
     const Settings& f = fresh.settings;
     s.zone = place(zones, f.zone);
-    s.classes = moved(f.classes, classes, before.settings.classes, words.classNames.size(), ClassSettings{});
-    const std::size_t all = words.zoneNames.size();
+    s.classes =
+        moved(f.classes, classes, before.settings.classes, decoded.classNames.size(), ClassSettings{});
+    const std::size_t all = decoded.zoneNames.size();
     s.zoneHub = moved(f.zoneHub, zones, {}, all, -1);
     s.routersByZone = moved(f.routersByZone, zones, {}, all, 0);
     s.zoneLinkKb = moved(f.zoneLinkKb, zones, {}, all, 0.0);
-    return words;
+    return decoded;
 }
 
 Endpoint readEndpoint(const std::string& text, const std::string& field) {
@@ -329,12 +330,12 @@
     result.known = objectOrEmpty(root, "known");
     const json* info = valueAt(root, "settings");
     if (!info) throw Malformed("field 'settings' is missing");
-    result.words = readSettings(*info);
+    result.decoded = readSettings(*info);
     result.flowBytes = numberOr(root, "flow_bytes_per_s", 0);
     result.linkBytes = numberOr(root, "link_bytes_per_s", 0);
-    if (result.words.settings.paceKb > 0)
-        result.words.bytesPerKb = result.flowBytes / result.words.settings.paceKb;
-    if (result.words.settings.classes.empty()) throw Malformed("field 'settings.categories' is empty");
+    if (result.decoded.settings.paceKb > 0)
+        result.decoded.bytesPerKb = result.flowBytes / result.decoded.settings.paceKb;
+    if (result.decoded.settings.classes.empty()) throw Malformed("field 'settings.categories' is empty");
     return result;
 }
 
@@ -347,8 +348,8 @@
         route.prefix = needText(item, "prefix");
         route.className = needText(item, "class");
         route.group = wholeOr(item, "group", 0);
-        const auto known = result.base.words.classes.find(route.className);
-        if (known == result.base.words.classes.end())
+        const auto known = result.base.decoded.classes.find(route.className);
+        if (known == result.base.decoded.classes.end())
             throw Malformed("field 'routes.class' names no class: '" + route.className + "'");
         if (route.prefix.front() != '/') throw Malformed("field 'routes.prefix' does not begin with '/'");
         route.classIndex = known->second;
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -20,7 +20,7 @@
 };
 
 // The settings, and the names by which later events refer to them.
-struct Vocabulary {
+struct DecodedSettings {
     Settings settings;
     std::unordered_map<std::string, int> classes;  // those that may be asked for
     std::unordered_map<std::string, int> zones;
@@ -37,11 +37,11 @@
     int zoneOf(const std::string& name) const;
 };
 
-Vocabulary readSettings(const nlohmann::json& info);
+DecodedSettings readSettings(const nlohmann::json& info);
 
 // The settings of a file that is read again: what both know keeps its place, so that requests in hand and
 // hosts that were listed before go on meaning the same.
-Vocabulary continued(const Vocabulary& before, const Vocabulary& fresh);
+DecodedSettings continued(const DecodedSettings& before, const DecodedSettings& fresh);
 
 struct Endpoint {
     std::string host;  // numeric
@@ -64,7 +64,7 @@
     std::optional<Endpoint> operatorDoor;  // none: it is off
     nlohmann::json known;                  // the events up to now, in the form of the event bus
     double flowBytes = 0, linkBytes = 0;   // a second: of one transfer, of all; zero: not told
-    Vocabulary words;
+    DecodedSettings decoded;
     std::set<std::string> paths;  // of all its fields
 };
 
