--- a/src/adapter/fields.cpp
+++ b/src/adapter/fields.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 [[noreturn]] void wrongType(std::string_view key, const char* wanted) {
-    throw Malformed("field '" + std::string(key) + "' is not " + wanted);
+    throw DecodeError("field '" + std::string(key) + "' is not " + wanted);
 }
 
 double number(element value, std::string_view key) {
@@ -32,7 +32,7 @@
     element value;
     const auto problem = object.at_key(key).get(value);
     if (problem == simdjson::INCORRECT_TYPE)
-        throw Malformed("'" + std::string(key) + "' sought in no object");
+        throw DecodeError("'" + std::string(key) + "' sought in no object");
     if (problem != simdjson::SUCCESS || value.is_null()) return std::nullopt;
     return value;
 }
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -21,13 +21,13 @@
 constexpr int kListNumbers = 16;
 
 std::int64_t needWhole(element object, std::string_view key) {
-    if (!valueAt(object, key)) throw Malformed("field '" + std::string(key) + "' is missing");
+    if (!valueAt(object, key)) throw DecodeError("field '" + std::string(key) + "' is missing");
     return wholeOr(object, key, 0);
 }
 
 std::string_view needText(element object, std::string_view key) {
     const std::string_view text = textOr(object, key, "");
-    if (text.empty()) throw Malformed("field '" + std::string(key) + "' is missing or empty");
+    if (text.empty()) throw DecodeError("field '" + std::string(key) + "' is missing or empty");
     return text;
 }
 
@@ -36,7 +36,7 @@
     RequestId id = 0;
     const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), id, 16);
     if (problem != std::errc{} || end != text.data() + text.size() || text.size() != 16)
-        throw Malformed("'" + std::string(text) + "' is no request id");
+        throw DecodeError("'" + std::string(text) + "' is no request id");
     return id;
 }
 
@@ -65,7 +65,7 @@
                 break;
         }
     }
-    throw Malformed("unknown outcome '" + std::string(code) + "'");
+    throw DecodeError("unknown outcome '" + std::string(code) + "'");
 }
 
 Note noteOf(std::int64_t number) {
@@ -197,8 +197,8 @@
 settings::DecodedSettings settingsOf(element info) {
     try {
         return settings::readSettings(nlohmann::json::parse(std::string(simdjson::minify(info))));
-    } catch (const settings::Malformed& problem) {
-        throw Malformed(problem.what());
+    } catch (const settings::DecodeError& problem) {
+        throw DecodeError(problem.what());
     }
 }
 
@@ -210,17 +210,17 @@
         element event;
         const auto problem = parser_.parse(line.data(), line.size(), false).get(event);
         if (problem != simdjson::SUCCESS)
-            throw Malformed(std::string("no JSON value: ") + simdjson::error_message(problem));
+            throw DecodeError(std::string("no JSON value: ") + simdjson::error_message(problem));
         const std::string_view what = needText(event, "what");
         if (what == "sync") {
-            if (inBatch_) throw Malformed("'sync' inside a batch");
+            if (inBatch_) throw DecodeError("'sync' inside a batch");
             inBatch_ = true;
             now_ = Time{needWhole(event, "now")};
             turn_ = needWhole(event, "turn");
             replyLines_.clear();
             return false;
         }
-        if (!inBatch_) throw Malformed("'" + std::string(what) + "' outside a batch");
+        if (!inBatch_) throw DecodeError("'" + std::string(what) + "' outside a batch");
         if (what == "yourTurn") {
             inBatch_ = false;
             reply += replyLines_;
@@ -243,7 +243,7 @@
             return;
         }
         const auto found = instances_.find(who);
-        if (found == instances_.end()) throw Malformed("no instance " + std::to_string(who));
+        if (found == instances_.end()) throw DecodeError("no instance " + std::to_string(who));
         Instance& to = *found->second;
         if (what == "req") {
             to.router.handle(now_, requestOf(to.words, event), actions_);
@@ -278,7 +278,7 @@
             to.router.handle(now_, ProbeEnded{std::string(needText(event, "host")), answered, loadOf(event)},
                              actions_);
         } else if (what != "heard") {
-            throw Malformed("unknown event '" + std::string(what) + "'");
+            throw DecodeError("unknown event '" + std::string(what) + "'");
         }
         writeActions(who);
     }
@@ -289,7 +289,7 @@
             salt && salt->get_uint64().get(seed) != simdjson::SUCCESS)
             seed = static_cast<std::uint64_t>(wholeOr(event, "salt", 0));
         const auto info = valueAt(event, "info");
-        if (!info) throw Malformed("field 'info' is missing");
+        if (!info) throw DecodeError("field 'info' is missing");
         settings::DecodedSettings words = settingsOf(*info);
         Router router(words.settings, seed);
         instances_[who] = std::make_unique<Instance>(Instance{std::move(router), std::move(words)});
@@ -300,13 +300,13 @@
     void takeManifest(element event) {
         const std::int64_t number = needWhole(event, "sheet");
         if (number < 0 || number >= kListNumbers)
-            throw Malformed("list number " + std::to_string(number) + " is out of range");
+            throw DecodeError("list number " + std::to_string(number) + " is out of range");
         auto& list = lists_[static_cast<std::size_t>(number)];
         list.clear();
         const auto rows = valueAt(event, "rowsIn");
         if (!rows) return;
         simdjson::dom::array entries;
-        if (rows->get_array().get(entries) != simdjson::SUCCESS) throw Malformed("'rowsIn' is no list");
+        if (rows->get_array().get(entries) != simdjson::SUCCESS) throw DecodeError("'rowsIn' is no list");
         for (const element row : entries) {
             ListedHost host;
             host.entry.name = needText(row, "host");
@@ -314,7 +314,7 @@
             host.entry.weight = numberOr(row, "heft", 1);
             host.entry.startedAt = timeOr(row, "bootTime");
             const std::int64_t readiness = needWhole(row, "readiness");
-            if (readiness < 0 || readiness > 2) throw Malformed("unknown readiness");
+            if (readiness < 0 || readiness > 2) throw DecodeError("unknown readiness");
             host.entry.readiness = readiness == 1   ? Readiness::ready
                                    : readiness == 2 ? Readiness::draining
                                                     : Readiness::gone;
@@ -327,9 +327,9 @@
     void takeMembers(Instance& to, element event) {
         const std::int64_t form = needWhole(event, "form");
         if (form == 3) return to.router.handleListFailed(now_, actions_);
-        if (form < 0 || form > 3) throw Malformed("unknown form of list");
+        if (form < 0 || form > 3) throw DecodeError("unknown form of list");
         const std::int64_t number = needWhole(event, "sheet");
-        if (number < 0 || number >= kListNumbers) throw Malformed("no list " + std::to_string(number));
+        if (number < 0 || number >= kListNumbers) throw DecodeError("no list " + std::to_string(number));
         HostList list;
         list.whole = form != 0;
         for (const ListedHost& listed : lists_[static_cast<std::size_t>(number)]) {
@@ -346,7 +346,7 @@
         request.id = requestId(event);
         const std::string profile(needText(event, "profile"));
         const auto known = words.classes.find(profile);
-        if (known == words.classes.end()) throw Malformed("unknown class '" + profile + "'");
+        if (known == words.classes.end()) throw DecodeError("unknown class '" + profile + "'");
         request.classIndex = known->second;
         const std::string_view object = textOr(event, "object", "");
         request.object = object.empty() ? 0 : fingerprint(object);
@@ -416,7 +416,7 @@
                     reply.clear();
                 }
             }
-        } catch (const Malformed& problem) {
+        } catch (const DecodeError& problem) {
             std::fprintf(errors, "lotuslead_adapter: line %zu: %s\n", lineNumber, problem.what());
             return 1;
         }
--- a/src/adapter/wire.hpp
+++ b/src/adapter/wire.hpp
@@ -16,7 +16,7 @@
 namespace lotuslead::wire {
 
 // What came in is not what the wire allows.
-struct Malformed : std::runtime_error {
+struct DecodeError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -207,13 +207,13 @@
         if (text.contains("session")) {
             const bool numbers = text["session"].is_number_unsigned() && text.contains("sequence") &&
                                  text["sequence"].is_number_unsigned() && text["sequence"] > 0;
-            if (!numbers) throw settings::Malformed("field 'session' or 'sequence' is not a number");
+            if (!numbers) throw settings::DecodeError("field 'session' or 'sequence' is not a number");
             command.session = text["session"];
             command.sequence = text["sequence"];
         }
         if (text.contains("by") && text["by"].is_string())
             command.transaction.by = text["by"].get<std::string>().substr(0, 128);
-    } catch (const settings::Malformed& problem) {
+    } catch (const settings::DecodeError& problem) {
         return reply({400, std::string(problem.what()) + "\n", {}});
     }
     command.transaction.atMs = unixMs();
@@ -256,7 +256,7 @@
     std::string raft;
     config::Command command;
     try {
-        if (!wanted.is_object()) throw settings::Malformed("'raft' and 'control' are wanted");
+        if (!wanted.is_object()) throw settings::DecodeError("'raft' and 'control' are wanted");
         raft = wanted.value("raft", "");
         settings::readEndpoint(raft, "raft");
         command.transaction.changes.push_back(
@@ -300,7 +300,7 @@
         try {
             settings::readConfiguration(
                 wanted["configuration"].dump());  // a bad one would only end at its start
-        } catch (const settings::Malformed& problem) {
+        } catch (const settings::DecodeError& problem) {
             return reply({400, std::string("bad configuration: ") + problem.what() + "\n", {}});
         }
     } else {
@@ -308,7 +308,7 @@
     }
     try {
         config::check(command.transaction);
-    } catch (const settings::Malformed& problem) {
+    } catch (const settings::DecodeError& problem) {
         return reply({400, std::string(problem.what()) + "\n", {}});
     }
     command.transaction.atMs = unixMs();
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -25,7 +25,7 @@
 std::string contentsOf(const std::string& path) {
     std::ifstream file(path);
     std::ostringstream text;
-    if (!file || !(text << file.rdbuf())) throw settings::Malformed("cannot read '" + path + "'");
+    if (!file || !(text << file.rdbuf())) throw settings::DecodeError("cannot read '" + path + "'");
     return text.str();
 }
 
@@ -33,7 +33,7 @@
     ::mkdir(configuration.folder.c_str(), 0755);
     std::string path = configuration.folder + "/" + name;
     if (::mkdir(path.c_str(), 0755) != 0 && errno != EEXIST)
-        throw settings::Malformed("field 'folder': cannot make '" + path + "'");
+        throw settings::DecodeError("field 'folder': cannot make '" + path + "'");
     return path;
 }
 
@@ -49,7 +49,7 @@
     if (whose == mine) return;
     if (!whose.empty() && whose.back() == '\n') {
         whose.pop_back();
-        throw settings::Malformed("field 'folder': it belongs to cluster and agent '" + whose + "'");
+        throw settings::DecodeError("field 'folder': it belongs to cluster and agent '" + whose + "'");
     }
     // There is none, or the disk was full when it was written.
     std::ofstream claim(path);
@@ -203,7 +203,7 @@
         if (!recovers) return run(configuration);
         claimFolder(configuration);
         return recoverAlone(configuration);
-    } catch (const settings::Malformed& problem) {
+    } catch (const settings::DecodeError& problem) {
         std::fprintf(stderr, "lotuslead_agent: bad configuration: %s\n", problem.what());
         return 2;
     } catch (const std::exception& problem) {
--- a/src/agent/settings.cpp
+++ b/src/agent/settings.cpp
@@ -6,7 +6,7 @@
 namespace lotuslead::agent {
 
 using nlohmann::json;
-using settings::Malformed;
+using settings::DecodeError;
 
 const Member& AgentConfiguration::self() const {
     return *std::find_if(members.begin(), members.end(), [this](const Member& m) { return m.id == id; });
@@ -14,15 +14,15 @@
 
 AgentConfiguration readAgentConfiguration(const std::string& text) {
     const json root = json::parse(text, nullptr, false);
-    if (!root.is_object()) throw Malformed("the configuration is no JSON object");
+    if (!root.is_object()) throw DecodeError("the configuration is no JSON object");
     const std::set<std::string> known{"id",           "folder",         "program",    "cluster",
                                       "agents",       "join",           "bus",        "election_ms",
                                       "heartbeat_ms", "snapshot_every", "raft_listen"};
     for (const auto& [key, value] : root.items())
-        if (known.count(key) == 0) throw Malformed("field '" + key + "' is not known");
+        if (known.count(key) == 0) throw DecodeError("field '" + key + "' is not known");
     const auto need = [](const json& object, const char* key, bool fits) -> const json& {
         if (!object.contains(key) || !fits)
-            throw Malformed("field '" + std::string(key) + "' is missing or unusable");
+            throw DecodeError("field '" + std::string(key) + "' is missing or unusable");
         return object[key];
     };
     const auto words = [&](const json& object, const char* key) -> std::string {
@@ -37,8 +37,8 @@
     const auto whole = [&](const char* key, unsigned least, unsigned most, unsigned& into) {
         if (!root.contains(key)) return;
         if (!root[key].is_number_unsigned() || root[key] < least || root[key] > most)
-            throw Malformed("field '" + std::string(key) + "' is not within " + std::to_string(least) +
-                            " and " + std::to_string(most));
+            throw DecodeError("field '" + std::string(key) + "' is not within " + std::to_string(least) +
+                              " and " + std::to_string(most));
         into = root[key];
     };
     AgentConfiguration result;
@@ -56,16 +56,16 @@
     whole("heartbeat_ms", 10, 10'000, result.raft.heartbeatMs);
     whole("snapshot_every", 16, 1'000'000, result.raft.snapshotEvery);
     if (result.raft.heartbeatMs * 3 > result.raft.electionMs)
-        throw Malformed("field 'heartbeat_ms' is more than a third of election_ms");
+        throw DecodeError("field 'heartbeat_ms' is more than a third of election_ms");
     std::set<std::uint64_t> ids;
     for (const json& item : need(root, "agents", root.contains("agents") && root["agents"].is_array())) {
-        if (!item.is_object()) throw Malformed("field 'agents' is not a list of objects");
+        if (!item.is_object()) throw DecodeError("field 'agents' is not a list of objects");
         result.members.push_back({id(item), words(item, "raft"), words(item, "control")});
         settings::readEndpoint(result.members.back().raft, "raft");
         settings::readEndpoint(result.members.back().control, "control");
-        if (!ids.insert(result.members.back().id).second) throw Malformed("field 'agents' has an id twice");
+        if (!ids.insert(result.members.back().id).second) throw DecodeError("field 'agents' has an id twice");
     }
-    if (ids.count(result.id) == 0) throw Malformed("field 'agents' does not name this agent's id");
+    if (ids.count(result.id) == 0) throw DecodeError("field 'agents' does not name this agent's id");
     return result;
 }
 
--- a/src/config/check.cpp
+++ b/src/config/check.cpp
@@ -7,7 +7,7 @@
 namespace lotuslead::config {
 
 using nlohmann::json;
-using settings::Malformed;
+using settings::DecodeError;
 
 namespace {
 
@@ -29,16 +29,16 @@
         const bool numbered = takeAway(rest, "group/");
         const auto read = std::from_chars(rest.data(), rest.data() + rest.size(), group);
         if (!numbered || read.ec != std::errc{} || read.ptr != rest.data() + rest.size())
-            throw Malformed("the key is not purges/object/NAME or purges/group/N");
+            throw DecodeError("the key is not purges/object/NAME or purges/group/N");
     }
-    if (rest.empty()) throw Malformed("the key names nothing");
+    if (rest.empty()) throw DecodeError("the key names nothing");
     if (!value.is_object() || value.size() != 1 || !value.contains("ts") ||
         !value["ts"].is_number_integer() || value["ts"] <= 0)
-        throw Malformed("field 'ts' is not a Unix time in milliseconds, alone");
+        throw DecodeError("field 'ts' is not a Unix time in milliseconds, alone");
 }
 
 void checkBox(std::string_view name, const json& value) {
-    if (!value.is_object()) throw Malformed("it is not an object");
+    if (!value.is_object()) throw DecodeError("it is not an object");
     json box = value;
     box["name"] = name;
     const json batch = {
@@ -48,10 +48,10 @@
 }
 
 void checkInstance(std::string_view name, const json& value) {
-    if (!isName(name)) throw Malformed("a name is 1 to 64 of a-z, 0-9 and -");
+    if (!isName(name)) throw DecodeError("a name is 1 to 64 of a-z, 0-9 and -");
     if (!value.is_object() || !value.contains("agent") || !value["agent"].is_number_unsigned() ||
         !value.contains("configuration"))
-        throw Malformed("'agent' and 'configuration' are wanted");
+        throw DecodeError("'agent' and 'configuration' are wanted");
     (void)settings::readConfiguration(value["configuration"].dump());
 }
 
@@ -59,63 +59,63 @@
     std::string_view rest = change.key;
     const bool printable = std::all_of(rest.begin(), rest.end(), [](char c) { return c > ' ' && c < 127; });
     if (rest.empty() || rest.size() > kMostKey || !printable)
-        throw Malformed("a key is 1 to 512 printable characters without blanks");
+        throw DecodeError("a key is 1 to 512 printable characters without blanks");
     if (takeAway(rest, "boxes/")) {
-        if (rest.empty()) throw Malformed("the key names nothing");
+        if (rest.empty()) throw DecodeError("the key names nothing");
         if (change.value) checkBox(rest, *change.value);
     } else if (takeAway(rest, "purges/")) {
         if (change.value) checkPurge(rest, *change.value);
     } else if (takeAway(rest, "gateways/")) {
-        if (!isName(rest)) throw Malformed("a name is 1 to 64 of a-z, 0-9 and -");
+        if (!isName(rest)) throw DecodeError("a name is 1 to 64 of a-z, 0-9 and -");
         if (change.value) (void)settings::readConfiguration(change.value->dump());
     } else if (takeAway(rest, "instances/")) {
         if (change.value) checkInstance(rest, *change.value);
     } else if (takeAway(rest, "agents/")) {
         if (change.value && (!change.value->is_object() || !change.value->contains("control") ||
                              !change.value->at("control").is_string()))
-            throw Malformed("field 'control' is missing or not text");
+            throw DecodeError("field 'control' is missing or not text");
         if (change.value) settings::readEndpoint(change.value->at("control"), "control");
     } else if (!takeAway(rest, "files/") || rest.empty()) {
-        throw Malformed("a key begins with agents/, boxes/, purges/, gateways/, instances/ or files/");
+        throw DecodeError("a key begins with agents/, boxes/, purges/, gateways/, instances/ or files/");
     }
 }
 
 }  // namespace
 
 void check(const Transaction& transaction) {
-    if (transaction.changes.empty()) throw Malformed("field 'do' is missing or empty");
+    if (transaction.changes.empty()) throw DecodeError("field 'do' is missing or empty");
     if (transaction.changes.size() > kMostChanges || transaction.conditions.size() > kMostChanges)
-        throw Malformed("a transaction has at most 1000 changes and conditions");
+        throw DecodeError("a transaction has at most 1000 changes and conditions");
     std::set<std::string> keys;
     for (const Change& change : transaction.changes) {
         try {
             checkChange(change);
-        } catch (const Malformed& problem) {
-            throw Malformed("'" + change.key.substr(0, kMostKey) + "': " + problem.what());
+        } catch (const DecodeError& problem) {
+            throw DecodeError("'" + change.key.substr(0, kMostKey) + "': " + problem.what());
         }
-        if (!keys.insert(change.key).second) throw Malformed("'" + change.key + "': it is changed twice");
+        if (!keys.insert(change.key).second) throw DecodeError("'" + change.key + "': it is changed twice");
     }
     if (encode({0, 0, false, transaction}).size() > kMostTransaction)
-        throw Malformed("a transaction has at most 1 MB");
+        throw DecodeError("a transaction has at most 1 MB");
 }
 
 Transaction readTransaction(const json& text) {
-    if (!text.is_object()) throw Malformed("the transaction is no JSON object");
+    if (!text.is_object()) throw DecodeError("the transaction is no JSON object");
     Transaction result;
     const auto list = [&](const char* name) {
         json found = text.value(name, json::array());
-        if (!found.is_array()) throw Malformed("field '" + std::string(name) + "' is not a list");
+        if (!found.is_array()) throw DecodeError("field '" + std::string(name) + "' is not a list");
         return found;
     };
     const auto key = [](const json& one, const char* in) {
         if (!one.is_object() || !one.contains("key") || !one["key"].is_string())
-            throw Malformed("field '" + std::string(in) + ".key' is missing or not text");
+            throw DecodeError("field '" + std::string(in) + ".key' is missing or not text");
         return one["key"].get<std::string>();
     };
     for (const json& one : list("if")) {
         const std::string name = key(one, "if");
         if (!one.contains("revision") || !one["revision"].is_number_integer() || one["revision"] < 0)
-            throw Malformed("field 'if.revision' is missing or not a whole number");
+            throw DecodeError("field 'if.revision' is missing or not a whole number");
         result.conditions.push_back({name, one["revision"]});
     }
     for (const json& one : list("do")) {
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -51,11 +51,11 @@
         text << std::cin.rdbuf();
     } else {
         std::ifstream file(path);
-        if (!file) throw settings::Malformed("cannot read '" + path + "'");
+        if (!file) throw settings::DecodeError("cannot read '" + path + "'");
         text << file.rdbuf();
     }
     json value = json::parse(text.str(), nullptr, false);
-    if (value.is_discarded()) throw settings::Malformed("'" + path + "' is no JSON file");
+    if (value.is_discarded()) throw settings::DecodeError("'" + path + "' is no JSON file");
     return value;
 }
 
@@ -373,7 +373,7 @@
                 "\"join\": true, and bring them in with: members add, members promote.\n");
             return kDone;
         }
-    } catch (const settings::Malformed& problem) {
+    } catch (const settings::DecodeError& problem) {
         std::fprintf(stderr, "lotusleadctl: %s\n", problem.what());
         return kMalformed;
     } catch (const std::exception& problem) {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -27,7 +27,7 @@
     if (file && text << file.rdbuf()) return text.str();
     const std::string problem = std::string(variable) + ": cannot read '" + path + "'";
     if (net::isResourceShortage(errno)) throw std::system_error(errno, std::generic_category(), problem);
-    throw settings::Malformed(problem);
+    throw settings::DecodeError(problem);
 }
 
 // Before there is a loop: made again, for up to 2 s, while descriptors or memory are short.
@@ -69,7 +69,7 @@
         const char* platformFile = variable("LB_CONFIG");
         const char* listening = variable("LB_SOCKET_FD");
         const char* repositoryFile = variable("LB_REPOSITORY");
-        if (!platformFile && !repositoryFile) throw settings::Malformed("variable LB_CONFIG is not set");
+        if (!platformFile && !repositoryFile) throw settings::DecodeError("variable LB_CONFIG is not set");
         std::optional<settings::Endpoint> door;
         if (const char* given = variable("LB_OPERATOR")) door = settings::readEndpoint(given, "LB_OPERATOR");
         const char* diskFile = variable("LB_DISK");
@@ -96,7 +96,7 @@
             }));
         }
         return gateway.run();
-    } catch (const settings::Malformed& problem) {
+    } catch (const settings::DecodeError& problem) {
         std::fprintf(stderr, "lotuslead: bad configuration: %s\n", problem.what());
         return 2;
     } catch (const std::exception& problem) {
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -64,21 +64,21 @@
     int fd = -1;
     const auto read = std::from_chars(number.data(), number.data() + number.size(), fd);
     if (read.ec != std::errc{} || read.ptr != number.data() + number.size() || fd < 0)
-        throw settings::Malformed("'" + number + "' is no descriptor");
+        throw settings::DecodeError("'" + number + "' is no descriptor");
     int listens = 0, kind = 0;
     socklen_t size = sizeof listens;
     if (::getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0 || listens == 0 ||
         ::getsockopt(fd, SOL_SOCKET, SO_TYPE, &kind, &size) != 0 || kind != SOCK_STREAM)
-        throw settings::Malformed("descriptor " + number + " is no listening socket");
+        throw settings::DecodeError("descriptor " + number + " is no listening socket");
     sockaddr_in is{};
     const sockaddr_in wanted = socketAddress(at);
     size = sizeof is;
     if (::getsockname(fd, reinterpret_cast<sockaddr*>(&is), &size) != 0 || is.sin_family != AF_INET ||
         is.sin_addr.s_addr != wanted.sin_addr.s_addr || (at.port != 0 && is.sin_port != wanted.sin_port))
-        throw settings::Malformed("descriptor " + number + " does not listen on the field 'listen'");
+        throw settings::DecodeError("descriptor " + number + " does not listen on the field 'listen'");
     // Without blocking for all that share it: who loses a connection to another process must not wait.
     if (::fcntl(fd, F_SETFD, FD_CLOEXEC) != 0 || ::fcntl(fd, F_SETFL, O_NONBLOCK) != 0)
-        throw settings::Malformed("descriptor " + number + " cannot be set up");
+        throw settings::DecodeError("descriptor " + number + " cannot be set up");
     return Descriptor(fd);
 }
 
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -9,8 +9,8 @@
     if (listening.empty()) return;
     try {
         front_.inherit(net::adoptListeningSocket(listening, configuration_.listen));
-    } catch (const settings::Malformed& problem) {
-        throw settings::Malformed(std::string("variable LB_SOCKET_FD: ") + problem.what());
+    } catch (const settings::DecodeError& problem) {
+        throw settings::DecodeError(std::string("variable LB_SOCKET_FD: ") + problem.what());
     }
 }
 
--- a/src/platform/stores.cpp
+++ b/src/platform/stores.cpp
@@ -491,9 +491,9 @@
 
 std::shared_ptr<Stores::Link> Stores::linkFor(const std::string& host, const std::string& label) {
     const auto known = stores_.find(host);
-    if (known == stores_.end()) throw settings::Malformed("is not listed");
+    if (known == stores_.end()) throw settings::DecodeError("is not listed");
     Store& store = known->second;
-    if (store.address.empty()) throw settings::Malformed("has no address");
+    if (store.address.empty()) throw settings::DecodeError("has no address");
     retireStuck(store);
     std::shared_ptr<Link> best, silent;
     for (const auto& link : store.links) {
@@ -549,7 +549,7 @@
         }
         ++counters_.noDescriptor;
         end.blameless = true;  // it is this process that has too many connections
-    } catch (const settings::Malformed& problem) {
+    } catch (const settings::DecodeError& problem) {
         std::fprintf(stderr, "store %s: %s\n", send.host.c_str(), problem.what());
     }
     tell(std::move(end));
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -251,7 +251,7 @@
         try {
             if (!listed.address.empty()) settings::readEndpoint(listed.address, "address");
             if (!listed.address.empty()) server.address = listed.address;
-        } catch (const settings::Malformed& problem) {
+        } catch (const settings::DecodeError& problem) {
             std::fprintf(stderr, "repository server %s: %s\n", listed.name.c_str(), problem.what());
         }
         server.sinceMs = listed.sinceMs;
--- a/src/settings/disk.cpp
+++ b/src/settings/disk.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 void refuseUnknown(const json& object, const std::string& at, const std::set<std::string>& known) {
-    if (!object.is_object()) throw Malformed("field '" + at + "' is not an object");
+    if (!object.is_object()) throw DecodeError("field '" + at + "' is not an object");
     for (const auto& [key, value] : object.items())
-        if (known.count(key) == 0) throw Malformed("field '" + at + "." + key + "' is not known");
+        if (known.count(key) == 0) throw DecodeError("field '" + at + "." + key + "' is not known");
 }
 
 class Section {
@@ -22,21 +22,22 @@
         const json* value = valueAt(object_, key);
         if (!value) return;
         if (!value->is_number_integer() || *value < least || *value > most)
-            throw Malformed(name(key) + " is not a whole number within " + std::to_string(least) + " and " +
-                            std::to_string(most));
+            throw DecodeError(name(key) + " is not a whole number within " + std::to_string(least) + " and " +
+                              std::to_string(most));
         into = value->get<std::int64_t>();
     }
     void share(const char* key, double least, double most, double& into) const {
         const json* value = valueAt(object_, key);
         if (!value) return;
         if (!value->is_number() || !(*value >= least && *value <= most))
-            throw Malformed(name(key) + " is not within " + json(least).dump() + " and " + json(most).dump());
+            throw DecodeError(name(key) + " is not within " + json(least).dump() + " and " +
+                              json(most).dump());
         into = value->get<double>();
     }
     void flag(const char* key, bool& into) const {
         const json* value = valueAt(object_, key);
         if (!value) return;
-        if (!value->is_boolean()) throw Malformed(name(key) + " is not true or false");
+        if (!value->is_boolean()) throw DecodeError(name(key) + " is not true or false");
         into = value->get<bool>();
     }
     template <class Choice>
@@ -52,7 +53,7 @@
             }
             all += (all.empty() ? "" : ", ") + std::string(word);
         }
-        throw Malformed(name(key) + " is none of " + all);
+        throw DecodeError(name(key) + " is none of " + all);
     }
     std::string name(const char* key) const { return "field '" + at_ + "." + key + "'"; }
 
@@ -70,13 +71,13 @@
     const Section section(object, at);
     const json* folder = valueAt(object, "folder");
     if (!folder || !folder->is_string() || folder->get<std::string>().empty())
-        throw Malformed(section.name("folder") + " is missing, empty or not text");
+        throw DecodeError(section.name("folder") + " is missing, empty or not text");
     result.folder = folder->get<std::string>();
     section.whole("capacity_mb", 8, std::int64_t{16} << 20, result.capacityMb);
     section.whole("segment_mb", 1, 1024, result.segmentMb);
     if (!valueAt(object, "segment_mb")) result.segmentMb = std::min(result.segmentMb, result.capacityMb / 8);
     if (result.segmentMb > result.capacityMb / 8)
-        throw Malformed(section.name("segment_mb") + " is more than an eighth of capacity_mb");
+        throw DecodeError(section.name("segment_mb") + " is more than an eighth of capacity_mb");
     section.whole("most_parts", 1024, 64'000'000, result.mostParts);
     section.whole("queue_mb", 1, 4096, result.queueMb);
     section.whole("reads", 1, 4096, result.mostReads);
@@ -102,15 +103,15 @@
 
 DiskFile readDiskFile(const std::string& text) {
     const json root = json::parse(text, nullptr, false);
-    if (root.is_discarded() || !root.is_object()) throw Malformed("the disk tier's file is no JSON object");
+    if (root.is_discarded() || !root.is_object()) throw DecodeError("the disk tier's file is no JSON object");
     for (const auto& [key, value] : root.items())
-        if (key != "platform" && key != "repository") throw Malformed("field '" + key + "' is not known");
+        if (key != "platform" && key != "repository") throw DecodeError("field '" + key + "' is not known");
     DiskFile result;
     if (const json* section = valueAt(root, "platform")) result.platform = readSection(*section, "platform");
     if (const json* section = valueAt(root, "repository"))
         result.repository = readSection(*section, "repository");
     if (result.platform && result.repository && result.platform->folder == result.repository->folder)
-        throw Malformed("field 'repository.folder' is the platform's, too");
+        throw DecodeError("field 'repository.folder' is the platform's, too");
     return result;
 }
 
--- a/src/settings/fields.hpp
+++ b/src/settings/fields.hpp
@@ -12,12 +12,12 @@
 using nlohmann::json;
 
 [[noreturn]] inline void wrongType(const std::string& key, const char* wanted) {
-    throw Malformed("field '" + key + "' is not " + wanted);
+    throw DecodeError("field '" + key + "' is not " + wanted);
 }
 
 // Absent and null are the same.
 inline const json* valueAt(const json& object, const std::string& key) {
-    if (!object.is_object()) throw Malformed("'" + key + "' sought in no object");
+    if (!object.is_object()) throw DecodeError("'" + key + "' sought in no object");
     const auto found = object.find(key);
     return found == object.end() || found->is_null() ? nullptr : &*found;
 }
@@ -61,7 +61,7 @@
 
 inline std::string needText(const json& object, const std::string& key) {
     std::string text = textOr(object, key, "");
-    if (text.empty()) throw Malformed("field '" + key + "' is missing or empty");
+    if (text.empty()) throw DecodeError("field '" + key + "' is missing or empty");
     return text;
 }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -18,14 +18,14 @@
     if (word == "free") return Effect::safe;
     if (word == "guarded") return Effect::keyed;
     if (word == "single_shot") return Effect::unsafe;
-    throw Malformed("unknown effect '" + word + "'");
+    throw DecodeError("unknown effect '" + word + "'");
 }
 
 RepeatGroup groupOf(const std::string& word) {
     if (word == "all") return RepeatGroup::all;
     if (word == "zone") return RepeatGroup::zone;
     if (word == "cell") return RepeatGroup::cell;
-    throw Malformed("unknown group '" + word + "'");
+    throw DecodeError("unknown group '" + word + "'");
 }
 
 Weights weightsOf(const std::string& word) {
@@ -43,7 +43,7 @@
 
 // What a request can't be served without is never guessed: a file that lacks it is not whole.
 std::int64_t needPositive(const json& object, const std::string& key) {
-    if (!valueAt(object, key)) throw Malformed("field '" + key + "' is missing");
+    if (!valueAt(object, key)) throw DecodeError("field '" + key + "' is missing");
     const std::int64_t number = wholeOr(object, key, 0);
     if (number <= 0) wrongType(key, "a positive number");
     return number;
@@ -125,7 +125,7 @@
     if (word == "up") return Readiness::ready;
     if (word == "draining") return Readiness::draining;
     if (word == "removed") return Readiness::gone;
-    throw Malformed("unknown status '" + word + "'");
+    throw DecodeError("unknown status '" + word + "'");
 }
 
 BusEvent readEvent(const json& entry) {
@@ -174,7 +174,7 @@
         decoded.classNames.push_back(needText(item, "name"));
         const int at = static_cast<int>(settings.classes.size());
         if (!decoded.classes.emplace(decoded.classNames.back(), at).second)
-            throw Malformed("field 'categories' names '" + decoded.classNames.back() + "' twice");
+            throw DecodeError("field 'categories' names '" + decoded.classNames.back() + "' twice");
         settings.classes.push_back(readClass(item));
     }
     int place = 0;
@@ -271,7 +271,7 @@
         if (read.ec != std::errc{} || read.ptr != end) port = 65536;
     }
     if (colon == std::string::npos || port > 65535 || inet_pton(AF_INET, result.host.c_str(), &parsed) != 1)
-        throw Malformed("field '" + field + "' is not address:port: '" + text + "'");
+        throw DecodeError("field '" + field + "' is not address:port: '" + text + "'");
     result.port = static_cast<std::uint16_t>(port);
     return result;
 }
@@ -292,13 +292,13 @@
 
 void requireContinued(const std::set<std::string>& before, const std::set<std::string>& fresh) {
     for (const std::string& path : before)
-        if (fresh.count(path) == 0) throw Malformed("field '" + path + "' is missing");
+        if (fresh.count(path) == 0) throw DecodeError("field '" + path + "' is missing");
 }
 
 Configuration readConfiguration(const std::string& text) {
     const json root = json::parse(text, nullptr, false);
-    if (root.is_discarded()) throw Malformed("the configuration is no JSON");
-    if (!root.is_object()) throw Malformed("the configuration is no JSON object");
+    if (root.is_discarded()) throw DecodeError("the configuration is no JSON");
+    if (!root.is_object()) throw DecodeError("the configuration is no JSON object");
     Configuration result;
     collectPaths(root, "", result.paths);
     result.name = textOr(root, "name", "");
@@ -306,7 +306,7 @@
     const std::string seed = textOr(root, "seed", "0");
     const auto read = std::from_chars(seed.data(), seed.data() + seed.size(), result.seed, 16);
     if (read.ec != std::errc{} || read.ptr != seed.data() + seed.size())
-        throw Malformed("field 'seed' is not hexadecimal");
+        throw DecodeError("field 'seed' is not hexadecimal");
     const json& limits = objectOrEmpty(root, "limits");
     constexpr std::int64_t kMost = 1'000'000;
     result.limits.memoryMb =
@@ -314,14 +314,14 @@
     result.limits.sockets =
         static_cast<int>(std::min(wholeOr(limits, "sockets", result.limits.sockets), kMost));
     // Below these a process has no room for its own. The upper bounds only keep sums from running over.
-    if (result.limits.memoryMb < 12) throw Malformed("field 'limits.memory_mb' is under 12");
-    if (result.limits.sockets < 48) throw Malformed("field 'limits.sockets' is under 48");
+    if (result.limits.memoryMb < 12) throw DecodeError("field 'limits.memory_mb' is under 12");
+    if (result.limits.sockets < 48) throw DecodeError("field 'limits.sockets' is under 48");
     if (const json* bus = valueAt(root, "bus"); bus && bus->is_array()) {
         for (const json& one : *bus) {
             if (!one.is_string()) wrongType("bus", "text, or a list of texts");
             result.bus.push_back(readEndpoint(one.get<std::string>(), "bus"));
         }
-        if (result.bus.size() > 16) throw Malformed("field 'bus' has more than 16 addresses");
+        if (result.bus.size() > 16) throw DecodeError("field 'bus' has more than 16 addresses");
     } else if (const std::string single = textOr(root, "bus", ""); !single.empty()) {
         result.bus.push_back(readEndpoint(single, "bus"));
     }
@@ -329,13 +329,13 @@
         result.operatorDoor = readEndpoint(door, "operator");
     result.known = objectOrEmpty(root, "known");
     const json* info = valueAt(root, "settings");
-    if (!info) throw Malformed("field 'settings' is missing");
+    if (!info) throw DecodeError("field 'settings' is missing");
     result.decoded = readSettings(*info);
     result.flowBytes = numberOr(root, "flow_bytes_per_s", 0);
     result.linkBytes = numberOr(root, "link_bytes_per_s", 0);
     if (result.decoded.settings.paceKb > 0)
         result.decoded.bytesPerKb = result.flowBytes / result.decoded.settings.paceKb;
-    if (result.decoded.settings.classes.empty()) throw Malformed("field 'settings.categories' is empty");
+    if (result.decoded.settings.classes.empty()) throw DecodeError("field 'settings.categories' is empty");
     return result;
 }
 
@@ -350,16 +350,16 @@
         route.group = wholeOr(item, "group", 0);
         const auto known = result.base.decoded.classes.find(route.className);
         if (known == result.base.decoded.classes.end())
-            throw Malformed("field 'routes.class' names no class: '" + route.className + "'");
-        if (route.prefix.front() != '/') throw Malformed("field 'routes.prefix' does not begin with '/'");
+            throw DecodeError("field 'routes.class' names no class: '" + route.className + "'");
+        if (route.prefix.front() != '/') throw DecodeError("field 'routes.prefix' does not begin with '/'");
         route.classIndex = known->second;
         result.routes.push_back(std::move(route));
     }
-    if (result.routes.empty()) throw Malformed("field 'routes' is empty");
+    if (result.routes.empty()) throw DecodeError("field 'routes' is empty");
     const auto size = [&](const char* key, std::size_t fallback) {
         const std::int64_t bytes = wholeOr(root, key, static_cast<std::int64_t>(fallback));
         if (bytes < 1024 || bytes > 16 * 1024 * 1024)
-            throw Malformed("field '" + std::string(key) + "' is not within 1024 and 16777216");
+            throw DecodeError("field '" + std::string(key) + "' is not within 1024 and 16777216");
         return static_cast<std::size_t>(bytes);
     };
     result.partBytes = size("part_bytes", result.partBytes);
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -15,7 +15,7 @@
 namespace lotuslead::settings {
 
 // The message names the field at fault and fits one line.
-struct Malformed : std::runtime_error {
+struct DecodeError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
--- a/tests/config_store_test.cpp
+++ b/tests/config_store_test.cpp
@@ -387,7 +387,7 @@
         try {
             readTransaction(text);
             ADD_FAILURE() << text;
-        } catch (const settings::Malformed& problem) {
+        } catch (const settings::DecodeError& problem) {
             EXPECT_NE(std::string(problem.what()).find(field), std::string::npos) << problem.what();
         }
     }
