--- a/src/main.cpp
+++ b/src/main.cpp
@@ -73,7 +73,7 @@
         std::optional<settings::Endpoint> door;
         if (const char* given = variable("LB_OPERATOR")) door = settings::readEndpoint(given, "LB_OPERATOR");
         const char* diskFile = variable("LB_DISK");
-        const auto disk = [=] { return settings::readDiskFile(contentsOf("LB_DISK", diskFile)); };
+        const auto disk = [=] { return settings::readDiskConfiguration(contentsOf("LB_DISK", diskFile)); };
         if (diskFile) (void)retryWhileShort(disk);  // a bad file ends the start, whichever front it is for
         gateway::Gateway gateway(door, variable("TMPDIR"));
         if (platformFile) {
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -19,7 +19,7 @@
 inline const settings::Configuration& baseOf(const settings::RepositoryConfiguration& c) { return c.base; }
 // What follows a configuration at the same instance: classes keep their places.
 inline void continueFrom(const settings::Configuration& before, settings::Configuration& fresh) {
-    fresh.decoded = settings::continued(before.decoded, fresh.decoded);
+    fresh.decoded = settings::mergeReloaded(before.decoded, fresh.decoded);
 }
 inline void continueFrom(const settings::RepositoryConfiguration& before,
                          settings::RepositoryConfiguration& fresh) {
@@ -68,7 +68,7 @@
         try {
             Configuration fresh = source_();
             const auto freshDisk = diskSource_ ? diskSource_() : std::nullopt;
-            settings::requireContinued(baseOf(configuration_).paths, baseOf(fresh).paths);
+            settings::requireSameFields(baseOf(configuration_).paths, baseOf(fresh).paths);
             const settings::BusBatch known = settings::readBatch(baseOf(fresh).known);
             continueFrom(configuration_, fresh);
             front_.reconfigure(fresh);
--- a/src/settings/disk.cpp
+++ b/src/settings/disk.cpp
@@ -101,12 +101,12 @@
 
 }  // namespace
 
-DiskFile readDiskFile(const std::string& text) {
+DiskConfiguration readDiskConfiguration(const std::string& text) {
     const json root = json::parse(text, nullptr, false);
     if (root.is_discarded() || !root.is_object()) throw DecodeError("the disk tier's file is no JSON object");
     for (const auto& [key, value] : root.items())
         if (key != "platform" && key != "repository") throw DecodeError("field '" + key + "' is not known");
-    DiskFile result;
+    DiskConfiguration result;
     if (const json* section = valueAt(root, "platform")) result.platform = readSection(*section, "platform");
     if (const json* section = valueAt(root, "repository"))
         result.repository = readSection(*section, "repository");
--- a/src/settings/disk.hpp
+++ b/src/settings/disk.hpp
@@ -33,11 +33,11 @@
 };
 
 // By front; a front that is not named has no tier.
-struct DiskFile {
+struct DiskConfiguration {
     std::optional<DiskSettings> platform, repository;
 };
 
 // Throws Malformed, with the field named. Fields that it does not know are refused.
-DiskFile readDiskFile(const std::string& text);
+DiskConfiguration readDiskConfiguration(const std::string& text);
 
 }  // namespace lotuslead::settings
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -236,7 +236,7 @@
 
 }  // namespace
 
-DecodedSettings continued(const DecodedSettings& before, const DecodedSettings& fresh) {
+DecodedSettings mergeReloaded(const DecodedSettings& before, const DecodedSettings& fresh) {
     DecodedSettings decoded = fresh;
     decoded.classNames = before.classNames;
     decoded.zoneNames = before.zoneNames;
@@ -290,7 +290,7 @@
 
 }  // namespace
 
-void requireContinued(const std::set<std::string>& before, const std::set<std::string>& fresh) {
+void requireSameFields(const std::set<std::string>& before, const std::set<std::string>& fresh) {
     for (const std::string& path : before)
         if (fresh.count(path) == 0) throw DecodeError("field '" + path + "' is missing");
 }
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -41,7 +41,7 @@
 
 // The settings of a file that is read again: what both know keeps its place, so that requests in hand and
 // hosts that were listed before go on meaning the same.
-DecodedSettings continued(const DecodedSettings& before, const DecodedSettings& fresh);
+DecodedSettings mergeReloaded(const DecodedSettings& before, const DecodedSettings& fresh);
 
 struct Endpoint {
     std::string host;  // numeric
@@ -70,7 +70,7 @@
 
 Configuration readConfiguration(const std::string& text);
 // A file that is read again and lacks a field that the one in force has is not whole; throws Malformed.
-void requireContinued(const std::set<std::string>& before, const std::set<std::string>& fresh);
+void requireSameFields(const std::set<std::string>& before, const std::set<std::string>& fresh);
 
 // What the repository front serves: its configuration has the same form, and these besides.
 struct Route {
