--- a/src/agent/supervisor.cpp
+++ b/src/agent/supervisor.cpp
@@ -98,7 +98,7 @@
     process.runs = process.wanted.revision;
     process.stopping = false;
     process.startedAt = loop_.now();
-    process.door = settings::readConfiguration(process.wanted.configuration).operatorDoor;
+    process.door = settings::readConfiguration(process.wanted.configuration).operatorAddress;
     process.pid = std::max<pid_t>(spawn(name, process, process.door), 0);
     if (process.pid == 0) tryAgainLater(name, process);
 }
@@ -169,7 +169,7 @@
 
 // Of an instance that runs, and is neither stopping nor being replaced.
 Supervisor::Replacement Supervisor::beginReplacement(const std::string& name, Process& process) {
-    const auto configured = settings::readConfiguration(process.wanted.configuration).operatorDoor;
+    const auto configured = settings::readConfiguration(process.wanted.configuration).operatorAddress;
     if (!process.door || !configured) return Replacement::impossible;
     process.nextDoor = configured;
     if (*process.door == *configured && ++process.nextDoor->port == 0) return Replacement::impossible;
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -118,7 +118,7 @@
         return core::longestGiveUp(baseOf(configuration_).decoded.settings);
     }
     std::optional<settings::Endpoint> operatorDoor() const override {
-        return baseOf(configuration_).operatorDoor;
+        return baseOf(configuration_).operatorAddress;
     }
     void printCounters() const override {
         const std::string& name = baseOf(configuration_).name;
@@ -199,7 +199,9 @@
             tier_->purgeObject(event.purgedObject, atMs);
     }
 
-    disk::Pacer pacer() const { return {baseOf(configuration_).flowBytes, baseOf(configuration_).linkBytes}; }
+    disk::Pacer pacer() const {
+        return {baseOf(configuration_).flowBytesPerSecond, baseOf(configuration_).linkBytesPerSecond};
+    }
     void openTier() {
         const bool bus = !baseOf(configuration_).bus.empty();
         tier_ = std::make_unique<disk::Tier>(
--- a/src/platform/stores.cpp
+++ b/src/platform/stores.cpp
@@ -404,8 +404,8 @@
     streams_ = kStreams;
     if (words.connectTimeout.count() > 0)
         connectTimeout_ = std::chrono::duration_cast<Micros>(words.connectTimeout);
-    if (words.idleClose.count() > 0)
-        idleClose_ = std::chrono::duration_cast<Micros>(words.idleClose) * 9 / 10;
+    if (words.idleTimeout.count() > 0)
+        idleClose_ = std::chrono::duration_cast<Micros>(words.idleTimeout) * 9 / 10;
     sockets_ = static_cast<std::size_t>(configuration.limits.sockets);
     share(processes_);
     const Micros longest = core::longestGiveUp(words.settings);
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -222,7 +222,7 @@
 
     void ask(std::uint64_t part) {
         const auto& configuration = owner_.configuration_;
-        const std::size_t size = job_->file ? configuration.partBytes : configuration.largestIndex;
+        const std::size_t size = job_->file ? configuration.partBytes : configuration.maxIndexBytes;
         if (!owner_.roomFor(size))
             return job_->begun ? breakOff("no memory is left for it") : unavailable(1s);
         job_->part = part;
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -57,7 +57,7 @@
         : owner_(owner),
           host_(std::move(host)),
           parser_(net::HttpParser::Kind::response,
-                  {16 * 1024, std::max(owner.configuration_.largestIndex, owner.configuration_.partBytes)}),
+                  {16 * 1024, std::max(owner.configuration_.maxIndexBytes, owner.configuration_.partBytes)}),
           stream_(owner_.loop_, to, *this) {
         ++owner_.counters_.connects;
         arm(owner_.connectTimeout_, Outcome::noConnection);
@@ -232,7 +232,7 @@
         return t.count() > 0 ? std::chrono::duration_cast<Micros>(t) : otherwise;
     };
     connectTimeout_ = given(decoded.connectTimeout, kConnectTimeout);
-    idleClose_ = given(decoded.idleClose * 9 / 10, kIdleClose);
+    idleClose_ = given(decoded.idleTimeout * 9 / 10, kIdleClose);
 }
 
 Upstreams::~Upstreams() = default;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -196,7 +196,7 @@
     settings.mostTries = static_cast<int>(std::min<std::int64_t>(needPositive(allowed, "mostTries"), 1000));
     settings.maxRetryHint = timeOr(allowed, "maxRetryAfter");
     decoded.connectTimeout = timeOr(allowed, "connectTimeout");
-    decoded.idleClose = timeOr(allowed, "keepalive");
+    decoded.idleTimeout = timeOr(allowed, "keepalive");
     decoded.streamsPerConnection = static_cast<int>(wholeOr(allowed, "streamsPerConn", 0));
 
     const json& rules = objectOrEmpty(info, "obligations");
@@ -325,16 +325,16 @@
     } else if (const std::string single = textOr(root, "bus", ""); !single.empty()) {
         result.bus.push_back(readEndpoint(single, "bus"));
     }
-    if (const std::string door = textOr(root, "operator", ""); !door.empty())
-        result.operatorDoor = readEndpoint(door, "operator");
+    if (const std::string address = textOr(root, "operator", ""); !address.empty())
+        result.operatorAddress = readEndpoint(address, "operator");
     result.known = objectOrEmpty(root, "known");
     const json* info = valueAt(root, "settings");
     if (!info) throw DecodeError("field 'settings' is missing");
     result.decoded = readSettings(*info);
-    result.flowBytes = numberOr(root, "flow_bytes_per_s", 0);
-    result.linkBytes = numberOr(root, "link_bytes_per_s", 0);
+    result.flowBytesPerSecond = numberOr(root, "flow_bytes_per_s", 0);
+    result.linkBytesPerSecond = numberOr(root, "link_bytes_per_s", 0);
     if (result.decoded.settings.paceKb > 0)
-        result.decoded.bytesPerKb = result.flowBytes / result.decoded.settings.paceKb;
+        result.decoded.bytesPerKb = result.flowBytesPerSecond / result.decoded.settings.paceKb;
     if (result.decoded.settings.classes.empty()) throw DecodeError("field 'settings.categories' is empty");
     return result;
 }
@@ -363,7 +363,7 @@
         return static_cast<std::size_t>(bytes);
     };
     result.partBytes = size("part_bytes", result.partBytes);
-    result.largestIndex = size("largest_index_bytes", result.largestIndex);
+    result.maxIndexBytes = size("largest_index_bytes", result.maxIndexBytes);
     return result;
 }
 
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -29,7 +29,7 @@
     std::string parentShape;  // empty: the site has no parents
     std::string originShape;
     Time connectTimeout{};  // zero: not told
-    Time idleClose{};       // zero: not told
+    Time idleTimeout{};     // zero: not told
     int streamsPerConnection = 0;
     double bytesPerKb = 0;  // on the sockets, for a KB of the settings; zero: not told
 
@@ -60,10 +60,11 @@
     Endpoint listen;
     std::uint64_t seed = 0;
     Limits limits;
-    std::vector<Endpoint> bus;             // one, or several that tell the same; none: there is no bus
-    std::optional<Endpoint> operatorDoor;  // none: it is off
-    nlohmann::json known;                  // the events up to now, in the form of the event bus
-    double flowBytes = 0, linkBytes = 0;   // a second: of one transfer, of all; zero: not told
+    std::vector<Endpoint> bus;                // one, or several that tell the same; none: there is no bus
+    std::optional<Endpoint> operatorAddress;  // none: it is off
+    nlohmann::json known;                     // the events up to now, in the form of the event bus
+    double flowBytesPerSecond = 0,
+           linkBytesPerSecond = 0;  // a second: of one transfer, of all; zero: not told
     DecodedSettings decoded;
     std::set<std::string> paths;  // of all its fields
 };
@@ -82,8 +83,8 @@
 struct RepositoryConfiguration {
     Configuration base;
     std::vector<Route> routes;
-    std::size_t partBytes = 256 * 1024;          // files are fetched in parts of this size
-    std::size_t largestIndex = 4 * 1024 * 1024;  // indexes are fetched whole
+    std::size_t partBytes = 256 * 1024;           // files are fetched in parts of this size
+    std::size_t maxIndexBytes = 4 * 1024 * 1024;  // indexes are fetched whole
 };
 RepositoryConfiguration readRepositoryConfiguration(const std::string& text);
 
