--- a/bench/scale/hollow_gateways.cpp
+++ b/bench/scale/hollow_gateways.cpp
@@ -70,7 +70,7 @@
 
 private:
     void apply(const settings::BusEvent& event) {
-        if (event.isList) {
+        if (event.isStoreList) {
             decisions_.list(loop_.now(), event, reader_.caughtUp());
             return noteChange(event);
         }
--- a/src/core/decisions.cpp
+++ b/src/core/decisions.cpp
@@ -93,7 +93,7 @@
     for (const settings::ListedStore& store : event.stores) {
         HostEntry entry;
         entry.name = store.name;
-        entry.role = words_.roleOf(store.shape);
+        entry.role = words_.roleOf(store.type);
         entry.zone = words_.zoneOf(store.zone);
         entry.cell = store.cell;
         entry.weight = store.weight;
--- a/src/platform/bus.cpp
+++ b/src/platform/bus.cpp
@@ -56,7 +56,7 @@
     for (const settings::BusEvent& event : batch.events) {
         if (event.offset <= offset_) continue;
         offset_ = event.offset;
-        if (event.isList && event.offset <= listsUpTo_) continue;
+        if (event.isStoreList && event.offset <= listsUpTo_) continue;
         ++counters_.events;
         apply_(event);
     }
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -178,7 +178,7 @@
         return std::chrono::duration_cast<core::Micros>(baseOf(configuration_).decoded.settings.drainGrace);
     }
     void apply(const settings::BusEvent& event) {
-        if (!event.isList) {
+        if (!event.isStoreList) {
             if (tier_) purgeTier(event);
             return decisions_.purge(loop_.now(), event);
         }
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -255,7 +255,7 @@
             std::fprintf(stderr, "repository server %s: %s\n", listed.name.c_str(), problem.what());
         }
         server.sinceMs = listed.sinceMs;
-        server.origin = configuration_.base.decoded.roleOf(listed.shape) == Role::origin;
+        server.origin = configuration_.base.decoded.roleOf(listed.type) == Role::origin;
     }
 }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -73,7 +73,7 @@
     }
 }
 
-std::string shapeAt(const json& info, std::int64_t place) {
+std::string storeTypeAt(const json& info, std::int64_t place) {
     const json& shapes = listOrEmpty(info, "shapes");
     if (place < 0 || static_cast<std::size_t>(place) >= shapes.size()) return {};
     const json& name = shapes[static_cast<std::size_t>(place)];
@@ -94,8 +94,8 @@
     settings.parentFallMultiple = numberOr(extra, "parentBreaksAt", 0);
     settings.originFallMultiple = numberOr(extra, "rootFallMultiple", 0);
     settings.originFallWindow = timeOr(extra, "rootFall");
-    decoded.parentShape = shapeAt(info, wholeOr(extra, "parentKind", -1));
-    decoded.originShape = shapeAt(info, wholeOr(extra, "originKind", -1));
+    decoded.parentType = storeTypeAt(info, wholeOr(extra, "parentKind", -1));
+    decoded.originType = storeTypeAt(info, wholeOr(extra, "originKind", -1));
     const auto whole = [](const json& item, const char* key) { return static_cast<int>(number(item, key)); };
     for (const json& item : listOrEmpty(extra, "hubOf")) settings.zoneHub.push_back(whole(item, "hubOf"));
     for (const json& item : listOrEmpty(extra, "instancesByZone"))
@@ -132,14 +132,14 @@
     BusEvent event;
     event.offset = wholeOr(entry, "offset", 0);
     if (const json* list = valueAt(entry, "topology")) {
-        event.isList = true;
+        event.isStoreList = true;
         event.whole = flagOr(*list, "snapshot", false);
         for (const json& item : listOrEmpty(*list, "endpoints")) {
             ListedStore store;
             store.name = needText(item, "name");
             store.address = textOr(item, "address", "");
             store.zone = textOr(item, "zone", "");
-            store.shape = textOr(item, "type", "");
+            store.type = textOr(item, "type", "");
             store.cell = wholeOr(item, "group", 0);
             store.weight = numberOr(item, "weight", 1);
             store.sinceMs = wholeOr(item, "since_ms", 0);
@@ -156,9 +156,9 @@
 
 }  // namespace
 
-Role DecodedSettings::roleOf(const std::string& shape) const {
-    if (!originShape.empty() && shape == originShape) return Role::origin;
-    if (!parentShape.empty() && shape == parentShape) return Role::parent;
+Role DecodedSettings::roleOf(const std::string& type) const {
+    if (!originType.empty() && type == originType) return Role::origin;
+    if (!parentType.empty() && type == parentType) return Role::parent;
     return Role::cache;
 }
 
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -26,14 +26,14 @@
     std::unordered_map<std::string, int> zones;
     std::vector<std::string> classNames;  // by place, also of classes that a later file no longer has
     std::vector<std::string> zoneNames;
-    std::string parentShape;  // empty: the site has no parents
-    std::string originShape;
+    std::string parentType;  // empty: the site has no parents
+    std::string originType;
     Time connectTimeout{};  // zero: not told
     Time idleTimeout{};     // zero: not told
     int streamsPerConnection = 0;
     double bytesPerKb = 0;  // on the sockets, for a KB of the settings; zero: not told
 
-    Role roleOf(const std::string& shape) const;
+    Role roleOf(const std::string& type) const;
     int zoneOf(const std::string& name) const;
 };
 
@@ -90,7 +90,7 @@
 
 // One event of the event bus: a change of the list, or a purge.
 struct ListedStore {
-    std::string name, address, zone, shape;
+    std::string name, address, zone, type;
     std::int64_t cell = 0;
     double weight = 1;
     std::int64_t sinceMs = 0;  // Unix milliseconds of a late start, or 0
@@ -98,7 +98,7 @@
 };
 struct BusEvent {
     std::int64_t offset = 0;
-    bool isList = false;
+    bool isStoreList = false;
     bool whole = false;
     std::vector<ListedStore> stores;
     std::string purgedObject;  // empty: the whole group
--- a/tests/config_store_test.cpp
+++ b/tests/config_store_test.cpp
@@ -240,7 +240,7 @@
     const ReadInPages read(store.eventLog(), cutAt, EventLog::kPageBytes);
     ASSERT_EQ(read.events.size(), static_cast<std::size_t>(kHour * kPerSecond));
     EXPECT_EQ(read.events.front().offset, cutAt + 1);
-    EXPECT_FALSE(read.events.front().isList);
+    EXPECT_FALSE(read.events.front().isStoreList);
     // Two hours are kept, and no more: documents go with their events.
     EXPECT_LE(store.eventLog().size(), static_cast<std::size_t>(2 * kHour * kPerSecond + 1));
     EXPECT_EQ(store.size(), store.eventLog().size());
