--- a/src/core/decisions.hpp
+++ b/src/core/decisions.hpp
@@ -77,7 +77,7 @@
     Decisions(settings::DecodedSettings words, std::uint64_t seed, Micros now, Micros unixAhead);
 
     const settings::DecodedSettings& words() const { return words_; }
-    // In place of those before, of which they are the continuation (settings::continued).
+    // In place of those before, of which they are the continuation (settings::mergeReloaded).
     void reconfigure(settings::DecodedSettings words);
     // So many processes are one gateway now: each takes its part of what is allowed to all.
     void share(int processes);
