--- a/src/settings/disk.cpp
+++ b/src/settings/disk.cpp
@@ -19,7 +19,7 @@
     Section(const json& object, std::string at) : object_(object), at_(std::move(at)) {}
 
     void whole(const char* key, std::int64_t least, std::int64_t most, std::int64_t& into) const {
-        const json* value = valueAt(object_, key);
+        const json* value = findValue(object_, key);
         if (!value) return;
         if (!value->is_number_integer() || *value < least || *value > most)
             throw DecodeError(name(key) + " is not a whole number within " + std::to_string(least) + " and " +
@@ -27,7 +27,7 @@
         into = value->get<std::int64_t>();
     }
     void share(const char* key, double least, double most, double& into) const {
-        const json* value = valueAt(object_, key);
+        const json* value = findValue(object_, key);
         if (!value) return;
         if (!value->is_number() || !(*value >= least && *value <= most))
             throw DecodeError(name(key) + " is not within " + json(least).dump() + " and " +
@@ -35,7 +35,7 @@
         into = value->get<double>();
     }
     void flag(const char* key, bool& into) const {
-        const json* value = valueAt(object_, key);
+        const json* value = findValue(object_, key);
         if (!value) return;
         if (!value->is_boolean()) throw DecodeError(name(key) + " is not true or false");
         into = value->get<bool>();
@@ -43,7 +43,7 @@
     template <class Choice>
     void choice(const char* key, std::initializer_list<std::pair<const char*, Choice>> words,
                 Choice& into) const {
-        const json* value = valueAt(object_, key);
+        const json* value = findValue(object_, key);
         if (!value) return;
         std::string all;
         for (const auto& [word, meaning] : words) {
@@ -69,13 +69,14 @@
                    "probation_share", "rewrite_share", "sync", "admission"});
     DiskSettings result;
     const Section section(object, at);
-    const json* folder = valueAt(object, "folder");
+    const json* folder = findValue(object, "folder");
     if (!folder || !folder->is_string() || folder->get<std::string>().empty())
         throw DecodeError(section.name("folder") + " is missing, empty or not text");
     result.folder = folder->get<std::string>();
     section.whole("capacity_mb", 8, std::int64_t{16} << 20, result.capacityMb);
     section.whole("segment_mb", 1, 1024, result.segmentMb);
-    if (!valueAt(object, "segment_mb")) result.segmentMb = std::min(result.segmentMb, result.capacityMb / 8);
+    if (!findValue(object, "segment_mb"))
+        result.segmentMb = std::min(result.segmentMb, result.capacityMb / 8);
     if (result.segmentMb > result.capacityMb / 8)
         throw DecodeError(section.name("segment_mb") + " is more than an eighth of capacity_mb");
     section.whole("most_parts", 1024, 64'000'000, result.mostParts);
@@ -107,8 +108,9 @@
     for (const auto& [key, value] : root.items())
         if (key != "platform" && key != "repository") throw DecodeError("field '" + key + "' is not known");
     DiskConfiguration result;
-    if (const json* section = valueAt(root, "platform")) result.platform = readSection(*section, "platform");
-    if (const json* section = valueAt(root, "repository"))
+    if (const json* section = findValue(root, "platform"))
+        result.platform = readSection(*section, "platform");
+    if (const json* section = findValue(root, "repository"))
         result.repository = readSection(*section, "repository");
     if (result.platform && result.repository && result.platform->folder == result.repository->folder)
         throw DecodeError("field 'repository.folder' is the platform's, too");
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -42,25 +42,25 @@
 }
 
 // What a request can't be served without is never guessed: a file that lacks it is not whole.
-std::int64_t needPositive(const json& object, const std::string& key) {
-    if (!valueAt(object, key)) throw DecodeError("field '" + key + "' is missing");
-    const std::int64_t number = wholeOr(object, key, 0);
-    if (number <= 0) wrongType(key, "a positive number");
+std::int64_t requirePositive(const json& object, const std::string& key) {
+    if (!findValue(object, key)) throw DecodeError("field '" + key + "' is missing");
+    const std::int64_t number = integerOr(object, key, 0);
+    if (number <= 0) throwWrongType(key, "a positive number");
     return number;
 }
 
 ClassSettings readClass(const json& entry) {
     ClassSettings result;
-    result.aim = Time{needPositive(entry, "aim")};
+    result.aim = Time{requirePositive(entry, "aim")};
     result.aimStretch = numberOr(entry, "aimStretch", 0);
-    result.giveUp = Time{needPositive(entry, "hardLimit")};
+    result.giveUp = Time{requirePositive(entry, "hardLimit")};
     result.worth = numberOr(entry, "value", 1);
     result.lateWorth = numberOr(entry, "lateValue", 0);
-    result.effect = effectOf(needText(entry, "effect"));
-    result.group = groupOf(textOr(entry, "group", "all"));
+    result.effect = effectOf(requireString(entry, "effect"));
+    result.group = groupOf(stringOr(entry, "group", "all"));
     result.repeatWindow = timeOr(entry, "window");
-    if (result.effect == Effect::keyed) needPositive(entry, "window");
-    result.streamed = flagOr(entry, "stream", false);
+    if (result.effect == Effect::keyed) requirePositive(entry, "window");
+    result.streamed = boolOr(entry, "stream", false);
     return result;
 }
 
@@ -82,11 +82,11 @@
 
 void readExtra(DecodedSettings& decoded, const json& info, const json& extra) {
     Settings& settings = decoded.settings;
-    settings.direct = flagOr(extra, "direct", false);
-    settings.joins = flagOr(extra, "joins", false);
+    settings.direct = boolOr(extra, "direct", false);
+    settings.joins = boolOr(extra, "joins", false);
     settings.paceKb = numberOr(extra, "flowKbPerS", 0);
-    settings.siblings = siblingsOf(textOr(extra, "siblings", "silent"));
-    settings.notesTold = textOr(extra, "noteLevel", "silent") == "all";
+    settings.siblings = siblingsOf(stringOr(extra, "siblings", "silent"));
+    settings.notesTold = stringOr(extra, "noteLevel", "silent") == "all";
     settings.purgeGrace = timeOr(extra, "obeyAfter");
     settings.purgeSettles = timeOr(extra, "purgeSettles");
     settings.parentColdFrom = numberOr(extra, "parentFloor", 1);
@@ -94,8 +94,8 @@
     settings.parentFallMultiple = numberOr(extra, "parentBreaksAt", 0);
     settings.originFallMultiple = numberOr(extra, "rootFallMultiple", 0);
     settings.originFallWindow = timeOr(extra, "rootFall");
-    decoded.parentType = storeTypeAt(info, wholeOr(extra, "parentKind", -1));
-    decoded.originType = storeTypeAt(info, wholeOr(extra, "originKind", -1));
+    decoded.parentType = storeTypeAt(info, integerOr(extra, "parentKind", -1));
+    decoded.originType = storeTypeAt(info, integerOr(extra, "originKind", -1));
     const auto whole = [](const json& item, const char* key) { return static_cast<int>(number(item, key)); };
     for (const json& item : listOrEmpty(extra, "hubOf")) settings.zoneHub.push_back(whole(item, "hubOf"));
     for (const json& item : listOrEmpty(extra, "instancesByZone"))
@@ -106,7 +106,7 @@
         return Time{static_cast<std::int64_t>(std::llround(number(item, key)))};
     };
     const auto flag = [](const json& item, const char* key) {
-        if (!item.is_boolean()) wrongType(key, "true or false");
+        if (!item.is_boolean()) throwWrongType(key, "true or false");
         return item.get<bool>();
     };
     eachClass(settings, extra, "maxAge",
@@ -130,26 +130,26 @@
 
 BusEvent readEvent(const json& entry) {
     BusEvent event;
-    event.offset = wholeOr(entry, "offset", 0);
-    if (const json* list = valueAt(entry, "topology")) {
+    event.offset = integerOr(entry, "offset", 0);
+    if (const json* list = findValue(entry, "topology")) {
         event.isStoreList = true;
-        event.whole = flagOr(*list, "snapshot", false);
+        event.whole = boolOr(*list, "snapshot", false);
         for (const json& item : listOrEmpty(*list, "endpoints")) {
             ListedStore store;
-            store.name = needText(item, "name");
-            store.address = textOr(item, "address", "");
-            store.zone = textOr(item, "zone", "");
-            store.type = textOr(item, "type", "");
-            store.cell = wholeOr(item, "group", 0);
+            store.name = requireString(item, "name");
+            store.address = stringOr(item, "address", "");
+            store.zone = stringOr(item, "zone", "");
+            store.type = stringOr(item, "type", "");
+            store.cell = integerOr(item, "group", 0);
             store.weight = numberOr(item, "weight", 1);
-            store.sinceMs = wholeOr(item, "since_ms", 0);
-            store.readiness = readinessOf(textOr(item, "status", "up"));
+            store.sinceMs = integerOr(item, "since_ms", 0);
+            store.readiness = readinessOf(stringOr(item, "status", "up"));
             event.stores.push_back(std::move(store));
         }
-    } else if (const json* ban = valueAt(entry, "ban")) {
-        event.purgedObject = textOr(*ban, "url", "");
-        event.purgedGroup = wholeOr(*ban, "tag", 0);
-        event.purgedMs = wholeOr(*ban, "ts", 0);
+    } else if (const json* ban = findValue(entry, "ban")) {
+        event.purgedObject = stringOr(*ban, "url", "");
+        event.purgedGroup = integerOr(*ban, "tag", 0);
+        event.purgedMs = integerOr(*ban, "ts", 0);
     }
     return event;
 }
@@ -171,7 +171,7 @@
     DecodedSettings decoded;
     Settings& settings = decoded.settings;
     for (const json& item : listOrEmpty(info, "categories")) {
-        decoded.classNames.push_back(needText(item, "name"));
+        decoded.classNames.push_back(requireString(item, "name"));
         const int at = static_cast<int>(settings.classes.size());
         if (!decoded.classes.emplace(decoded.classNames.back(), at).second)
             throw DecodeError("field 'categories' names '" + decoded.classNames.back() + "' twice");
@@ -179,25 +179,26 @@
     }
     int place = 0;
     for (const json& item : listOrEmpty(info, "zones")) {
-        if (!item.is_string()) wrongType("zones", "a list of names");
+        if (!item.is_string()) throwWrongType("zones", "a list of names");
         decoded.zoneNames.push_back(item.get<std::string>());
         decoded.zones.emplace(decoded.zoneNames.back(), place++);
     }
-    settings.zone = decoded.zoneOf(textOr(info, "zone", ""));
-    settings.routers = static_cast<int>(wholeOr(info, "balancers", 1));
-    settings.weights = weightsOf(textOr(info, "weights", "silent"));
-    settings.mustAskForList = textOr(info, "discovery", "pushed") == "on_request";
+    settings.zone = decoded.zoneOf(stringOr(info, "zone", ""));
+    settings.routers = static_cast<int>(integerOr(info, "balancers", 1));
+    settings.weights = weightsOf(stringOr(info, "weights", "silent"));
+    settings.mustAskForList = stringOr(info, "discovery", "pushed") == "on_request";
 
     const json& allowed = objectOrEmpty(info, "allowed");
-    settings.secondCopies = flagOr(allowed, "secondCopies", false);
-    settings.mayCancel = flagOr(allowed, "mayCancel", false);
-    settings.mayProbe = flagOr(allowed, "mayProbe", false);
-    settings.retryHints = flagOr(allowed, "retryAfter", false);
-    settings.mostTries = static_cast<int>(std::min<std::int64_t>(needPositive(allowed, "mostTries"), 1000));
+    settings.secondCopies = boolOr(allowed, "secondCopies", false);
+    settings.mayCancel = boolOr(allowed, "mayCancel", false);
+    settings.mayProbe = boolOr(allowed, "mayProbe", false);
+    settings.retryHints = boolOr(allowed, "retryAfter", false);
+    settings.mostTries =
+        static_cast<int>(std::min<std::int64_t>(requirePositive(allowed, "mostTries"), 1000));
     settings.maxRetryHint = timeOr(allowed, "maxRetryAfter");
     decoded.connectTimeout = timeOr(allowed, "connectTimeout");
     decoded.idleTimeout = timeOr(allowed, "keepalive");
-    decoded.streamsPerConnection = static_cast<int>(wholeOr(allowed, "streamsPerConn", 0));
+    decoded.streamsPerConnection = static_cast<int>(integerOr(allowed, "streamsPerConn", 0));
 
     const json& rules = objectOrEmpty(info, "obligations");
     settings.answerGrace = timeOr(rules, "graceToAnswer");
@@ -301,34 +302,34 @@
     if (!root.is_object()) throw DecodeError("the configuration is no JSON object");
     Configuration result;
     collectPaths(root, "", result.paths);
-    result.name = textOr(root, "name", "");
-    result.listen = readEndpoint(needText(root, "listen"), "listen");
-    const std::string seed = textOr(root, "seed", "0");
+    result.name = stringOr(root, "name", "");
+    result.listen = readEndpoint(requireString(root, "listen"), "listen");
+    const std::string seed = stringOr(root, "seed", "0");
     const auto read = std::from_chars(seed.data(), seed.data() + seed.size(), result.seed, 16);
     if (read.ec != std::errc{} || read.ptr != seed.data() + seed.size())
         throw DecodeError("field 'seed' is not hexadecimal");
     const json& limits = objectOrEmpty(root, "limits");
     constexpr std::int64_t kMost = 1'000'000;
     result.limits.memoryMb =
-        static_cast<int>(std::min(wholeOr(limits, "memory_mb", result.limits.memoryMb), kMost));
+        static_cast<int>(std::min(integerOr(limits, "memory_mb", result.limits.memoryMb), kMost));
     result.limits.sockets =
-        static_cast<int>(std::min(wholeOr(limits, "sockets", result.limits.sockets), kMost));
+        static_cast<int>(std::min(integerOr(limits, "sockets", result.limits.sockets), kMost));
     // Below these a process has no room for its own. The upper bounds only keep sums from running over.
     if (result.limits.memoryMb < 12) throw DecodeError("field 'limits.memory_mb' is under 12");
     if (result.limits.sockets < 48) throw DecodeError("field 'limits.sockets' is under 48");
-    if (const json* bus = valueAt(root, "bus"); bus && bus->is_array()) {
+    if (const json* bus = findValue(root, "bus"); bus && bus->is_array()) {
         for (const json& one : *bus) {
-            if (!one.is_string()) wrongType("bus", "text, or a list of texts");
+            if (!one.is_string()) throwWrongType("bus", "text, or a list of texts");
             result.bus.push_back(readEndpoint(one.get<std::string>(), "bus"));
         }
         if (result.bus.size() > 16) throw DecodeError("field 'bus' has more than 16 addresses");
-    } else if (const std::string single = textOr(root, "bus", ""); !single.empty()) {
+    } else if (const std::string single = stringOr(root, "bus", ""); !single.empty()) {
         result.bus.push_back(readEndpoint(single, "bus"));
     }
-    if (const std::string address = textOr(root, "operator", ""); !address.empty())
+    if (const std::string address = stringOr(root, "operator", ""); !address.empty())
         result.operatorAddress = readEndpoint(address, "operator");
     result.known = objectOrEmpty(root, "known");
-    const json* info = valueAt(root, "settings");
+    const json* info = findValue(root, "settings");
     if (!info) throw DecodeError("field 'settings' is missing");
     result.decoded = readSettings(*info);
     result.flowBytesPerSecond = numberOr(root, "flow_bytes_per_s", 0);
@@ -345,9 +346,9 @@
     const json root = json::parse(text);
     for (const json& item : listOrEmpty(root, "routes")) {
         Route route;
-        route.prefix = needText(item, "prefix");
-        route.className = needText(item, "class");
-        route.group = wholeOr(item, "group", 0);
+        route.prefix = requireString(item, "prefix");
+        route.className = requireString(item, "class");
+        route.group = integerOr(item, "group", 0);
         const auto known = result.base.decoded.classes.find(route.className);
         if (known == result.base.decoded.classes.end())
             throw DecodeError("field 'routes.class' names no class: '" + route.className + "'");
@@ -357,7 +358,7 @@
     }
     if (result.routes.empty()) throw DecodeError("field 'routes' is empty");
     const auto size = [&](const char* key, std::size_t fallback) {
-        const std::int64_t bytes = wholeOr(root, key, static_cast<std::int64_t>(fallback));
+        const std::int64_t bytes = integerOr(root, key, static_cast<std::int64_t>(fallback));
         if (bytes < 1024 || bytes > 16 * 1024 * 1024)
             throw DecodeError("field '" + std::string(key) + "' is not within 1024 and 16777216");
         return static_cast<std::size_t>(bytes);
@@ -369,8 +370,8 @@
 
 BusBatch readBatch(const json& batch) {
     BusBatch result;
-    result.offset = wholeOr(batch, "offset", 0);
-    result.last = wholeOr(batch, "last", result.offset);
+    result.offset = integerOr(batch, "offset", 0);
+    result.last = integerOr(batch, "last", result.offset);
     for (const json& entry : listOrEmpty(batch, "batch")) result.events.push_back(readEvent(entry));
     return result;
 }
