--- a/bench/scale/hollow_gateways.cpp
+++ b/bench/scale/hollow_gateways.cpp
@@ -50,7 +50,7 @@
           index_(index),
           times_(times),
           startedAt_(loop.now()),
-          decisions_(configuration.words, index, loop.now(), core::unixClockOffset()),
+          decisions_(configuration.decoded, index, loop.now(), core::unixClockOffset()),
           reader_(loop, [this](const settings::BusEvent& event) { apply(event); }) {
         reader_.take(settings::readBatch(configuration_.known));
         reader_.moveTo(buses_);
@@ -70,7 +70,7 @@
 
 private:
     void apply(const settings::BusEvent& event) {
-        if (event.isList) {
+        if (event.isStoreList) {
             decisions_.applyHostList(loop_.now(), event, reader_.caughtUp());
             return noteChange(event);
         }
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -21,13 +21,13 @@
 constexpr int kMaxLists = 16;
 
 std::int64_t requireInteger(element object, std::string_view key) {
-    if (!valueAt(object, key)) throw Malformed("field '" + std::string(key) + "' is missing");
+    if (!valueAt(object, key)) throw DecodeError("field '" + std::string(key) + "' is missing");
     return integerOr(object, key, 0);
 }
 
 std::string_view requireText(element object, std::string_view key) {
     const std::string_view text = textOr(object, key, "");
-    if (text.empty()) throw Malformed("field '" + std::string(key) + "' is missing or empty");
+    if (text.empty()) throw DecodeError("field '" + std::string(key) + "' is missing or empty");
     return text;
 }
 
@@ -36,7 +36,7 @@
     RequestId id = 0;
     const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), id, 16);
     if (problem != std::errc{} || end != text.data() + text.size() || text.size() != 16)
-        throw Malformed("'" + std::string(text) + "' is not a request id");
+        throw DecodeError("'" + std::string(text) + "' is not a request id");
     return id;
 }
 
@@ -65,7 +65,7 @@
                 break;
         }
     }
-    throw Malformed("unknown outcome '" + std::string(code) + "'");
+    throw DecodeError("unknown outcome '" + std::string(code) + "'");
 }
 
 CacheStatus cacheStatusOf(std::int64_t number) {
@@ -192,16 +192,16 @@
 
 struct Instance {
     Router router;
-    settings::Vocabulary words;
+    settings::DecodedSettings words;
 };
 
 // The gateway and the adapter share one settings decoder. simdjson is used only for events, which are
 // frequent.
-settings::Vocabulary settingsOf(element info) {
+settings::DecodedSettings settingsOf(element info) {
     try {
         return settings::readSettings(nlohmann::json::parse(std::string(simdjson::minify(info))));
-    } catch (const settings::Malformed& problem) {
-        throw Malformed(problem.what());
+    } catch (const settings::DecodeError& problem) {
+        throw DecodeError(problem.what());
     }
 }
 
@@ -213,17 +213,17 @@
         element event;
         const auto problem = parser_.parse(line.data(), line.size(), false).get(event);
         if (problem != simdjson::SUCCESS)
-            throw Malformed(std::string("invalid JSON: ") + simdjson::error_message(problem));
+            throw DecodeError(std::string("invalid JSON: ") + simdjson::error_message(problem));
         const std::string_view what = requireText(event, "what");
         if (what == "sync") {
-            if (inBatch_) throw Malformed("'sync' inside a batch");
+            if (inBatch_) throw DecodeError("'sync' inside a batch");
             inBatch_ = true;
             now_ = Time{requireInteger(event, "now")};
             turn_ = requireInteger(event, "turn");
             replyLines_.clear();
             return false;
         }
-        if (!inBatch_) throw Malformed("'" + std::string(what) + "' outside a batch");
+        if (!inBatch_) throw DecodeError("'" + std::string(what) + "' outside a batch");
         if (what == "yourTurn") {
             inBatch_ = false;
             reply += replyLines_;
@@ -246,7 +246,7 @@
             return;
         }
         const auto found = instances_.find(instance);
-        if (found == instances_.end()) throw Malformed("unknown instance " + std::to_string(instance));
+        if (found == instances_.end()) throw DecodeError("unknown instance " + std::to_string(instance));
         Instance& to = *found->second;
         if (what == "req") {
             to.router.handle(now_, requestOf(to.words, event), actions_);
@@ -281,7 +281,7 @@
             to.router.handle(
                 now_, ProbeEnded{std::string(requireText(event, "host")), answered, loadOf(event)}, actions_);
         } else if (what != "heard") {
-            throw Malformed("unknown event '" + std::string(what) + "'");
+            throw DecodeError("unknown event '" + std::string(what) + "'");
         }
         writeActions(instance);
     }
@@ -292,8 +292,8 @@
             salt && salt->get_uint64().get(seed) != simdjson::SUCCESS)
             seed = static_cast<std::uint64_t>(integerOr(event, "salt", 0));
         const auto info = valueAt(event, "info");
-        if (!info) throw Malformed("field 'info' is missing");
-        settings::Vocabulary words = settingsOf(*info);
+        if (!info) throw DecodeError("field 'info' is missing");
+        settings::DecodedSettings words = settingsOf(*info);
         Router router(words.settings, seed);
         instances_[instance] = std::make_unique<Instance>(Instance{std::move(router), std::move(words)});
         instances_[instance]->router.start(now_, actions_);
@@ -303,14 +303,14 @@
     void storeList(element event) {
         const std::int64_t number = requireInteger(event, "sheet");
         if (number < 0 || number >= kMaxLists)
-            throw Malformed("list number " + std::to_string(number) + " is out of range");
+            throw DecodeError("list number " + std::to_string(number) + " is out of range");
         auto& list = lists_[static_cast<std::size_t>(number)];
         list.clear();
         const auto rows = valueAt(event, "rowsIn");
         if (!rows) return;
         simdjson::dom::array entries;
         if (rows->get_array().get(entries) != simdjson::SUCCESS)
-            throw Malformed("field 'rowsIn' is not a list");
+            throw DecodeError("field 'rowsIn' is not a list");
         for (const element row : entries) {
             ListedHost host;
             host.entry.name = requireText(row, "host");
@@ -318,7 +318,7 @@
             host.entry.weight = numberOr(row, "heft", 1);
             host.entry.startedAt = timeOr(row, "bootTime");
             const std::int64_t readiness = requireInteger(row, "readiness");
-            if (readiness < 0 || readiness > 2) throw Malformed("field 'readiness' is out of range");
+            if (readiness < 0 || readiness > 2) throw DecodeError("field 'readiness' is out of range");
             host.entry.readiness = readiness == 1   ? Readiness::ready
                                    : readiness == 2 ? Readiness::draining
                                                     : Readiness::gone;
@@ -331,10 +331,10 @@
     void applyList(Instance& to, element event) {
         const std::int64_t form = requireInteger(event, "form");
         if (form == 3) return to.router.handleListFailed(now_, actions_);
-        if (form < 0 || form > 3) throw Malformed("field 'form' is out of range");
+        if (form < 0 || form > 3) throw DecodeError("field 'form' is out of range");
         const std::int64_t number = requireInteger(event, "sheet");
         if (number < 0 || number >= kMaxLists)
-            throw Malformed("list number " + std::to_string(number) + " is out of range");
+            throw DecodeError("list number " + std::to_string(number) + " is out of range");
         HostList list;
         list.whole = form != 0;
         for (const ListedHost& listed : lists_[static_cast<std::size_t>(number)]) {
@@ -346,12 +346,12 @@
         to.router.handle(now_, list, actions_);
     }
 
-    static Request requestOf(const settings::Vocabulary& words, element event) {
+    static Request requestOf(const settings::DecodedSettings& words, element event) {
         Request request;
         request.id = requestId(event);
         const std::string profile(requireText(event, "profile"));
         const auto known = words.classes.find(profile);
-        if (known == words.classes.end()) throw Malformed("unknown class '" + profile + "'");
+        if (known == words.classes.end()) throw DecodeError("unknown class '" + profile + "'");
         request.classIndex = known->second;
         const std::string_view object = textOr(event, "object", "");
         request.object = object.empty() ? 0 : fingerprint(object);
@@ -421,7 +421,7 @@
                     reply.clear();
                 }
             }
-        } catch (const Malformed& problem) {
+        } catch (const DecodeError& problem) {
             std::fprintf(errors, "lotuslead_adapter: line %zu: %s\n", lineNumber, problem.what());
             return 1;
         }
--- a/src/adapter/wire.hpp
+++ b/src/adapter/wire.hpp
@@ -16,7 +16,7 @@
 namespace lotuslead::wire {
 
 // The input violates the line protocol.
-struct Malformed : std::runtime_error {
+struct DecodeError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -3,18 +3,18 @@
 #include <algorithm>
 #include <chrono>
 
-#include "../net/call.hpp"
+#include "../net/http_client.hpp"
 #include "state.hpp"
 
 namespace lotuslead::agent {
 
 using nlohmann::json;
-using Answer = net::CallServer::Answer;
+using Answer = net::HttpServer::Response;
 
 namespace {
 
 constexpr std::int64_t kMostHoldMs = 10'000;
-constexpr net::CallServer::Limits kLimits{1024, 2 * config::kMostTransaction, std::chrono::seconds{15}};
+constexpr net::HttpServer::Limits kLimits{1024, 2 * config::kMostTransaction, std::chrono::seconds{15}};
 
 Answer jsonAnswer(int status, const json& body) { return {status, body.dump() + "\n", {}}; }
 
@@ -66,7 +66,7 @@
       consensus_(consensus),
       supervisor_(supervisor),
       server_(loop, settings::readEndpoint(configuration.self().control, "control"), kLimits,
-              net::Priority::usual, [this](const net::HttpHead& head, const std::string& body, Reply reply) {
+              net::Priority::normal, [this](const net::HttpHead& head, const std::string& body, Reply reply) {
                   handle(head, body, std::move(reply));
               }) {}
 
@@ -207,13 +207,13 @@
         if (text.contains("session")) {
             const bool numbers = text["session"].is_number_unsigned() && text.contains("sequence") &&
                                  text["sequence"].is_number_unsigned() && text["sequence"] > 0;
-            if (!numbers) throw settings::Malformed("field 'session' or 'sequence' is not a number");
+            if (!numbers) throw settings::DecodeError("field 'session' or 'sequence' is not a number");
             command.session = text["session"];
             command.sequence = text["sequence"];
         }
         if (text.contains("by") && text["by"].is_string())
             command.transaction.by = text["by"].get<std::string>().substr(0, 128);
-    } catch (const settings::Malformed& problem) {
+    } catch (const settings::DecodeError& problem) {
         return reply({400, std::string(problem.what()) + "\n", {}});
     }
     command.transaction.atMs = unixMs();
@@ -256,7 +256,7 @@
     std::string raft;
     config::Command command;
     try {
-        if (!wanted.is_object()) throw settings::Malformed("'raft' and 'control' are wanted");
+        if (!wanted.is_object()) throw settings::DecodeError("'raft' and 'control' are wanted");
         raft = wanted.value("raft", "");
         settings::readEndpoint(raft, "raft");
         command.transaction.changes.push_back(
@@ -300,7 +300,7 @@
         try {
             settings::readConfiguration(
                 wanted["configuration"].dump());  // a bad one would only end at its start
-        } catch (const settings::Malformed& problem) {
+        } catch (const settings::DecodeError& problem) {
             return reply({400, std::string("bad configuration: ") + problem.what() + "\n", {}});
         }
     } else {
@@ -308,7 +308,7 @@
     }
     try {
         config::check(command.transaction);
-    } catch (const settings::Malformed& problem) {
+    } catch (const settings::DecodeError& problem) {
         return reply({400, std::string(problem.what()) + "\n", {}});
     }
     command.transaction.atMs = unixMs();
@@ -341,11 +341,11 @@
     }
     const auto door = supervisor_.door(name);
     if (!door) return reply({409, "it has no operators' door\n", {}});
-    net::call(loop_, *door, head.method, "/" + what, std::chrono::seconds{2},
-              [reply](int status, std::string body) {
-                  reply(status != 0 ? Answer{status, std::move(body), {}}
-                                    : Answer{503, "its door does not answer\n", {}});
-              });
+    net::sendHttpRequest(loop_, *door, head.method, "/" + what, std::chrono::seconds{2},
+                         [reply](int status, std::string body) {
+                             reply(status != 0 ? Answer{status, std::move(body), {}}
+                                               : Answer{503, "its door does not answer\n", {}});
+                         });
 }
 
 json Control::status() {
--- a/src/agent/supervisor.cpp
+++ b/src/agent/supervisor.cpp
@@ -13,7 +13,7 @@
 #include <fstream>
 #include <system_error>
 
-#include "../net/call.hpp"
+#include "../net/http_client.hpp"
 
 namespace lotuslead::agent {
 
@@ -98,7 +98,7 @@
     process.runs = process.wanted.revision;
     process.stopping = false;
     process.startedAt = loop_.now();
-    process.door = settings::readConfiguration(process.wanted.configuration).operatorDoor;
+    process.door = settings::readConfiguration(process.wanted.configuration).operatorAddress;
     process.pid = std::max<pid_t>(spawn(name, process, process.door), 0);
     if (process.pid == 0) tryAgainLater(name, process);
 }
@@ -169,7 +169,7 @@
 
 // Of an instance that runs, and is neither stopping nor being replaced.
 Supervisor::Replacement Supervisor::beginReplacement(const std::string& name, Process& process) {
-    const auto configured = settings::readConfiguration(process.wanted.configuration).operatorDoor;
+    const auto configured = settings::readConfiguration(process.wanted.configuration).operatorAddress;
     if (!process.door || !configured) return Replacement::impossible;
     process.nextDoor = configured;
     if (*process.door == *configured && ++process.nextDoor->port == 0) return Replacement::impossible;
@@ -188,20 +188,21 @@
     };
     Process* process = current();
     if (!process) return;
-    net::call(loop_, *process->nextDoor, "GET", "/ready", kAnswers,
-              [this, name, successor, until, current](int status, const std::string&) {
-                  Process* asked = current();
-                  if (!asked) return;
-                  if (status == 200) {
-                      asked->successorServes = true;
-                      ::kill(asked->pid, SIGTERM);
-                  } else if (loop_.now() >= until) {
-                      ::kill(successor, SIGKILL);
-                  } else {
-                      loop_.after(kAskAgain,
-                                  [this, name, successor, until] { awaitReady(name, successor, until); });
-                  }
-              });
+    net::sendHttpRequest(loop_, *process->nextDoor, "GET", "/ready", kAnswers,
+                         [this, name, successor, until, current](int status, const std::string&) {
+                             Process* asked = current();
+                             if (!asked) return;
+                             if (status == 200) {
+                                 asked->successorServes = true;
+                                 ::kill(asked->pid, SIGTERM);
+                             } else if (loop_.now() >= until) {
+                                 ::kill(successor, SIGKILL);
+                             } else {
+                                 loop_.after(kAskAgain, [this, name, successor, until] {
+                                     awaitReady(name, successor, until);
+                                 });
+                             }
+                         });
 }
 
 // The old process has ended. Where the successor does not serve yet it will, or
--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -12,14 +12,14 @@
 namespace {
 
 // Whatever a site allows, a request of the real gateway has one attempt out at a time.
-settings::Vocabulary withoutSecondCopies(settings::Vocabulary vocabulary) {
+settings::DecodedSettings withoutSecondCopies(settings::DecodedSettings vocabulary) {
     vocabulary.settings.secondCopies = false;
     return vocabulary;
 }
 
 }  // namespace
 
-DecisionFacade::DecisionFacade(settings::Vocabulary vocabulary, std::uint64_t seed, Micros now,
+DecisionFacade::DecisionFacade(settings::DecodedSettings vocabulary, std::uint64_t seed, Micros now,
                                Micros unixClockOffset)
     : vocabulary_(withoutSecondCopies(std::move(vocabulary))),
       router_(vocabulary_.settings, seed),
@@ -28,7 +28,7 @@
     collect(now);
 }
 
-void DecisionFacade::reconfigure(settings::Vocabulary vocabulary) {
+void DecisionFacade::reconfigure(settings::DecodedSettings vocabulary) {
     vocabulary_ = withoutSecondCopies(std::move(vocabulary));
     router_.reconfigure(settingsForAllProcesses());
 }
@@ -97,7 +97,7 @@
     for (const settings::ListedStore& store : event.stores) {
         HostEntry entry;
         entry.name = store.name;
-        entry.role = vocabulary_.roleOf(store.shape);
+        entry.role = vocabulary_.roleOf(store.type);
         entry.zone = vocabulary_.zoneOf(store.zone);
         entry.cell = store.cell;
         entry.weight = store.weight;
--- a/src/gateway/meeting.cpp
+++ b/src/gateway/handover.cpp
@@ -1,4 +1,4 @@
-#include "meeting.hpp"
+#include "handover.hpp"
 
 #include <sys/socket.h>
 #include <sys/un.h>
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-class Meeting::Peer : public net::Stream::User {
+class Meeting::Peer : public net::Stream::Observer {
 public:
     Peer(Meeting& owner, net::Descriptor fd) : owner_(owner), stream_(owner.loop_, std::move(fd), *this) {}
 
@@ -50,12 +50,12 @@
         while (!data.empty()) {
             const auto status = parser_.feed(data);
             if (status == net::RespParser::Status::malformed) return false;
-            if (status == net::RespParser::Status::message) owner_.received(*this, parser_.take());
+            if (status == net::RespParser::Status::message) owner_.received(*this, parser_.takeMessage());
             if (stream_.closed()) return true;
         }
         return true;
     }
-    void streamEnded(net::Stream::End) override { owner_.ended(*this); }
+    void streamEnded(net::Stream::CloseReason) override { owner_.ended(*this); }
 
     Meeting& owner_;
     net::RespParser parser_{kLimits};
@@ -123,7 +123,7 @@
     auto& ending = isSuccessor ? successor_ : predecessor_;
     if (isSuccessor) successorServes_ = false;
     if (!isSuccessor) stopWaiting();
-    loop_.retire(std::exchange(ending, nullptr));
+    loop_.destroyAfterTurn(std::exchange(ending, nullptr));
     count();
 }
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -51,7 +51,7 @@
 Descriptor listenOn(const settings::Endpoint& at) {
     Descriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     const int on = 1;
-    const sockaddr_in address = addressOf(at);
+    const sockaddr_in address = socketAddress(at);
     if (!fd || ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
         ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
         ::listen(fd.get(), kBacklog) != 0)
@@ -60,25 +60,25 @@
     return fd;
 }
 
-Descriptor inheritedListener(const std::string& number, const settings::Endpoint& at) {
+Descriptor adoptListeningSocket(const std::string& number, const settings::Endpoint& at) {
     int fd = -1;
     const auto read = std::from_chars(number.data(), number.data() + number.size(), fd);
     if (read.ec != std::errc{} || read.ptr != number.data() + number.size() || fd < 0)
-        throw settings::Malformed("'" + number + "' is no descriptor");
+        throw settings::DecodeError("'" + number + "' is no descriptor");
     int listens = 0, kind = 0;
     socklen_t size = sizeof listens;
     if (::getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0 || listens == 0 ||
         ::getsockopt(fd, SOL_SOCKET, SO_TYPE, &kind, &size) != 0 || kind != SOCK_STREAM)
-        throw settings::Malformed("descriptor " + number + " is no listening socket");
+        throw settings::DecodeError("descriptor " + number + " is no listening socket");
     sockaddr_in is{};
-    const sockaddr_in wanted = addressOf(at);
+    const sockaddr_in wanted = socketAddress(at);
     size = sizeof is;
     if (::getsockname(fd, reinterpret_cast<sockaddr*>(&is), &size) != 0 || is.sin_family != AF_INET ||
         is.sin_addr.s_addr != wanted.sin_addr.s_addr || (at.port != 0 && is.sin_port != wanted.sin_port))
-        throw settings::Malformed("descriptor " + number + " does not listen on the field 'listen'");
+        throw settings::DecodeError("descriptor " + number + " does not listen on the field 'listen'");
     // Without blocking for all that share it: who loses a connection to another process must not wait.
     if (::fcntl(fd, F_SETFD, FD_CLOEXEC) != 0 || ::fcntl(fd, F_SETFL, O_NONBLOCK) != 0)
-        throw settings::Malformed("descriptor " + number + " cannot be set up");
+        throw settings::DecodeError("descriptor " + number + " cannot be set up");
     return Descriptor(fd);
 }
 
@@ -132,7 +132,7 @@
     if (!retry_)
         retry_ = loop_.after(kAcceptAgain, [this] {
             retry_.reset();
-            loop_.again(id_, EPOLLIN);
+            loop_.callNextTurn(id_, EPOLLIN);
         });
     return 0;
 }
@@ -151,19 +151,19 @@
     spare_.reset(::open("/dev/null", O_RDONLY | O_CLOEXEC));
 }
 
-void FormerListener::replace(std::unique_ptr<Listener>& current, std::unique_ptr<Listener> next) {
+void PreviousListener::replace(std::unique_ptr<Listener>& current, std::unique_ptr<Listener> next) {
     close();  // of several moves in a row the last counts
     listener_ = std::exchange(current, std::move(next));
     timer_ = loop_.after(kFormerAddress, [this] { closeOnceEmpty(); });
 }
 
-void FormerListener::closeOnceEmpty() {
+void PreviousListener::closeOnceEmpty() {
     timer_.reset();
-    if (listener_->takeWaiting()) return listener_.reset();
+    if (listener_->acceptPending()) return listener_.reset();
     timer_ = loop_.after(kAcceptAgain, [this] { closeOnceEmpty(); });
 }
 
-void FormerListener::close() {
+void PreviousListener::close() {
     if (timer_) loop_.cancel(*timer_);
     timer_.reset();
     listener_.reset();
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -38,15 +38,19 @@
 
 }  // namespace
 
-Stream::Stream(Loop& loop, Descriptor fd, User& user, Priority priority)
-    : loop_(loop), fd_(std::move(fd)), user_(user), state_(State::open) {
+Stream::Stream(Loop& loop, Descriptor fd, Observer& observer, Priority priority)
+    : loop_(loop), fd_(std::move(fd)), observer_(observer), state_(State::open) {
     noDelay(fd_.get());
     ::setsockopt(fd_.get(), SOL_SOCKET, SO_SNDBUF, &kSendBuffer, sizeof kSendBuffer);
     id_ = loop_.add(fd_.get(), EPOLLIN | EPOLLOUT | EPOLLRDHUP, *this, priority);
 }
 
-Stream::Stream(Loop& loop, const settings::Endpoint& to, User& user, Priority priority)
-    : loop_(loop), user_(user), state_(State::connecting), to_(addressOf(to)), priority_(priority) {
+Stream::Stream(Loop& loop, const settings::Endpoint& to, Observer& observer, Priority priority)
+    : loop_(loop),
+      observer_(observer),
+      state_(State::connecting),
+      to_(socketAddress(to)),
+      priority_(priority) {
     connect();
 }
 
@@ -64,8 +68,8 @@
         return;
     }
     fd_.reset();
-    if (!isLocalConnectFailure(error)) return endLater(End::refused);
-    if (++connectTries_ >= kConnectTries) return endLater(End::unavailable);
+    if (!isLocalConnectFailure(error)) return endLater(CloseReason::connectFailed);
+    if (++connectTries_ >= kConnectTries) return endLater(CloseReason::localShortage);
     retry_ = loop_.after(kShortageWait * connectTries_, [this] {
         retry_.reset();
         connect();
@@ -81,10 +85,10 @@
     return result == 0 || errno == EINPROGRESS || errno == EALREADY || errno == EISCONN ? 0 : errno;
 }
 
-void Stream::endLater(End why) {
-    retry_ = loop_.after(Micros{0}, [this, why] {
+void Stream::endLater(CloseReason reason) {
+    retry_ = loop_.after(Micros{0}, [this, reason] {
         retry_.reset();
-        end(why);
+        end(reason);
     });
 }
 
@@ -99,15 +103,15 @@
     if (id_ != 0) loop_.remove(id_, fd_.get());
     fd_.reset();
     queue_.clear();
-    unsent_ = 0;
+    unsentBytes_ = 0;
 }
 
 void Stream::closeAfterWriting() {
     closing_ = true;
-    if (unsent_ == 0) allWritten();
+    if (unsentBytes_ == 0) allWritten();
 }
 
-void Stream::closeGently(Micros within) {
+void Stream::closeLingering(Micros within) {
     if (state_ != State::open || std::exchange(gentle_, true)) return;
     gentleFor_ = within;
     left_ = untaken();
@@ -123,13 +127,13 @@
     const std::size_t left = untaken();
     const bool moves = left < left_;
     if (moves) takenAt_ = loop_.now();
-    if (left_ == 0 || (!moves && loop_.now() - takenAt_ > kNotTaken)) return end(End::closedByPeer);
+    if (left_ == 0 || (!moves && loop_.now() - takenAt_ > kNotTaken)) return end(CloseReason::closedByPeer);
     left_ = left;
     timer_ = loop_.after(gentleFor_, [this] { endGently(); });
 }
 
 void Stream::allWritten() {
-    if (!gentle_) return end(End::closedByPeer);
+    if (!gentle_) return end(CloseReason::closedByPeer);
     // Once: each call makes an edge of its own, on which the next would follow, without a pause.
     if (!std::exchange(shut_, true)) ::shutdown(fd_.get(), SHUT_WR);
 }
@@ -147,12 +151,12 @@
 
 }  // namespace
 
-bool Stream::quiet() const { return !broken_ && peek(fd_.get()) < 0 && wouldBlock(errno); }
+bool Stream::nothingUnread() const { return !broken_ && peek(fd_.get()) < 0 && wouldBlock(errno); }
 
-bool Stream::peerEnded() const {
+bool Stream::peerHasClosed() const {
     if (broken_) return true;
     const ssize_t got = peek(fd_.get());
-    if (got <= 0) return got == 0 || (!wouldBlock(errno) && !isShortage(errno));
+    if (got <= 0) return got == 0 || (!wouldBlock(errno) && !isResourceShortage(errno));
     // Its end may stand behind what is still to be read.
     pollfd look{fd_.get(), POLLRDHUP, 0};
     int ready = 0;
@@ -161,7 +165,7 @@
     return ready > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-Micros Stream::sinceLastArrival() const {
+Micros Stream::timeSinceLastReceive() const {
     tcp_info info{};
     socklen_t size = sizeof info;
     if (::getsockopt(fd_.get(), IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return Micros{0};
@@ -171,23 +175,23 @@
 std::size_t Stream::untaken() const {
     int unacknowledged = 0;
     if (::ioctl(fd_.get(), SIOCOUTQ, &unacknowledged) != 0) unacknowledged = 0;
-    return unsent_ + static_cast<std::size_t>(unacknowledged);
+    return unsentBytes_ + static_cast<std::size_t>(unacknowledged);
 }
 
-void Stream::end(End why) {
+void Stream::end(CloseReason reason) {
     if (state_ == State::closed) return;
     close();
-    user_.streamEnded(why);
+    observer_.streamEnded(reason);
 }
 
 void Stream::write(std::string bytes) {
     if (state_ == State::closed || bytes.empty()) return;
-    unsent_ += bytes.size();
+    unsentBytes_ += bytes.size();
     queue_.push_back(std::move(bytes));
     if (state_ == State::open && queue_.size() == 1) flush();
 }
 
-bool Stream::writeIfRoom(std::string bytes) {
+bool Stream::tryWrite(std::string bytes) {
     if (state_ != State::open || !queue_.empty()) return false;
     ssize_t sent = 0;
     do sent = ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
@@ -198,7 +202,7 @@
     }
     if (static_cast<std::size_t>(sent) == bytes.size()) return true;
     headSent_ = static_cast<std::size_t>(sent);
-    unsent_ = bytes.size() - headSent_;
+    unsentBytes_ = bytes.size() - headSent_;
     queue_.push_back(std::move(bytes));
     flush();  // a short write is no word of a full buffer: the next edge may never come
     return true;
@@ -219,7 +223,7 @@
         const ssize_t sent = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
         if (sent < 0 && errno == EINTR) continue;
         if (sent < 0) return sendFailed(errno);
-        unsent_ -= static_cast<std::size_t>(sent);
+        unsentBytes_ -= static_cast<std::size_t>(sent);
         headSent_ += static_cast<std::size_t>(sent);
         while (!queue_.empty() && headSent_ >= queue_.front().size()) {
             headSent_ -= queue_.front().size();
@@ -230,12 +234,12 @@
 
 void Stream::sendFailed(int error) {
     if (wouldBlock(error)) return;  // an edge tells when there is room
-    if (isShortage(error)) return lookAgain(EPOLLOUT);
+    if (isResourceShortage(error)) return lookAgain(EPOLLOUT);
     // Told in the next turn, never from within the caller's own write, and after what has come in before the
     // connection broke has been read. Reading may find nothing wrong: Linux tells an error once.
     broken_ = true;
     paused_ = false;
-    loop_.again(id_, EPOLLIN);
+    loop_.callNextTurn(id_, EPOLLIN);
 }
 
 // A shortage passes without an edge.
@@ -244,14 +248,14 @@
     if (retry_) return;
     retry_ = loop_.after(kShortageWait, [this] {
         retry_.reset();
-        loop_.again(id_, std::exchange(lookAgainFor_, 0));
+        loop_.callNextTurn(id_, std::exchange(lookAgainFor_, 0));
     });
 }
 
 void Stream::pauseReading(bool paused) {
     if (paused_ == paused || state_ == State::closed) return;
     paused_ = paused;
-    if (!paused && readable_) loop_.again(id_, EPOLLIN);
+    if (!paused && readable_) loop_.callNextTurn(id_, EPOLLIN);
 }
 
 std::uint32_t Stream::ready(std::uint32_t events) {
@@ -260,31 +264,31 @@
         socklen_t size = sizeof problem;
         ::getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &problem, &size);
         if (problem != 0) {
-            end(End::refused);
+            end(CloseReason::connectFailed);
             return 0;
         }
         if ((events & EPOLLOUT) == 0) return 0;
         state_ = State::open;
-        user_.streamOpened();
+        observer_.streamOpened();
         if (state_ == State::closed) return 0;
     }
     if ((events & EPOLLERR) != 0 && (events & EPOLLIN) == 0) {
-        end(End::reset);
+        end(CloseReason::reset);
         return 0;
     }
     if ((events & (EPOLLRDHUP | EPOLLHUP)) != 0) peerLeft_ = true;
     // What it asked for before it left is wanted by nobody: taken now, it would only be sent on.
     if (peerLeft_ && dropWithPeer_ && !gentle_) {
-        end(End::closedByPeer);
+        end(CloseReason::closedByPeer);
         return 0;
     }
     if ((events & EPOLLOUT) != 0) {
         flush();
-        if (state_ == State::open && unsent_ == 0) {
+        if (state_ == State::open && unsentBytes_ == 0) {
             if (closing_)
                 allWritten();
             else
-                user_.streamDrained();
+                observer_.streamFlushed();
         }
     }
     if (state_ == State::open && (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP)) != 0) return readSome();
@@ -298,7 +302,7 @@
         readable_ = true;
         if (paused_) {
             // Its end makes no further edge, and stands behind what is not read: it must not wait for that.
-            if (peerLeft_) end(End::closedByPeer);
+            if (peerLeft_) end(CloseReason::closedByPeer);
             return 0;
         }
         const ssize_t got = ::recv(fd_.get(), chunk.data(), chunk.size(), 0);
@@ -306,26 +310,26 @@
         if (got < 0 && wouldBlock(errno)) {
             readable_ = false;
             unreadSince_.reset();
-            if (broken_) end(End::reset);
+            if (broken_) end(CloseReason::reset);
             return 0;
         }
-        if (got < 0 && isShortage(errno)) {
+        if (got < 0 && isResourceShortage(errno)) {
             lookAgain(EPOLLIN);
             return 0;
         }
         if (got <= 0) {
-            end(got == 0 ? End::closedByPeer : End::reset);
+            end(got == 0 ? CloseReason::closedByPeer : CloseReason::reset);
             return 0;
         }
         all += static_cast<std::size_t>(got);
         if (gentle_) {
             dropped_ += static_cast<std::size_t>(got);
             if (dropped_ <= kMostDropped) continue;
-            end(End::closedByPeer);
+            end(CloseReason::closedByPeer);
             return 0;
         }
-        if (!user_.streamData({chunk.data(), static_cast<std::size_t>(got)})) {
-            end(End::malformed);
+        if (!observer_.streamData({chunk.data(), static_cast<std::size_t>(got)})) {
+            end(CloseReason::malformed);
             return 0;
         }
         if (state_ == State::closed) return 0;
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -15,26 +15,27 @@
 
 class Stream : public Handler {
 public:
-    enum class End {
-        refused,      // never came up
-        unavailable,  // never came up, for want of something on this machine: the peer was not asked
+    enum class CloseReason {
+        connectFailed,  // never came up
+        localShortage,  // never came up, for want of something on this machine: the peer was not asked
         closedByPeer,
         reset,
         malformed,
     };
-    class User {
+    class Observer {
     public:
-        virtual ~User() = default;
+        virtual ~Observer() = default;
         virtual void streamOpened() {}
         // False: the peer sent what it may not; the stream ends as malformed.
         virtual bool streamData(std::string_view data) = 0;
-        virtual void streamDrained() {}  // all that was written is with the kernel
-        virtual void streamEnded(End end) = 0;
+        virtual void streamFlushed() {}  // all that was written is with the kernel
+        virtual void streamEnded(CloseReason reason) = 0;
     };
 
-    Stream(Loop& loop, Descriptor fd, User& user, Priority priority = Priority::usual);  // accepted
+    Stream(Loop& loop, Descriptor fd, Observer& observer, Priority priority = Priority::normal);  // accepted
     // Connects; may end in the next turn.
-    Stream(Loop& loop, const settings::Endpoint& to, User& user, Priority priority = Priority::usual);
+    Stream(Loop& loop, const settings::Endpoint& to, Observer& observer,
+           Priority priority = Priority::normal);
     ~Stream() override;
     Stream(const Stream&) = delete;
     Stream& operator=(const Stream&) = delete;
@@ -43,26 +44,26 @@
     bool closed() const { return state_ == State::closed; }
     void write(std::string bytes);  // queued, and sent as far as the kernel takes it
     // As that, but only if a byte can go out at once; false: none did, and nothing is queued. With room again
-    // streamDrained comes, or streamEnded.
-    bool writeIfRoom(std::string bytes);
-    std::size_t unsent() const { return unsent_; }
+    // streamFlushed comes, or streamEnded.
+    bool tryWrite(std::string bytes);
+    std::size_t unsentBytes() const { return unsentBytes_; }
     void pauseReading(bool paused);
     void close();              // at once; nothing is told any more
     void closeAfterWriting();  // once all is with the kernel
     // As that, but what the peer still sends is read and dropped until it closes too, the time is up or it
     // has sent too much: a close over unread bytes would be a reset, which takes back from the peer what it
     // has not yet read.
-    void closeGently(Micros within);
-    bool quiet() const;                             // nothing has come in that was not read
-    bool peerEnded() const;                         // its end has come, read or not
-    void readSoon() { loop_.again(id_, EPOLLIN); }  // in the next turn; its end, if it has come
+    void closeLingering(Micros within);
+    bool nothingUnread() const;                                // nothing has come in that was not read
+    bool peerHasClosed() const;                                // its end has come, read or not
+    void readNextTurn() { loop_.callNextTurn(id_, EPOLLIN); }  // in the next turn; its end, if it has come
     // Once the peer has left, what it sent before that is not read any more.
-    void dropWithPeer() { dropWithPeer_ = true; }
+    void dropInputOnPeerClose() { dropWithPeer_ = true; }
     // What has come in was more than a turn's share, for some turns now.
-    bool readingLags() const { return unreadSince_ && loop_.now() - *unreadSince_ > kLag; }
+    bool readBacklogged() const { return unreadSince_ && loop_.now() - *unreadSince_ > kLag; }
     // How long ago the last byte came in, read or not; zero where the system does not tell.
-    Micros sinceLastArrival() const;
-    bool allTaken() const { return untaken() == 0; }  // the peer's machine has all that was written
+    Micros timeSinceLastReceive() const;
+    bool allAcknowledged() const { return untaken() == 0; }  // the peer's machine has all that was written
 
     std::uint32_t ready(std::uint32_t events) override;
 
@@ -71,11 +72,11 @@
 
     void connect();
     int connectOnce();
-    void endLater(End why);
+    void endLater(CloseReason reason);
     void flush();
     void sendFailed(int error);
     void lookAgain(std::uint32_t events);
-    void end(End why);
+    void end(CloseReason reason);
     void allWritten();
     void endGently();
     std::size_t untaken() const;  // of what was written, by the peer's machine
@@ -83,12 +84,12 @@
 
     Loop& loop_;
     Descriptor fd_;
-    User& user_;
+    Observer& observer_;
     State state_;
     Loop::HandlerId id_ = 0;
     std::deque<std::string> queue_;
     std::size_t headSent_ = 0;
-    std::size_t unsent_ = 0;
+    std::size_t unsentBytes_ = 0;
     bool paused_ = false;
     bool readable_ = false;  // an edge came while paused
     bool peerLeft_ = false;  // its end was seen behind what is still to be read
@@ -107,7 +108,7 @@
     std::uint32_t lookAgainFor_ = 0;
     sockaddr_in to_{};
     int connectTries_ = 0;
-    Priority priority_ = Priority::usual;
+    Priority priority_ = Priority::normal;
 };
 
 }  // namespace lotuslead::net
--- a/src/platform/bus_reader.cpp
+++ b/src/platform/bus_reader.cpp
@@ -56,7 +56,7 @@
     for (const settings::BusEvent& event : batch.events) {
         if (event.offset <= offset_) continue;
         offset_ = event.offset;
-        if (event.isList && event.offset <= listsUpTo_) continue;
+        if (event.isStoreList && event.offset <= listsUpTo_) continue;
         ++counters_.events;
         apply_(event);
     }
@@ -85,10 +85,10 @@
     parser_ = net::HttpParser(net::HttpParser::Kind::response, kLimits);
     begunAt_.reset();
     asked_ = false;
-    if (stream_) loop_.retire(stream_);
+    if (stream_) loop_.destroyAfterTurn(stream_);
     // First in a turn: a call that has come with a drain is picked when the drain is known.
-    stream_ = std::make_shared<net::Stream>(loop_, bus(), static_cast<net::Stream::User&>(*this),
-                                            net::Priority::first);
+    stream_ = std::make_shared<net::Stream>(loop_, bus(), static_cast<net::Stream::Observer&>(*this),
+                                            net::Priority::high);
     arm(kConnect, [this] { reconnect("no connection in time"); });
 }
 
@@ -134,7 +134,7 @@
         if (status == net::HttpParser::Status::needMore) break;
         begunAt_.reset();
         // Each answer leads to the next poll: answers to nothing would do so without end.
-        const bool due = std::exchange(asked_, false) && stream_->unsent() == 0;
+        const bool due = std::exchange(asked_, false) && stream_->unsentBytes() == 0;
         if (status != net::HttpParser::Status::message || !due || !takeAnswer() || !data.empty())
             return false;
     }
@@ -178,13 +178,13 @@
     return true;
 }
 
-void BusReader::streamEnded(net::Stream::End why) {
+void BusReader::streamEnded(net::Stream::CloseReason why) {
     // An answer without a length ends with its connection.
-    if (why == net::Stream::End::closedByPeer && parser_.endOfStream() && takeAnswer()) return;
-    reconnect(why == net::Stream::End::refused       ? "connection refused"
-              : why == net::Stream::End::unavailable ? "no descriptor or memory for a connection"
-              : why == net::Stream::End::malformed   ? "malformed answer"
-                                                     : "connection ended");
+    if (why == net::Stream::CloseReason::closedByPeer && parser_.endOfStream() && takeAnswer()) return;
+    reconnect(why == net::Stream::CloseReason::connectFailed   ? "connection refused"
+              : why == net::Stream::CloseReason::localShortage ? "no descriptor or memory for a connection"
+              : why == net::Stream::CloseReason::malformed     ? "malformed answer"
+                                                               : "connection ended");
 }
 
 }  // namespace lotuslead::platform
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-class Front::Client : public net::Stream::User, public std::enable_shared_from_this<Front::Client> {
+class Front::Client : public net::Stream::Observer, public std::enable_shared_from_this<Front::Client> {
 public:
     Client(Front& owner, net::Descriptor fd)
         : owner_(owner),
@@ -36,21 +36,23 @@
           lastUsed_(connectedAt_),
           lastByte_(connectedAt_),
           stream_(owner.loop_, std::move(fd), *this) {
-        stream_.dropWithPeer();
+        stream_.dropInputOnPeerClose();
         watch(kFirstMessage);
     }
     ~Client() override { abandon(); }
 
-    bool idle() const { return open_.empty() && input_.empty() && stream_.unsent() == 0; }
+    bool idle() const { return open_.empty() && input_.empty() && stream_.unsentBytes() == 0; }
     // Idle, has been used, and nothing of a further call has come, read or unread.
-    bool resting() const { return idle() && used_ && !retired_ && !input_.midMessage() && stream_.quiet(); }
-    bool silent() const { return !used_ && input_.empty() && stream_.quiet(); }
+    bool resting() const {
+        return idle() && used_ && !retired_ && !input_.midMessage() && stream_.nothingUnread();
+    }
+    bool silent() const { return !used_ && input_.empty() && stream_.nothingUnread(); }
     bool half() const { return input_.midMessage(); }
     bool fresh() const { return !used_; }
     bool young() const { return owner_.loop_.now() - lastUsed_ < (half() ? kStalledYoung : kSilentYoung); }
     // The process may end: nothing of a request is here, and none is to be expected right now.
     bool settled() const {
-        if (!idle() || (!ending_ && !stream_.quiet())) return false;
+        if (!idle() || (!ending_ && !stream_.nothingUnread())) return false;
         const Micros still = owner_.loop_.now() - lastByte_;
         return ending_ || (used_ ? !half() || still >= kHalfAtTheEnd : still >= kSilentYoung);
     }
@@ -60,7 +62,7 @@
         settle();
     }
     core::CloseFacts closeFacts() const {
-        return {open_.size(), !input_.empty() || !stream_.quiet(), stream_.unsent()};
+        return {open_.size(), !input_.empty() || !stream_.nothingUnread(), stream_.unsentBytes()};
     }
     Micros lastUsed() const { return lastUsed_; }  // before its first message: when something last came
 
@@ -68,10 +70,10 @@
     // sees it before it asks again. `since` is when refusals began, `last`: it is time for those that were
     // refused something and have older requests open.
     void endForDrain(std::optional<Micros> since, bool last) {
-        if (ending_ || !stream_.allTaken()) return;
+        if (ending_ || !stream_.allAcknowledged()) return;
         const Micros now = owner_.loop_.now();
         if (last && since && lastCall_ >= *since) failOpen();
-        if (ending_ || !open_.empty() || !input_.empty() || !stream_.quiet()) return;
+        if (ending_ || !open_.empty() || !input_.empty() || !stream_.nothingUnread()) return;
         if (input_.midMessage() && !last) return;
         if (!used_ && now - connectedAt_ < kSilentDrained) return;
         // A request may have come since it was looked at.
@@ -127,10 +129,11 @@
     // What comes in may have been sent while this process was held up, or before it listened.
     Micros waitedUnread() const {
         const bool fromBeforeTheStart = owner_.loop_.now() - owner_.openedAt_ < kJustOpened;
-        const bool mayBeOld = fromBeforeTheStart || owner_.loop_.heldUpOfLate() || stream_.readingLags();
-        if (!mayBeOld) return owner_.loop_.heldUp();
-        const Micros told = std::min(stream_.sinceLastArrival(), kLongestUnread);
-        return told.count() > 0 ? told : owner_.loop_.heldUp();
+        const bool mayBeOld =
+            fromBeforeTheStart || owner_.loop_.recentlyStalled() || stream_.readBacklogged();
+        if (!mayBeOld) return owner_.loop_.stallTime();
+        const Micros told = std::min(stream_.timeSinceLastReceive(), kLongestUnread);
+        return told.count() > 0 ? told : owner_.loop_.stallTime();
     }
 
     // A share of the turn for each client: a burst of one waits in its own connection, not in the others'
@@ -154,7 +157,7 @@
         settle();
     }
 
-    bool behind() const { return stream_.unsent() > owner_.clientBacklog() && !owner_.lastCall_; }
+    bool behind() const { return stream_.unsentBytes() > owner_.clientBacklog() && !owner_.lastCall_; }
     // What comes next can't be told apart any more. What was taken has its answer, and the client the time to
     // read it.
     void spoilt() {
@@ -183,7 +186,7 @@
         if (!retired_ || !open_.empty() || !input_.empty() || std::exchange(ending_, true)) return;
         if (Trace::on()) Trace::write("client_close", {{"client", std::to_string(number_)}});
         stopWatch();
-        stream_.closeGently(kGentle);
+        stream_.closeLingering(kGentle);
     }
     // Useless messages in a row: nothing is gained by reading on.
     void strike() {
@@ -192,13 +195,15 @@
         retire();
     }
 
-    void streamDrained() override { settle(); }
-    void streamEnded(net::Stream::End why) override {
-        ++(why == net::Stream::End::closedByPeer ? owner_.counters_.endedByClient : owner_.counters_.reset);
+    void streamFlushed() override { settle(); }
+    void streamEnded(net::Stream::CloseReason why) override {
+        ++(why == net::Stream::CloseReason::closedByPeer ? owner_.counters_.endedByClient
+                                                         : owner_.counters_.reset);
         if (Trace::on())
-            Trace::write("client_end", {{"client", std::to_string(number_)},
-                                        {"why", why == net::Stream::End::closedByPeer ? "closed" : "reset"},
-                                        {"open", std::to_string(open_.size())}});
+            Trace::write("client_end",
+                         {{"client", std::to_string(number_)},
+                          {"why", why == net::Stream::CloseReason::closedByPeer ? "closed" : "reset"},
+                          {"open", std::to_string(open_.size())}});
         abandon();
         owner_.forget(this);
     }
@@ -388,7 +393,7 @@
     // A client that does not read its answers gets no further ones until it does; it is read on as far as
     // what it says can be held.
     void settle() {
-        count(stream_.unsent() + input_.heldBytes());
+        count(stream_.unsentBytes() + input_.heldBytes());
         if (ending_ || stream_.closed()) return;
         stream_.pauseReading(!input_.hasRoom());
         if (input_.empty() || behind() || resume_) return;
@@ -421,7 +426,7 @@
 Front::Front(net::Loop& loop, core::RequestDispatcher& requests, const settings::Configuration& configuration)
     : loop_(loop),
       requests_(requests),
-      words_(configuration.words),
+      words_(configuration.decoded),
       address_(configuration.listen),
       former_(loop) {
     limits_ = configuration.limits;
@@ -574,7 +579,7 @@
 }
 
 bool Front::settled() {
-    if (listener_ && !listener_->takeWaiting()) return false;
+    if (listener_ && !listener_->acceptPending()) return false;
     if (!former_.settled()) return false;
     return std::all_of(clients_.begin(), clients_.end(),
                        [](const auto& entry) { return entry.second->settled(); });
@@ -583,7 +588,7 @@
 void Front::forget(Client* client) {
     const auto found = clients_.find(client);
     if (found == clients_.end()) return;
-    loop_.retire(found->second);
+    loop_.destroyAfterTurn(found->second);
     clients_.erase(found);
 }
 
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -19,13 +19,13 @@
 inline const settings::Configuration& baseOf(const settings::RepositoryConfiguration& c) { return c.base; }
 // What follows a configuration at the same instance: classes keep their places.
 inline void continueFrom(const settings::Configuration& before, settings::Configuration& fresh) {
-    fresh.words = settings::continued(before.words, fresh.words);
+    fresh.decoded = settings::mergeReloaded(before.decoded, fresh.decoded);
 }
 inline void continueFrom(const settings::RepositoryConfiguration& before,
                          settings::RepositoryConfiguration& fresh) {
     continueFrom(before.base, fresh.base);
     for (settings::Route& route : fresh.routes)
-        route.classIndex = fresh.base.words.classes.at(route.className);
+        route.classIndex = fresh.base.decoded.classes.at(route.className);
 }
 
 // What else a copy's key must agree in: parts of another size are other parts.
@@ -68,12 +68,12 @@
         try {
             Configuration fresh = source_();
             const auto freshDisk = diskSource_ ? diskSource_() : std::nullopt;
-            settings::requireContinued(baseOf(configuration_).paths, baseOf(fresh).paths);
+            settings::requireSameFields(baseOf(configuration_).paths, baseOf(fresh).paths);
             const settings::BusBatch known = settings::readBatch(baseOf(fresh).known);
             continueFrom(configuration_, fresh);
             front_.reconfigure(fresh);
             transport_.reconfigure(fresh);
-            decisions_.reconfigure(baseOf(fresh).words);
+            decisions_.reconfigure(baseOf(fresh).decoded);
             configuration_ = std::move(fresh);
             reloadTier(freshDisk);
             bus_.obeyWithin(drainGrace());
@@ -81,7 +81,7 @@
             bus_.moveTo(baseOf(configuration_).bus);
             std::fprintf(stderr, "%s: configuration read again\n", name.c_str());
         } catch (const std::system_error& problem) {
-            if (mayTryAgain && net::isShortage(problem.code().value())) return false;
+            if (mayTryAgain && net::isResourceShortage(problem.code().value())) return false;
             std::fprintf(stderr, "%s: configuration not taken, the old one stays: %s\n", name.c_str(),
                          problem.what());
         } catch (const std::exception& problem) {
@@ -117,10 +117,10 @@
     std::size_t openRequests() const override { return requests_.openCount(); }
     bool settled() override { return requests_.openCount() == 0 && front_.settled(); }
     core::Micros longestRequestTimeout() const override {
-        return core::longestClientTimeout(baseOf(configuration_).words.settings);
+        return core::longestClientTimeout(baseOf(configuration_).decoded.settings);
     }
     std::optional<settings::Endpoint> operatorAddress() const override {
-        return baseOf(configuration_).operatorDoor;
+        return baseOf(configuration_).operatorAddress;
     }
     void printCounters() const override {
         const std::string& name = baseOf(configuration_).name;
@@ -144,7 +144,7 @@
           configuration_(source_()),
           opened_(opened),
           transport_(loop_, configuration_),
-          decisions_(baseOf(configuration_).words, baseOf(configuration_).seed, loop_.now(),
+          decisions_(baseOf(configuration_).decoded, baseOf(configuration_).seed, loop_.now(),
                      core::unixClockOffset()),
           before_(transport_, core::unixClockOffset(), std::move(form)),
           requests_(decisions_, before_, purged),
@@ -156,7 +156,8 @@
                            [this](core::AttemptResult end) { before_.ended(loop_.now(), std::move(end)); }});
         before_.listen(
             [this](core::AttemptResult end) { requests_.attemptEnded(loop_.now(), std::move(end)); });
-        before_.reconfigure(&baseOf(configuration_).words.settings.classes, formOf(configuration_), pacer());
+        before_.reconfigure(&baseOf(configuration_).decoded.settings.classes, formOf(configuration_),
+                            pacer());
         bus_.listen({[this](std::int64_t from, std::int64_t last, const std::vector<std::int64_t>& numbers,
                             bool complete) {
                          if (tier_) tier_->told(before_.momentOf(loop_.now()), from, last, numbers, complete);
@@ -177,10 +178,10 @@
 
 private:
     core::Micros drainGrace() const {
-        return std::chrono::duration_cast<core::Micros>(baseOf(configuration_).words.settings.drainGrace);
+        return std::chrono::duration_cast<core::Micros>(baseOf(configuration_).decoded.settings.drainGrace);
     }
     void apply(const settings::BusEvent& event) {
-        if (!event.isList) {
+        if (!event.isStoreList) {
             if (tier_) purgeTier(event);
             return decisions_.applyPurge(loop_.now(), event);
         }
@@ -201,7 +202,9 @@
             tier_->purgeObject(event.purgedObject, atMs);
     }
 
-    disk::Pacer pacer() const { return {baseOf(configuration_).flowBytes, baseOf(configuration_).linkBytes}; }
+    disk::Pacer pacer() const {
+        return {baseOf(configuration_).flowBytesPerSecond, baseOf(configuration_).linkBytesPerSecond};
+    }
     void openTier() {
         const bool bus = !baseOf(configuration_).bus.empty();
         tier_ = std::make_unique<disk::Tier>(
@@ -224,7 +227,7 @@
     // Limits hold at once; what the folder was opened with holds for the life of the process.
     void reloadTier(const std::optional<settings::DiskSettings>& fresh) {
         const auto& base = baseOf(configuration_);
-        before_.reconfigure(&base.words.settings.classes, formOf(configuration_), pacer());
+        before_.reconfigure(&base.decoded.settings.classes, formOf(configuration_), pacer());
         if (!tier_ || !fresh) {
             if (fresh || tier_)
                 std::fprintf(stderr, "%s: disk tier: it is switched on and off at a start only\n",
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -35,7 +35,7 @@
 
 // One connection. A PULL is put into words only when its first byte can go out at once: until then it can be
 // taken back, and what has changed since it was picked is looked at again.
-class Stores::Link : public net::Stream::User, public std::enable_shared_from_this<Link> {
+class Stores::Link : public net::Stream::Observer, public std::enable_shared_from_this<Link> {
 public:
     Link(Stores& owner, std::string host, const settings::Endpoint& to)
         : owner_(owner),
@@ -97,7 +97,7 @@
             stream_.write(std::move(words));
             // A store that takes no bytes would be told behind the request itself, which may by then be out
             // at another one: a close gives up all that is open here.
-            if (stream_.unsent() > 0)
+            if (stream_.unsentBytes() > 0)
                 fail(Outcome::broken, HealthReport::none, true);
             else
                 restIfIdle();
@@ -122,7 +122,7 @@
             report(sent.request, sent.attempt, whenWritten, std::exchange(ignoreForHealth, true));
         out_.clear();
         const auto waiting = std::exchange(waiting_, {});
-        owner_.loop_.retire(self);
+        owner_.loop_.destroyAfterTurn(self);
         owner_.drop(host_, this);
         for (const Waiting& w : waiting) {
             if (moveOn && w.moves < kMostMoves) {
@@ -132,7 +132,7 @@
                 const auto place = owner_.places_.find(w.send.request);
                 if (place != owner_.places_.end()) place->second.link.reset();  // not written on any
                 // Later in the turn: the end may have come in the middle of another's send.
-                owner_.loop_.whenAllIsHeard([owner = &owner_, shared] { owner->carry(std::move(*shared)); });
+                owner_.loop_.atEndOfTurn([owner = &owner_, shared] { owner->carry(std::move(*shared)); });
             } else {
                 report(w.send.request, w.send.attempt, Outcome::noConnection,
                        std::exchange(ignoreForHealth, true));
@@ -156,24 +156,24 @@
         flushWhatWaited();
         restIfIdle();
     }
-    void streamDrained() override { flushWhatWaited(); }
+    void streamFlushed() override { flushWhatWaited(); }
     // Its client may have left in this very turn.
     void flushWhatWaited() {
         if (waiting_.empty()) return;
-        owner_.loop_.whenAllIsHeard([self = weak_from_this()] {
+        owner_.loop_.atEndOfTurn([self = weak_from_this()] {
             if (const auto link = self.lock()) link->flush();
         });
     }
-    void streamEnded(net::Stream::End why) override {
-        using End = net::Stream::End;
-        if (why == End::refused || why == End::unavailable) ++owner_.counters_.connectFailures;
+    void streamEnded(net::Stream::CloseReason why) override {
+        using End = net::Stream::CloseReason;
+        if (why == End::connectFailed || why == End::localShortage) ++owner_.counters_.connectFailures;
         if (why == End::malformed) {
             ++owner_.counters_.malformed;
             std::fprintf(stderr, "store %s: malformed answer, connection closed\n", host_.c_str());
         }
         if (why == End::reset || (why == End::closedByPeer && !out_.empty())) ++owner_.counters_.resets;
-        if (why == End::refused) return fail(Outcome::noConnection, HealthReport::one);
-        if (why == End::unavailable) return fail(Outcome::noConnection, HealthReport::none);
+        if (why == End::connectFailed) return fail(Outcome::noConnection, HealthReport::one);
+        if (why == End::localShortage) return fail(Outcome::noConnection, HealthReport::none);
         fail(Outcome::broken, heard_ ? HealthReport::one : HealthReport::none, true);
     }
     bool streamData(std::string_view data) override {
@@ -222,7 +222,7 @@
         while (!data.empty()) {
             const auto status = parser_.feed(data);
             if (status == net::RespParser::Status::malformed) return false;
-            if (status == net::RespParser::Status::message && !take(parser_.take())) return false;
+            if (status == net::RespParser::Status::message && !take(parser_.takeMessage())) return false;
         }
         return true;
     }
@@ -286,11 +286,11 @@
     }
 
     void flush() {
-        if (owner_.loop_.stale()) return flushNextTurn();
-        while (stream_.opened() && !waiting_.empty() && stream_.unsent() == 0) {
+        if (owner_.loop_.turnOverran()) return flushNextTurn();
+        while (stream_.opened() && !waiting_.empty() && stream_.unsentBytes() == 0) {
             // The store has closed, and that has not been handled yet: what is written now would be lost, and
             // count as perhaps run.
-            if (stream_.peerEnded()) return stream_.readSoon();
+            if (stream_.peerHasClosed()) return stream_.readNextTurn();
             const Waiting& next = waiting_.front();
             const Micros now = owner_.loop_.now();
             const Micros waited = now - next.send.pickedAt;
@@ -305,7 +305,7 @@
             const std::string fields = fieldsOf(request, next.send, leftOf(next));
             net::appendResp(words, {"PULL", request.label, fields, request.body});
             // No room for its first byte: it waits on, and is looked at again before it goes.
-            if (!stream_.writeIfRoom(std::move(words))) return;
+            if (!stream_.tryWrite(std::move(words))) return;
             if (out_.empty()) waitsSince_ = now;
             if (!silenceTimer_) watchSilence(owner_.silence_.limit());
             out_[request.label] = {next.send.request,
@@ -399,14 +399,14 @@
 }
 
 void Stores::reconfigure(const settings::Configuration& configuration) {
-    const settings::Vocabulary& words = configuration.words;
+    const settings::DecodedSettings& words = configuration.decoded;
     connectTimeout_ = kConnectTimeout;
     idleClose_ = kIdleClose;
     streams_ = kStreams;
     if (words.connectTimeout.count() > 0)
         connectTimeout_ = std::chrono::duration_cast<Micros>(words.connectTimeout);
-    if (words.idleClose.count() > 0)
-        idleClose_ = std::chrono::duration_cast<Micros>(words.idleClose) * 9 / 10;
+    if (words.idleTimeout.count() > 0)
+        idleClose_ = std::chrono::duration_cast<Micros>(words.idleTimeout) * 9 / 10;
     sockets_ = static_cast<std::size_t>(configuration.limits.sockets);
     setProcessCount(processes_);
     const Micros longest = core::longestClientTimeout(words.settings);
@@ -492,9 +492,9 @@
 
 std::shared_ptr<Stores::Link> Stores::linkFor(const std::string& host, const std::string& label) {
     const auto known = stores_.find(host);
-    if (known == stores_.end()) throw settings::Malformed("is not listed");
+    if (known == stores_.end()) throw settings::DecodeError("is not listed");
     Store& store = known->second;
-    if (store.address.empty()) throw settings::Malformed("has no address");
+    if (store.address.empty()) throw settings::DecodeError("has no address");
     retireStuck(store);
     std::shared_ptr<Link> best, silent;
     for (const auto& link : store.links) {
@@ -550,7 +550,7 @@
         }
         ++counters_.noDescriptor;
         end.ignoreForHealth = true;  // it is this process that has too many connections
-    } catch (const settings::Malformed& problem) {
+    } catch (const settings::DecodeError& problem) {
         std::fprintf(stderr, "store %s: %s\n", send.host.c_str(), problem.what());
     }
     tell(std::move(end));
@@ -568,7 +568,7 @@
     // Later in the turn: the caller may be in the middle of the very request that this is about. And what its
     // client has said by then is known before the request is sent on.
     auto shared = std::make_shared<AttemptResult>(std::move(end));
-    loop_.whenAllIsHeard([this, shared] {
+    loop_.atEndOfTurn([this, shared] {
         const auto found = places_.find(shared->request);
         if (found == places_.end() || found->second.attempt != shared->attempt) return;
         places_.erase(found);
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -70,7 +70,7 @@
 
 }  // namespace
 
-class Front::Client : public net::Stream::User {
+class Front::Client : public net::Stream::Observer {
 public:
     Client(Front& owner, net::Descriptor fd)
         : owner_(owner),
@@ -79,14 +79,16 @@
           lastMoved_(connectedAt_),
           halfSince_(connectedAt_),
           stream_(owner.loop_, std::move(fd), *this) {
-        stream_.dropWithPeer();
+        stream_.dropInputOnPeerClose();
         touch();
     }
     ~Client() override { abandon(); }
 
-    bool idle() const { return !job_ && stream_.unsent() == 0; }
+    bool idle() const { return !job_ && stream_.unsentBytes() == 0; }
     // At rest: nothing of a further request has come, read or unread.
-    bool resting() const { return idle() && ahead_.empty() && !parser_.midMessage() && stream_.quiet(); }
+    bool resting() const {
+        return idle() && ahead_.empty() && !parser_.midMessage() && stream_.nothingUnread();
+    }
     Micros lastMoved() const { return lastMoved_; }
     bool settled() const { return closing_ ? idle() : resting(); }
     void lastCall() {
@@ -99,11 +101,12 @@
         job_->begun ? breakOff("the process ends") : unavailable(1s);
     }
     void endForDrain() {
-        if (job_ || closing_ || !ahead_.empty() || !stream_.allTaken() || !stream_.quiet()) return;
+        if (job_ || closing_ || !ahead_.empty() || !stream_.allAcknowledged() || !stream_.nothingUnread())
+            return;
         if (parser_.midMessage() || owner_.loop_.now() - connectedAt_ < kSilentDrained) return;
         ++owner_.counters_.drained;
         closing_ = true;
-        stream_.closeGently(kSilentDrained);
+        stream_.closeLingering(kSilentDrained);
     }
     void abandon() {
         stream_.close();
@@ -206,7 +209,7 @@
         if (owner_.refuses()) return unavailable(1s);
         job_->route = *route;
         job_->path = *path;
-        const auto& classes = owner_.configuration_.base.words.settings.classes;
+        const auto& classes = owner_.configuration_.base.decoded.settings.classes;
         job_->file = classes[static_cast<std::size_t>(route->classIndex)].inParts;
         if (!job_->head) job_->range = rangeOf(head.field("range"));
         job_->ifRange = text("if-range");
@@ -219,7 +222,7 @@
 
     void ask(std::uint64_t part) {
         const auto& configuration = owner_.configuration_;
-        const std::size_t size = job_->file ? configuration.partBytes : configuration.largestIndex;
+        const std::size_t size = job_->file ? configuration.partBytes : configuration.maxIndexBytes;
         if (!owner_.roomFor(size))
             return job_->begun ? breakOff("no memory is left for it") : unavailable(1s);
         job_->part = part;
@@ -234,7 +237,7 @@
         request.group = job_->route.group;
         request.part = static_cast<std::int64_t>(part);
         if (!job_->file && !job_->range) request.known = job_->ifNoneMatch;
-        const auto& words = configuration.base.words.settings.classes;
+        const auto& words = configuration.base.decoded.settings.classes;
         const Micros now = owner_.loop_.now();
         request.deadline = now + std::chrono::duration_cast<Micros>(
                                      words[static_cast<std::size_t>(request.classIndex)].giveUp);
@@ -309,7 +312,7 @@
         if (job_->at < first || job_->at >= upTo) return breakOff("the upstream sent another part");
         stream_.write(payload.body.substr(job_->at - first, upTo - job_->at));
         job_->at = upTo;
-        count(stream_.unsent());
+        count(stream_.unsentBytes());
         touch();
         if (job_->at == job_->end) return done();
         askOnceTaken();
@@ -317,7 +320,7 @@
 
     // The next part is fetched when the client has room for it.
     void askOnceTaken() {
-        if (!job_ || !job_->begun || job_->asked || stream_.unsent() > owner_.configuration_.partBytes)
+        if (!job_ || !job_->begun || job_->asked || stream_.unsentBytes() > owner_.configuration_.partBytes)
             return;
         ask(job_->at / owner_.configuration_.partBytes);
     }
@@ -402,7 +405,7 @@
         const bool keep = job_->keep;
         job_.reset();
         restarts_ = 0;
-        count(stream_.unsent());
+        count(stream_.unsentBytes());
         touch();
         // What comes next is taken later in the turn, so that a row of short answers does not nest.
         if (keep) return later(&Client::takeRequests);
@@ -421,12 +424,12 @@
 
     // ----- the connection -----
 
-    void streamDrained() override {
+    void streamFlushed() override {
         touch();
         count(0);
         askOnceTaken();
     }
-    void streamEnded(net::Stream::End) override {
+    void streamEnded(net::Stream::CloseReason) override {
         abandon();
         owner_.forget(this);
     }
@@ -445,7 +448,7 @@
             }
             // While an answer is fetched its own deadline holds.
             if (job_ && job_->asked) return touch();
-            streamEnded(net::Stream::End::closedByPeer);
+            streamEnded(net::Stream::CloseReason::closedByPeer);
         });
     }
     void count(std::size_t unsent) {
@@ -561,7 +564,7 @@
 }
 
 bool Front::settled() {
-    if (listener_ && !listener_->takeWaiting()) return false;
+    if (listener_ && !listener_->acceptPending()) return false;
     if (!former_.settled()) return false;
     return std::all_of(clients_.begin(), clients_.end(),
                        [](const auto& entry) { return entry.second->settled(); });
@@ -570,7 +573,7 @@
 void Front::forget(Client* client) {
     const auto found = clients_.find(client);
     if (found == clients_.end()) return;
-    loop_.retire(found->second);
+    loop_.destroyAfterTurn(found->second);
     clients_.erase(found);
 }
 
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -51,13 +51,13 @@
 
 }  // namespace
 
-class Upstreams::Link : public net::Stream::User, public std::enable_shared_from_this<Link> {
+class Upstreams::Link : public net::Stream::Observer, public std::enable_shared_from_this<Link> {
 public:
     Link(Upstreams& owner, std::string host, const settings::Endpoint& to)
         : owner_(owner),
           host_(std::move(host)),
           parser_(net::HttpParser::Kind::response,
-                  {16 * 1024, std::max(owner.configuration_.largestIndex, owner.configuration_.partBytes)}),
+                  {16 * 1024, std::max(owner.configuration_.maxIndexBytes, owner.configuration_.partBytes)}),
           stream_(owner_.loop_, to, *this) {
         ++owner_.counters_.connects;
         arm(owner_.connectTimeout_, Outcome::noConnection);
@@ -67,7 +67,7 @@
     bool connecting() const { return !ended_ && !stream_.opened(); }
     // One whose close has come and is not handled yet would lose what is written now; and what it says
     // unasked, such as 408 before it closes, would pass for the answer.
-    bool ready() const { return !ended_ && stream_.opened() && !work_ && stream_.quiet(); }
+    bool ready() const { return !ended_ && stream_.opened() && !work_ && stream_.nothingUnread(); }
     bool has(RequestId request) const { return work_ && work_->send.request == request; }
 
     void take(const Waiting& work) {
@@ -83,7 +83,7 @@
         const auto self = shared_from_this();
         if (work_) owner_.tell(*work_, outcome);
         work_.reset();
-        owner_.loop_.retire(self);
+        owner_.loop_.destroyAfterTurn(self);
         owner_.drop(host_, this, blameless_);
     }
     // HTTP/1.1 has no other way to give a request up.
@@ -99,7 +99,7 @@
     }
     // Its client may have left in this very turn.
     void serveWhatWaited() {
-        owner_.loop_.whenAllIsHeard([self = shared_from_this()] { self->owner_.serveWaiting(self->host_); });
+        owner_.loop_.atEndOfTurn([self = shared_from_this()] { self->owner_.serveWaiting(self->host_); });
     }
     bool streamData(std::string_view data) override {
         while (!data.empty()) {
@@ -113,10 +113,10 @@
         }
         return true;
     }
-    void streamEnded(net::Stream::End why) override {
-        using End = net::Stream::End;
+    void streamEnded(net::Stream::CloseReason why) override {
+        using End = net::Stream::CloseReason;
         if (why == End::closedByPeer && work_ && parser_.endOfStream()) return answered(false);
-        const bool cameUp = why != End::refused && why != End::unavailable;
+        const bool cameUp = why != End::connectFailed && why != End::localShortage;
         if (!cameUp) ++owner_.counters_.connectFailures;
         if (why == End::reset) ++owner_.counters_.resets;
         if (why == End::malformed) {
@@ -124,7 +124,7 @@
             std::fprintf(stderr, "repository server %s: malformed answer, connection closed\n",
                          host_.c_str());
         }
-        blameless_ = why == End::unavailable;
+        blameless_ = why == End::localShortage;
         fail(cameUp ? Outcome::broken : Outcome::noConnection);
     }
 
@@ -227,12 +227,12 @@
 }
 
 void Upstreams::reconfigure(const settings::RepositoryConfiguration& configuration) {
-    const settings::Vocabulary& words = configuration.base.words;
+    const settings::DecodedSettings& decoded = configuration.base.decoded;
     const auto given = [](Time t, Micros otherwise) {
         return t.count() > 0 ? std::chrono::duration_cast<Micros>(t) : otherwise;
     };
-    connectTimeout_ = given(words.connectTimeout, kConnectTimeout);
-    idleClose_ = given(words.idleClose * 9 / 10, kIdleClose);
+    connectTimeout_ = given(decoded.connectTimeout, kConnectTimeout);
+    idleClose_ = given(decoded.idleTimeout * 9 / 10, kIdleClose);
 }
 
 Upstreams::~Upstreams() = default;
@@ -251,11 +251,11 @@
         try {
             if (!listed.address.empty()) settings::readEndpoint(listed.address, "address");
             if (!listed.address.empty()) server.address = listed.address;
-        } catch (const settings::Malformed& problem) {
+        } catch (const settings::DecodeError& problem) {
             std::fprintf(stderr, "repository server %s: %s\n", listed.name.c_str(), problem.what());
         }
         server.sinceMs = listed.sinceMs;
-        server.origin = configuration_.base.words.roleOf(listed.shape) == Role::origin;
+        server.origin = configuration_.base.decoded.roleOf(listed.type) == Role::origin;
     }
 }
 
@@ -329,7 +329,7 @@
 std::string Upstreams::wordsFor(const core::Request& request, const core::Decision& send) {
     const Server& server = servers_[send.host];
     std::string words = "GET " + request.object + " HTTP/1.1\r\nHost: " + server.address + "\r\n";
-    if (configuration_.base.words.settings.classes[static_cast<std::size_t>(request.classIndex)].inParts) {
+    if (configuration_.base.decoded.settings.classes[static_cast<std::size_t>(request.classIndex)].inParts) {
         const auto first = static_cast<std::uint64_t>(request.part) * configuration_.partBytes;
         words += "Range: bytes=" + std::to_string(first) + "-" +
                  std::to_string(first + configuration_.partBytes - 1) + "\r\n";
@@ -362,7 +362,7 @@
     // Later in the turn: the caller may be in the middle of the very request that this is about. And what its
     // client has said by then is known before the request is sent on.
     auto shared = std::make_shared<AttemptResult>(std::move(end));
-    loop_.whenAllIsHeard([this, shared] {
+    loop_.atEndOfTurn([this, shared] {
         const auto found = out_.find(shared->request);
         if (found == out_.end() || found->second != shared->attempt) return;
         out_.erase(found);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -21,7 +21,7 @@
 using namespace std::chrono_literals;
 
 // A stream that a peer has connected to, and the peer's own socket.
-class Pair : public Stream::User {
+class Pair : public Stream::Observer {
 public:
     explicit Pair(Loop& loop) {
         Descriptor listening = listenOn({"127.0.0.1", 0});
@@ -34,8 +34,8 @@
         stream = std::make_unique<Stream>(loop, std::move(fd), *this);
     }
     bool streamData(std::string_view) override { return true; }
-    void streamDrained() override { ++drained; }
-    void streamEnded(Stream::End) override { ended = true; }
+    void streamFlushed() override { ++drained; }
+    void streamEnded(Stream::CloseReason) override { ended = true; }
 
     Descriptor peer;
     std::unique_ptr<Stream> stream;
@@ -49,26 +49,26 @@
     Pair pair(loop);
     const std::string piece(512, 'x');
     std::size_t begun = 0;
-    while (pair.stream->writeIfRoom(piece)) begun += piece.size();
+    while (pair.stream->tryWrite(piece)) begun += piece.size();
     ASSERT_GT(begun, 0u);
-    EXPECT_FALSE(pair.stream->writeIfRoom("late"));
+    EXPECT_FALSE(pair.stream->tryWrite("late"));
     loop.turn(loop.now());
     pair.drained = 0;  // the edge of a new connection
     std::string got(begun, 0);
     EXPECT_EQ(::recv(pair.peer.get(), got.data(), got.size(), MSG_WAITALL), static_cast<ssize_t>(begun));
     while (pair.drained == 0 && !pair.ended) loop.turn(loop.now() + 1s);
-    EXPECT_EQ(pair.stream->unsent(), 0u);
+    EXPECT_EQ(pair.stream->unsentBytes(), 0u);
     EXPECT_EQ(::recv(pair.peer.get(), got.data(), 1, MSG_DONTWAIT), -1);
-    EXPECT_TRUE(pair.stream->writeIfRoom("again"));
+    EXPECT_TRUE(pair.stream->tryWrite("again"));
     EXPECT_EQ(::recv(pair.peer.get(), got.data(), 5, MSG_WAITALL), 5);
 }
 
 TEST(Stream, AnEndThatIsNotHandledYetIsSeen) {
     Loop loop;
     Pair pair(loop);
-    EXPECT_FALSE(pair.stream->peerEnded());
+    EXPECT_FALSE(pair.stream->peerHasClosed());
     pair.peer.reset();
-    EXPECT_TRUE(pair.stream->peerEnded());
+    EXPECT_TRUE(pair.stream->peerHasClosed());
 }
 
 // Its end makes no edge of its own once reading goes on, and what came before it stays unread.
@@ -86,7 +86,7 @@
     Loop loop;
     Pair pair(loop);
     pair.stream->write("last words");
-    pair.stream->closeGently(200ms);
+    pair.stream->closeLingering(200ms);
     int turns = 0;
     while (!pair.ended && turns < 1000) {
         loop.turn(loop.now() + 1s);
@@ -101,7 +101,7 @@
 }
 
 // Calls back with what comes in.
-class Listens : public Stream::User {
+class Listens : public Stream::Observer {
 public:
     Listens(Loop& loop, std::function<void()> heard) : heard_(std::move(heard)) {
         std::array<int, 2> ends{};
@@ -116,7 +116,7 @@
         heard_();
         return true;
     }
-    void streamEnded(Stream::End) override {}
+    void streamEnded(Stream::CloseReason) override {}
 
     std::function<void()> heard_;
     Descriptor peer_;
@@ -132,7 +132,7 @@
     Listens late(loop, [&] { order += "late "; });
     Listens first(loop, [&] {
         order += "first ";
-        loop.whenAllIsHeard([&] { order += "timer "; });
+        loop.atEndOfTurn([&] { order += "timer "; });
         late.send();
         std::this_thread::sleep_for(kHeldUp);
     });
@@ -146,7 +146,7 @@
     int timers = 0;
     std::unique_ptr<Listens> busy;
     busy = std::make_unique<Listens>(loop, [&] {
-        loop.whenAllIsHeard([&] {
+        loop.atEndOfTurn([&] {
             ++timers;
             busy->send();
         });
@@ -165,10 +165,10 @@
     Listens slow(loop, [] { std::this_thread::sleep_for(kHeldUp); });
     slow.send();
     loop.turn(loop.now());
-    EXPECT_FALSE(loop.heldUpOfLate());
+    EXPECT_FALSE(loop.recentlyStalled());
     loop.turn(loop.now() + kHeldUp + 5ms);
-    EXPECT_TRUE(loop.heldUpOfLate());
-    EXPECT_GE(loop.heldUp(), kHeldUp);
+    EXPECT_TRUE(loop.recentlyStalled());
+    EXPECT_GE(loop.stallTime(), kHeldUp);
 }
 
 // Of more than one look at the kernel brings, too.
