--- a/src/agent/control.hpp
+++ b/src/agent/control.hpp
@@ -5,7 +5,7 @@
 #include <list>
 #include <string>
 
-#include "../config/check.hpp"
+#include "../config/validation.hpp"
 #include "../net/calls.hpp"
 #include "../net/loop.hpp"
 #include "consensus.hpp"
--- a/src/config/check.cpp
+++ b/src/config/validation.cpp
@@ -1,4 +1,4 @@
-#include "check.hpp"
+#include "validation.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/tests/config_store_test.cpp
+++ b/tests/config_store_test.cpp
@@ -1,7 +1,7 @@
 // The agreed state: transactions, sessions, history, the served view and its forms, without any consensus.
 #include <gtest/gtest.h>
 
-#include "config/check.hpp"
+#include "config/validation.hpp"
 
 namespace lotuslead::config {
 namespace {
