--- a/src/agent/consensus.hpp
+++ b/src/agent/consensus.hpp
@@ -9,7 +9,7 @@
 
 #include "../config/store.hpp"
 #include "../net/loop.hpp"
-#include "raft_host.hpp"
+#include "raft_node.hpp"
 
 namespace lotuslead::agent {
 
--- a/src/agent/raft_host.cpp
+++ b/src/agent/raft_node.cpp
@@ -1,4 +1,4 @@
-#include "raft_host.hpp"
+#include "raft_node.hpp"
 
 #include <sys/stat.h>
 
