--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -4,7 +4,7 @@
 #include <chrono>
 
 #include "../net/call.hpp"
-#include "state.hpp"
+#include "instances.hpp"
 
 namespace lotuslead::agent {
 
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -15,7 +15,7 @@
 #include "../net/signals.hpp"
 #include "control.hpp"
 #include "event_feed.hpp"
-#include "state.hpp"
+#include "instances.hpp"
 
 namespace {
 
--- a/src/agent/supervisor.hpp
+++ b/src/agent/supervisor.hpp
@@ -10,7 +10,7 @@
 
 #include "../net/listener.hpp"
 #include "../net/loop.hpp"
-#include "state.hpp"
+#include "instances.hpp"
 
 namespace lotuslead::agent {
 
