--- a/src/agent/control.hpp
+++ b/src/agent/control.hpp
@@ -11,7 +11,7 @@
 #include "consensus.hpp"
 #include "settings.hpp"
 #include "supervisor.hpp"
-#include "target.hpp"
+#include "request_target.hpp"
 
 namespace lotuslead::agent {
 
--- a/src/agent/event_feed.cpp
+++ b/src/agent/event_feed.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "target.hpp"
+#include "request_target.hpp"
 
 namespace lotuslead::agent {
 
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <optional>
 
-#include "target.hpp"
+#include "request_target.hpp"
 #include "upstreams.hpp"
 
 namespace lotuslead::repository {
--- a/src/repository/target.cpp
+++ b/src/repository/target.cpp
@@ -1,4 +1,4 @@
-#include "target.hpp"
+#include "request_target.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -5,7 +5,7 @@
 #include <optional>
 
 #include "../core/service.hpp"
-#include "target.hpp"
+#include "request_target.hpp"
 
 namespace lotuslead::repository {
 
