--- a/src/agent/raft_storage.hpp
+++ b/src/agent/raft_storage.hpp
@@ -24,7 +24,7 @@
 #include <string>
 #include <vector>
 
-#include "raft_guard.hpp"
+#include "append_entries_guard.hpp"
 #include "raft_log.hpp"
 
 namespace lotuslead::agent {
--- a/tests/raft_world.hpp
+++ b/tests/raft_world.hpp
@@ -19,7 +19,7 @@
 #include <string>
 #include <vector>
 
-#include "agent/raft_guard.hpp"
+#include "agent/append_entries_guard.hpp"
 #include "config/store.hpp"
 #include "support/hash.hpp"
 
