--- a/tests/raft_schedules.cpp
+++ b/tests/raft_schedules.cpp
@@ -7,7 +7,7 @@
 #include <cstdlib>
 #include <set>
 
-#include "raft_world.hpp"
+#include "raft_simulation.hpp"
 
 namespace {
 
--- a/tests/raft_world.cpp
+++ b/tests/raft_simulation.cpp
@@ -1,4 +1,4 @@
-#include "raft_world.hpp"
+#include "raft_simulation.hpp"
 
 namespace lotuslead::testing {
 
