--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <optional>
 
-#include "request_target.hpp"
+#include "target.hpp"
 #include "upstreams.hpp"
 
 namespace lotuslead::repository {
--- a/src/repository/target.cpp
+++ b/src/repository/target.cpp
@@ -1,4 +1,4 @@
-#include "request_target.hpp"
+#include "target.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -5,7 +5,7 @@
 #include <optional>
 
 #include "../core/service.hpp"
-#include "request_target.hpp"
+#include "target.hpp"
 
 namespace lotuslead::repository {
 
