--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -25,14 +25,14 @@
 
 Answer answerOf(Consensus::Fate fate, const config::Outcome& outcome) {
     using Fate = Consensus::Fate;
-    using Word = config::Outcome::Word;
+    using Status = config::Outcome::Status;
     if (fate == Fate::refused)
         return jsonAnswer(503, {{"word", "refused"}, {"why", "no leader that can write its log now"}});
     if (fate == Fate::unknown)
         return jsonAnswer(503, {{"word", "unknown"}, {"why", "it may be applied yet, or never"}});
-    json body = {{"word", config::nameOf(outcome.word)}, {"revision", outcome.revision}};
+    json body = {{"word", config::nameOf(outcome.status)}, {"revision", outcome.revision}};
     if (!outcome.key.empty()) body["key"] = outcome.key;
-    return jsonAnswer(outcome.word == Word::done ? 200 : 409, body);
+    return jsonAnswer(outcome.status == Status::done ? 200 : 409, body);
 }
 
 json toJson(const config::HistoryEntry& entry, const std::string& prefix) {
--- a/src/config/store.cpp
+++ b/src/config/store.cpp
@@ -64,15 +64,15 @@
     return root.dump();
 }
 
-const char* nameOf(Outcome::Word word) {
-    switch (word) {
-        case Outcome::Word::done:
+const char* nameOf(Outcome::Status status) {
+    switch (status) {
+        case Outcome::Status::done:
             return "done";
-        case Outcome::Word::conflict:
+        case Outcome::Status::conflict:
             return "conflict";
-        case Outcome::Word::gone:
+        case Outcome::Status::sessionGone:
             return "session gone";
-        case Outcome::Word::outOfTurn:
+        case Outcome::Status::staleSequence:
             return "out of turn";
         default:
             return "unreadable";
@@ -98,16 +98,16 @@
         command = read(text);
     } catch (const std::exception&) {
         // It is in the log of every agent alike, so each passes over it.
-        return {Outcome::Word::unreadable, revision_, {}};
+        return {Outcome::Status::unreadable, revision_, {}};
     }
     if (command.opensSession) return openSession();
     if (command.session == 0) return change(command.transaction);
     const auto found = sessions_.find(command.session);
-    if (found == sessions_.end()) return {Outcome::Word::gone, revision_, {}};
+    if (found == sessions_.end()) return {Outcome::Status::sessionGone, revision_, {}};
     Session& session = found->second;
     session.usedAt = commands_;
     if (command.sequence == session.sequence) return session.answer;
-    if (command.sequence < session.sequence) return {Outcome::Word::outOfTurn, revision_, {}};
+    if (command.sequence < session.sequence) return {Outcome::Status::staleSequence, revision_, {}};
     session.sequence = command.sequence;
     return session.answer = change(command.transaction);
 }
@@ -119,14 +119,14 @@
             std::min_element(sessions_.begin(), sessions_.end(),
                              [](const auto& a, const auto& b) { return a.second.usedAt < b.second.usedAt; }));
     sessions_[commands_].usedAt = commands_;
-    return {Outcome::Word::done, commands_, {}};
+    return {Outcome::Status::done, commands_, {}};
 }
 
 Outcome Store::change(const Transaction& transaction) {
     for (const Condition& c : transaction.conditions) {
         const Document* held = find(c.key);
         const Revision now = held ? held->revision : 0;
-        if (now != c.revision) return {Outcome::Word::conflict, now, c.key};
+        if (now != c.revision) return {Outcome::Status::conflict, now, c.key};
     }
     std::vector<Change> done;
     for (const Change& c : transaction.changes) {
@@ -137,13 +137,13 @@
             continue;
         done.push_back(c);
     }
-    if (done.empty()) return {Outcome::Word::done, revision_, {}};
+    if (done.empty()) return {Outcome::Status::done, revision_, {}};
     ++revision_;
     clockMs_ = std::max(clockMs_, transaction.atMs);
     for (const Change& c : done) write(c);
     remember(transaction, std::move(done));
     removeExpired();
-    return {Outcome::Word::done, revision_, {}};
+    return {Outcome::Status::done, revision_, {}};
 }
 
 void Store::write(const Change& change) {
@@ -223,7 +223,7 @@
     for (const auto& [key, d] : documents_)
         if (!hasPrefix(key, kPurgePrefix)) documents[key] = {d.value, d.revision, d.created};
     for (const auto& [id, s] : sessions_)
-        sessions[std::to_string(id)] = {s.sequence, s.usedAt, static_cast<int>(s.answer.word),
+        sessions[std::to_string(id)] = {s.sequence, s.usedAt, static_cast<int>(s.answer.status),
                                         s.answer.revision, s.answer.key};
     std::string text = json{{"form", kSnapshotForm},
                             {"revision", revision_},
@@ -282,7 +282,7 @@
 void Store::loadSessions(const json& sessions) {
     for (const auto& [id, s] : sessions.items())
         sessions_[std::stoull(id)] = {
-            s.at(0), s.at(1), {static_cast<Outcome::Word>(s.at(2).get<int>()), s.at(3), s.at(4)}};
+            s.at(0), s.at(1), {static_cast<Outcome::Status>(s.at(2).get<int>()), s.at(3), s.at(4)}};
 }
 
 // The agents' snapshots of version 0.1, which knew instances only.
--- a/src/config/store.hpp
+++ b/src/config/store.hpp
@@ -38,19 +38,19 @@
 std::string encode(const Command& command);
 
 struct Outcome {
-    enum class Word {
-        done,        // `revision` is the tree's behind it, or the number of the session that was opened
-        conflict,    // a condition does not hold: `key` has `revision` now
-        gone,        // the session is not known any more: whether the command was applied can't be told
-        outOfTurn,   // the session has gone on: the answer to this one was taken already
-        unreadable,  // no command of a form that this version knows; nothing was done
+    enum class Status {
+        done,           // `revision` is the tree's behind it, or the number of the session that was opened
+        conflict,       // a condition does not hold: `key` has `revision` now
+        sessionGone,    // the session is not known any more: whether the command was applied can't be told
+        staleSequence,  // the session has gone on: the answer to this one was taken already
+        unreadable,     // no command of a form that this version knows; nothing was done
     };
-    Word word = Word::done;
+    Status status = Status::done;
     Revision revision = 0;
     std::string key;
     bool operator==(const Outcome&) const = default;
 };
-const char* nameOf(Outcome::Word word);
+const char* nameOf(Outcome::Status status);
 
 struct Document {
     nlohmann::json value;
--- a/tests/config_store_test.cpp
+++ b/tests/config_store_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 using nlohmann::json;
-using Word = Outcome::Word;
+using Status = Outcome::Status;
 
 Transaction put(const std::string& key, json value, std::vector<Condition> conditions = {}) {
     return {std::move(conditions), {{key, std::move(value)}}, 1, "operator"};
@@ -20,11 +20,11 @@
 
 TEST(ConfigStore, OneOfTwoOperatorsWinsAndTheOtherIsToldWhatBeatIt) {
     Store store;
-    EXPECT_EQ(apply(store, put("files/a", 1)), (Outcome{Word::done, 1, {}}));
-    EXPECT_EQ(apply(store, put("files/a", 2, {{"files/a", 1}})), (Outcome{Word::done, 2, {}}));
-    EXPECT_EQ(apply(store, put("files/a", 3, {{"files/a", 1}})), (Outcome{Word::conflict, 2, "files/a"}));
-    EXPECT_EQ(apply(store, put("files/b", 3, {{"files/b", 7}})), (Outcome{Word::conflict, 0, "files/b"}));
-    EXPECT_EQ(apply(store, put("files/b", 3, {{"files/b", 0}})), (Outcome{Word::done, 3, {}}));
+    EXPECT_EQ(apply(store, put("files/a", 1)), (Outcome{Status::done, 1, {}}));
+    EXPECT_EQ(apply(store, put("files/a", 2, {{"files/a", 1}})), (Outcome{Status::done, 2, {}}));
+    EXPECT_EQ(apply(store, put("files/a", 3, {{"files/a", 1}})), (Outcome{Status::conflict, 2, "files/a"}));
+    EXPECT_EQ(apply(store, put("files/b", 3, {{"files/b", 7}})), (Outcome{Status::conflict, 0, "files/b"}));
+    EXPECT_EQ(apply(store, put("files/b", 3, {{"files/b", 0}})), (Outcome{Status::done, 3, {}}));
     EXPECT_EQ(store.find("files/a")->value, 2);
     EXPECT_EQ(store.find("files/a")->created, 1U);
 }
@@ -32,7 +32,7 @@
 TEST(ConfigStore, ATransactionHappensWholeOrNotAtAll) {
     Store store;
     Transaction both{{{"files/x", 0}, {"files/y", 9}}, {{"files/x", 1}, {"files/z", 2}}, 0, ""};
-    EXPECT_EQ(apply(store, both).word, Word::conflict);
+    EXPECT_EQ(apply(store, both).status, Status::conflict);
     EXPECT_EQ(store.size(), 0U);
     EXPECT_EQ(store.revision(), 0U);
     both.conditions.pop_back();
@@ -47,14 +47,14 @@
     const auto id = session(store);
     const Transaction counted = put("files/n", 1, {{"files/n", 0}});
     const Outcome first = apply(store, counted, id, 1);
-    EXPECT_EQ(first.word, Word::done);
+    EXPECT_EQ(first.status, Status::done);
     EXPECT_EQ(apply(store, counted, id, 1), first);  // else it were a conflict now
     Store other;
     other.load(store.dump());
     EXPECT_EQ(apply(other, counted, id, 1), first);
     EXPECT_EQ(apply(other, put("files/n", 2), id, 2).revision, 2U);
-    EXPECT_EQ(apply(other, counted, id, 1).word, Word::outOfTurn);
-    EXPECT_EQ(apply(other, counted, id + 77, 1).word, Word::gone);
+    EXPECT_EQ(apply(other, counted, id, 1).status, Status::staleSequence);
+    EXPECT_EQ(apply(other, counted, id + 77, 1).status, Status::sessionGone);
 }
 
 TEST(ConfigStore, ForgottenSessionsRefuseInsteadOfGuessing) {
@@ -65,8 +65,8 @@
     apply(store, put("files/a", 1), a, 1);
     const auto d = session(store);
     EXPECT_EQ(store.sessions(), 3U);
-    EXPECT_EQ(apply(store, put("files/b", 1), b, 1).word, Word::gone);  // the least recently used
-    EXPECT_EQ(apply(store, put("files/a", 1), a, 1).word, Word::done);
+    EXPECT_EQ(apply(store, put("files/b", 1), b, 1).status, Status::sessionGone);  // the least recently used
+    EXPECT_EQ(apply(store, put("files/a", 1), a, 1).status, Status::done);
     EXPECT_NE(c, d);
 }
 
@@ -337,7 +337,7 @@
 TEST(ConfigStore, ReadsTheFormOfBefore) {
     Store store;
     const std::string old = R"({"verb":"put","name":"gate-1","agent":2,"configuration":"{\"a\":1}"})";
-    EXPECT_EQ(store.apply(old).word, Word::done);
+    EXPECT_EQ(store.apply(old).status, Status::done);
     EXPECT_EQ(store.find("instances/gate-1")->value, (json{{"agent", 2}, {"configuration", {{"a", 1}}}}));
     store.apply(R"({"verb":"remove","name":"gate-1"}   )");  // commands were filled up with blanks
     EXPECT_EQ(store.size(), 0U);
@@ -349,8 +349,8 @@
     EXPECT_THROW(store.load(R"({"form":4})"), std::exception);
     EXPECT_THROW(store.load("{"), std::exception);
     EXPECT_EQ(store.dump(), before);
-    EXPECT_EQ(store.apply(R"({"form":3,"do":[]})").word, Word::unreadable);
-    EXPECT_EQ(store.apply("nonsense").word, Word::unreadable);
+    EXPECT_EQ(store.apply(R"({"form":3,"do":[]})").status, Status::unreadable);
+    EXPECT_EQ(store.apply("nonsense").status, Status::unreadable);
 }
 
 TEST(ConfigStore, TheSameCommandsGiveTheSameState) {
--- a/tests/raft_schedules.cpp
+++ b/tests/raft_schedules.cpp
@@ -151,8 +151,8 @@
     void answered(std::size_t number, const Outcome& outcome) {
         Client& client = clients_[number];
         world_.note(outcome.revision);
-        if (outcome.word != Outcome::Word::done)
-            fault(client.key + " was answered '" + config::nameOf(outcome.word) + "'");
+        if (outcome.status != Outcome::Status::done)
+            fault(client.key + " was answered '" + config::nameOf(outcome.status) + "'");
         kept_.emplace(client.key, outcome.revision);
         highest_ = std::max(highest_, outcome.revision);
         ++result_.committed;
