--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -116,7 +116,7 @@
         const std::string key = target.path.substr(8);
         if (const auto* found = store_.find(key)) add(key, *found);
     } else {
-        store_.each(target.text("prefix"), add);
+        store_.forEach(target.text("prefix"), add);
     }
     return list;
 }
@@ -143,7 +143,7 @@
 void Control::history(const Target& target, const Reply& reply) {
     const auto from = static_cast<config::Revision>(target.whole("from").value_or(0));
     const std::string prefix = target.text("prefix");
-    const json list = listOf(store_.heldSince(from, prefix), prefix);
+    const json list = listOf(store_.retainedSince(from, prefix), prefix);
     const config::Revision oldest = store_.historyCompleteFrom(prefix) + 1;  // from it on all is held
     reply(jsonAnswer(200, {{"revision", store_.revision()}, {"oldest", oldest}, {"history", list}}));
 }
@@ -168,7 +168,7 @@
         watch.reply({503, "this agent is behind\n", {}});
         return true;
     }
-    const auto behind = store_.since(watch.from, watch.prefix);
+    const auto behind = store_.changesSince(watch.from, watch.prefix);
     if (!behind) {
         watch.reply(jsonAnswer(410, {{"word", "compacted"}, {"revision", store_.revision()}}));
         return true;
--- a/src/agent/event_feed.cpp
+++ b/src/agent/event_feed.cpp
@@ -73,7 +73,7 @@
 
 std::string EventFeed::page(std::int64_t from) {
     const config::EventLog& log = store_.eventLog();
-    if (std::exchange(pagesOfLoad_, store_.loads()) != store_.loads()) pages_.clear();
+    if (std::exchange(pagesOfLoad_, store_.loadCount()) != store_.loadCount()) pages_.clear();
     if (const auto found = pages_.find(from); found != pages_.end()) return log.answer(found->second);
     config::EventLog::Page page = log.read(from);
     std::string text = log.answer(page);
--- a/src/agent/instances.hpp
+++ b/src/agent/instances.hpp
@@ -19,7 +19,7 @@
 
 inline std::map<std::string, Instance> instancesOf(const config::Store& store) {
     std::map<std::string, Instance> result;
-    store.each(kInstances, [&](const std::string& key, const config::Document& document) {
+    store.forEach(kInstances, [&](const std::string& key, const config::Document& document) {
         result[key.substr(std::string(kInstances).size())] = {document.value.at("agent"), document.revision,
                                                               document.value.at("configuration").dump()};
         return true;
--- a/src/config/store.cpp
+++ b/src/config/store.cpp
@@ -84,15 +84,15 @@
     return found == documents_.end() ? nullptr : &found->second;
 }
 
-void Store::each(const std::string& prefix,
-                 const std::function<bool(const std::string&, const Document&)>& visit) const {
+void Store::forEach(const std::string& prefix,
+                    const std::function<bool(const std::string&, const Document&)>& visit) const {
     for (auto at = documents_.lower_bound(prefix); at != documents_.end() && hasPrefix(at->first, prefix);
          ++at)
         if (!visit(at->first, at->second)) return;
 }
 
 Outcome Store::apply(std::string_view text) {
-    ++commands_;
+    ++commandCount_;
     Command command;
     try {
         command = read(text);
@@ -105,7 +105,7 @@
     const auto found = sessions_.find(command.session);
     if (found == sessions_.end()) return {Outcome::Status::sessionGone, revision_, {}};
     Session& session = found->second;
-    session.usedAt = commands_;
+    session.usedAt = commandCount_;
     if (command.sequence == session.sequence) return session.answer;
     if (command.sequence < session.sequence) return {Outcome::Status::staleSequence, revision_, {}};
     session.sequence = command.sequence;
@@ -118,8 +118,8 @@
         sessions_.erase(
             std::min_element(sessions_.begin(), sessions_.end(),
                              [](const auto& a, const auto& b) { return a.second.usedAt < b.second.usedAt; }));
-    sessions_[commands_].usedAt = commands_;
-    return {Outcome::Status::done, commands_, {}};
+    sessions_[commandCount_].usedAt = commandCount_;
+    return {Outcome::Status::done, commandCount_, {}};
 }
 
 Outcome Store::change(const Transaction& transaction) {
@@ -200,13 +200,13 @@
     return from;
 }
 
-std::optional<std::vector<const HistoryEntry*>> Store::since(Revision revision,
-                                                             std::string_view prefix) const {
+std::optional<std::vector<const HistoryEntry*>> Store::changesSince(Revision revision,
+                                                                    std::string_view prefix) const {
     if (revision < historyCompleteFrom(prefix)) return {};
-    return heldSince(revision, prefix);
+    return retainedSince(revision, prefix);
 }
 
-std::vector<const HistoryEntry*> Store::heldSince(Revision revision, std::string_view prefix) const {
+std::vector<const HistoryEntry*> Store::retainedSince(Revision revision, std::string_view prefix) const {
     std::vector<const HistoryEntry*> result;
     for (const History* history : historiesOf(prefix))
         for (const HistoryEntry& entry : history->entries())
@@ -227,7 +227,7 @@
                                         s.answer.revision, s.answer.key};
     std::string text = json{{"form", kSnapshotForm},
                             {"revision", revision_},
-                            {"commands", commands_},
+                            {"commands", commandCount_},
                             {"clock", clockMs_},
                             {"documents", documents},
                             {"sessions", sessions},
@@ -253,7 +253,7 @@
         fresh.loadSecondForm(all);
     } else if (all["form"] == kSnapshotForm) {
         fresh.revision_ = all.at("revision");
-        fresh.commands_ = all.at("commands");
+        fresh.commandCount_ = all.at("commands");
         fresh.clockMs_ = all.at("clock");
         fresh.loadDocuments(all.at("documents"));
         fresh.loadSessions(all.at("sessions"));
@@ -265,7 +265,7 @@
     } else {
         throw std::runtime_error("a snapshot of a form that this version does not know");
     }
-    fresh.loads_ = loads_ + 1;
+    fresh.loadCount_ = loadCount_ + 1;
     *this = std::move(fresh);
 }
 
@@ -301,7 +301,7 @@
 // It held one history for all, and purges beyond the log's, which no gateway could read any more.
 void Store::loadSecondForm(const json& snapshot) {
     revision_ = snapshot.at("revision");
-    commands_ = snapshot.at("commands");
+    commandCount_ = snapshot.at("commands");
     loadDocuments(snapshot.at("documents"));
     loadSessions(snapshot.at("sessions"));
     history_.setCompleteFrom(snapshot.at("historyFrom"));
--- a/src/config/store.hpp
+++ b/src/config/store.hpp
@@ -83,26 +83,26 @@
     Revision revision() const { return revision_; }
     const Document* find(const std::string& key) const;
     // In the order of keys; false ends it.
-    void each(const std::string& prefix,
-              const std::function<bool(const std::string&, const Document&)>& visit) const;
+    void forEach(const std::string& prefix,
+                 const std::function<bool(const std::string&, const Document&)>& visit) const;
     std::size_t size() const { return documents_.size(); }
     std::size_t sessions() const { return sessions_.size(); }
-    std::uint64_t commands() const { return commands_; }  // applied, the refused ones too
+    std::uint64_t commandCount() const { return commandCount_; }  // applied, the refused ones too
 
     // What was changed under this prefix behind this revision, by revision; nothing where some of it is not
     // held any more. Purges have a history of their own: many a second, they would push out all others.
-    [[nodiscard]] std::optional<std::vector<const HistoryEntry*>> since(Revision revision,
-                                                                        std::string_view prefix = {}) const;
+    [[nodiscard]] std::optional<std::vector<const HistoryEntry*>> changesSince(
+        Revision revision, std::string_view prefix = {}) const;
     // As that, but what is held of it, however little: a history whose beginning is gone does not hide the
     // other.
-    std::vector<const HistoryEntry*> heldSince(Revision revision, std::string_view prefix) const;
+    std::vector<const HistoryEntry*> retainedSince(Revision revision, std::string_view prefix) const;
     // All changes under this prefix behind this revision are held.
     Revision historyCompleteFrom(std::string_view prefix) const;
 
     // What gateways read: changes of boxes and purges.
     const EventLog& eventLog() const { return log_; }
     // How often load() has replaced all: events may be others under the same numbers then.
-    std::uint64_t loads() const { return loads_; }
+    std::uint64_t loadCount() const { return loadCount_; }
     std::int64_t lastEvent() const { return log_.last(); }
 
 private:
@@ -127,8 +127,8 @@
     Bounds bounds_;
     std::map<std::string, Document> documents_;
     Revision revision_ = 0;
-    std::uint64_t commands_ = 0;  // applied
-    std::uint64_t loads_ = 0;
+    std::uint64_t commandCount_ = 0;  // applied
+    std::uint64_t loadCount_ = 0;
     std::int64_t clockMs_ = 0;  // the latest that a transaction told; it never goes back
     History history_, purgeHistory_;
     std::map<std::uint64_t, Session> sessions_;
--- a/tests/config_store_test.cpp
+++ b/tests/config_store_test.cpp
@@ -75,15 +75,15 @@
     bounds.history.entries = 10;
     Store store(bounds);
     for (int i = 1; i <= 25; ++i) apply(store, put("files/a", i));
-    EXPECT_FALSE(store.since(14));
-    ASSERT_TRUE(store.since(15));
-    EXPECT_EQ(store.since(15)->size(), 10U);
-    EXPECT_EQ(store.since(24)->front()->changes.front().value, json(25));
-    EXPECT_EQ(store.since(25)->size(), 0U);
+    EXPECT_FALSE(store.changesSince(14));
+    ASSERT_TRUE(store.changesSince(15));
+    EXPECT_EQ(store.changesSince(15)->size(), 10U);
+    EXPECT_EQ(store.changesSince(24)->front()->changes.front().value, json(25));
+    EXPECT_EQ(store.changesSince(25)->size(), 0U);
     Store other(bounds);
     other.load(store.dump());
-    EXPECT_FALSE(other.since(14));
-    EXPECT_EQ(other.since(15)->size(), 10U);
+    EXPECT_FALSE(other.changesSince(14));
+    EXPECT_EQ(other.changesSince(15)->size(), 10U);
 }
 
 std::vector<std::int64_t> numbersOf(const json& batch) {
@@ -137,7 +137,7 @@
                     boxes[listed.name] = listed.address;
         }
         std::map<std::string, std::string> truth;
-        one->each("boxes/", [&](const std::string& key, const Document& d) {
+        one->forEach("boxes/", [&](const std::string& key, const Document& d) {
             truth[key.substr(6)] = d.value["address"];
             return true;
         });
@@ -292,15 +292,16 @@
     Store other(bounds);
     other.load(store.dump());
     for (const Store* one : {&store, &other}) {
-        ASSERT_TRUE(one->since(0, "files/"));
-        EXPECT_EQ(one->since(0, "files/")->front()->changes.front().key, "files/a");
-        EXPECT_FALSE(one->since(0, "purges/"));
-        EXPECT_FALSE(one->since(0, ""));               // of all changes some are gone
-        ASSERT_EQ(one->heldSince(0, "").size(), 12U);  // what is left of both: two of files, ten of purges
-        EXPECT_EQ(one->heldSince(0, "").front()->changes.front().key, "files/a");
-        ASSERT_TRUE(one->since(92, "purges/object/"));
-        EXPECT_EQ(one->since(100, "")->size(), 2U);
-        EXPECT_EQ(one->since(100, "")->back()->revision, 102U);
+        ASSERT_TRUE(one->changesSince(0, "files/"));
+        EXPECT_EQ(one->changesSince(0, "files/")->front()->changes.front().key, "files/a");
+        EXPECT_FALSE(one->changesSince(0, "purges/"));
+        EXPECT_FALSE(one->changesSince(0, ""));  // of all changes some are gone
+        ASSERT_EQ(one->retainedSince(0, "").size(),
+                  12U);  // what is left of both: two of files, ten of purges
+        EXPECT_EQ(one->retainedSince(0, "").front()->changes.front().key, "files/a");
+        ASSERT_TRUE(one->changesSince(92, "purges/object/"));
+        EXPECT_EQ(one->changesSince(100, "")->size(), 2U);
+        EXPECT_EQ(one->changesSince(100, "")->back()->revision, 102U);
     }
 }
 
@@ -323,9 +324,9 @@
     EXPECT_EQ(store.find("files/a")->value, 7);
     EXPECT_EQ(store.find("purges/object/told")->created, 3U);
     EXPECT_FALSE(store.find("purges/object/untold"));  // no gateway could read of it any more
-    EXPECT_EQ(store.since(1, "files/")->size(), 1U);
-    EXPECT_EQ(store.since(1, "purges/")->size(), 1U);
-    EXPECT_FALSE(store.since(0, "files/"));
+    EXPECT_EQ(store.changesSince(1, "files/")->size(), 1U);
+    EXPECT_EQ(store.changesSince(1, "purges/")->size(), 1U);
+    EXPECT_FALSE(store.changesSince(0, "files/"));
     EXPECT_EQ(numbersOf(json::parse(store.eventLog().page(0))), (std::vector<std::int64_t>{7, 8, 9, 10}));
     EXPECT_EQ(apply(store, put("files/a", 8), 5, 1).revision, 4U);  // the session's answer of before
     EXPECT_EQ(apply(store, put("files/a", 8), 5, 2).revision, 5U);
--- a/tests/raft_simulation.cpp
+++ b/tests/raft_simulation.cpp
@@ -74,7 +74,7 @@
         run.outcome = run.store.apply(command);
         *result = &run.outcome;
         if (run.server->world_.applied)
-            run.server->world_.applied(run.server->id_, run.store.commands(), command);
+            run.server->world_.applied(run.server->id_, run.store.commandCount(), command);
         return 0;
     };
     run_->fsm.snapshot = [](raft_fsm* fsm, raft_buffer** buffers, unsigned* count) {
