--- a/src/config/event_log.cpp
+++ b/src/config/event_log.cpp
@@ -130,7 +130,7 @@
     }
 }
 
-void EventLog::loadSecondForm(const json& snapshot, const Restored& restored) {
+void EventLog::loadFormat2(const json& snapshot, const Restored& restored) {
     baseBoxes_ = snapshot.at("base").get<std::map<std::string, json>>();
     const json& events = snapshot.at("events");
     last_ = snapshot.at("lastEvent").get<std::int64_t>() - static_cast<std::int64_t>(events.size());
--- a/src/config/event_log.hpp
+++ b/src/config/event_log.hpp
@@ -78,7 +78,7 @@
     using Restored = std::function<void(const Event&, Revision createdAt)>;
     void load(const nlohmann::json& dumped, const Restored& restored);  // throws where it is not of that form
     // The form of snapshots before this one had numbers, keys and values only.
-    void loadSecondForm(const nlohmann::json& snapshot, const Restored& restored);
+    void loadFormat2(const nlohmann::json& snapshot, const Restored& restored);
 
 private:
     std::int64_t base() const { return last_ - static_cast<std::int64_t>(events_.size()); }
--- a/src/config/history.cpp
+++ b/src/config/history.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-constexpr std::size_t kBytesOfAChange = 64;  // beside its key and its value
+constexpr std::size_t kChangeOverheadBytes = 64;  // beside its key and its value
 
 std::size_t sizeOf(const HistoryEntry& entry) {
     std::size_t bytes = 0;
     for (const Change& change : entry.changes) {
         const std::size_t value = change.value ? change.value->dump().size() : 0;
-        bytes += change.key.size() + value + kBytesOfAChange;
+        bytes += change.key.size() + value + kChangeOverheadBytes;
     }
     return bytes;
 }
--- a/src/config/store.cpp
+++ b/src/config/store.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr int kCommandForm = 2;   // those of before have no number
-constexpr int kSnapshotForm = 3;  // likewise; the second one kept purges among the documents
+constexpr int kCommandFormat = 2;   // those of before have no number
+constexpr int kSnapshotFormat = 3;  // likewise; the second one kept purges among the documents
 
 constexpr std::string_view kInstancePrefix = "instances/";
 
 // The agents' commands of before, which knew instances only.
-Transaction readFirstForm(const json& text) {
+Transaction readUnversionedCommand(const json& text) {
     Transaction result;
     Change& change = result.changes.emplace_back();
     change.key = std::string(kInstancePrefix) + text.at("name").get<std::string>();
@@ -30,10 +30,10 @@
     const json root = json::parse(text);
     Command command;
     if (!root.contains("form")) {
-        command.transaction = readFirstForm(root);
+        command.transaction = readUnversionedCommand(root);
         return command;
     }
-    if (root["form"] != kCommandForm) throw std::runtime_error("a command of another form");
+    if (root["form"] != kCommandFormat) throw std::runtime_error("a command of another form");
     command.session = root.value("session", std::uint64_t{0});
     command.sequence = root.value("sequence", std::uint64_t{0});
     command.opensSession = root.value("opens", false);
@@ -45,12 +45,12 @@
     return command;
 }
 
-std::int64_t whenOf(const json& purge) { return purge.value("ts", std::int64_t{0}); }
+std::int64_t purgeTimeMs(const json& purge) { return purge.value("ts", std::int64_t{0}); }
 
 }  // namespace
 
 std::string encode(const Command& command) {
-    json root = {{"form", kCommandForm}};
+    json root = {{"form", kCommandFormat}};
     if (command.session != 0) {
         root["session"] = command.session;
         root["sequence"] = command.sequence;
@@ -101,28 +101,29 @@
         return {Outcome::Status::unreadable, revision_, {}};
     }
     if (command.opensSession) return openSession();
-    if (command.session == 0) return change(command.transaction);
+    if (command.session == 0) return applyTransaction(command.transaction);
     const auto found = sessions_.find(command.session);
     if (found == sessions_.end()) return {Outcome::Status::sessionGone, revision_, {}};
     Session& session = found->second;
-    session.usedAt = commandCount_;
-    if (command.sequence == session.sequence) return session.answer;
+    session.lastUsedCommand = commandCount_;
+    if (command.sequence == session.sequence) return session.outcome;
     if (command.sequence < session.sequence) return {Outcome::Status::staleSequence, revision_, {}};
     session.sequence = command.sequence;
-    return session.answer = change(command.transaction);
+    return session.outcome = applyTransaction(command.transaction);
 }
 
 // Named by the number of its command, which no other ever has.
 Outcome Store::openSession() {
     if (sessions_.size() >= bounds_.sessions)
         sessions_.erase(
-            std::min_element(sessions_.begin(), sessions_.end(),
-                             [](const auto& a, const auto& b) { return a.second.usedAt < b.second.usedAt; }));
-    sessions_[commandCount_].usedAt = commandCount_;
+            std::min_element(sessions_.begin(), sessions_.end(), [](const auto& a, const auto& b) {
+                return a.second.lastUsedCommand < b.second.lastUsedCommand;
+            }));
+    sessions_[commandCount_].lastUsedCommand = commandCount_;
     return {Outcome::Status::done, commandCount_, {}};
 }
 
-Outcome Store::change(const Transaction& transaction) {
+Outcome Store::applyTransaction(const Transaction& transaction) {
     for (const Condition& c : transaction.conditions) {
         const Document* held = find(c.key);
         const Revision now = held ? held->revision : 0;
@@ -133,20 +134,21 @@
         const Document* held = find(c.key);
         if (!c.value && !held) continue;
         // Two operators' purges may come in either order: the later one holds.
-        if (c.value && held && hasPrefix(c.key, kPurgePrefix) && whenOf(*c.value) <= whenOf(held->value))
+        if (c.value && held && hasPrefix(c.key, kPurgePrefix) &&
+            purgeTimeMs(*c.value) <= purgeTimeMs(held->value))
             continue;
         done.push_back(c);
     }
     if (done.empty()) return {Outcome::Status::done, revision_, {}};
     ++revision_;
     clockMs_ = std::max(clockMs_, transaction.atMs);
-    for (const Change& c : done) write(c);
-    remember(transaction, std::move(done));
+    for (const Change& c : done) applyChange(c);
+    recordHistory(transaction, std::move(done));
     removeExpired();
     return {Outcome::Status::done, revision_, {}};
 }
 
-void Store::write(const Change& change) {
+void Store::applyChange(const Change& change) {
     const bool isPurge = hasPrefix(change.key, kPurgePrefix);
     if (!change.value) {
         documents_.erase(change.key);
@@ -163,13 +165,13 @@
     event.revision = revision_;
     event.key = change.key;
     if (isPurge)
-        event.purgedMs = whenOf(*change.value);
+        event.purgedMs = purgeTimeMs(*change.value);
     else
         event.box = change.value;
     log_.append(std::move(event));
 }
 
-void Store::remember(const Transaction& transaction, std::vector<Change> done) {
+void Store::recordHistory(const Transaction& transaction, std::vector<Change> done) {
     HistoryEntry purges{revision_, transaction.atMs, transaction.by, {}}, others = purges;
     for (Change& change : done)
         (hasPrefix(change.key, kPurgePrefix) ? purges : others).changes.push_back(std::move(change));
@@ -223,9 +225,9 @@
     for (const auto& [key, d] : documents_)
         if (!hasPrefix(key, kPurgePrefix)) documents[key] = {d.value, d.revision, d.created};
     for (const auto& [id, s] : sessions_)
-        sessions[std::to_string(id)] = {s.sequence, s.usedAt, static_cast<int>(s.answer.status),
-                                        s.answer.revision, s.answer.key};
-    std::string text = json{{"form", kSnapshotForm},
+        sessions[std::to_string(id)] = {s.sequence, s.lastUsedCommand, static_cast<int>(s.outcome.status),
+                                        s.outcome.revision, s.outcome.key};
+    std::string text = json{{"form", kSnapshotFormat},
                             {"revision", revision_},
                             {"commands", commandCount_},
                             {"clock", clockMs_},
@@ -248,10 +250,10 @@
     const json all = json::parse(text);
     Store fresh(bounds_);
     if (!all.contains("form")) {
-        fresh.loadFirstForm(all);
+        fresh.loadUnversioned(all);
     } else if (all["form"] == 2) {
-        fresh.loadSecondForm(all);
-    } else if (all["form"] == kSnapshotForm) {
+        fresh.loadFormat2(all);
+    } else if (all["form"] == kSnapshotFormat) {
         fresh.revision_ = all.at("revision");
         fresh.commandCount_ = all.at("commands");
         fresh.clockMs_ = all.at("clock");
@@ -261,7 +263,8 @@
         fresh.history_.fromJson(all.at("history"));
         fresh.purgeHistory_.setCompleteFrom(all.at("purgeHistoryFrom"));
         fresh.purgeHistory_.fromJson(all.at("purgeHistory"));
-        fresh.log_.load(all.at("log"), [&](const Event& e, Revision created) { fresh.restore(e, created); });
+        fresh.log_.load(all.at("log"),
+                        [&](const Event& e, Revision created) { fresh.restorePurgeDocument(e, created); });
     } else {
         throw std::runtime_error("a snapshot of a form that this version does not know");
     }
@@ -269,7 +272,7 @@
     *this = std::move(fresh);
 }
 
-void Store::restore(const Event& event, Revision createdAt) {
+void Store::restorePurgeDocument(const Event& event, Revision createdAt) {
     if (event.isPurge() && createdAt > 0)
         documents_[event.key] = {json{{"ts", event.purgedMs}}, event.revision, createdAt};
 }
@@ -286,7 +289,7 @@
 }
 
 // The agents' snapshots of version 0.1, which knew instances only.
-void Store::loadFirstForm(const json& snapshot) {
+void Store::loadUnversioned(const json& snapshot) {
     revision_ = snapshot.at("revision");
     history_.setCompleteFrom(revision_);
     purgeHistory_.setCompleteFrom(revision_);
@@ -299,7 +302,7 @@
 }
 
 // It held one history for all, and purges beyond the log's, which no gateway could read any more.
-void Store::loadSecondForm(const json& snapshot) {
+void Store::loadFormat2(const json& snapshot) {
     revision_ = snapshot.at("revision");
     commandCount_ = snapshot.at("commands");
     loadDocuments(snapshot.at("documents"));
@@ -312,10 +315,11 @@
         transaction.atMs = entry.at(1);
         transaction.by = entry.at(2);
         const Revision last = std::exchange(revision_, entry.at(0).get<Revision>());
-        remember(transaction, changesFromJson(entry.at(3)));
+        recordHistory(transaction, changesFromJson(entry.at(3)));
         revision_ = last;
     }
-    log_.loadSecondForm(snapshot, [this](const Event& e, Revision created) { restore(e, created); });
+    log_.loadFormat2(snapshot,
+                     [this](const Event& e, Revision created) { restorePurgeDocument(e, created); });
 }
 
 }  // namespace lotuslead::config
--- a/src/config/store.hpp
+++ b/src/config/store.hpp
@@ -108,21 +108,21 @@
 private:
     struct Session {
         std::uint64_t sequence = 0;
-        std::uint64_t usedAt = 0;  // number of the command
-        Outcome answer;
+        std::uint64_t lastUsedCommand = 0;  // number of the command
+        Outcome outcome;
     };
 
     std::vector<const History*> historiesOf(std::string_view prefix) const;
-    Outcome change(const Transaction& transaction);
-    void write(const Change& change);
-    void remember(const Transaction& transaction, std::vector<Change> done);
+    Outcome applyTransaction(const Transaction& transaction);
+    void applyChange(const Change& change);
+    void recordHistory(const Transaction& transaction, std::vector<Change> done);
     void removeExpired();
     Outcome openSession();
-    void restore(const Event& event, Revision createdAt);
-    void loadFirstForm(const nlohmann::json& snapshot);
+    void restorePurgeDocument(const Event& event, Revision createdAt);
+    void loadUnversioned(const nlohmann::json& snapshot);
     void loadDocuments(const nlohmann::json& documents);  // all but purges
     void loadSessions(const nlohmann::json& sessions);
-    void loadSecondForm(const nlohmann::json& snapshot);
+    void loadFormat2(const nlohmann::json& snapshot);
 
     Bounds bounds_;
     std::map<std::string, Document> documents_;
