--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -109,7 +109,8 @@
 json Control::documents(const Target& target) const {
     json list = json::array();
     const auto add = [&](const std::string& key, const config::Document& d) {
-        list.push_back({{"key", key}, {"revision", d.revision}, {"created", d.created}, {"value", d.value}});
+        list.push_back(
+            {{"key", key}, {"revision", d.revision}, {"created", d.createdRevision}, {"value", d.value}});
         return list.size() < 100'000;
     };
     if (target.path.size() > 8) {
--- a/src/config/event_log.cpp
+++ b/src/config/event_log.cpp
@@ -91,7 +91,7 @@
            R"(,"batch":[)" + page.batch + "]}";
 }
 
-std::string EventLog::dump(const CreatedAt& createdAt) const {
+std::string EventLog::dump(const CreationRevisionOf& creationRevisionOf) const {
     std::string text =
         R"({"last":)" + std::to_string(last_) + R"(,"boxes":)" + json(baseBoxes_).dump() + R"(,"events":[)";
     const char* between = "";
@@ -101,7 +101,7 @@
         text += '[' + std::to_string(event.recordedMs) + ',' + std::to_string(event.revision) + ',';
         appendQuoted(text, event.key);
         if (event.isPurge())
-            text += ',' + std::to_string(event.purgedMs) + ',' + std::to_string(createdAt(event));
+            text += ',' + std::to_string(event.purgedMs) + ',' + std::to_string(creationRevisionOf(event));
         else if (event.box)
             text += ',' + event.box->dump();
         text += ']';
@@ -109,7 +109,7 @@
     return text + "]}";
 }
 
-void EventLog::load(const json& dumped, const Restored& restored) {
+void EventLog::load(const json& dumped, const RestoredCallback& restored) {
     baseBoxes_ = dumped.at("boxes").get<std::map<std::string, json>>();
     const json& events = dumped.at("events");
     last_ = dumped.at("last").get<std::int64_t>() - static_cast<std::int64_t>(events.size());
@@ -130,7 +130,7 @@
     }
 }
 
-void EventLog::loadFormat2(const json& snapshot, const Restored& restored) {
+void EventLog::loadFormat2(const json& snapshot, const RestoredCallback& restored) {
     baseBoxes_ = snapshot.at("base").get<std::map<std::string, json>>();
     const json& events = snapshot.at("events");
     last_ = snapshot.at("lastEvent").get<std::int64_t>() - static_cast<std::int64_t>(events.size());
--- a/src/config/event_log.hpp
+++ b/src/config/event_log.hpp
@@ -73,12 +73,13 @@
 
     // `createdAt`: the revision at which the document that an event's transaction wrote was made; 0: it is
     // another one's by now, or gone.
-    using CreatedAt = std::function<Revision(const Event&)>;
-    std::string dump(const CreatedAt& createdAt) const;
-    using Restored = std::function<void(const Event&, Revision createdAt)>;
-    void load(const nlohmann::json& dumped, const Restored& restored);  // throws where it is not of that form
+    using CreationRevisionOf = std::function<Revision(const Event&)>;
+    std::string dump(const CreationRevisionOf& creationRevisionOf) const;
+    using RestoredCallback = std::function<void(const Event&, Revision createdRevision)>;
+    void load(const nlohmann::json& dumped,
+              const RestoredCallback& restored);  // throws where it is not of that form
     // The form of snapshots before this one had numbers, keys and values only.
-    void loadFormat2(const nlohmann::json& snapshot, const Restored& restored);
+    void loadFormat2(const nlohmann::json& snapshot, const RestoredCallback& restored);
 
 private:
     std::int64_t base() const { return last_ - static_cast<std::int64_t>(events_.size()); }
--- a/src/config/store.cpp
+++ b/src/config/store.cpp
@@ -154,7 +154,7 @@
         documents_.erase(change.key);
     } else {
         Document& document = documents_[change.key];
-        if (document.revision == 0) document.created = revision_;
+        if (document.revision == 0) document.createdRevision = revision_;
         document.value = *change.value;
         document.revision = revision_;
     }
@@ -223,7 +223,7 @@
 std::string Store::dump() const {
     json documents = json::object(), sessions = json::object();
     for (const auto& [key, d] : documents_)
-        if (!hasPrefix(key, kPurgePrefix)) documents[key] = {d.value, d.revision, d.created};
+        if (!hasPrefix(key, kPurgePrefix)) documents[key] = {d.value, d.revision, d.createdRevision};
     for (const auto& [id, s] : sessions_)
         sessions[std::to_string(id)] = {s.sequence, s.lastUsedCommand, static_cast<int>(s.outcome.status),
                                         s.outcome.revision, s.outcome.key};
@@ -241,7 +241,7 @@
     text.back() = ',';
     text += R"("log":)" + log_.dump([this](const Event& event) {
         const Document* document = find(event.key);
-        return document && document->revision == event.revision ? document->created : Revision{0};
+        return document && document->revision == event.revision ? document->createdRevision : Revision{0};
     });
     return text + "}";
 }
@@ -272,9 +272,9 @@
     *this = std::move(fresh);
 }
 
-void Store::restorePurgeDocument(const Event& event, Revision createdAt) {
-    if (event.isPurge() && createdAt > 0)
-        documents_[event.key] = {json{{"ts", event.purgedMs}}, event.revision, createdAt};
+void Store::restorePurgeDocument(const Event& event, Revision createdRevision) {
+    if (event.isPurge() && createdRevision > 0)
+        documents_[event.key] = {json{{"ts", event.purgedMs}}, event.revision, createdRevision};
 }
 
 void Store::loadDocuments(const json& documents) {
--- a/src/config/store.hpp
+++ b/src/config/store.hpp
@@ -55,7 +55,7 @@
 struct Document {
     nlohmann::json value;
     Revision revision = 0;  // of the transaction that wrote it
-    Revision created = 0;
+    Revision createdRevision = 0;
 };
 
 struct Bounds {
@@ -118,7 +118,7 @@
     void recordHistory(const Transaction& transaction, std::vector<Change> done);
     void removeExpired();
     Outcome openSession();
-    void restorePurgeDocument(const Event& event, Revision createdAt);
+    void restorePurgeDocument(const Event& event, Revision createdRevision);
     void loadUnversioned(const nlohmann::json& snapshot);
     void loadDocuments(const nlohmann::json& documents);  // all but purges
     void loadSessions(const nlohmann::json& sessions);
--- a/tests/config_store_test.cpp
+++ b/tests/config_store_test.cpp
@@ -26,7 +26,7 @@
     EXPECT_EQ(apply(store, put("files/b", 3, {{"files/b", 7}})), (Outcome{Status::conflict, 0, "files/b"}));
     EXPECT_EQ(apply(store, put("files/b", 3, {{"files/b", 0}})), (Outcome{Status::done, 3, {}}));
     EXPECT_EQ(store.find("files/a")->value, 2);
-    EXPECT_EQ(store.find("files/a")->created, 1U);
+    EXPECT_EQ(store.find("files/a")->createdRevision, 1U);
 }
 
 TEST(ConfigStore, ATransactionHappensWholeOrNotAtAll) {
@@ -322,7 +322,7 @@
         "lastEvent":10,"base":{"boxes/s-0":{"address":"127.0.0.1:9","type":"small"}}}  )");
     EXPECT_EQ(store.revision(), 4U);
     EXPECT_EQ(store.find("files/a")->value, 7);
-    EXPECT_EQ(store.find("purges/object/told")->created, 3U);
+    EXPECT_EQ(store.find("purges/object/told")->createdRevision, 3U);
     EXPECT_FALSE(store.find("purges/object/untold"));  // no gateway could read of it any more
     EXPECT_EQ(store.changesSince(1, "files/")->size(), 1U);
     EXPECT_EQ(store.changesSince(1, "purges/")->size(), 1U);
