--- a/src/config/event_log.cpp
+++ b/src/config/event_log.cpp
@@ -23,42 +23,42 @@
 }
 
 // An event as the event bus tells it.
-json busForm(const Event& event) {
+json toBusEvent(const Event& event) {
     if (event.isPurge()) {
-        json ban = {{"ts", event.purgedMs}};
+        json ban = {{"ts", event.purgedAtMs}};
         if (hasPrefix(event.key, kObjectPrefix))
             ban["url"] = event.key.substr(kObjectPrefix.size());
         else
             ban["tag"] = std::stoll(event.key.substr(kGroupPrefix.size()));
-        return {{"offset", event.number}, {"ban", ban}};
+        return {{"offset", event.offset}, {"ban", ban}};
     }
     json box = event.box.value_or(json{{"status", "removed"}});
     box["name"] = event.key.substr(kBoxPrefix.size());
-    return {{"offset", event.number},
-            {"topology", {{"index", event.number}, {"snapshot", false}, {"endpoints", json::array({box})}}}};
+    return {{"offset", event.offset},
+            {"topology", {{"index", event.offset}, {"snapshot", false}, {"endpoints", json::array({box})}}}};
 }
 
-json wholeList(std::int64_t number, const std::map<std::string, json>& boxes) {
+json fullListEvent(std::int64_t offset, const std::map<std::string, json>& boxes) {
     json endpoints = json::array();
     for (const auto& [key, value] : boxes) {
         json box = value;
         box["name"] = key.substr(kBoxPrefix.size());
         endpoints.push_back(std::move(box));
     }
-    return {{"offset", number},
-            {"topology", {{"index", number}, {"snapshot", true}, {"endpoints", endpoints}}}};
+    return {{"offset", offset},
+            {"topology", {{"index", offset}, {"snapshot", true}, {"endpoints", endpoints}}}};
 }
 
 }  // namespace
 
 void EventLog::append(Event event) {
-    event.number = ++last_;
+    event.offset = ++last_;
     events_.push_back(std::move(event));
 }
 
 std::optional<Event> EventLog::removeExpired(std::int64_t nowMs) {
     if (events_.size() <= bounds_.least) return {};
-    const bool old = events_.front().recordedMs + bounds_.retentionMs <= nowMs;
+    const bool old = events_.front().recordedAtMs + bounds_.retentionMs <= nowMs;
     if (!old && events_.size() <= bounds_.most) return {};
     Event event = std::move(events_.front());
     events_.pop_front();
@@ -72,13 +72,13 @@
     page.reached = from;
     const bool listFirst = from < base();
     if (listFirst) {
-        page.batch = wholeList(base(), baseBoxes_).dump();
+        page.batch = fullListEvent(base(), baseBoxes_).dump();
         page.reached = base();
     }
     const std::int64_t end = std::min(last_, (page.reached / kPageEvents + 1) * kPageEvents);
     while (page.reached < end && page.batch.size() < bytes) {
         if (!page.batch.empty()) page.batch += ',';
-        page.batch += busForm(events_[static_cast<std::size_t>(page.reached - base())]).dump();
+        page.batch += toBusEvent(events_[static_cast<std::size_t>(page.reached - base())]).dump();
         ++page.reached;
     }
     const bool isEmpty = page.reached == from;  // as long as nothing has come
@@ -98,10 +98,10 @@
     for (const Event& event : events_) {
         text += between;
         between = ",";
-        text += '[' + std::to_string(event.recordedMs) + ',' + std::to_string(event.revision) + ',';
+        text += '[' + std::to_string(event.recordedAtMs) + ',' + std::to_string(event.revision) + ',';
         appendQuoted(text, event.key);
         if (event.isPurge())
-            text += ',' + std::to_string(event.purgedMs) + ',' + std::to_string(creationRevisionOf(event));
+            text += ',' + std::to_string(event.purgedAtMs) + ',' + std::to_string(creationRevisionOf(event));
         else if (event.box)
             text += ',' + event.box->dump();
         text += ']';
@@ -115,12 +115,12 @@
     last_ = dumped.at("last").get<std::int64_t>() - static_cast<std::int64_t>(events.size());
     for (const json& row : events) {
         Event event;
-        event.recordedMs = row.at(0);
+        event.recordedAtMs = row.at(0);
         event.revision = row.at(1);
         event.key = row.at(2);
         Revision created = 0;
         if (event.isPurge()) {
-            event.purgedMs = row.at(3);
+            event.purgedAtMs = row.at(3);
             created = row.at(4);
         } else if (row.size() > 3) {
             event.box = row.at(3);
@@ -134,18 +134,18 @@
     baseBoxes_ = snapshot.at("base").get<std::map<std::string, json>>();
     const json& events = snapshot.at("events");
     last_ = snapshot.at("lastEvent").get<std::int64_t>() - static_cast<std::int64_t>(events.size());
-    std::int64_t recordedMs = 0;
+    std::int64_t recordedAtMs = 0;
     for (const json& row : events) {
         Event event;
         event.key = row.at(1);
-        if (event.isPurge()) event.purgedMs = recordedMs = row.at(2).at("ts");
+        if (event.isPurge()) event.purgedAtMs = recordedAtMs = row.at(2).at("ts");
         if (!event.isPurge() && row.size() > 2) event.box = row.at(2);
-        event.recordedMs = recordedMs;  // the nearest that this form tells
+        event.recordedAtMs = recordedAtMs;  // the nearest that this form tells
         Revision created = 0;
         if (event.isPurge()) {
             const json& documents = snapshot.at("documents");
             const auto found = documents.find(event.key);
-            if (found != documents.end() && found->at(0).at("ts") == event.purgedMs) {
+            if (found != documents.end() && found->at(0).at("ts") == event.purgedAtMs) {
                 event.revision = found->at(1);
                 created = found->at(2);
             }
--- a/src/config/event_log.hpp
+++ b/src/config/event_log.hpp
@@ -22,11 +22,11 @@
 }
 
 struct Event {
-    std::int64_t number = 0;      // from 1 up, by the log
-    std::int64_t recordedMs = 0;  // Unix milliseconds, by the clock of the commands
-    Revision revision = 0;        // of the transaction
+    std::int64_t offset = 0;        // from 1 up, by the log
+    std::int64_t recordedAtMs = 0;  // Unix milliseconds, by the clock of the commands
+    Revision revision = 0;          // of the transaction
     std::string key;
-    std::int64_t purgedMs = 0;          // of a purge, Unix milliseconds
+    std::int64_t purgedAtMs = 0;        // of a purge, Unix milliseconds
     std::optional<nlohmann::json> box;  // none at a change of a box: it is removed
 
     bool isPurge() const { return hasPrefix(key, kPurgePrefix); }
--- a/src/config/store.cpp
+++ b/src/config/store.cpp
@@ -161,11 +161,11 @@
     if (isPurge && !change.value) return;  // that a purge's record goes is no news to anybody
     if (!isPurge && !hasPrefix(change.key, kBoxPrefix)) return;
     Event event;
-    event.recordedMs = clockMs_;
+    event.recordedAtMs = clockMs_;
     event.revision = revision_;
     event.key = change.key;
     if (isPurge)
-        event.purgedMs = purgeTimeMs(*change.value);
+        event.purgedAtMs = purgeTimeMs(*change.value);
     else
         event.box = change.value;
     log_.append(std::move(event));
@@ -274,7 +274,7 @@
 
 void Store::restorePurgeDocument(const Event& event, Revision createdRevision) {
     if (event.isPurge() && createdRevision > 0)
-        documents_[event.key] = {json{{"ts", event.purgedMs}}, event.revision, createdRevision};
+        documents_[event.key] = {json{{"ts", event.purgedAtMs}}, event.revision, createdRevision};
 }
 
 void Store::loadDocuments(const json& documents) {
