--- a/src/agent/event_feed.cpp
+++ b/src/agent/event_feed.cpp
@@ -74,10 +74,10 @@
 std::string EventFeed::page(std::int64_t from) {
     const config::EventLog& log = store_.eventLog();
     if (std::exchange(pagesOfLoad_, store_.loadCount()) != store_.loadCount()) pages_.clear();
-    if (const auto found = pages_.find(from); found != pages_.end()) return log.answer(found->second);
+    if (const auto found = pages_.find(from); found != pages_.end()) return log.encodePage(found->second);
     config::EventLog::Page page = log.read(from);
-    std::string text = log.answer(page);
-    if (!page.settled) return text;
+    std::string text = log.encodePage(page);
+    if (!page.cacheable) return text;
     pages_.emplace(from, std::move(page));
     if (pages_.size() > kMostPages) pages_.erase(pages_.begin());  // the oldest events are asked for least
     return text;
--- a/src/config/event_log.cpp
+++ b/src/config/event_log.cpp
@@ -57,9 +57,9 @@
 }
 
 std::optional<Event> EventLog::removeExpired(std::int64_t nowMs) {
-    if (events_.size() <= bounds_.least) return {};
+    if (events_.size() <= bounds_.minEvents) return {};
     const bool old = events_.front().recordedAtMs + bounds_.retentionMs <= nowMs;
-    if (!old && events_.size() <= bounds_.most) return {};
+    if (!old && events_.size() <= bounds_.maxEvents) return {};
     Event event = std::move(events_.front());
     events_.pop_front();
     if (!event.isPurge() && event.box) baseBoxes_[event.key] = *event.box;
@@ -69,25 +69,25 @@
 
 EventLog::Page EventLog::read(std::int64_t from, std::size_t bytes) const {
     Page page;
-    page.reached = from;
-    const bool listFirst = from < base();
+    page.endOffset = from;
+    const bool listFirst = from < baseOffset();
     if (listFirst) {
-        page.batch = fullListEvent(base(), baseBoxes_).dump();
-        page.reached = base();
+        page.batch = fullListEvent(baseOffset(), baseBoxes_).dump();
+        page.endOffset = baseOffset();
     }
-    const std::int64_t end = std::min(last_, (page.reached / kPageEvents + 1) * kPageEvents);
-    while (page.reached < end && page.batch.size() < bytes) {
+    const std::int64_t end = std::min(last_, (page.endOffset / kPageEvents + 1) * kPageEvents);
+    while (page.endOffset < end && page.batch.size() < bytes) {
         if (!page.batch.empty()) page.batch += ',';
-        page.batch += toBusEvent(events_[static_cast<std::size_t>(page.reached - base())]).dump();
-        ++page.reached;
+        page.batch += toBusEvent(events_[static_cast<std::size_t>(page.endOffset - baseOffset())]).dump();
+        ++page.endOffset;
     }
-    const bool isEmpty = page.reached == from;  // as long as nothing has come
-    page.settled = !listFirst && !isEmpty && (page.reached < last_ || page.reached % kPageEvents == 0);
+    const bool isEmpty = page.endOffset == from;  // as long as nothing has come
+    page.cacheable = !listFirst && !isEmpty && (page.endOffset < last_ || page.endOffset % kPageEvents == 0);
     return page;
 }
 
-std::string EventLog::answer(const Page& page) const {
-    return R"({"offset":)" + std::to_string(page.reached) + R"(,"last":)" + std::to_string(last_) +
+std::string EventLog::encodePage(const Page& page) const {
+    return R"({"offset":)" + std::to_string(page.endOffset) + R"(,"last":)" + std::to_string(last_) +
            R"(,"batch":[)" + page.batch + "]}";
 }
 
--- a/src/config/event_log.hpp
+++ b/src/config/event_log.hpp
@@ -37,8 +37,8 @@
     struct Bounds {
         std::int64_t retentionMs =
             std::int64_t{2} * 3600 * 1000;  // an hour's cut, and as much again to come back in
-        std::size_t least = 16'384;         // events that are kept however old they are
-        std::size_t most = 400'000;         // and never more than that: 4 hours of 26 purges a second
+        std::size_t minEvents = 16'384;     // events that are kept however old they are
+        std::size_t maxEvents = 400'000;    // and never more than that: 4 hours of 26 purges a second
     };
     // Far under what a reader takes, so that neither side is held up by one page.
     static constexpr std::size_t kPageBytes = std::size_t{128} * 1024;
@@ -47,9 +47,9 @@
 
     // Some of the events in the form of the event bus, with commas between them.
     struct Page {
-        std::int64_t reached = 0;  // the last one's number
+        std::int64_t endOffset = 0;  // the last one's number
         std::string batch;
-        bool settled = false;  // who asks again gets the same, whatever happens meanwhile
+        bool cacheable = false;  // who asks again gets the same, whatever happens meanwhile
     };
 
     explicit EventLog(const Bounds& bounds) : bounds_(bounds) {}
@@ -66,10 +66,10 @@
     // number to go on from, L the last one there is. Where some of what follows is not held any more, the
     // whole list of boxes comes first, as of the events that are gone.
     std::string page(std::int64_t from, std::size_t bytes = kPageBytes) const {
-        return answer(read(from, bytes));
+        return encodePage(read(from, bytes));
     }
     Page read(std::int64_t from, std::size_t bytes = kPageBytes) const;
-    std::string answer(const Page& page) const;
+    std::string encodePage(const Page& page) const;
 
     // `createdAt`: the revision at which the document that an event's transaction wrote was made; 0: it is
     // another one's by now, or gone.
@@ -82,7 +82,7 @@
     void loadFormat2(const nlohmann::json& snapshot, const RestoredCallback& restored);
 
 private:
-    std::int64_t base() const { return last_ - static_cast<std::int64_t>(events_.size()); }
+    std::int64_t baseOffset() const { return last_ - static_cast<std::int64_t>(events_.size()); }
 
     Bounds bounds_;
     std::deque<Event> events_;
--- a/tests/config_store_test.cpp
+++ b/tests/config_store_test.cpp
@@ -115,7 +115,7 @@
 // Whoever asks from before what is held gets the whole list first, and ends where all others do.
 TEST(ConfigStore, AnOldReaderGetsTheWholeListAndEndsWithTheSameBoxes) {
     Bounds bounds;
-    bounds.events.least = bounds.events.most = 5;
+    bounds.events.minEvents = bounds.events.maxEvents = 5;
     Store store(bounds);
     for (int i = 0; i < 20; ++i) {
         apply(store, put("boxes/s-" + std::to_string(i % 7), box(1000 + i)));
@@ -148,7 +148,7 @@
 
 TEST(ConfigStore, KeepsTheLatestPurgesOnly) {
     Bounds bounds;
-    bounds.events.least = bounds.events.most = 64;
+    bounds.events.minEvents = bounds.events.maxEvents = 64;
     Store store(bounds);
     for (int i = 1; i <= 500; ++i) apply(store, put("purges/object/o" + std::to_string(i), {{"ts", i}}));
     EXPECT_LE(store.size(), 64U);
@@ -212,20 +212,20 @@
 // Pages end where those of other readers end, so that one answer serves all; what is settled never changes.
 TEST(EventLog, PagesOfManyReadersMeet) {
     Store store;
-    EXPECT_FALSE(store.eventLog().read(0).settled);  // there may be events yet
+    EXPECT_FALSE(store.eventLog().read(0).cacheable);  // there may be events yet
     for (int i = 1; i <= 1024; ++i) apply(store, purgeAt("o" + std::to_string(i), i));
-    EXPECT_TRUE(store.eventLog().read(0).settled);
-    EXPECT_FALSE(store.eventLog().read(1024).settled);
+    EXPECT_TRUE(store.eventLog().read(0).cacheable);
+    EXPECT_FALSE(store.eventLog().read(1024).cacheable);
     for (int i = 1025; i <= 5000; ++i) apply(store, purgeAt("o" + std::to_string(i), i));
     for (const std::int64_t from : {0, 17, 1023, 1024, 1500})
-        EXPECT_EQ(store.eventLog().read(from).reached, (from / 1024 + 1) * 1024);
+        EXPECT_EQ(store.eventLog().read(from).endOffset, (from / 1024 + 1) * 1024);
     const EventLog::Page full = store.eventLog().read(1024), last = store.eventLog().read(4096);
-    EXPECT_TRUE(full.settled);
-    EXPECT_FALSE(last.settled);
+    EXPECT_TRUE(full.cacheable);
+    EXPECT_FALSE(last.cacheable);
     for (int i = 1; i <= 500; ++i) apply(store, purgeAt("later" + std::to_string(i), i));
     EXPECT_EQ(store.eventLog().read(1024).batch, full.batch);
     EXPECT_EQ(store.eventLog().read(4096).batch.rfind(last.batch, 0), 0U);
-    EXPECT_GT(store.eventLog().read(4096).reached, last.reached);
+    EXPECT_GT(store.eventLog().read(4096).endOffset, last.endOffset);
 }
 
 // 13 purges a second for three hours: whoever was away for one hour finds each of them, numbered on.
