--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -43,7 +43,7 @@
         if (change.value) one["value"] = *change.value;
         changes.push_back(std::move(one));
     }
-    return {{"revision", entry.revision}, {"at", entry.atMs}, {"by", entry.by}, {"changes", changes}};
+    return {{"revision", entry.revision}, {"at", entry.atMs}, {"by", entry.author}, {"changes", changes}};
 }
 
 // Entries that changed something under the prefix.
@@ -213,7 +213,7 @@
             command.sequence = text["sequence"];
         }
         if (text.contains("by") && text["by"].is_string())
-            command.transaction.by = text["by"].get<std::string>().substr(0, 128);
+            command.transaction.author = text["by"].get<std::string>().substr(0, 128);
     } catch (const settings::Malformed& problem) {
         return reply({400, std::string(problem.what()) + "\n", {}});
     }
--- a/src/config/history.cpp
+++ b/src/config/history.cpp
@@ -57,7 +57,7 @@
 json History::toJson() const {
     json list = json::array();
     for (const HistoryEntry& entry : entries_)
-        list.push_back({entry.revision, entry.atMs, entry.by, changesToJson(entry.changes)});
+        list.push_back({entry.revision, entry.atMs, entry.author, changesToJson(entry.changes)});
     return list;
 }
 
--- a/src/config/history.hpp
+++ b/src/config/history.hpp
@@ -25,7 +25,7 @@
 struct HistoryEntry {
     Revision revision = 0;
     std::int64_t atMs = 0;  // Unix milliseconds, by the agent that proposed it
-    std::string by;         // who asked
+    std::string author;     // who asked
     std::vector<Change> changes;
 };
 
--- a/src/config/store.cpp
+++ b/src/config/store.cpp
@@ -41,7 +41,7 @@
         command.transaction.conditions.push_back({one.at("key"), one.at("revision")});
     command.transaction.changes = changesFromJson(root.value("do", json::array()));
     command.transaction.atMs = root.value("at", std::int64_t{0});
-    command.transaction.by = root.value("by", std::string{});
+    command.transaction.author = root.value("by", std::string{});
     return command;
 }
 
@@ -60,7 +60,7 @@
     for (const Condition& c : t.conditions) root["if"].push_back({{"key", c.key}, {"revision", c.revision}});
     if (!t.changes.empty()) root["do"] = changesToJson(t.changes);
     if (t.atMs != 0) root["at"] = t.atMs;
-    if (!t.by.empty()) root["by"] = t.by;
+    if (!t.author.empty()) root["by"] = t.author;
     return root.dump();
 }
 
@@ -172,7 +172,7 @@
 }
 
 void Store::recordHistory(const Transaction& transaction, std::vector<Change> done) {
-    HistoryEntry purges{revision_, transaction.atMs, transaction.by, {}}, others = purges;
+    HistoryEntry purges{revision_, transaction.atMs, transaction.author, {}}, others = purges;
     for (Change& change : done)
         (hasPrefix(change.key, kPurgePrefix) ? purges : others).changes.push_back(std::move(change));
     if (!purges.changes.empty()) purgeHistory_.add(std::move(purges));
@@ -313,7 +313,7 @@
         clockMs_ = std::max(clockMs_, entry.at(1).get<std::int64_t>());
         Transaction transaction;
         transaction.atMs = entry.at(1);
-        transaction.by = entry.at(2);
+        transaction.author = entry.at(2);
         const Revision last = std::exchange(revision_, entry.at(0).get<Revision>());
         recordHistory(transaction, changesFromJson(entry.at(3)));
         revision_ = last;
--- a/src/config/store.hpp
+++ b/src/config/store.hpp
@@ -25,7 +25,7 @@
     std::vector<Condition> conditions;
     std::vector<Change> changes;
     std::int64_t atMs = 0;  // Unix milliseconds, by the agent that proposed it; events expire by it
-    std::string by;         // who asked; for people to read only
+    std::string author;     // who asked; for people to read only
 };
 struct Command {
     // Zero: none, and a command that is tried again may be applied again.
