--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::int64_t kMostHoldMs = 10'000;
-constexpr net::CallServer::Limits kLimits{1024, 2 * config::kMostTransaction, std::chrono::seconds{15}};
+constexpr net::CallServer::Limits kLimits{1024, 2 * config::kMaxTransactionBytes, std::chrono::seconds{15}};
 
 Answer jsonAnswer(int status, const json& body) { return {status, body.dump() + "\n", {}}; }
 
@@ -262,7 +262,7 @@
         settings::readEndpoint(raft, "raft");
         command.transaction.changes.push_back(
             {"agents/" + std::to_string(id), json{{"control", wanted.value("control", "")}}});
-        config::check(command.transaction);
+        config::validate(command.transaction);
     } catch (const std::exception& problem) {
         return reply({400, std::string(problem.what()) + "\n", {}});
     }
@@ -308,7 +308,7 @@
         return reply({405, "PUT and DELETE only\n", {}});
     }
     try {
-        config::check(command.transaction);
+        config::validate(command.transaction);
     } catch (const settings::Malformed& problem) {
         return reply({400, std::string(problem.what()) + "\n", {}});
     }
--- a/src/agent/control.hpp
+++ b/src/agent/control.hpp
@@ -9,9 +9,9 @@
 #include "../net/calls.hpp"
 #include "../net/loop.hpp"
 #include "consensus.hpp"
+#include "request_target.hpp"
 #include "settings.hpp"
 #include "supervisor.hpp"
-#include "request_target.hpp"
 
 namespace lotuslead::agent {
 
--- a/src/config/validation.cpp
+++ b/src/config/validation.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-bool takeAway(std::string_view& key, std::string_view prefix) {
+bool consumePrefix(std::string_view& key, std::string_view prefix) {
     if (key.substr(0, prefix.size()) != prefix) return false;
     key.remove_prefix(prefix.size());
     return true;
@@ -23,10 +23,10 @@
     });
 }
 
-void checkPurge(std::string_view rest, const json& value) {
+void validatePurge(std::string_view rest, const json& value) {
     std::int64_t group = 0;
-    if (!takeAway(rest, "object/")) {
-        const bool numbered = takeAway(rest, "group/");
+    if (!consumePrefix(rest, "object/")) {
+        const bool numbered = consumePrefix(rest, "group/");
         const auto read = std::from_chars(rest.data(), rest.data() + rest.size(), group);
         if (!numbered || read.ec != std::errc{} || read.ptr != rest.data() + rest.size())
             throw Malformed("the key is not purges/object/NAME or purges/group/N");
@@ -37,7 +37,7 @@
         throw Malformed("field 'ts' is not a Unix time in milliseconds, alone");
 }
 
-void checkBox(std::string_view name, const json& value) {
+void validateBox(std::string_view name, const json& value) {
     if (!value.is_object()) throw Malformed("it is not an object");
     json box = value;
     box["name"] = name;
@@ -47,7 +47,7 @@
     settings::readEndpoint(read.events.at(0).stores.at(0).address, "address");
 }
 
-void checkInstance(std::string_view name, const json& value) {
+void validateInstance(std::string_view name, const json& value) {
     if (!isName(name)) throw Malformed("a name is 1 to 64 of a-z, 0-9 and -");
     if (!value.is_object() || !value.contains("agent") || !value["agent"].is_number_unsigned() ||
         !value.contains("configuration"))
@@ -55,47 +55,47 @@
     (void)settings::readConfiguration(value["configuration"].dump());
 }
 
-void checkChange(const Change& change) {
+void validateChange(const Change& change) {
     std::string_view rest = change.key;
     const bool printable = std::all_of(rest.begin(), rest.end(), [](char c) { return c > ' ' && c < 127; });
-    if (rest.empty() || rest.size() > kMostKey || !printable)
+    if (rest.empty() || rest.size() > kMaxKeyBytes || !printable)
         throw Malformed("a key is 1 to 512 printable characters without blanks");
-    if (takeAway(rest, "boxes/")) {
+    if (consumePrefix(rest, "boxes/")) {
         if (rest.empty()) throw Malformed("the key names nothing");
-        if (change.value) checkBox(rest, *change.value);
-    } else if (takeAway(rest, "purges/")) {
-        if (change.value) checkPurge(rest, *change.value);
-    } else if (takeAway(rest, "gateways/")) {
+        if (change.value) validateBox(rest, *change.value);
+    } else if (consumePrefix(rest, "purges/")) {
+        if (change.value) validatePurge(rest, *change.value);
+    } else if (consumePrefix(rest, "gateways/")) {
         if (!isName(rest)) throw Malformed("a name is 1 to 64 of a-z, 0-9 and -");
         if (change.value) (void)settings::readConfiguration(change.value->dump());
-    } else if (takeAway(rest, "instances/")) {
-        if (change.value) checkInstance(rest, *change.value);
-    } else if (takeAway(rest, "agents/")) {
+    } else if (consumePrefix(rest, "instances/")) {
+        if (change.value) validateInstance(rest, *change.value);
+    } else if (consumePrefix(rest, "agents/")) {
         if (change.value && (!change.value->is_object() || !change.value->contains("control") ||
                              !change.value->at("control").is_string()))
             throw Malformed("field 'control' is missing or not text");
         if (change.value) settings::readEndpoint(change.value->at("control"), "control");
-    } else if (!takeAway(rest, "files/") || rest.empty()) {
+    } else if (!consumePrefix(rest, "files/") || rest.empty()) {
         throw Malformed("a key begins with agents/, boxes/, purges/, gateways/, instances/ or files/");
     }
 }
 
 }  // namespace
 
-void check(const Transaction& transaction) {
+void validate(const Transaction& transaction) {
     if (transaction.changes.empty()) throw Malformed("field 'do' is missing or empty");
-    if (transaction.changes.size() > kMostChanges || transaction.conditions.size() > kMostChanges)
+    if (transaction.changes.size() > kMaxChanges || transaction.conditions.size() > kMaxChanges)
         throw Malformed("a transaction has at most 1000 changes and conditions");
     std::set<std::string> keys;
     for (const Change& change : transaction.changes) {
         try {
-            checkChange(change);
+            validateChange(change);
         } catch (const Malformed& problem) {
-            throw Malformed("'" + change.key.substr(0, kMostKey) + "': " + problem.what());
+            throw Malformed("'" + change.key.substr(0, kMaxKeyBytes) + "': " + problem.what());
         }
         if (!keys.insert(change.key).second) throw Malformed("'" + change.key + "': it is changed twice");
     }
-    if (encode({0, 0, false, transaction}).size() > kMostTransaction)
+    if (encode({0, 0, false, transaction}).size() > kMaxTransactionBytes)
         throw Malformed("a transaction has at most 1 MB");
 }
 
@@ -123,7 +123,7 @@
         change.key = key(one, "do");
         if (one.contains("value")) change.value = one["value"];
     }
-    check(result);
+    validate(result);
     return result;
 }
 
