--- a/bench/raft.cpp
+++ b/bench/raft.cpp
@@ -27,8 +27,8 @@
                 json changes = json::array();
                 for (int b = 0; b < batch; ++b)
                     changes.push_back(put("files/" + std::to_string(t) + "-" + std::to_string(b), i));
-                const auto r = ctl::Client::ask(cluster.control(leader), "POST", "/config",
-                                                json{{"do", changes}}.dump());
+                const auto r = ctl::Client::callAgent(cluster.control(leader), "POST", "/config",
+                                                      json{{"do", changes}}.dump());
                 if (r && r->status == 200) done += batch;
             }
         });
@@ -45,7 +45,8 @@
     for (int t = 0; t < 8; ++t)
         all.emplace_back([&, t] {
             for (int i = 0; i < 40; ++i) {
-                const auto r = ctl::Client::ask(leader, "PUT", "/instances/g-" + std::to_string(t), body);
+                const auto r =
+                    ctl::Client::callAgent(leader, "PUT", "/instances/g-" + std::to_string(t), body);
                 done += r && r->status == 200;
             }
         });
@@ -81,7 +82,8 @@
         std::string leader;
         for (int i = 0; i < 200 && leader.empty(); ++i, std::this_thread::sleep_for(50ms))
             for (int id = 1; id <= 3; ++id) {
-                const auto r = ctl::Client::ask(host + ":" + std::to_string(9100 + id), "GET", "/status");
+                const auto r =
+                    ctl::Client::callAgent(host + ":" + std::to_string(9100 + id), "GET", "/status");
                 if (r && json::parse(r->body)["leader"] == id)
                     leader = host + ":" + std::to_string(9100 + id);
             }
@@ -110,8 +112,8 @@
         for (int t = 0; t < 16; ++t)
             all.emplace_back([&] {
                 for (int i = 0; i < 200; ++i) {
-                    const auto r = ctl::Client::ask(cluster.control(leader), "GET",
-                                                    std::string("/config/files/0-0") + how);
+                    const auto r = ctl::Client::callAgent(cluster.control(leader), "GET",
+                                                          std::string("/config/files/0-0") + how);
                     done += r && r->status == 200;
                 }
             });
@@ -131,8 +133,8 @@
         cluster.kill(leader);
         while (true) {
             const int other = leader % 3 + 1 + static_cast<int>(ms.size() % 2);
-            const auto r = ctl::Client::ask(cluster.control((other - 1) % 3 + 1), "POST", "/config",
-                                            json{{"do", {put("files/a", i)}}}.dump());
+            const auto r = ctl::Client::callAgent(cluster.control((other - 1) % 3 + 1), "POST", "/config",
+                                                  json{{"do", {put("files/a", i)}}}.dump());
             if (r && (r->status == 200 ||
                       (r->status == 307 && r->location.find(cluster.control(leader)) == std::string::npos)))
                 break;
@@ -169,7 +171,7 @@
             }
             std::this_thread::sleep_for(300ms);
             const auto begin = Clock::now();
-            const auto r = ctl::Client::ask(
+            const auto r = ctl::Client::callAgent(
                 cluster.control(leader), "POST", "/config",
                 json{{"do", {put("purges/group/" + std::to_string(round), {{"ts", 5}})}}}.dump());
             const auto committed = Clock::now();
@@ -197,7 +199,7 @@
             changes.push_back(put("purges/object//files/tool-" + std::to_string(i * 1000 + k),
                                   {{"ts", 1796147346304 + i}}));
         const auto r =
-            ctl::Client::ask(cluster.control(leader), "POST", "/config", json{{"do", changes}}.dump());
+            ctl::Client::callAgent(cluster.control(leader), "POST", "/config", json{{"do", changes}}.dump());
         if (!r || r->status != 200) std::abort();
     }
     std::uint64_t bytes = 0;
--- a/bench/scale/scale_run.cpp
+++ b/bench/scale/scale_run.cpp
@@ -51,8 +51,8 @@
     // ----- what is agreed -----
 
     void commit(const json& changes) {
-        const auto answer =
-            ctl::Client::ask(cluster_.control(leader_), "POST", "/config", json{{"do", changes}}.dump());
+        const auto answer = ctl::Client::callAgent(cluster_.control(leader_), "POST", "/config",
+                                                   json{{"do", changes}}.dump());
         if (!answer || answer->status != 200)
             throw std::runtime_error("the agents did not take a change: " +
                                      (answer ? answer->body : std::string("no answer")));
--- a/src/ctl/client.cpp
+++ b/src/ctl/client.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-std::string escaped(const std::string& text) {
+std::string percentEncode(const std::string& text) {
     std::string result;
     for (const char c : text) {
         const bool plain = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
@@ -35,8 +35,8 @@
     return result;
 }
 
-std::optional<Response> Client::ask(const std::string& agent, const std::string& method,
-                                    const std::string& target, const std::string& body) {
+std::optional<Response> Client::callAgent(const std::string& agent, const std::string& method,
+                                          const std::string& target, const std::string& body) {
     const settings::Endpoint to = settings::readEndpoint(agent, "--agents");
     const net::Descriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const timeval limit{10, 0};
@@ -67,14 +67,15 @@
     return {};
 }
 
-Response Client::any(const std::string& method, const std::string& target, const std::string& body) const {
+Response Client::callAny(const std::string& method, const std::string& target,
+                         const std::string& body) const {
     Response last{0, "no agent can be reached\n", {}};
     for (std::string agent : agents_) {
-        auto response = ask(agent, method, target, body);
+        auto response = callAgent(agent, method, target, body);
         if (response && response->status == 307) {
             const std::size_t begin = std::string("http://").size();
             agent = response->location.substr(begin, response->location.find('/', begin) - begin);
-            response = ask(agent, method, target, body);
+            response = callAgent(agent, method, target, body);
         }
         if (!response) continue;
         // A refusal does not undo what an agent before may have begun.
@@ -86,19 +87,19 @@
     return last;
 }
 
-Response Client::change(json transaction) const {
+Response Client::commit(json transaction) const {
     const auto until = std::chrono::steady_clock::now() + kPatience;
     Response answer;
     while (std::chrono::steady_clock::now() < until) {
         if (!transaction.contains("session")) {
-            answer = any("POST", "/sessions");
+            answer = callAny("POST", "/sessions");
             if (answer.status == 200) {
                 transaction["session"] = json::parse(answer.body).at("revision");
                 transaction["sequence"] = 1;
                 continue;
             }
         } else {
-            answer = any("POST", "/config", transaction.dump());
+            answer = callAny("POST", "/config", transaction.dump());
         }
         // Refused or lost: the same words again, which the session makes harmless.
         if (answer.status != 0 && answer.status != 503 && answer.status != 307) return answer;
--- a/src/ctl/client.hpp
+++ b/src/ctl/client.hpp
@@ -20,18 +20,19 @@
 
     const std::vector<std::string>& agents() const { return agents_; }
     // Nothing where it can't be reached or breaks off.
-    static std::optional<Response> ask(const std::string& agent, const std::string& method,
-                                       const std::string& target, const std::string& body = {});
+    static std::optional<Response> callAgent(const std::string& agent, const std::string& method,
+                                             const std::string& target, const std::string& body = {});
     // Any agent will do: one that can't answer names the one that can. Answers of 500 and above, and none,
     // lead to the next agent; that may do a change twice, unless it carries a session.
-    Response any(const std::string& method, const std::string& target, const std::string& body = {}) const;
+    Response callAny(const std::string& method, const std::string& target,
+                     const std::string& body = {}) const;
     // A change within a session: tried until it is answered for, applied once at most.
-    Response change(nlohmann::json transaction) const;
+    Response commit(nlohmann::json transaction) const;
 
 private:
     std::vector<std::string> agents_;
 };
 
-std::string escaped(const std::string& text);  // for a target (RFC 3986 2.1)
+std::string percentEncode(const std::string& text);  // for a target (RFC 3986 2.1)
 
 }  // namespace lotuslead::ctl
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -67,7 +67,7 @@
 
 int change(const Client& client, const Arguments& a, json transaction) {
     transaction["by"] = who(a);
-    const Response response = client.change(std::move(transaction));
+    const Response response = client.commit(std::move(transaction));
     if (response.status != 200 && response.status != 409) return told(response.body), codeOf(response);
     const json body = json::parse(response.body);
     if (a.output == "json") {
@@ -89,8 +89,8 @@
     const std::string stale = a.stale ? "stale=1" : "";
     const Response response =
         a.key.empty() || a.key.back() == '/'
-            ? client.any("GET", "/config?prefix=" + escaped(a.key) + (a.stale ? "&" + stale : ""))
-            : client.any("GET", "/config/" + escaped(a.key) + (a.stale ? "?" + stale : ""));
+            ? client.callAny("GET", "/config?prefix=" + percentEncode(a.key) + (a.stale ? "&" + stale : ""))
+            : client.callAny("GET", "/config/" + percentEncode(a.key) + (a.stale ? "?" + stale : ""));
     if (response.status == 404) return told("no document '" + a.key + "'\n");
     if (response.status != 200) return told(response.body), codeOf(response);
     const json body = json::parse(response.body);
@@ -114,7 +114,7 @@
 }
 
 std::optional<json> held(const Client& client, const std::string& key) {
-    const Response response = client.any("GET", "/config/" + escaped(key));
+    const Response response = client.callAny("GET", "/config/" + percentEncode(key));
     if (response.status == 404) return {};
     if (response.status != 200) throw std::runtime_error(response.body);
     return json::parse(response.body).at("documents").at(0);
@@ -164,8 +164,8 @@
 }
 
 int history(const Client& client, const Arguments& a) {
-    const Response response =
-        client.any("GET", "/history?from=" + std::to_string(a.from) + "&prefix=" + escaped(a.prefix));
+    const Response response = client.callAny(
+        "GET", "/history?from=" + std::to_string(a.from) + "&prefix=" + percentEncode(a.prefix));
     if (response.status != 200) return told(response.body);
     const json body = json::parse(response.body);
     for (const json& past : body.at("history")) printPast(a, past);
@@ -175,13 +175,13 @@
 int watch(const Client& client, const Arguments& a) {
     std::uint64_t from = a.from;
     if (from == 0) {
-        const Response now = client.any("GET", "/config?prefix=none&stale=1");
+        const Response now = client.callAny("GET", "/config?prefix=none&stale=1");
         if (now.status != 200) return told(now.body);
         from = json::parse(now.body).at("revision");
     }
     while (true) {
-        const Response response = client.any(
-            "GET", "/watch?from=" + std::to_string(from) + "&hold=8000&prefix=" + escaped(a.prefix));
+        const Response response = client.callAny(
+            "GET", "/watch?from=" + std::to_string(from) + "&hold=8000&prefix=" + percentEncode(a.prefix));
         if (response.status == 410)
             return told("the changes behind revision " + std::to_string(from) +
                         " are not held any more; read all and watch from there\n");
@@ -196,7 +196,7 @@
 
 // What a document was behind a revision, and what it is: lines that differ.
 int diff(const Client& client, const Arguments& a) {
-    const Response response = client.any("GET", "/history?prefix=" + escaped(a.key));
+    const Response response = client.callAny("GET", "/history?prefix=" + percentEncode(a.key));
     if (response.status != 200) return told(response.body);
     const json body = json::parse(response.body);
     if (a.from + 1 < body.at("oldest").get<std::uint64_t>())
@@ -219,7 +219,7 @@
 }
 
 int members(const Client& client, const Arguments& a) {
-    const Response response = client.any("GET", "/members");
+    const Response response = client.callAny("GET", "/members");
     if (response.status != 200) return told(response.body);
     if (a.output == "json") return plainly(response);
     std::printf("%-6s %-9s %-6s %-22s %s\n", "id", "role", "leads", "raft", "control");
@@ -234,7 +234,7 @@
 int status(const Client& client) {
     int reached = 0;
     for (const std::string& agent : client.agents()) {
-        const auto response = Client::ask(agent, "GET", "/status");
+        const auto response = Client::callAgent(agent, "GET", "/status");
         reached += response ? 1 : 0;
         std::printf("%s\n%s", agent.c_str(), response ? response->body.c_str() : "cannot be reached\n");
     }
@@ -332,19 +332,19 @@
             agents.push_back(one);
         }
         const Client client(std::move(agents));
-        const std::string instance = "/instances/" + escaped(a.name),
+        const std::string instance = "/instances/" + percentEncode(a.name),
                           member = "/members/" + std::to_string(a.id);
         const std::string seat = json{{"raft", a.raft}, {"control", a.control}}.dump();
         if (statusCommand->parsed()) return status(client);
         if (putCommand->parsed())
-            return plainly(client.any("PUT", instance,
-                                      json{{"agent", a.id}, {"configuration", readFile(a.file)}}.dump()));
-        if (deleteCommand->parsed()) return plainly(client.any("DELETE", instance));
-        if (readyCommand->parsed()) return plainly(client.any("GET", instance + "/ready"));
+            return plainly(client.callAny("PUT", instance,
+                                          json{{"agent", a.id}, {"configuration", readFile(a.file)}}.dump()));
+        if (deleteCommand->parsed()) return plainly(client.callAny("DELETE", instance));
+        if (readyCommand->parsed()) return plainly(client.callAny("GET", instance + "/ready"));
         for (const auto& [sub, what] :
              {std::pair{drainCommand, "/drain"}, std::pair{undrainCommand, "/undrain"},
               std::pair{replaceCommand, "/replace"}})
-            if (sub->parsed()) return plainly(client.any("POST", instance + what));
+            if (sub->parsed()) return plainly(client.callAny("POST", instance + what));
         if (configGet->parsed()) return get(client, a);
         if (configPut->parsed()) return put(client, a);
         if (configDelete->parsed()) return erase(client, a);
@@ -354,15 +354,15 @@
         if (configWatch->parsed()) return watch(client, a);
         if (configDiff->parsed()) return diff(client, a);
         if (membersList->parsed()) return members(client, a);
-        if (membersAdd->parsed()) return plainly(client.any("POST", member, seat));
-        if (membersPromote->parsed()) return plainly(client.any("POST", member + "/promote"));
-        if (membersRemove->parsed()) return plainly(client.any("DELETE", member));
+        if (membersAdd->parsed()) return plainly(client.callAny("POST", member, seat));
+        if (membersPromote->parsed()) return plainly(client.callAny("POST", member + "/promote"));
+        if (membersRemove->parsed()) return plainly(client.callAny("DELETE", member));
         if (membersReplace->parsed()) {
-            const Response removed = client.any("DELETE", "/members/" + std::to_string(dead));
+            const Response removed = client.callAny("DELETE", "/members/" + std::to_string(dead));
             if (removed.status != 200) return plainly(removed);
-            const Response added = client.any("POST", member, seat);
+            const Response added = client.callAny("POST", member, seat);
             if (added.status != 200) return plainly(added);
-            return plainly(client.any("POST", member + "/promote"));
+            return plainly(client.callAny("POST", member + "/promote"));
         }
         if (membersRecover->parsed()) {
             std::printf(
--- a/tests/audit_raft.cpp
+++ b/tests/audit_raft.cpp
@@ -223,7 +223,7 @@
 
     // Nothing: no answer that claims to be current came.
     std::optional<json> fetch(const ctl::Client& client, const std::string& key) {
-        const auto response = client.any("GET", "/config/" + key);
+        const auto response = client.callAny("GET", "/config/" + key);
         if (response.status != 200 && response.status != 404) return {};
         const json body = json::parse(response.body, nullptr, false);
         if (!body.is_object() || !body.contains("documents")) return {};
@@ -241,7 +241,7 @@
             const auto client =
                 cluster_.client(1 + static_cast<int>(random() % static_cast<unsigned>(agents_)));
             if (session == 0) {
-                const auto opened = client.any("POST", "/sessions");
+                const auto opened = client.callAny("POST", "/sessions");
                 if (opened.status != 200) {
                     std::this_thread::sleep_for(20ms);
                     continue;
@@ -268,7 +268,7 @@
                 {"session", session},
                 {"sequence", ++sequence}};
             operation.begun = microsNow();
-            const auto answer = client.change(transaction);  // tried again until it is answered for
+            const auto answer = client.commit(transaction);  // tried again until it is answered for
             operation.ended = microsNow();
             const json body = json::parse(answer.body, nullptr, false);
             const std::string word = body.is_object() ? body.value("word", "") : "";
@@ -301,8 +301,8 @@
         std::uint64_t from = 0;
         while (!over_) {
             const auto response =
-                ctl::Client::ask(cluster_.control(agent), "GET",
-                                 "/watch?from=" + std::to_string(from) + "&hold=200&prefix=files/");
+                ctl::Client::callAgent(cluster_.control(agent), "GET",
+                                       "/watch?from=" + std::to_string(from) + "&hold=200&prefix=files/");
             if (!response || response->status != 200) {
                 std::this_thread::sleep_for(20ms);
                 continue;
--- a/tests/raft_cluster.hpp
+++ b/tests/raft_cluster.hpp
@@ -199,7 +199,7 @@
         return ctl::Client(all);
     }
     json status(int id) const {
-        const auto response = ctl::Client::ask(control(id), "GET", "/status");
+        const auto response = ctl::Client::callAgent(control(id), "GET", "/status");
         return response ? json::parse(response->body) : json();
     }
     // Who leads by its own word, and was found so last; 0: nobody.
--- a/tests/shared_configuration_test.cpp
+++ b/tests/shared_configuration_test.cpp
@@ -30,7 +30,7 @@
 }
 
 void must(const ctl::Client& client, const json& transaction) {
-    const auto answer = client.change(transaction);
+    const auto answer = client.commit(transaction);
     if (answer.status != 200) std::fprintf(stderr, "%d %s\n", answer.status, answer.body.c_str());
     assert(answer.status == 200);
 }
@@ -245,16 +245,17 @@
         writers.emplace_back([&, w] {
             for (int i = w; i < kPurges; i += 8) {
                 const json change = putting("purges/object/o" + std::to_string(i), {{"ts", unixMs()}});
-                const auto answer = ctl::Client::ask(cluster.control(1), "POST", "/config", change.dump());
+                const auto answer =
+                    ctl::Client::callAgent(cluster.control(1), "POST", "/config", change.dump());
                 assert(answer && answer->status == 200);
             }
         });
     for (auto& writer : writers) writer.join();
-    const auto told = ctl::Client::ask(cluster.control(1), "GET", "/history");
+    const auto told = ctl::Client::callAgent(cluster.control(1), "GET", "/history");
     assert(told && json::parse(told->body)["history"][0]["changes"][0]["key"] == "files/a");
     // That a document was changed late says nothing of where its history begins, by which `diff` goes.
     must(client, putting("files/late", 1));
-    const auto late = ctl::Client::ask(cluster.control(1), "GET", "/history?from=5&prefix=files/late");
+    const auto late = ctl::Client::callAgent(cluster.control(1), "GET", "/history?from=5&prefix=files/late");
     assert(late && json::parse(late->body)["oldest"] == 1);
 }
 
