--- a/src/ctl/client.cpp
+++ b/src/ctl/client.cpp
@@ -18,8 +18,8 @@
 
 namespace {
 
-constexpr auto kPatience = 15s;  // for a change; an election takes one to three
-constexpr auto kBetween = 200ms;
+constexpr auto kChangeTimeout = 15s;  // for a change; an election takes one to three
+constexpr auto kRetryDelay = 200ms;
 
 }  // namespace
 
@@ -47,10 +47,10 @@
     address.sin_port = htons(to.port);
     ::inet_pton(AF_INET, to.host.c_str(), &address.sin_addr);
     if (::connect(fd.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) != 0) return {};
-    const std::string words = method + " " + target + " HTTP/1.1\r\nHost: " + agent +
-                              "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-    for (std::size_t sent = 0; sent < words.size();) {
-        const ssize_t some = ::send(fd.get(), words.data() + sent, words.size() - sent, MSG_NOSIGNAL);
+    const std::string request = method + " " + target + " HTTP/1.1\r\nHost: " + agent +
+                                "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+    for (std::size_t sent = 0; sent < request.size();) {
+        const ssize_t some = ::send(fd.get(), request.data() + sent, request.size() - sent, MSG_NOSIGNAL);
         if (some <= 0) return {};
         sent += static_cast<std::size_t>(some);
     }
@@ -88,7 +88,7 @@
 }
 
 Response Client::commit(json transaction) const {
-    const auto until = std::chrono::steady_clock::now() + kPatience;
+    const auto until = std::chrono::steady_clock::now() + kChangeTimeout;
     Response answer;
     while (std::chrono::steady_clock::now() < until) {
         if (!transaction.contains("session")) {
@@ -103,7 +103,7 @@
         }
         // Refused or lost: the same words again, which the session makes harmless.
         if (answer.status != 0 && answer.status != 503 && answer.status != 307) return answer;
-        std::this_thread::sleep_for(kBetween);
+        std::this_thread::sleep_for(kRetryDelay);
     }
     return answer;
 }
