--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -26,12 +26,12 @@
     bool stale = false, once = false;
 };
 
-int told(const std::string& text) {
+int printError(const std::string& text) {
     std::fprintf(stderr, "lotusleadctl: %s", text.c_str());
     return kFailed;
 }
 
-int codeOf(const Response& response) {
+int exitCodeOf(const Response& response) {
     if (response.status == 200) return kDone;
     if (response.status == 400) return kMalformed;
     if (response.status == 409 && response.body.find("\"conflict\"") != std::string::npos) return kConflict;
@@ -39,8 +39,8 @@
 }
 
 // For calls whose answers are plain lines.
-int plainly(const Response& response) {
-    if (response.status != 200) return told(response.body), kFailed;
+int printResponse(const Response& response) {
+    if (response.status != 200) return printError(response.body), kFailed;
     std::fputs(response.body.c_str(), stdout);
     return kDone;
 }
@@ -59,16 +59,17 @@
     return value;
 }
 
-std::string who(const Arguments& a) {
+std::string authorOf(const Arguments& a) {
     if (!a.by.empty()) return a.by;
     const char* user = std::getenv("USER");
     return user ? user : "";
 }
 
-int change(const Client& client, const Arguments& a, json transaction) {
-    transaction["by"] = who(a);
+int commitTransaction(const Client& client, const Arguments& a, json transaction) {
+    transaction["by"] = authorOf(a);
     const Response response = client.commit(std::move(transaction));
-    if (response.status != 200 && response.status != 409) return told(response.body), codeOf(response);
+    if (response.status != 200 && response.status != 409)
+        return printError(response.body), exitCodeOf(response);
     const json body = json::parse(response.body);
     if (a.output == "json") {
         std::fputs(response.body.c_str(), stdout);
@@ -76,12 +77,13 @@
         std::printf("revision %s\n", body.at("revision").dump().c_str());
     } else if (body.contains("key")) {
         const std::uint64_t now = body.at("revision");
-        told("'" + body["key"].get<std::string>() + "' " +
-             (now == 0 ? "is not there" : "was changed first, at revision " + std::to_string(now)) + "\n");
+        printError("'" + body["key"].get<std::string>() + "' " +
+                   (now == 0 ? "is not there" : "was changed first, at revision " + std::to_string(now)) +
+                   "\n");
     } else {
-        told(body.at("word").get<std::string>() + "\n");
+        printError(body.at("word").get<std::string>() + "\n");
     }
-    return codeOf(response);
+    return exitCodeOf(response);
 }
 
 // A document goes onto the screen whole; lists a line each.
@@ -91,8 +93,8 @@
         a.key.empty() || a.key.back() == '/'
             ? client.callAny("GET", "/config?prefix=" + percentEncode(a.key) + (a.stale ? "&" + stale : ""))
             : client.callAny("GET", "/config/" + percentEncode(a.key) + (a.stale ? "?" + stale : ""));
-    if (response.status == 404) return told("no document '" + a.key + "'\n");
-    if (response.status != 200) return told(response.body), codeOf(response);
+    if (response.status == 404) return printError("no document '" + a.key + "'\n");
+    if (response.status != 200) return printError(response.body), exitCodeOf(response);
     const json body = json::parse(response.body);
     if (a.output == "json") {
         std::fputs(response.body.c_str(), stdout);
@@ -113,7 +115,7 @@
     return kDone;
 }
 
-std::optional<json> held(const Client& client, const std::string& key) {
+std::optional<json> fetchDocument(const Client& client, const std::string& key) {
     const Response response = client.callAny("GET", "/config/" + percentEncode(key));
     if (response.status == 404) return {};
     if (response.status != 200) throw std::runtime_error(response.body);
@@ -122,20 +124,20 @@
 
 // The document in an editor; put back only if nobody else has changed it meanwhile.
 int edit(const Client& client, const Arguments& a) {
-    const auto before = held(client, a.key);
+    const auto before = fetchDocument(client, a.key);
     char path[] = "/tmp/lotusleadctl-XXXXXX.json";
     const int fd = ::mkstemps(path, 5);
-    if (fd < 0) return told("no temporary file is to be had\n");
+    if (fd < 0) return printError("no temporary file is to be had\n");
     ::close(fd);
     std::ofstream(path) << (before ? before->at("value").dump(2) : "{}") << "\n";
     const char* editor = std::getenv("EDITOR");
     const int ended = std::system((std::string(editor && *editor ? editor : "vi") + " " + path).c_str());
     const json after = ended == 0 ? readFile(path) : json();
     std::remove(path);
-    if (ended != 0) return told("the editor failed; nothing is changed\n");
+    if (ended != 0) return printError("the editor failed; nothing is changed\n");
     if (before && after == before->at("value")) return std::printf("nothing is changed\n"), kDone;
     const std::uint64_t revision = before ? before->at("revision").get<std::uint64_t>() : 0;
-    return change(
+    return commitTransaction(
         client, a,
         {{"if", {{{"key", a.key}, {"revision", revision}}}}, {"do", {{{"key", a.key}, {"value", after}}}}});
 }
@@ -143,32 +145,33 @@
 int put(const Client& client, const Arguments& a) {
     json transaction = {{"do", {{{"key", a.key}, {"value", readFile(a.file)}}}}};
     if (a.revision) transaction["if"] = {{{"key", a.key}, {"revision", *a.revision}}};
-    return change(client, a, std::move(transaction));
+    return commitTransaction(client, a, std::move(transaction));
 }
 
-int erase(const Client& client, const Arguments& a) {
+int deleteDocument(const Client& client, const Arguments& a) {
     json transaction = {{"do", {{{"key", a.key}}}}};
     if (a.revision) transaction["if"] = {{{"key", a.key}, {"revision", *a.revision}}};
-    return change(client, a, std::move(transaction));
+    return commitTransaction(client, a, std::move(transaction));
 }
 
-void printPast(const Arguments& a, const json& past) {
+void printHistoryEntry(const Arguments& a, const json& entry) {
     if (a.output == "json") {
-        std::printf("%s\n", past.dump().c_str());
+        std::printf("%s\n", entry.dump().c_str());
         return;
     }
-    for (const json& c : past["changes"])
-        std::printf("%-8s %-14s %-12s %-32s %s\n", past["revision"].dump().c_str(), past["at"].dump().c_str(),
-                    past["by"].get<std::string>().c_str(), c["key"].get<std::string>().c_str(),
+    for (const json& c : entry["changes"])
+        std::printf("%-8s %-14s %-12s %-32s %s\n", entry["revision"].dump().c_str(),
+                    entry["at"].dump().c_str(), entry["by"].get<std::string>().c_str(),
+                    c["key"].get<std::string>().c_str(),
                     c.contains("value") ? c["value"].dump().substr(0, 80).c_str() : "(deleted)");
 }
 
 int history(const Client& client, const Arguments& a) {
     const Response response = client.callAny(
         "GET", "/history?from=" + std::to_string(a.from) + "&prefix=" + percentEncode(a.prefix));
-    if (response.status != 200) return told(response.body);
+    if (response.status != 200) return printError(response.body);
     const json body = json::parse(response.body);
-    for (const json& past : body.at("history")) printPast(a, past);
+    for (const json& entry : body.at("history")) printHistoryEntry(a, entry);
     return kDone;
 }
 
@@ -176,18 +179,18 @@
     std::uint64_t from = a.from;
     if (from == 0) {
         const Response now = client.callAny("GET", "/config?prefix=none&stale=1");
-        if (now.status != 200) return told(now.body);
+        if (now.status != 200) return printError(now.body);
         from = json::parse(now.body).at("revision");
     }
     while (true) {
         const Response response = client.callAny(
             "GET", "/watch?from=" + std::to_string(from) + "&hold=8000&prefix=" + percentEncode(a.prefix));
         if (response.status == 410)
-            return told("the changes behind revision " + std::to_string(from) +
-                        " are not held any more; read all and watch from there\n");
-        if (response.status != 200) return told(response.body);
+            return printError("the changes behind revision " + std::to_string(from) +
+                              " are not held any more; read all and watch from there\n");
+        if (response.status != 200) return printError(response.body);
         const json body = json::parse(response.body);
-        for (const json& past : body["history"]) printPast(a, past);
+        for (const json& entry : body["history"]) printHistoryEntry(a, entry);
         std::fflush(stdout);
         from = std::max<std::uint64_t>(from, body["revision"]);
         if (a.once && !body["history"].empty()) return kDone;
@@ -197,19 +200,19 @@
 // What a document was behind a revision, and what it is: lines that differ.
 int diff(const Client& client, const Arguments& a) {
     const Response response = client.callAny("GET", "/history?prefix=" + percentEncode(a.key));
-    if (response.status != 200) return told(response.body);
+    if (response.status != 200) return printError(response.body);
     const json body = json::parse(response.body);
     if (a.from + 1 < body.at("oldest").get<std::uint64_t>())
-        return told("the history begins at revision " + body["oldest"].dump() + "\n");
+        return printError("the history begins at revision " + body["oldest"].dump() + "\n");
     json before, after;
-    bool wasThere = false;
-    for (const json& past : body["history"])
-        for (const json& c : past["changes"]) {
+    bool found = false;
+    for (const json& entry : body["history"])
+        for (const json& c : entry["changes"]) {
             if (c["key"] != a.key) continue;
             after = c.value("value", json());
-            if (past["revision"].get<std::uint64_t>() <= a.from) before = after, wasThere = true;
+            if (entry["revision"].get<std::uint64_t>() <= a.from) before = after, found = true;
         }
-    if (!wasThere && a.from > 0) before = json();
+    if (!found && a.from > 0) before = json();
     const json patch = json::diff(before, after);
     for (const json& step : patch)
         std::printf("%-8s %-32s %s\n", step["op"].get<std::string>().c_str(),
@@ -220,8 +223,8 @@
 
 int members(const Client& client, const Arguments& a) {
     const Response response = client.callAny("GET", "/members");
-    if (response.status != 200) return told(response.body);
-    if (a.output == "json") return plainly(response);
+    if (response.status != 200) return printError(response.body);
+    if (a.output == "json") return printResponse(response);
     std::printf("%-6s %-9s %-6s %-22s %s\n", "id", "role", "leads", "raft", "control");
     const json body = json::parse(response.body);
     for (const json& m : body.at("members"))
@@ -243,7 +246,7 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argumentCount, char** arguments) {
     Arguments a;
     CLI::App app{"Talks to lotuslead's agents: the shared configuration, their members, and instances."};
     app.set_version_flag("--version", "lotusleadctl " LOTUSLEAD_VERSION);
@@ -257,23 +260,25 @@
     app.add_option("--output", a.output, "how to print")->check(CLI::IsMember({"table", "json"}));
     app.add_option("--by", a.by, "who changes, for the history; $USER, where it is not given");
     app.fallthrough();
-    const auto named = [&](CLI::App* sub) {
+    const auto addInstanceName = [&](CLI::App* sub) {
         sub->add_option("name", a.name, "the instance")->required();
         return sub;
     };
     CLI::App* statusCommand = app.add_subcommand("status", "each agent: its leader, and the instances");
-    CLI::App* putCommand = named(app.add_subcommand("put", "runs the instance on that agent with that file"));
+    CLI::App* putCommand =
+        addInstanceName(app.add_subcommand("put", "runs the instance on that agent with that file"));
     putCommand->add_option("agent", a.id, "the agent's id")->required();
     putCommand->add_option("file", a.file, "the configuration")->required();
-    CLI::App* deleteCommand = named(app.add_subcommand("delete", "stops the instance"));
-    CLI::App* readyCommand = named(app.add_subcommand("ready", "whether it takes clients"));
-    CLI::App* drainCommand = named(app.add_subcommand("drain", "sends its clients away"));
-    CLI::App* undrainCommand = named(app.add_subcommand("undrain", "takes clients again"));
-    CLI::App* replaceCommand = named(app.add_subcommand("replace", "a new process beside it takes over"));
+    CLI::App* deleteCommand = addInstanceName(app.add_subcommand("delete", "stops the instance"));
+    CLI::App* readyCommand = addInstanceName(app.add_subcommand("ready", "whether it takes clients"));
+    CLI::App* drainCommand = addInstanceName(app.add_subcommand("drain", "sends its clients away"));
+    CLI::App* undrainCommand = addInstanceName(app.add_subcommand("undrain", "takes clients again"));
+    CLI::App* replaceCommand =
+        addInstanceName(app.add_subcommand("replace", "a new process beside it takes over"));
 
     CLI::App* config = app.add_subcommand("config", "the shared configuration");
     config->require_subcommand(1);
-    const auto keyed = [&](const char* name, const char* what) {
+    const auto addWithKey = [&](const char* name, const char* what) {
         CLI::App* sub = config->add_subcommand(name, what);
         sub->add_option("key", a.key, "such as boxes/s-1 or purges/group/17")->required();
         return sub;
@@ -281,12 +286,12 @@
     CLI::App* configGet = config->add_subcommand("get", "a document; all below a key that ends with /");
     configGet->add_option("key", a.key, "the key; none: all");
     configGet->add_flag("--stale", a.stale, "from whichever agent answers, and say how old it is");
-    CLI::App* configPut = keyed("put", "writes a document");
+    CLI::App* configPut = addWithKey("put", "writes a document");
     configPut->add_option("file", a.file, "JSON; - for standard input")->required();
-    CLI::App* configDelete = keyed("delete", "removes a document");
+    CLI::App* configDelete = addWithKey("delete", "removes a document");
     for (CLI::App* sub : {configPut, configDelete})
         sub->add_option("--revision", a.revision, "only if it is at this one; 0: only if it is not there");
-    CLI::App* configEdit = keyed("edit", "opens $EDITOR; refused if somebody else is first");
+    CLI::App* configEdit = addWithKey("edit", "opens $EDITOR; refused if somebody else is first");
     CLI::App* configTxn = config->add_subcommand("txn", "a transaction, all or nothing");
     configTxn->add_option("file", a.file, R"({"if":[{"key":K,"revision":N}],"do":[{"key":K,"value":V}]})")
         ->required();
@@ -297,7 +302,7 @@
         sub->add_option("prefix", a.prefix, "only keys that begin so");
         sub->add_option("--from", a.from, "behind this revision");
     }
-    CLI::App* configDiff = keyed("diff", "what has changed in a document behind a revision");
+    CLI::App* configDiff = addWithKey("diff", "what has changed in a document behind a revision");
     configDiff->add_option("from", a.from, "the revision")->required();
 
     CLI::App* membersCommand = app.add_subcommand("members", "the agents that agree");
@@ -309,8 +314,8 @@
     CLI::App* membersRemove = membersCommand->add_subcommand("remove", "takes it out");
     CLI::App* membersReplace = membersCommand->add_subcommand(
         "replace", "a dead one out, another in with a vote: remove, add, promote");
-    std::uint64_t dead = 0;
-    membersReplace->add_option("dead", dead, "the dead agent's id")->required();
+    std::uint64_t deadAgent = 0;
+    membersReplace->add_option("dead", deadAgent, "the dead agent's id")->required();
     for (CLI::App* sub : {membersAdd, membersPromote, membersRemove, membersReplace})
         sub->add_option("id", a.id, "the agent's id")->required();
     for (CLI::App* sub : {membersAdd, membersReplace}) {
@@ -320,7 +325,7 @@
     CLI::App* membersRecover =
         membersCommand->add_subcommand("recover", "how to go on when a majority is lost for good");
     try {
-        app.parse(count, words);
+        app.parse(argumentCount, arguments);
     } catch (const CLI::ParseError& problem) {
         return app.exit(problem) == 0 ? kDone : kMalformed;
     }
@@ -334,35 +339,35 @@
         const Client client(std::move(agents));
         const std::string instance = "/instances/" + percentEncode(a.name),
                           member = "/members/" + std::to_string(a.id);
-        const std::string seat = json{{"raft", a.raft}, {"control", a.control}}.dump();
+        const std::string addresses = json{{"raft", a.raft}, {"control", a.control}}.dump();
         if (statusCommand->parsed()) return status(client);
         if (putCommand->parsed())
-            return plainly(client.callAny("PUT", instance,
-                                          json{{"agent", a.id}, {"configuration", readFile(a.file)}}.dump()));
-        if (deleteCommand->parsed()) return plainly(client.callAny("DELETE", instance));
-        if (readyCommand->parsed()) return plainly(client.callAny("GET", instance + "/ready"));
+            return printResponse(client.callAny(
+                "PUT", instance, json{{"agent", a.id}, {"configuration", readFile(a.file)}}.dump()));
+        if (deleteCommand->parsed()) return printResponse(client.callAny("DELETE", instance));
+        if (readyCommand->parsed()) return printResponse(client.callAny("GET", instance + "/ready"));
         for (const auto& [sub, what] :
              {std::pair{drainCommand, "/drain"}, std::pair{undrainCommand, "/undrain"},
               std::pair{replaceCommand, "/replace"}})
-            if (sub->parsed()) return plainly(client.callAny("POST", instance + what));
+            if (sub->parsed()) return printResponse(client.callAny("POST", instance + what));
         if (configGet->parsed()) return get(client, a);
         if (configPut->parsed()) return put(client, a);
-        if (configDelete->parsed()) return erase(client, a);
+        if (configDelete->parsed()) return deleteDocument(client, a);
         if (configEdit->parsed()) return edit(client, a);
-        if (configTxn->parsed()) return change(client, a, readFile(a.file));
+        if (configTxn->parsed()) return commitTransaction(client, a, readFile(a.file));
         if (configHistory->parsed()) return history(client, a);
         if (configWatch->parsed()) return watch(client, a);
         if (configDiff->parsed()) return diff(client, a);
         if (membersList->parsed()) return members(client, a);
-        if (membersAdd->parsed()) return plainly(client.callAny("POST", member, seat));
-        if (membersPromote->parsed()) return plainly(client.callAny("POST", member + "/promote"));
-        if (membersRemove->parsed()) return plainly(client.callAny("DELETE", member));
+        if (membersAdd->parsed()) return printResponse(client.callAny("POST", member, addresses));
+        if (membersPromote->parsed()) return printResponse(client.callAny("POST", member + "/promote"));
+        if (membersRemove->parsed()) return printResponse(client.callAny("DELETE", member));
         if (membersReplace->parsed()) {
-            const Response removed = client.callAny("DELETE", "/members/" + std::to_string(dead));
-            if (removed.status != 200) return plainly(removed);
-            const Response added = client.callAny("POST", member, seat);
-            if (added.status != 200) return plainly(added);
-            return plainly(client.callAny("POST", member + "/promote"));
+            const Response removed = client.callAny("DELETE", "/members/" + std::to_string(deadAgent));
+            if (removed.status != 200) return printResponse(removed);
+            const Response added = client.callAny("POST", member, addresses);
+            if (added.status != 200) return printResponse(added);
+            return printResponse(client.callAny("POST", member + "/promote"));
         }
         if (membersRecover->parsed()) {
             std::printf(
@@ -377,7 +382,7 @@
         std::fprintf(stderr, "lotusleadctl: %s\n", problem.what());
         return kMalformed;
     } catch (const std::exception& problem) {
-        return told(std::string(problem.what()) + "\n");
+        return printError(std::string(problem.what()) + "\n");
     }
     return kMalformed;
 }
