--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -4,7 +4,7 @@
 #include <chrono>
 
 #include "../net/http_client.hpp"
-#include "state.hpp"
+#include "instances.hpp"
 
 namespace lotuslead::agent {
 
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::int64_t kMostHoldMs = 10'000;
-constexpr net::HttpServer::Limits kLimits{1024, 2 * config::kMostTransaction, std::chrono::seconds{15}};
+constexpr net::HttpServer::Limits kLimits{1024, 2 * config::kMaxTransactionBytes, std::chrono::seconds{15}};
 
 Answer jsonAnswer(int status, const json& body) { return {status, body.dump() + "\n", {}}; }
 
@@ -25,14 +25,14 @@
 
 Answer answerOf(Consensus::Fate fate, const config::Outcome& outcome) {
     using Fate = Consensus::Fate;
-    using Word = config::Outcome::Word;
+    using Status = config::Outcome::Status;
     if (fate == Fate::refused)
         return jsonAnswer(503, {{"word", "refused"}, {"why", "no leader that can write its log now"}});
     if (fate == Fate::unknown)
         return jsonAnswer(503, {{"word", "unknown"}, {"why", "it may be applied yet, or never"}});
-    json body = {{"word", config::nameOf(outcome.word)}, {"revision", outcome.revision}};
+    json body = {{"word", config::nameOf(outcome.status)}, {"revision", outcome.revision}};
     if (!outcome.key.empty()) body["key"] = outcome.key;
-    return jsonAnswer(outcome.word == Word::done ? 200 : 409, body);
+    return jsonAnswer(outcome.status == Status::done ? 200 : 409, body);
 }
 
 json toJson(const config::HistoryEntry& entry, const std::string& prefix) {
@@ -43,7 +43,7 @@
         if (change.value) one["value"] = *change.value;
         changes.push_back(std::move(one));
     }
-    return {{"revision", entry.revision}, {"at", entry.atMs}, {"by", entry.by}, {"changes", changes}};
+    return {{"revision", entry.revision}, {"at", entry.atMs}, {"by", entry.author}, {"changes", changes}};
 }
 
 // Entries that changed something under the prefix.
@@ -109,14 +109,15 @@
 json Control::documents(const Target& target) const {
     json list = json::array();
     const auto add = [&](const std::string& key, const config::Document& d) {
-        list.push_back({{"key", key}, {"revision", d.revision}, {"created", d.created}, {"value", d.value}});
+        list.push_back(
+            {{"key", key}, {"revision", d.revision}, {"created", d.createdRevision}, {"value", d.value}});
         return list.size() < 100'000;
     };
     if (target.path.size() > 8) {
         const std::string key = target.path.substr(8);
         if (const auto* found = store_.find(key)) add(key, *found);
     } else {
-        store_.each(target.text("prefix"), add);
+        store_.forEach(target.text("prefix"), add);
     }
     return list;
 }
@@ -143,7 +144,7 @@
 void Control::history(const Target& target, const Reply& reply) {
     const auto from = static_cast<config::Revision>(target.whole("from").value_or(0));
     const std::string prefix = target.text("prefix");
-    const json list = listOf(store_.heldSince(from, prefix), prefix);
+    const json list = listOf(store_.retainedSince(from, prefix), prefix);
     const config::Revision oldest = store_.historyCompleteFrom(prefix) + 1;  // from it on all is held
     reply(jsonAnswer(200, {{"revision", store_.revision()}, {"oldest", oldest}, {"history", list}}));
 }
@@ -168,7 +169,7 @@
         watch.reply({503, "this agent is behind\n", {}});
         return true;
     }
-    const auto behind = store_.since(watch.from, watch.prefix);
+    const auto behind = store_.changesSince(watch.from, watch.prefix);
     if (!behind) {
         watch.reply(jsonAnswer(410, {{"word", "compacted"}, {"revision", store_.revision()}}));
         return true;
@@ -212,7 +213,7 @@
             command.sequence = text["sequence"];
         }
         if (text.contains("by") && text["by"].is_string())
-            command.transaction.by = text["by"].get<std::string>().substr(0, 128);
+            command.transaction.author = text["by"].get<std::string>().substr(0, 128);
     } catch (const settings::DecodeError& problem) {
         return reply({400, std::string(problem.what()) + "\n", {}});
     }
@@ -261,7 +262,7 @@
         settings::readEndpoint(raft, "raft");
         command.transaction.changes.push_back(
             {"agents/" + std::to_string(id), json{{"control", wanted.value("control", "")}}});
-        config::check(command.transaction);
+        config::validate(command.transaction);
     } catch (const std::exception& problem) {
         return reply({400, std::string(problem.what()) + "\n", {}});
     }
@@ -307,7 +308,7 @@
         return reply({405, "PUT and DELETE only\n", {}});
     }
     try {
-        config::check(command.transaction);
+        config::validate(command.transaction);
     } catch (const settings::DecodeError& problem) {
         return reply({400, std::string(problem.what()) + "\n", {}});
     }
--- a/src/agent/control.hpp
+++ b/src/agent/control.hpp
@@ -5,13 +5,13 @@
 #include <list>
 #include <string>
 
-#include "../config/check.hpp"
+#include "../config/validation.hpp"
 #include "../net/http_server.hpp"
 #include "../net/loop.hpp"
 #include "consensus.hpp"
+#include "request_target.hpp"
 #include "settings.hpp"
 #include "supervisor.hpp"
-#include "target.hpp"
 
 namespace lotuslead::agent {
 
--- a/src/agent/event_feed.cpp
+++ b/src/agent/event_feed.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "target.hpp"
+#include "request_target.hpp"
 
 namespace lotuslead::agent {
 
@@ -73,11 +73,11 @@
 
 std::string EventFeed::page(std::int64_t from) {
     const config::EventLog& log = store_.eventLog();
-    if (std::exchange(pagesOfLoad_, store_.loads()) != store_.loads()) pages_.clear();
-    if (const auto found = pages_.find(from); found != pages_.end()) return log.answer(found->second);
+    if (std::exchange(pagesOfLoad_, store_.loadCount()) != store_.loadCount()) pages_.clear();
+    if (const auto found = pages_.find(from); found != pages_.end()) return log.encodePage(found->second);
     config::EventLog::Page page = log.read(from);
-    std::string text = log.answer(page);
-    if (!page.settled) return text;
+    std::string text = log.encodePage(page);
+    if (!page.cacheable) return text;
     pages_.emplace(from, std::move(page));
     if (pages_.size() > kMostPages) pages_.erase(pages_.begin());  // the oldest events are asked for least
     return text;
--- a/src/config/event_log.hpp
+++ b/src/config/event_log.hpp
@@ -22,11 +22,11 @@
 }
 
 struct Event {
-    std::int64_t number = 0;      // from 1 up, by the log
-    std::int64_t recordedMs = 0;  // Unix milliseconds, by the clock of the commands
-    Revision revision = 0;        // of the transaction
+    std::int64_t offset = 0;        // from 1 up, by the log
+    std::int64_t recordedAtMs = 0;  // Unix milliseconds, by the clock of the commands
+    Revision revision = 0;          // of the transaction
     std::string key;
-    std::int64_t purgedMs = 0;          // of a purge, Unix milliseconds
+    std::int64_t purgedAtMs = 0;        // of a purge, Unix milliseconds
     std::optional<nlohmann::json> box;  // none at a change of a box: it is removed
 
     bool isPurge() const { return hasPrefix(key, kPurgePrefix); }
@@ -37,8 +37,8 @@
     struct Bounds {
         std::int64_t retentionMs =
             std::int64_t{2} * 3600 * 1000;  // an hour's cut, and as much again to come back in
-        std::size_t least = 16'384;         // events that are kept however old they are
-        std::size_t most = 400'000;         // and never more than that: 4 hours of 26 purges a second
+        std::size_t minEvents = 16'384;     // events that are kept however old they are
+        std::size_t maxEvents = 400'000;    // and never more than that: 4 hours of 26 purges a second
     };
     // Far under what a reader takes, so that neither side is held up by one page.
     static constexpr std::size_t kPageBytes = std::size_t{128} * 1024;
@@ -47,9 +47,9 @@
 
     // Some of the events in the form of the event bus, with commas between them.
     struct Page {
-        std::int64_t reached = 0;  // the last one's number
+        std::int64_t endOffset = 0;  // the last one's number
         std::string batch;
-        bool settled = false;  // who asks again gets the same, whatever happens meanwhile
+        bool cacheable = false;  // who asks again gets the same, whatever happens meanwhile
     };
 
     explicit EventLog(const Bounds& bounds) : bounds_(bounds) {}
@@ -66,22 +66,23 @@
     // number to go on from, L the last one there is. Where some of what follows is not held any more, the
     // whole list of boxes comes first, as of the events that are gone.
     std::string page(std::int64_t from, std::size_t bytes = kPageBytes) const {
-        return answer(read(from, bytes));
+        return encodePage(read(from, bytes));
     }
     Page read(std::int64_t from, std::size_t bytes = kPageBytes) const;
-    std::string answer(const Page& page) const;
+    std::string encodePage(const Page& page) const;
 
     // `createdAt`: the revision at which the document that an event's transaction wrote was made; 0: it is
     // another one's by now, or gone.
-    using CreatedAt = std::function<Revision(const Event&)>;
-    std::string dump(const CreatedAt& createdAt) const;
-    using Restored = std::function<void(const Event&, Revision createdAt)>;
-    void load(const nlohmann::json& dumped, const Restored& restored);  // throws where it is not of that form
+    using CreationRevisionOf = std::function<Revision(const Event&)>;
+    std::string dump(const CreationRevisionOf& creationRevisionOf) const;
+    using RestoredCallback = std::function<void(const Event&, Revision createdRevision)>;
+    void load(const nlohmann::json& dumped,
+              const RestoredCallback& restored);  // throws where it is not of that form
     // The form of snapshots before this one had numbers, keys and values only.
-    void loadSecondForm(const nlohmann::json& snapshot, const Restored& restored);
+    void loadFormat2(const nlohmann::json& snapshot, const RestoredCallback& restored);
 
 private:
-    std::int64_t base() const { return last_ - static_cast<std::int64_t>(events_.size()); }
+    std::int64_t baseOffset() const { return last_ - static_cast<std::int64_t>(events_.size()); }
 
     Bounds bounds_;
     std::deque<Event> events_;
--- a/src/config/store.cpp
+++ b/src/config/store.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr int kCommandForm = 2;   // those of before have no number
-constexpr int kSnapshotForm = 3;  // likewise; the second one kept purges among the documents
+constexpr int kCommandFormat = 2;   // those of before have no number
+constexpr int kSnapshotFormat = 3;  // likewise; the second one kept purges among the documents
 
 constexpr std::string_view kInstancePrefix = "instances/";
 
 // The agents' commands of before, which knew instances only.
-Transaction readFirstForm(const json& text) {
+Transaction readUnversionedCommand(const json& text) {
     Transaction result;
     Change& change = result.changes.emplace_back();
     change.key = std::string(kInstancePrefix) + text.at("name").get<std::string>();
@@ -30,10 +30,10 @@
     const json root = json::parse(text);
     Command command;
     if (!root.contains("form")) {
-        command.transaction = readFirstForm(root);
+        command.transaction = readUnversionedCommand(root);
         return command;
     }
-    if (root["form"] != kCommandForm) throw std::runtime_error("a command of another form");
+    if (root["form"] != kCommandFormat) throw std::runtime_error("a command of another form");
     command.session = root.value("session", std::uint64_t{0});
     command.sequence = root.value("sequence", std::uint64_t{0});
     command.opensSession = root.value("opens", false);
@@ -41,16 +41,16 @@
         command.transaction.conditions.push_back({one.at("key"), one.at("revision")});
     command.transaction.changes = changesFromJson(root.value("do", json::array()));
     command.transaction.atMs = root.value("at", std::int64_t{0});
-    command.transaction.by = root.value("by", std::string{});
+    command.transaction.author = root.value("by", std::string{});
     return command;
 }
 
-std::int64_t whenOf(const json& purge) { return purge.value("ts", std::int64_t{0}); }
+std::int64_t purgeTimeMs(const json& purge) { return purge.value("ts", std::int64_t{0}); }
 
 }  // namespace
 
 std::string encode(const Command& command) {
-    json root = {{"form", kCommandForm}};
+    json root = {{"form", kCommandFormat}};
     if (command.session != 0) {
         root["session"] = command.session;
         root["sequence"] = command.sequence;
@@ -60,19 +60,19 @@
     for (const Condition& c : t.conditions) root["if"].push_back({{"key", c.key}, {"revision", c.revision}});
     if (!t.changes.empty()) root["do"] = changesToJson(t.changes);
     if (t.atMs != 0) root["at"] = t.atMs;
-    if (!t.by.empty()) root["by"] = t.by;
+    if (!t.author.empty()) root["by"] = t.author;
     return root.dump();
 }
 
-const char* nameOf(Outcome::Word word) {
-    switch (word) {
-        case Outcome::Word::done:
+const char* nameOf(Outcome::Status status) {
+    switch (status) {
+        case Outcome::Status::done:
             return "done";
-        case Outcome::Word::conflict:
+        case Outcome::Status::conflict:
             return "conflict";
-        case Outcome::Word::gone:
+        case Outcome::Status::sessionGone:
             return "session gone";
-        case Outcome::Word::outOfTurn:
+        case Outcome::Status::staleSequence:
             return "out of turn";
         default:
             return "unreadable";
@@ -84,93 +84,95 @@
     return found == documents_.end() ? nullptr : &found->second;
 }
 
-void Store::each(const std::string& prefix,
-                 const std::function<bool(const std::string&, const Document&)>& visit) const {
+void Store::forEach(const std::string& prefix,
+                    const std::function<bool(const std::string&, const Document&)>& visit) const {
     for (auto at = documents_.lower_bound(prefix); at != documents_.end() && hasPrefix(at->first, prefix);
          ++at)
         if (!visit(at->first, at->second)) return;
 }
 
 Outcome Store::apply(std::string_view text) {
-    ++commands_;
+    ++commandCount_;
     Command command;
     try {
         command = read(text);
     } catch (const std::exception&) {
         // It is in the log of every agent alike, so each passes over it.
-        return {Outcome::Word::unreadable, revision_, {}};
+        return {Outcome::Status::unreadable, revision_, {}};
     }
     if (command.opensSession) return openSession();
-    if (command.session == 0) return change(command.transaction);
+    if (command.session == 0) return applyTransaction(command.transaction);
     const auto found = sessions_.find(command.session);
-    if (found == sessions_.end()) return {Outcome::Word::gone, revision_, {}};
+    if (found == sessions_.end()) return {Outcome::Status::sessionGone, revision_, {}};
     Session& session = found->second;
-    session.usedAt = commands_;
-    if (command.sequence == session.sequence) return session.answer;
-    if (command.sequence < session.sequence) return {Outcome::Word::outOfTurn, revision_, {}};
+    session.lastUsedCommand = commandCount_;
+    if (command.sequence == session.sequence) return session.outcome;
+    if (command.sequence < session.sequence) return {Outcome::Status::staleSequence, revision_, {}};
     session.sequence = command.sequence;
-    return session.answer = change(command.transaction);
+    return session.outcome = applyTransaction(command.transaction);
 }
 
 // Named by the number of its command, which no other ever has.
 Outcome Store::openSession() {
     if (sessions_.size() >= bounds_.sessions)
         sessions_.erase(
-            std::min_element(sessions_.begin(), sessions_.end(),
-                             [](const auto& a, const auto& b) { return a.second.usedAt < b.second.usedAt; }));
-    sessions_[commands_].usedAt = commands_;
-    return {Outcome::Word::done, commands_, {}};
+            std::min_element(sessions_.begin(), sessions_.end(), [](const auto& a, const auto& b) {
+                return a.second.lastUsedCommand < b.second.lastUsedCommand;
+            }));
+    sessions_[commandCount_].lastUsedCommand = commandCount_;
+    return {Outcome::Status::done, commandCount_, {}};
 }
 
-Outcome Store::change(const Transaction& transaction) {
+Outcome Store::applyTransaction(const Transaction& transaction) {
     for (const Condition& c : transaction.conditions) {
         const Document* held = find(c.key);
         const Revision now = held ? held->revision : 0;
-        if (now != c.revision) return {Outcome::Word::conflict, now, c.key};
+        if (now != c.revision) return {Outcome::Status::conflict, now, c.key};
     }
     std::vector<Change> done;
     for (const Change& c : transaction.changes) {
         const Document* held = find(c.key);
         if (!c.value && !held) continue;
         // Two operators' purges may come in either order: the later one holds.
-        if (c.value && held && hasPrefix(c.key, kPurgePrefix) && whenOf(*c.value) <= whenOf(held->value))
+        if (c.value && held && hasPrefix(c.key, kPurgePrefix) &&
+            purgeTimeMs(*c.value) <= purgeTimeMs(held->value))
             continue;
         done.push_back(c);
     }
-    if (done.empty()) return {Outcome::Word::done, revision_, {}};
+    if (done.empty()) return {Outcome::Status::done, revision_, {}};
     ++revision_;
     clockMs_ = std::max(clockMs_, transaction.atMs);
-    for (const Change& c : done) write(c);
-    remember(transaction, std::move(done));
+    for (const Change& c : done) applyChange(c);
+    recordHistory(transaction, std::move(done));
     removeExpired();
-    return {Outcome::Word::done, revision_, {}};
+    return {Outcome::Status::done, revision_, {}};
 }
 
-void Store::write(const Change& change) {
+void Store::applyChange(const Change& change) {
     const bool isPurge = hasPrefix(change.key, kPurgePrefix);
     if (!change.value) {
         documents_.erase(change.key);
     } else {
         Document& document = documents_[change.key];
-        if (document.revision == 0) document.created = revision_;
+        if (document.revision == 0) document.createdRevision = revision_;
         document.value = *change.value;
         document.revision = revision_;
     }
     if (isPurge && !change.value) return;  // that a purge's record goes is no news to anybody
     if (!isPurge && !hasPrefix(change.key, kBoxPrefix)) return;
     Event event;
-    event.recordedMs = clockMs_;
+    event.recordedAtMs = clockMs_;
     event.revision = revision_;
     event.key = change.key;
     if (isPurge)
-        event.purgedMs = whenOf(*change.value);
+        event.purgedAtMs = purgeTimeMs(*change.value);
     else
         event.box = change.value;
     log_.append(std::move(event));
 }
 
-void Store::remember(const Transaction& transaction, std::vector<Change> done) {
-    HistoryEntry purges{revision_, transaction.atMs, transaction.by, {}}, others = purges;
+void Store::recordHistory(const Transaction& transaction, std::vector<Change> done) {
+    HistoryEntry purges{revision_, transaction.atMs, transaction.author, {}}, others = purges;
     for (Change& change : done)
         (hasPrefix(change.key, kPurgePrefix) ? purges : others).changes.push_back(std::move(change));
     if (!purges.changes.empty()) purgeHistory_.add(std::move(purges));
@@ -200,13 +202,13 @@
     return from;
 }
 
-std::optional<std::vector<const HistoryEntry*>> Store::since(Revision revision,
-                                                             std::string_view prefix) const {
+std::optional<std::vector<const HistoryEntry*>> Store::changesSince(Revision revision,
+                                                                    std::string_view prefix) const {
     if (revision < historyCompleteFrom(prefix)) return {};
-    return heldSince(revision, prefix);
+    return retainedSince(revision, prefix);
 }
 
-std::vector<const HistoryEntry*> Store::heldSince(Revision revision, std::string_view prefix) const {
+std::vector<const HistoryEntry*> Store::retainedSince(Revision revision, std::string_view prefix) const {
     std::vector<const HistoryEntry*> result;
     for (const History* history : historiesOf(prefix))
         for (const HistoryEntry& entry : history->entries())
@@ -221,13 +223,13 @@
 std::string Store::dump() const {
     json documents = json::object(), sessions = json::object();
     for (const auto& [key, d] : documents_)
-        if (!hasPrefix(key, kPurgePrefix)) documents[key] = {d.value, d.revision, d.created};
+        if (!hasPrefix(key, kPurgePrefix)) documents[key] = {d.value, d.revision, d.createdRevision};
     for (const auto& [id, s] : sessions_)
-        sessions[std::to_string(id)] = {s.sequence, s.usedAt, static_cast<int>(s.answer.word),
-                                        s.answer.revision, s.answer.key};
-    std::string text = json{{"form", kSnapshotForm},
+        sessions[std::to_string(id)] = {s.sequence, s.lastUsedCommand, static_cast<int>(s.outcome.status),
+                                        s.outcome.revision, s.outcome.key};
+    std::string text = json{{"form", kSnapshotFormat},
                             {"revision", revision_},
-                            {"commands", commands_},
+                            {"commands", commandCount_},
                             {"clock", clockMs_},
                             {"documents", documents},
                             {"sessions", sessions},
@@ -239,7 +241,7 @@
     text.back() = ',';
     text += R"("log":)" + log_.dump([this](const Event& event) {
         const Document* document = find(event.key);
-        return document && document->revision == event.revision ? document->created : Revision{0};
+        return document && document->revision == event.revision ? document->createdRevision : Revision{0};
     });
     return text + "}";
 }
@@ -248,12 +250,12 @@
     const json all = json::parse(text);
     Store fresh(bounds_);
     if (!all.contains("form")) {
-        fresh.loadFirstForm(all);
+        fresh.loadUnversioned(all);
     } else if (all["form"] == 2) {
-        fresh.loadSecondForm(all);
-    } else if (all["form"] == kSnapshotForm) {
+        fresh.loadFormat2(all);
+    } else if (all["form"] == kSnapshotFormat) {
         fresh.revision_ = all.at("revision");
-        fresh.commands_ = all.at("commands");
+        fresh.commandCount_ = all.at("commands");
         fresh.clockMs_ = all.at("clock");
         fresh.loadDocuments(all.at("documents"));
         fresh.loadSessions(all.at("sessions"));
@@ -261,17 +263,18 @@
         fresh.history_.fromJson(all.at("history"));
         fresh.purgeHistory_.setCompleteFrom(all.at("purgeHistoryFrom"));
         fresh.purgeHistory_.fromJson(all.at("purgeHistory"));
-        fresh.log_.load(all.at("log"), [&](const Event& e, Revision created) { fresh.restore(e, created); });
+        fresh.log_.load(all.at("log"),
+                        [&](const Event& e, Revision created) { fresh.restorePurgeDocument(e, created); });
     } else {
         throw std::runtime_error("a snapshot of a form that this version does not know");
     }
-    fresh.loads_ = loads_ + 1;
+    fresh.loadCount_ = loadCount_ + 1;
     *this = std::move(fresh);
 }
 
-void Store::restore(const Event& event, Revision createdAt) {
-    if (event.isPurge() && createdAt > 0)
-        documents_[event.key] = {json{{"ts", event.purgedMs}}, event.revision, createdAt};
+void Store::restorePurgeDocument(const Event& event, Revision createdRevision) {
+    if (event.isPurge() && createdRevision > 0)
+        documents_[event.key] = {json{{"ts", event.purgedAtMs}}, event.revision, createdRevision};
 }
 
 void Store::loadDocuments(const json& documents) {
@@ -282,11 +285,11 @@
 void Store::loadSessions(const json& sessions) {
     for (const auto& [id, s] : sessions.items())
         sessions_[std::stoull(id)] = {
-            s.at(0), s.at(1), {static_cast<Outcome::Word>(s.at(2).get<int>()), s.at(3), s.at(4)}};
+            s.at(0), s.at(1), {static_cast<Outcome::Status>(s.at(2).get<int>()), s.at(3), s.at(4)}};
 }
 
 // The agents' snapshots of version 0.1, which knew instances only.
-void Store::loadFirstForm(const json& snapshot) {
+void Store::loadUnversioned(const json& snapshot) {
     revision_ = snapshot.at("revision");
     history_.setCompleteFrom(revision_);
     purgeHistory_.setCompleteFrom(revision_);
@@ -299,9 +302,9 @@
 }
 
 // It held one history for all, and purges beyond the log's, which no gateway could read any more.
-void Store::loadSecondForm(const json& snapshot) {
+void Store::loadFormat2(const json& snapshot) {
     revision_ = snapshot.at("revision");
-    commands_ = snapshot.at("commands");
+    commandCount_ = snapshot.at("commands");
     loadDocuments(snapshot.at("documents"));
     loadSessions(snapshot.at("sessions"));
     history_.setCompleteFrom(snapshot.at("historyFrom"));
@@ -310,12 +313,13 @@
         clockMs_ = std::max(clockMs_, entry.at(1).get<std::int64_t>());
         Transaction transaction;
         transaction.atMs = entry.at(1);
-        transaction.by = entry.at(2);
+        transaction.author = entry.at(2);
         const Revision last = std::exchange(revision_, entry.at(0).get<Revision>());
-        remember(transaction, changesFromJson(entry.at(3)));
+        recordHistory(transaction, changesFromJson(entry.at(3)));
         revision_ = last;
     }
-    log_.loadSecondForm(snapshot, [this](const Event& e, Revision created) { restore(e, created); });
+    log_.loadFormat2(snapshot,
+                     [this](const Event& e, Revision created) { restorePurgeDocument(e, created); });
 }
 
 }  // namespace lotuslead::config
--- a/src/ctl/client.cpp
+++ b/src/ctl/client.cpp
@@ -18,12 +18,12 @@
 
 namespace {
 
-constexpr auto kPatience = 15s;  // for a change; an election takes one to three
-constexpr auto kBetween = 200ms;
+constexpr auto kChangeTimeout = 15s;  // for a change; an election takes one to three
+constexpr auto kRetryDelay = 200ms;
 
 }  // namespace
 
-std::string escaped(const std::string& text) {
+std::string percentEncode(const std::string& text) {
     std::string result;
     for (const char c : text) {
         const bool plain = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
@@ -35,8 +35,8 @@
     return result;
 }
 
-std::optional<Response> Client::ask(const std::string& agent, const std::string& method,
-                                    const std::string& target, const std::string& body) {
+std::optional<Response> Client::callAgent(const std::string& agent, const std::string& method,
+                                          const std::string& target, const std::string& body) {
     const settings::Endpoint to = settings::readEndpoint(agent, "--agents");
     const net::Descriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const timeval limit{10, 0};
@@ -47,10 +47,10 @@
     address.sin_port = htons(to.port);
     ::inet_pton(AF_INET, to.host.c_str(), &address.sin_addr);
     if (::connect(fd.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) != 0) return {};
-    const std::string words = method + " " + target + " HTTP/1.1\r\nHost: " + agent +
-                              "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-    for (std::size_t sent = 0; sent < words.size();) {
-        const ssize_t some = ::send(fd.get(), words.data() + sent, words.size() - sent, MSG_NOSIGNAL);
+    const std::string request = method + " " + target + " HTTP/1.1\r\nHost: " + agent +
+                                "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+    for (std::size_t sent = 0; sent < request.size();) {
+        const ssize_t some = ::send(fd.get(), request.data() + sent, request.size() - sent, MSG_NOSIGNAL);
         if (some <= 0) return {};
         sent += static_cast<std::size_t>(some);
     }
@@ -67,14 +67,15 @@
     return {};
 }
 
-Response Client::any(const std::string& method, const std::string& target, const std::string& body) const {
+Response Client::callAny(const std::string& method, const std::string& target,
+                         const std::string& body) const {
     Response last{0, "no agent can be reached\n", {}};
     for (std::string agent : agents_) {
-        auto response = ask(agent, method, target, body);
+        auto response = callAgent(agent, method, target, body);
         if (response && response->status == 307) {
             const std::size_t begin = std::string("http://").size();
             agent = response->location.substr(begin, response->location.find('/', begin) - begin);
-            response = ask(agent, method, target, body);
+            response = callAgent(agent, method, target, body);
         }
         if (!response) continue;
         // A refusal does not undo what an agent before may have begun.
@@ -86,23 +87,23 @@
     return last;
 }
 
-Response Client::change(json transaction) const {
-    const auto until = std::chrono::steady_clock::now() + kPatience;
+Response Client::commit(json transaction) const {
+    const auto until = std::chrono::steady_clock::now() + kChangeTimeout;
     Response answer;
     while (std::chrono::steady_clock::now() < until) {
         if (!transaction.contains("session")) {
-            answer = any("POST", "/sessions");
+            answer = callAny("POST", "/sessions");
             if (answer.status == 200) {
                 transaction["session"] = json::parse(answer.body).at("revision");
                 transaction["sequence"] = 1;
                 continue;
             }
         } else {
-            answer = any("POST", "/config", transaction.dump());
+            answer = callAny("POST", "/config", transaction.dump());
         }
         // Refused or lost: the same words again, which the session makes harmless.
         if (answer.status != 0 && answer.status != 503 && answer.status != 307) return answer;
-        std::this_thread::sleep_for(kBetween);
+        std::this_thread::sleep_for(kRetryDelay);
     }
     return answer;
 }
--- a/tests/config_store_test.cpp
+++ b/tests/config_store_test.cpp
@@ -1,13 +1,13 @@
 // The agreed state: transactions, sessions, history, the served view and its forms, without any consensus.
 #include <gtest/gtest.h>
 
-#include "config/check.hpp"
+#include "config/validation.hpp"
 
 namespace lotuslead::config {
 namespace {
 
 using nlohmann::json;
-using Word = Outcome::Word;
+using Status = Outcome::Status;
 
 Transaction put(const std::string& key, json value, std::vector<Condition> conditions = {}) {
     return {std::move(conditions), {{key, std::move(value)}}, 1, "operator"};
@@ -20,19 +20,19 @@
 
 TEST(ConfigStore, OneOfTwoOperatorsWinsAndTheOtherIsToldWhatBeatIt) {
     Store store;
-    EXPECT_EQ(apply(store, put("files/a", 1)), (Outcome{Word::done, 1, {}}));
-    EXPECT_EQ(apply(store, put("files/a", 2, {{"files/a", 1}})), (Outcome{Word::done, 2, {}}));
-    EXPECT_EQ(apply(store, put("files/a", 3, {{"files/a", 1}})), (Outcome{Word::conflict, 2, "files/a"}));
-    EXPECT_EQ(apply(store, put("files/b", 3, {{"files/b", 7}})), (Outcome{Word::conflict, 0, "files/b"}));
-    EXPECT_EQ(apply(store, put("files/b", 3, {{"files/b", 0}})), (Outcome{Word::done, 3, {}}));
+    EXPECT_EQ(apply(store, put("files/a", 1)), (Outcome{Status::done, 1, {}}));
+    EXPECT_EQ(apply(store, put("files/a", 2, {{"files/a", 1}})), (Outcome{Status::done, 2, {}}));
+    EXPECT_EQ(apply(store, put("files/a", 3, {{"files/a", 1}})), (Outcome{Status::conflict, 2, "files/a"}));
+    EXPECT_EQ(apply(store, put("files/b", 3, {{"files/b", 7}})), (Outcome{Status::conflict, 0, "files/b"}));
+    EXPECT_EQ(apply(store, put("files/b", 3, {{"files/b", 0}})), (Outcome{Status::done, 3, {}}));
     EXPECT_EQ(store.find("files/a")->value, 2);
-    EXPECT_EQ(store.find("files/a")->created, 1U);
+    EXPECT_EQ(store.find("files/a")->createdRevision, 1U);
 }
 
 TEST(ConfigStore, ATransactionHappensWholeOrNotAtAll) {
     Store store;
     Transaction both{{{"files/x", 0}, {"files/y", 9}}, {{"files/x", 1}, {"files/z", 2}}, 0, ""};
-    EXPECT_EQ(apply(store, both).word, Word::conflict);
+    EXPECT_EQ(apply(store, both).status, Status::conflict);
     EXPECT_EQ(store.size(), 0U);
     EXPECT_EQ(store.revision(), 0U);
     both.conditions.pop_back();
@@ -47,14 +47,14 @@
     const auto id = session(store);
     const Transaction counted = put("files/n", 1, {{"files/n", 0}});
     const Outcome first = apply(store, counted, id, 1);
-    EXPECT_EQ(first.word, Word::done);
+    EXPECT_EQ(first.status, Status::done);
     EXPECT_EQ(apply(store, counted, id, 1), first);  // else it were a conflict now
     Store other;
     other.load(store.dump());
     EXPECT_EQ(apply(other, counted, id, 1), first);
     EXPECT_EQ(apply(other, put("files/n", 2), id, 2).revision, 2U);
-    EXPECT_EQ(apply(other, counted, id, 1).word, Word::outOfTurn);
-    EXPECT_EQ(apply(other, counted, id + 77, 1).word, Word::gone);
+    EXPECT_EQ(apply(other, counted, id, 1).status, Status::staleSequence);
+    EXPECT_EQ(apply(other, counted, id + 77, 1).status, Status::sessionGone);
 }
 
 TEST(ConfigStore, ForgottenSessionsRefuseInsteadOfGuessing) {
@@ -65,8 +65,8 @@
     apply(store, put("files/a", 1), a, 1);
     const auto d = session(store);
     EXPECT_EQ(store.sessions(), 3U);
-    EXPECT_EQ(apply(store, put("files/b", 1), b, 1).word, Word::gone);  // the least recently used
-    EXPECT_EQ(apply(store, put("files/a", 1), a, 1).word, Word::done);
+    EXPECT_EQ(apply(store, put("files/b", 1), b, 1).status, Status::sessionGone);  // the least recently used
+    EXPECT_EQ(apply(store, put("files/a", 1), a, 1).status, Status::done);
     EXPECT_NE(c, d);
 }
 
@@ -75,15 +75,15 @@
     bounds.history.entries = 10;
     Store store(bounds);
     for (int i = 1; i <= 25; ++i) apply(store, put("files/a", i));
-    EXPECT_FALSE(store.since(14));
-    ASSERT_TRUE(store.since(15));
-    EXPECT_EQ(store.since(15)->size(), 10U);
-    EXPECT_EQ(store.since(24)->front()->changes.front().value, json(25));
-    EXPECT_EQ(store.since(25)->size(), 0U);
+    EXPECT_FALSE(store.changesSince(14));
+    ASSERT_TRUE(store.changesSince(15));
+    EXPECT_EQ(store.changesSince(15)->size(), 10U);
+    EXPECT_EQ(store.changesSince(24)->front()->changes.front().value, json(25));
+    EXPECT_EQ(store.changesSince(25)->size(), 0U);
     Store other(bounds);
     other.load(store.dump());
-    EXPECT_FALSE(other.since(14));
-    EXPECT_EQ(other.since(15)->size(), 10U);
+    EXPECT_FALSE(other.changesSince(14));
+    EXPECT_EQ(other.changesSince(15)->size(), 10U);
 }
 
 std::vector<std::int64_t> numbersOf(const json& batch) {
@@ -115,7 +115,7 @@
 // Whoever asks from before what is held gets the whole list first, and ends where all others do.
 TEST(ConfigStore, AnOldReaderGetsTheWholeListAndEndsWithTheSameBoxes) {
     Bounds bounds;
-    bounds.events.least = bounds.events.most = 5;
+    bounds.events.minEvents = bounds.events.maxEvents = 5;
     Store store(bounds);
     for (int i = 0; i < 20; ++i) {
         apply(store, put("boxes/s-" + std::to_string(i % 7), box(1000 + i)));
@@ -137,7 +137,7 @@
                     boxes[listed.name] = listed.address;
         }
         std::map<std::string, std::string> truth;
-        one->each("boxes/", [&](const std::string& key, const Document& d) {
+        one->forEach("boxes/", [&](const std::string& key, const Document& d) {
             truth[key.substr(6)] = d.value["address"];
             return true;
         });
@@ -148,7 +148,7 @@
 
 TEST(ConfigStore, KeepsTheLatestPurgesOnly) {
     Bounds bounds;
-    bounds.events.least = bounds.events.most = 64;
+    bounds.events.minEvents = bounds.events.maxEvents = 64;
     Store store(bounds);
     for (int i = 1; i <= 500; ++i) apply(store, put("purges/object/o" + std::to_string(i), {{"ts", i}}));
     EXPECT_LE(store.size(), 64U);
@@ -212,20 +212,20 @@
 // Pages end where those of other readers end, so that one answer serves all; what is settled never changes.
 TEST(EventLog, PagesOfManyReadersMeet) {
     Store store;
-    EXPECT_FALSE(store.eventLog().read(0).settled);  // there may be events yet
+    EXPECT_FALSE(store.eventLog().read(0).cacheable);  // there may be events yet
     for (int i = 1; i <= 1024; ++i) apply(store, purgeAt("o" + std::to_string(i), i));
-    EXPECT_TRUE(store.eventLog().read(0).settled);
-    EXPECT_FALSE(store.eventLog().read(1024).settled);
+    EXPECT_TRUE(store.eventLog().read(0).cacheable);
+    EXPECT_FALSE(store.eventLog().read(1024).cacheable);
     for (int i = 1025; i <= 5000; ++i) apply(store, purgeAt("o" + std::to_string(i), i));
     for (const std::int64_t from : {0, 17, 1023, 1024, 1500})
-        EXPECT_EQ(store.eventLog().read(from).reached, (from / 1024 + 1) * 1024);
+        EXPECT_EQ(store.eventLog().read(from).endOffset, (from / 1024 + 1) * 1024);
     const EventLog::Page full = store.eventLog().read(1024), last = store.eventLog().read(4096);
-    EXPECT_TRUE(full.settled);
-    EXPECT_FALSE(last.settled);
+    EXPECT_TRUE(full.cacheable);
+    EXPECT_FALSE(last.cacheable);
     for (int i = 1; i <= 500; ++i) apply(store, purgeAt("later" + std::to_string(i), i));
     EXPECT_EQ(store.eventLog().read(1024).batch, full.batch);
     EXPECT_EQ(store.eventLog().read(4096).batch.rfind(last.batch, 0), 0U);
-    EXPECT_GT(store.eventLog().read(4096).reached, last.reached);
+    EXPECT_GT(store.eventLog().read(4096).endOffset, last.endOffset);
 }
 
 // 13 purges a second for three hours: whoever was away for one hour finds each of them, numbered on.
@@ -292,15 +292,16 @@
     Store other(bounds);
     other.load(store.dump());
     for (const Store* one : {&store, &other}) {
-        ASSERT_TRUE(one->since(0, "files/"));
-        EXPECT_EQ(one->since(0, "files/")->front()->changes.front().key, "files/a");
-        EXPECT_FALSE(one->since(0, "purges/"));
-        EXPECT_FALSE(one->since(0, ""));               // of all changes some are gone
-        ASSERT_EQ(one->heldSince(0, "").size(), 12U);  // what is left of both: two of files, ten of purges
-        EXPECT_EQ(one->heldSince(0, "").front()->changes.front().key, "files/a");
-        ASSERT_TRUE(one->since(92, "purges/object/"));
-        EXPECT_EQ(one->since(100, "")->size(), 2U);
-        EXPECT_EQ(one->since(100, "")->back()->revision, 102U);
+        ASSERT_TRUE(one->changesSince(0, "files/"));
+        EXPECT_EQ(one->changesSince(0, "files/")->front()->changes.front().key, "files/a");
+        EXPECT_FALSE(one->changesSince(0, "purges/"));
+        EXPECT_FALSE(one->changesSince(0, ""));  // of all changes some are gone
+        ASSERT_EQ(one->retainedSince(0, "").size(),
+                  12U);  // what is left of both: two of files, ten of purges
+        EXPECT_EQ(one->retainedSince(0, "").front()->changes.front().key, "files/a");
+        ASSERT_TRUE(one->changesSince(92, "purges/object/"));
+        EXPECT_EQ(one->changesSince(100, "")->size(), 2U);
+        EXPECT_EQ(one->changesSince(100, "")->back()->revision, 102U);
     }
 }
 
@@ -321,11 +322,11 @@
         "lastEvent":10,"base":{"boxes/s-0":{"address":"127.0.0.1:9","type":"small"}}}  )");
     EXPECT_EQ(store.revision(), 4U);
     EXPECT_EQ(store.find("files/a")->value, 7);
-    EXPECT_EQ(store.find("purges/object/told")->created, 3U);
+    EXPECT_EQ(store.find("purges/object/told")->createdRevision, 3U);
     EXPECT_FALSE(store.find("purges/object/untold"));  // no gateway could read of it any more
-    EXPECT_EQ(store.since(1, "files/")->size(), 1U);
-    EXPECT_EQ(store.since(1, "purges/")->size(), 1U);
-    EXPECT_FALSE(store.since(0, "files/"));
+    EXPECT_EQ(store.changesSince(1, "files/")->size(), 1U);
+    EXPECT_EQ(store.changesSince(1, "purges/")->size(), 1U);
+    EXPECT_FALSE(store.changesSince(0, "files/"));
     EXPECT_EQ(numbersOf(json::parse(store.eventLog().page(0))), (std::vector<std::int64_t>{7, 8, 9, 10}));
     EXPECT_EQ(apply(store, put("files/a", 8), 5, 1).revision, 4U);  // the session's answer of before
     EXPECT_EQ(apply(store, put("files/a", 8), 5, 2).revision, 5U);
@@ -337,7 +338,7 @@
 TEST(ConfigStore, ReadsTheFormOfBefore) {
     Store store;
     const std::string old = R"({"verb":"put","name":"gate-1","agent":2,"configuration":"{\"a\":1}"})";
-    EXPECT_EQ(store.apply(old).word, Word::done);
+    EXPECT_EQ(store.apply(old).status, Status::done);
     EXPECT_EQ(store.find("instances/gate-1")->value, (json{{"agent", 2}, {"configuration", {{"a", 1}}}}));
     store.apply(R"({"verb":"remove","name":"gate-1"}   )");  // commands were filled up with blanks
     EXPECT_EQ(store.size(), 0U);
@@ -349,8 +350,8 @@
     EXPECT_THROW(store.load(R"({"form":4})"), std::exception);
     EXPECT_THROW(store.load("{"), std::exception);
     EXPECT_EQ(store.dump(), before);
-    EXPECT_EQ(store.apply(R"({"form":3,"do":[]})").word, Word::unreadable);
-    EXPECT_EQ(store.apply("nonsense").word, Word::unreadable);
+    EXPECT_EQ(store.apply(R"({"form":3,"do":[]})").status, Status::unreadable);
+    EXPECT_EQ(store.apply("nonsense").status, Status::unreadable);
 }
 
 TEST(ConfigStore, TheSameCommandsGiveTheSameState) {
