--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -30,20 +30,20 @@
 enum class Siblings { none, zone, any };
 
 struct ClassSettings {
-    Time aim{};             // an answer within this time, plus the stretch, earns full value
-    double aimStretch = 0;  // multiple of the answer's sending time that is added to the target
-    Time giveUp{};          // over all tries of the client
-    double worth = 1;
-    double lateWorth = 0;  // share of the value that a late answer earns
+    Time latencyTarget{};             // an answer within this time, plus the stretch, earns full value
+    double latencyTargetStretch = 0;  // multiple of the answer's sending time that is added to the target
+    Time clientTimeout{};             // over all tries of the client
+    double value = 1;
+    double lateValueShare = 0;  // share of the value that a late answer earns
     Effect effect = Effect::unsafe;
-    DeduplicationScope group = DeduplicationScope::all;
-    Time repeatWindow{};  // how long repeats of a keyed request are dropped
+    DeduplicationScope deduplicationScope = DeduplicationScope::all;
+    Time deduplicationWindow{};  // how long repeats of a keyed request are dropped
     bool streamed = false;
     bool inParts = false;
-    bool neverKept = false;
+    bool uncacheable = false;
     Time freshFor{};  // zero: until purged
     Time staleFor{};  // additional age at which a stale copy is acceptable
-    double staleWorth = 0;
+    double staleValueShare = 0;
 };
 
 struct Settings {
--- a/src/core/decisions.cpp
+++ b/src/core/decisions.cpp
@@ -168,7 +168,7 @@
     asked.part = request.part;
     asked.deadline = moduleTime(request.deadline);
     asked.repeated = request.repeated;
-    asked.write = words_.settings.classes[static_cast<std::size_t>(request.classIndex)].neverKept;
+    asked.write = words_.settings.classes[static_cast<std::size_t>(request.classIndex)].uncacheable;
     attempts_[request.id] = 0;
     router_.handle(moduleTime(now), asked, actions_);
     for (Verdict& verdict : collect(now))
--- a/src/core/rules.cpp
+++ b/src/core/rules.cpp
@@ -25,9 +25,11 @@
                  Locality to) {
     if (!earlier || rules.effect == Effect::safe) return Denial::none;
     if (rules.effect == Effect::unsafe) return Denial::runsTwice;
-    if (now - earlier->sentAt >= rules.repeatWindow) return Denial::windowPassed;
-    if (rules.group == DeduplicationScope::zone && to.zone != earlier->at.zone) return Denial::otherGroup;
-    if (rules.group == DeduplicationScope::cell && to.cell != earlier->at.cell) return Denial::otherGroup;
+    if (now - earlier->sentAt >= rules.deduplicationWindow) return Denial::windowPassed;
+    if (rules.deduplicationScope == DeduplicationScope::zone && to.zone != earlier->at.zone)
+        return Denial::otherGroup;
+    if (rules.deduplicationScope == DeduplicationScope::cell && to.cell != earlier->at.cell)
+        return Denial::otherGroup;
     return Denial::none;
 }
 
@@ -44,7 +46,8 @@
 Denial mayRefuse(const ClassSettings& rules, bool mayHaveRun) {
     if (!mayHaveRun || rules.effect == Effect::safe) return Denial::none;
     // Wherever the client's next try goes, its key is known there.
-    const bool keyKnown = rules.effect == Effect::keyed && rules.group == DeduplicationScope::all;
+    const bool keyKnown =
+        rules.effect == Effect::keyed && rules.deduplicationScope == DeduplicationScope::all;
     return keyKnown ? Denial::none : Denial::promisesNoEffect;
 }
 
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -101,7 +101,7 @@
 inline Micros longestGiveUp(const Settings& settings) {
     Micros longest{};
     for (const ClassSettings& c : settings.classes)
-        longest = std::max(longest, std::chrono::duration_cast<Micros>(c.giveUp));
+        longest = std::max(longest, std::chrono::duration_cast<Micros>(c.clientTimeout));
     return longest;
 }
 
--- a/src/disk/before.cpp
+++ b/src/disk/before.cpp
@@ -60,7 +60,7 @@
     if (tier_ == nullptr || classes_ == nullptr || request.object.empty() || !request.body.empty())
         return false;
     const ClassSettings& c = classes_->at(static_cast<std::size_t>(request.classIndex));
-    return !c.neverKept && c.effect == Effect::safe && !c.streamed;
+    return !c.uncacheable && c.effect == Effect::safe && !c.streamed;
 }
 
 // Rounded down: a copy that is younger in whole milliseconds is younger.
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -300,7 +300,8 @@
         request.part = fields.whole("block").value_or(0);
         const Micros now = owner_.loop_.now();
         const auto patience = fields.whole("patience");
-        const auto giveUp = owner_.words_.settings.classes[static_cast<std::size_t>(known->second)].giveUp;
+        const auto giveUp =
+            owner_.words_.settings.classes[static_cast<std::size_t>(known->second)].clientTimeout;
         const Micros wait = patience ? Micros{std::chrono::milliseconds{*patience}}
                                      : std::chrono::duration_cast<Micros>(giveUp);
         request.deadline = arrivedAt + std::max(Micros{1ms}, wait - kWayBack);
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -264,7 +264,7 @@
             learnSendSeconds(request.classIndex, request.sizeKb / settings_->paceKb);
         p.work = estimateSendSeconds(request);
         setTargetTime(p);
-        if (!c.neverKept && !request.write && request.object != 0) lookUpInFilter(now, p, c);
+        if (!c.uncacheable && !request.write && request.object != 0) lookUpInFilter(now, p, c);
         sendOrGiveUp(now, p, out);
     }
 
@@ -424,7 +424,8 @@
     double estimateSendSeconds(const Request& r) const {
         const auto c = static_cast<std::size_t>(r.classIndex);
         if (r.sizeKb > 0 && settings_->paceKb > 0) return r.sizeKb / settings_->paceKb;
-        return meanSendSeconds_[c] > 0 ? meanSendSeconds_[c] : seconds(settings_->classes[c].aim) / 4;
+        return meanSendSeconds_[c] > 0 ? meanSendSeconds_[c]
+                                       : seconds(settings_->classes[c].latencyTarget) / 4;
     }
 
     void learnSendSeconds(int classIndex, double work) {
@@ -434,7 +435,8 @@
 
     void setTargetTime(Pending& p) const {
         const ClassSettings& c = p.classSettings();
-        p.aim = std::min(p.request.deadline, p.arrived + c.aim + fromSeconds(c.aimStretch * p.work));
+        p.aim = std::min(p.request.deadline,
+                         p.arrived + c.latencyTarget + fromSeconds(c.latencyTargetStretch * p.work));
     }
 
     // Where requests carry no size it is learned from answers: from their bytes, or from the time of a hit on
@@ -659,7 +661,7 @@
     }
 
     Time overheadTime(const Pending& p) const {
-        return fromSeconds(kOverheadLatencyTargetShare * seconds(p.classSettings().aim));
+        return fromSeconds(kOverheadLatencyTargetShare * seconds(p.classSettings().latencyTarget));
     }
 
     // Concurrent transfers at the host, divided by those that its own link carries at full pace: as reported
@@ -684,7 +686,7 @@
     // The normal route, or what remains of it when hosts are missing, ejected or already tried.
     Route chooseRoute(Time now, Pending& p) {
         const ClassSettings& c = p.classSettings();
-        const bool write = c.neverKept || p.request.write;
+        const bool write = c.uncacheable || p.request.write;
         if (!write && !zoneLinkMeetsTarget(now, p)) return staleCopyRoute(now, p, kNoHost);
         const HostIndex parent = pickParent(now, p);
         const HostIndex top = parent == kNoHost || write ? pickOrigin(now, p) : kNoHost;
@@ -941,9 +943,11 @@
             if (!a.inFlight && !a.mayHaveRun) continue;
             if (c.effect == Effect::unsafe) return false;
             const HostEntry& before = hosts_[a.host].entry;
-            if (now - a.sentAt >= c.repeatWindow) return false;
-            if (c.group == DeduplicationScope::zone && before.zone != host.entry.zone) return false;
-            if (c.group == DeduplicationScope::cell && before.cell != host.entry.cell) return false;
+            if (now - a.sentAt >= c.deduplicationWindow) return false;
+            if (c.deduplicationScope == DeduplicationScope::zone && before.zone != host.entry.zone)
+                return false;
+            if (c.deduplicationScope == DeduplicationScope::cell && before.cell != host.entry.cell)
+                return false;
         }
         return true;
     }
@@ -953,7 +957,7 @@
         if (c.effect == Effect::safe) return true;
         const bool perhapsRun = std::any_of(p.attempts.begin(), p.attempts.end(),
                                             [](const Attempt& a) { return a.inFlight || a.mayHaveRun; });
-        return !perhapsRun || (c.effect == Effect::keyed && c.group == DeduplicationScope::all);
+        return !perhapsRun || (c.effect == Effect::keyed && c.deduplicationScope == DeduplicationScope::all);
     }
 
     void giveUp(Pending& p, GiveUpReason why, Actions& out) {
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -237,7 +237,7 @@
         const auto& words = configuration.base.words.settings.classes;
         const Micros now = owner_.loop_.now();
         request.deadline = now + std::chrono::duration_cast<Micros>(
-                                     words[static_cast<std::size_t>(request.classIndex)].giveUp);
+                                     words[static_cast<std::size_t>(request.classIndex)].clientTimeout);
         owner_.requests_.take(now, std::move(request), [this](RequestId, Reply&& reply) {
             settleExpected();
             job_->asked.reset();
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -51,14 +51,14 @@
 
 ClassSettings readClass(const json& entry) {
     ClassSettings result;
-    result.aim = Time{needPositive(entry, "aim")};
-    result.aimStretch = numberOr(entry, "aimStretch", 0);
-    result.giveUp = Time{needPositive(entry, "hardLimit")};
-    result.worth = numberOr(entry, "value", 1);
-    result.lateWorth = numberOr(entry, "lateValue", 0);
+    result.latencyTarget = Time{needPositive(entry, "aim")};
+    result.latencyTargetStretch = numberOr(entry, "aimStretch", 0);
+    result.clientTimeout = Time{needPositive(entry, "hardLimit")};
+    result.value = numberOr(entry, "value", 1);
+    result.lateValueShare = numberOr(entry, "lateValue", 0);
     result.effect = effectOf(needText(entry, "effect"));
-    result.group = groupOf(textOr(entry, "group", "all"));
-    result.repeatWindow = timeOr(entry, "window");
+    result.deduplicationScope = groupOf(textOr(entry, "group", "all"));
+    result.deduplicationWindow = timeOr(entry, "window");
     if (result.effect == Effect::keyed) needPositive(entry, "window");
     result.streamed = flagOr(entry, "stream", false);
     return result;
@@ -114,11 +114,11 @@
     eachClass(settings, extra, "staleFor",
               [&](ClassSettings& c, const json& item) { c.staleFor = time(item, "staleFor"); });
     eachClass(settings, extra, "staleEarns",
-              [&](ClassSettings& c, const json& item) { c.staleWorth = number(item, "staleEarns"); });
+              [&](ClassSettings& c, const json& item) { c.staleValueShare = number(item, "staleEarns"); });
     eachClass(settings, extra, "inParts",
               [&](ClassSettings& c, const json& item) { c.inParts = flag(item, "inParts"); });
     eachClass(settings, extra, "neverKept",
-              [&](ClassSettings& c, const json& item) { c.neverKept = flag(item, "neverKept"); });
+              [&](ClassSettings& c, const json& item) { c.uncacheable = flag(item, "neverKept"); });
 }
 
 Readiness readinessOf(const std::string& word) {
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -49,7 +49,7 @@
 
 TEST(Design, NeverKeptClassSkipsTheFilterAndReachesTheOrigin) {
     Settings s = basicSettings();
-    s.classes[1].neverKept = true;
+    s.classes[1].uncacheable = true;
     Harness h(s);
     h.usualList();
     for (int i = 0; i < 3; ++i) {
@@ -518,41 +518,39 @@
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Settings, OtherDeployments,
-                         ::testing::Values(DeploymentCase{"as usual", [](Settings&) {}},
-                                           DeploymentCase{"no direct sends",
-                                                          [](Settings& s) { s.direct = false; }},
-                                           DeploymentCase{"nothing told",
-                                                          [](Settings& s) {
-                                                              s.paceKb = 0;
-                                                              s.weights = Weights::none;
-                                                              s.routersByZone.clear();
-                                                          }},
-                                           DeploymentCase{"no cancel, no second copy",
-                                                          [](Settings& s) {
-                                                              s.mayCancel = s.secondCopies = s.retryHints =
-                                                                  false;
-                                                          }},
-                                           DeploymentCase{"one try", [](Settings& s) { s.mostTries = 1; }},
-                                           DeploymentCase{"keyed by cell",
-                                                          [](Settings& s) {
-                                                              for (auto& c : s.classes) {
-                                                                  c.effect = Effect::keyed;
-                                                                  c.group = DeduplicationScope::cell;
-                                                                  c.repeatWindow = 1s;
-                                                              }
-                                                          }},
-                                           DeploymentCase{"unsafe and never kept",
-                                                          [](Settings& s) {
-                                                              for (auto& c : s.classes) {
-                                                                  c.effect = Effect::unsafe;
-                                                                  c.neverKept = true;
-                                                              }
-                                                          }},
-                                           DeploymentCase{"siblings and joins off", [](Settings& s) {
-                                                              s.siblings = Siblings::none;
-                                                              s.joins = false;
-                                                          }}));
+INSTANTIATE_TEST_SUITE_P(
+    Settings, OtherDeployments,
+    ::testing::Values(DeploymentCase{"as usual", [](Settings&) {}},
+                      DeploymentCase{"no direct sends", [](Settings& s) { s.direct = false; }},
+                      DeploymentCase{"nothing told",
+                                     [](Settings& s) {
+                                         s.paceKb = 0;
+                                         s.weights = Weights::none;
+                                         s.routersByZone.clear();
+                                     }},
+                      DeploymentCase{
+                          "no cancel, no second copy",
+                          [](Settings& s) { s.mayCancel = s.secondCopies = s.retryHints = false; }},
+                      DeploymentCase{"one try", [](Settings& s) { s.mostTries = 1; }},
+                      DeploymentCase{"keyed by cell",
+                                     [](Settings& s) {
+                                         for (auto& c : s.classes) {
+                                             c.effect = Effect::keyed;
+                                             c.deduplicationScope = DeduplicationScope::cell;
+                                             c.deduplicationWindow = 1s;
+                                         }
+                                     }},
+                      DeploymentCase{"unsafe and never kept",
+                                     [](Settings& s) {
+                                         for (auto& c : s.classes) {
+                                             c.effect = Effect::unsafe;
+                                             c.uncacheable = true;
+                                         }
+                                     }},
+                      DeploymentCase{"siblings and joins off", [](Settings& s) {
+                                         s.siblings = Siblings::none;
+                                         s.joins = false;
+                                     }}));
 
 TEST(Discovery, IsAskedForWhereItMustBeAndAgainAfterAFailure) {
     Settings s = basicSettings();
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -41,7 +41,8 @@
 TEST(Learning, TheSizeOfAnAnswerSetsTheAimOfItsRequest) {
     Settings settings = basicSettings();
     settings.weights = Weights::none;
-    settings.classes[1].aim = 200ms;  // plus twice the sending time; the first estimate is a quarter of it
+    settings.classes[1].latencyTarget =
+        200ms;  // plus twice the sending time; the first estimate is a quarter of it
     Harness h(settings);
     h.usualList();
     h.growUp(60);
@@ -160,8 +161,8 @@
     Settings s = basicSettings();
     for (ClassSettings& c : s.classes) {
         c.effect = effect;
-        c.group = group;
-        c.repeatWindow = 500ms;
+        c.deduplicationScope = group;
+        c.deduplicationWindow = 500ms;
     }
     return s;
 }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -11,8 +11,8 @@
 ClassSettings classOf(Effect effect, DeduplicationScope group = DeduplicationScope::all) {
     ClassSettings rules;
     rules.effect = effect;
-    rules.group = group;
-    rules.repeatWindow = 3s;
+    rules.deduplicationScope = group;
+    rules.deduplicationWindow = 3s;
     return rules;
 }
 
