--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -48,23 +48,23 @@
 
 struct Settings {
     std::vector<ClassSettings> classes;
-    int zone = 0;                    // of this router
-    std::vector<int> zoneHub;        // by zone: the hub that it is connected to
-    std::vector<int> routersByZone;  // empty: unknown
-    std::vector<double> zoneLinkKb;  // capacity into each zone; zero: unknown
-    int routers = 1;                 // in all zones
-    double paceKb = 0;               // of one answer; zero: unknown
+    int zone = 0;                             // of this router
+    std::vector<int> zoneHub;                 // by zone: the hub that it is connected to
+    std::vector<int> routersByZone;           // empty: unknown
+    std::vector<double> zoneLinkKbPerSecond;  // capacity into each zone; zero: unknown
+    int routers = 1;                          // in all zones
+    double maxFlowKbPerSecond = 0;            // of one answer; zero: unknown
     Weights weights = Weights::none;
     Siblings siblings = Siblings::none;
-    bool direct = false;     // requests may be sent directly to parents and the origin
-    bool joins = false;      // a request may wait for a fill in progress
-    bool notesTold = false;  // outcomes report why a fill failed
-    bool secondCopies = false;
+    bool directUpstream = false;       // requests may be sent directly to parents and the origin
+    bool fillCoalescing = false;       // a request may wait for a fill in progress
+    bool cacheStatusReported = false;  // outcomes report why a fill failed
+    bool mayHedge = false;
     bool mayCancel = false;
     bool mayProbe = false;
     bool retryHints = false;
-    bool mustAskForList = false;  // changes are sent only to subscribers
-    int mostTries = 1;
+    bool mustSubscribeToList = false;  // changes are sent only to subscribers
+    int maxAttempts = 1;
     Time maxRetryHint{};
     Time answerGrace{};  // how long after the client's deadline an answer still counts
     Time askWithin{};
@@ -79,7 +79,7 @@
     double originFallMultiple = 0;  // zero: the origin never fails
     Time originFallWindow{};
     Time purgeGrace{};
-    Time purgeSettles{};
+    Time purgeSettleTime{};
 };
 
 // --- events ---
--- a/src/core/decisions.cpp
+++ b/src/core/decisions.cpp
@@ -13,7 +13,7 @@
 
 // Whatever a site allows, a request of the real gateway has one attempt out at a time.
 settings::Vocabulary withoutSecondCopies(settings::Vocabulary words) {
-    words.settings.secondCopies = false;
+    words.settings.mayHedge = false;
     return words;
 }
 
@@ -129,7 +129,7 @@
 // the module has forgotten them.
 void Decisions::forgetOldPurges(Micros now) {
     constexpr std::chrono::minutes kLongEnough{2};
-    const Micros kept = kLongEnough + 2 * duration_cast<Micros>(words_.settings.purgeSettles);
+    const Micros kept = kLongEnough + 2 * duration_cast<Micros>(words_.settings.purgeSettleTime);
     if (now - purgesSwept_ < kLongEnough) return;
     purgesSwept_ = now;
     const auto old = [&](const auto& entry) { return now - entry.second.heardAt > kept; };
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -218,7 +218,7 @@
 
     void start(Time now, Actions& out) {
         startedAt_ = now;
-        if (settings_->mustAskForList) out.push_back(Watch{});
+        if (settings_->mustSubscribeToList) out.push_back(Watch{});
     }
 
     void reconfigure(Settings settings) {
@@ -246,7 +246,7 @@
     }
 
     void listFailed(Time, Actions& out) {
-        if (!settings_->mustAskForList) return;
+        if (!settings_->mustSubscribeToList) return;
         out.push_back(SetTimer{watchTimer_ = nextTimer_++, kInitialBackoff});
     }
 
@@ -260,8 +260,8 @@
         p.settings = settings_;
         p.arrived = now;
         const ClassSettings& c = p.classSettings();
-        if (request.sizeKb > 0 && settings_->paceKb > 0)
-            learnSendSeconds(request.classIndex, request.sizeKb / settings_->paceKb);
+        if (request.sizeKb > 0 && settings_->maxFlowKbPerSecond > 0)
+            learnSendSeconds(request.classIndex, request.sizeKb / settings_->maxFlowKbPerSecond);
         p.work = estimateSendSeconds(request);
         setTargetTime(p);
         if (!c.uncacheable && !request.write && request.object != 0) lookUpInFilter(now, p, c);
@@ -333,7 +333,7 @@
         purgeOrder_.emplace_back(now, purge);
         // Kept for twice the configured time. Keeping one longer does no harm: it never rejects a copy that
         // is younger than the purge.
-        while (!purgeOrder_.empty() && purgeOrder_.front().first + 2 * settings_->purgeSettles < now) {
+        while (!purgeOrder_.empty() && purgeOrder_.front().first + 2 * settings_->purgeSettleTime < now) {
             const Purge old = purgeOrder_.front().second;
             const Time made = purgeOrder_.front().first - old.age;
             auto& table = old.object != 0 ? objectPurges_ : groupPurges_;
@@ -423,7 +423,8 @@
 
     double estimateSendSeconds(const Request& r) const {
         const auto c = static_cast<std::size_t>(r.classIndex);
-        if (r.sizeKb > 0 && settings_->paceKb > 0) return r.sizeKb / settings_->paceKb;
+        if (r.sizeKb > 0 && settings_->maxFlowKbPerSecond > 0)
+            return r.sizeKb / settings_->maxFlowKbPerSecond;
         return meanSendSeconds_[c] > 0 ? meanSendSeconds_[c]
                                        : seconds(settings_->classes[c].latencyTarget) / 4;
     }
@@ -444,9 +445,9 @@
     // the concurrency limits.
     void learnFromAnswer(Pending& p, const Attempt& a, const AttemptEnded& e) {
         if (p.request.sizeKb > 0 || e.sizeKb < 0) return;
-        const bool told = e.sizeKb > 0 && settings_->paceKb > 0;
+        const bool told = e.sizeKb > 0 && settings_->maxFlowKbPerSecond > 0;
         if (!told && (e.note != CacheStatus::hit || !a.hostHadRoom)) return;
-        const double work = told ? e.sizeKb / settings_->paceKb : seconds(e.elapsed);
+        const double work = told ? e.sizeKb / settings_->maxFlowKbPerSecond : seconds(e.elapsed);
         learnSendSeconds(p.request.classIndex, work);
         if (!told) return;
         if (p.request.object != 0 && p.inFilter) filter_.touch(p.request.object).first.work = work;
@@ -580,7 +581,7 @@
         // If most caches fail while most parents answer, and the parents may be asked directly, the caches
         // are really down, for example with their whole zone.
         const bool lost =
-            &group == &caches_ && settings_->direct && !parents_.empty() && !mostAreEjected(parents_);
+            &group == &caches_ && settings_->directUpstream && !parents_.empty() && !mostAreEjected(parents_);
         const bool ignoreHealth = mostAreEjected(group) && !lost;
         HostIndex first = kNoHost, second = kNoHost;
         double best = HUGE_VAL, next = HUGE_VAL;
@@ -641,12 +642,12 @@
     double zoneLinkUtilization(Time now) const {
         if (now - linkReportAt_ < kLoadReportLifetime) return linkUtilization_;
         const auto zone = static_cast<std::size_t>(settings_->zone);
-        const bool told =
-            settings_->zone >= 0 && zone < settings_->zoneLinkKb.size() && settings_->zoneLinkKb[zone] > 0;
+        const bool told = settings_->zone >= 0 && zone < settings_->zoneLinkKbPerSecond.size() &&
+                          settings_->zoneLinkKbPerSecond[zone] > 0;
         if (!told || now - linkFullPaceAt_ < kFullPaceLifetime) return 0;
         const double fills =
             std::max<double>(limiters_[0].inFlight, meanFillsInFlight_.mean(now, kFillsAveragingTime));
-        return fills * routersInZone() * settings_->paceKb / settings_->zoneLinkKb[zone];
+        return fills * routersInZone() * settings_->maxFlowKbPerSecond / settings_->zoneLinkKbPerSecond[zone];
     }
 
     bool inTime(Time now, const Pending& p, double fill) const {
@@ -694,7 +695,8 @@
         // A filter that was started recently does not know all popular names: an unknown one still goes
         // through its cache, which keeps no copy of it.
         const bool young = now - startedAt_ < kFilterWarmUpTime;
-        const bool upward = settings_->direct && (write || (!p.inFilter && (!young || !p.attempts.empty())));
+        const bool upward =
+            settings_->directUpstream && (write || (!p.inFilter && (!young || !p.attempts.empty())));
         // The copy is requested first and the fill only after a miss where fills are limited, and where the
         // parent is cold: each attempt that could become a fill is charged to its budget.
         if (!write && p.attempts.empty() && source != kNoHost) {
@@ -709,8 +711,8 @@
         const HostIndex cache = pickCache(now, p);
         if (cache != kNoHost && source != kNoHost && (!upward || top == kNoHost))
             if (source != top || originBudget_.tryTake()) return {cache, source, p.keepRank, false};
-        if (settings_->direct && parent != kNoHost) return {parent, kNoHost, 0, false};
-        if (settings_->direct && top != kNoHost && originBudget_.tryTake()) return {top, kNoHost, 0};
+        if (settings_->directUpstream && parent != kNoHost) return {parent, kNoHost, 0, false};
+        if (settings_->directUpstream && top != kNoHost && originBudget_.tryTake()) return {top, kNoHost, 0};
         return write ? Route{} : staleCopyRoute(now, p, kNoHost);
     }
 
@@ -799,7 +801,7 @@
 
     void sendOrGiveUp(Time now, Pending& p, Actions& out) {
         const bool late = p.request.deadline - now <= fromSeconds(p.work);
-        if (late || static_cast<int>(p.attempts.size()) >= p.settings->mostTries)
+        if (late || static_cast<int>(p.attempts.size()) >= p.settings->maxAttempts)
             return giveUp(p, late ? GiveUpReason::noTime : GiveUpReason::attemptLimit, out);
         const Route route = chooseRoute(now, p);
         route.ok() ? send(now, p, route, out) : giveUp(p, GiveUpReason::noRoute, out);
@@ -819,7 +821,7 @@
             s.source = hosts_[source].entry.name;
             s.keepRank = host.entry.role == Role::cache ? route.keepRank : 0;
             s.oldest = maxCopyAgeFor(now, p, c);
-            s.join = settings_->joins;
+            s.join = settings_->fillCoalescing;
             s.heldOnly = route.sourceOnlyIfCached && host.entry.role == Role::cache;
             if (route.sourceOnlyIfCached && host.entry.role == Role::parent) s.source = host.entry.name;
             s.renew = c.freshFor.count() > 0 && p.inFilter;
@@ -869,7 +871,7 @@
     void setTimers(Time now, const Pending& p, int attempt, Actions& out) {
         const Time needed = fromSeconds(kOverdueSendTimeMultiple * p.work) + overheadTime(p);
         const Time at = std::max(now + needed, p.aim - needed);
-        if ((p.settings->secondCopies || p.settings->mayCancel) && at + needed < p.request.deadline)
+        if ((p.settings->mayHedge || p.settings->mayCancel) && at + needed < p.request.deadline)
             setTimer(at - now, p, attempt, false, out);
         if (p.attempts.back().highestTier != Tier::caches)
             setTimer(p.aim - p.arrived + kMinTimerDelay, p, attempt, true, out);
@@ -900,14 +902,15 @@
         if (!alive) recordFailure(now, a.host, kSlowAttemptFailureWeight);
         if (a.source != kNoHost && a.source != a.host)
             recordFailure(now, a.source, kSlowAttemptFailureWeight);
-        if (alive || static_cast<int>(p.attempts.size()) >= p.settings->mostTries || p.attemptsInFlight() > 1)
+        if (alive || static_cast<int>(p.attempts.size()) >= p.settings->maxAttempts ||
+            p.attemptsInFlight() > 1)
             return;
         if (p.classSettings().effect != Effect::safe) return;
         excludeHost(p, a.host);
         if (a.source != kNoHost) excludeHost(p, a.source);
         const Route route = chooseRoute(now, p);
         if (!route.ok() || !retryBudget_.tryTake()) return;
-        if (p.settings->secondCopies) return send(now, p, route, out);
+        if (p.settings->mayHedge) return send(now, p, route, out);
         p.retryAfterCancel = true;
         out.push_back(Cancel{p.request.id, number});
     }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -82,13 +82,13 @@
 
 void readExtra(Vocabulary& words, const json& info, const json& extra) {
     Settings& settings = words.settings;
-    settings.direct = flagOr(extra, "direct", false);
-    settings.joins = flagOr(extra, "joins", false);
-    settings.paceKb = numberOr(extra, "flowKbPerS", 0);
+    settings.directUpstream = flagOr(extra, "direct", false);
+    settings.fillCoalescing = flagOr(extra, "joins", false);
+    settings.maxFlowKbPerSecond = numberOr(extra, "flowKbPerS", 0);
     settings.siblings = siblingsOf(textOr(extra, "siblings", "silent"));
-    settings.notesTold = textOr(extra, "noteLevel", "silent") == "all";
+    settings.cacheStatusReported = textOr(extra, "noteLevel", "silent") == "all";
     settings.purgeGrace = timeOr(extra, "obeyAfter");
-    settings.purgeSettles = timeOr(extra, "purgeSettles");
+    settings.purgeSettleTime = timeOr(extra, "purgeSettles");
     settings.parentColdFrom = numberOr(extra, "parentFloor", 1);
     settings.parentWarmWithin = timeOr(extra, "parentRamp");
     settings.parentFallMultiple = numberOr(extra, "parentBreaksAt", 0);
@@ -101,7 +101,7 @@
     for (const json& item : listOrEmpty(extra, "instancesByZone"))
         settings.routersByZone.push_back(whole(item, "instancesByZone"));
     for (const json& item : listOrEmpty(extra, "inletKbPerS"))
-        settings.zoneLinkKb.push_back(number(item, "inletKbPerS"));
+        settings.zoneLinkKbPerSecond.push_back(number(item, "inletKbPerS"));
     const auto time = [](const json& item, const char* key) {
         return Time{static_cast<std::int64_t>(std::llround(number(item, key)))};
     };
@@ -186,14 +186,14 @@
     settings.zone = words.zoneOf(textOr(info, "zone", ""));
     settings.routers = static_cast<int>(wholeOr(info, "balancers", 1));
     settings.weights = weightsOf(textOr(info, "weights", "silent"));
-    settings.mustAskForList = textOr(info, "discovery", "pushed") == "on_request";
+    settings.mustSubscribeToList = textOr(info, "discovery", "pushed") == "on_request";
 
     const json& allowed = objectOrEmpty(info, "allowed");
-    settings.secondCopies = flagOr(allowed, "secondCopies", false);
+    settings.mayHedge = flagOr(allowed, "secondCopies", false);
     settings.mayCancel = flagOr(allowed, "mayCancel", false);
     settings.mayProbe = flagOr(allowed, "mayProbe", false);
     settings.retryHints = flagOr(allowed, "retryAfter", false);
-    settings.mostTries = static_cast<int>(std::min<std::int64_t>(needPositive(allowed, "mostTries"), 1000));
+    settings.maxAttempts = static_cast<int>(std::min<std::int64_t>(needPositive(allowed, "mostTries"), 1000));
     settings.maxRetryHint = timeOr(allowed, "maxRetryAfter");
     words.connectTimeout = timeOr(allowed, "connectTimeout");
     words.idleClose = timeOr(allowed, "keepalive");
@@ -254,7 +254,7 @@
     const std::size_t all = words.zoneNames.size();
     s.zoneHub = moved(f.zoneHub, zones, {}, all, -1);
     s.routersByZone = moved(f.routersByZone, zones, {}, all, 0);
-    s.zoneLinkKb = moved(f.zoneLinkKb, zones, {}, all, 0.0);
+    s.zoneLinkKbPerSecond = moved(f.zoneLinkKbPerSecond, zones, {}, all, 0.0);
     return words;
 }
 
@@ -332,8 +332,8 @@
     result.words = readSettings(*info);
     result.flowBytes = numberOr(root, "flow_bytes_per_s", 0);
     result.linkBytes = numberOr(root, "link_bytes_per_s", 0);
-    if (result.words.settings.paceKb > 0)
-        result.words.bytesPerKb = result.flowBytes / result.words.settings.paceKb;
+    if (result.words.settings.maxFlowKbPerSecond > 0)
+        result.words.bytesPerKb = result.flowBytes / result.words.settings.maxFlowKbPerSecond;
     if (result.words.settings.classes.empty()) throw Malformed("field 'settings.categories' is empty");
     return result;
 }
--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -108,8 +108,8 @@
 
 Settings settingsFor(int gateways) {
     Settings settings = basicSettings();
-    settings.direct = false;
-    settings.secondCopies = false;
+    settings.directUpstream = false;
+    settings.mayHedge = false;
     settings.mayCancel = false;
     settings.routers = settings.routersByZone[1] = gateways;
     return settings;
@@ -130,7 +130,7 @@
 TEST_P(FleetSize, ALinkOfToldSizeIsNotSentMoreThanIsInTime) {
     const auto [count, skewed] = GetParam();
     Settings settings = settingsFor(count);
-    settings.zoneLinkKb = {0, 2 * settings.paceKb * count, 0};
+    settings.zoneLinkKbPerSecond = {0, 2 * settings.maxFlowKbPerSecond * count, 0};
     const Totals totals = simulateCongestion(settings, skewed, 1200ms, 500);
     EXPECT_LE(totals.fills, 5 * count);
     EXPECT_GE(totals.fills, 2 * count);
@@ -153,7 +153,7 @@
     }
     static Settings settings(double transfers) {
         Settings s = settingsFor(10);
-        s.zoneLinkKb = {0, transfers * s.paceKb, 0};
+        s.zoneLinkKbPerSecond = {0, transfers * s.maxFlowKbPerSecond, 0};
         return s;
     }
     // Whether a fill of 500 KB is requested. It takes 0.5 s at full pace and has 1.4 s.
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -32,15 +32,15 @@
     s.zoneHub = {0, 0, 0};
     s.routersByZone = {0, 1, 1};
     s.routers = 2;
-    s.paceKb = 1000;
+    s.maxFlowKbPerSecond = 1000;
     s.weights = Weights::nominal;
     s.siblings = Siblings::any;
-    s.direct = true;
-    s.joins = true;
-    s.secondCopies = true;
+    s.directUpstream = true;
+    s.fillCoalescing = true;
+    s.mayHedge = true;
     s.mayCancel = true;
     s.retryHints = true;
-    s.mostTries = 6;
+    s.maxAttempts = 6;
     s.maxRetryHint = 1s;
     s.answerGrace = 8ms;
     s.coldFrom = 0.2;
@@ -51,7 +51,7 @@
     s.parentWarmWithin = 20s;
     s.parentFallMultiple = 2;
     s.purgeGrace = 300ms;
-    s.purgeSettles = 6s;
+    s.purgeSettleTime = 6s;
     return s;
 }
 
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -36,7 +36,7 @@
 
 TEST(Design, TailPassesThroughACacheWhereDirectSendsAreBarred) {
     Settings s = basicSettings();
-    s.direct = false;
+    s.directUpstream = false;
     Harness h(s);
     h.usualList();
     h.growUp();
@@ -512,7 +512,7 @@
                 sent += h.all<Send>().size();
             }
             EXPECT_EQ(answers, 1) << GetParam().description << ", fleet " << fleet << ", request " << i;
-            EXPECT_LE(sent, static_cast<std::size_t>(s.mostTries));
+            EXPECT_LE(sent, static_cast<std::size_t>(s.maxAttempts));
             h.now += 7ms;
         }
     }
@@ -521,17 +521,16 @@
 INSTANTIATE_TEST_SUITE_P(
     Settings, OtherDeployments,
     ::testing::Values(DeploymentCase{"as usual", [](Settings&) {}},
-                      DeploymentCase{"no direct sends", [](Settings& s) { s.direct = false; }},
+                      DeploymentCase{"no direct sends", [](Settings& s) { s.directUpstream = false; }},
                       DeploymentCase{"nothing told",
                                      [](Settings& s) {
-                                         s.paceKb = 0;
+                                         s.maxFlowKbPerSecond = 0;
                                          s.weights = Weights::none;
                                          s.routersByZone.clear();
                                      }},
-                      DeploymentCase{
-                          "no cancel, no second copy",
-                          [](Settings& s) { s.mayCancel = s.secondCopies = s.retryHints = false; }},
-                      DeploymentCase{"one try", [](Settings& s) { s.mostTries = 1; }},
+                      DeploymentCase{"no cancel, no second copy",
+                                     [](Settings& s) { s.mayCancel = s.mayHedge = s.retryHints = false; }},
+                      DeploymentCase{"one try", [](Settings& s) { s.maxAttempts = 1; }},
                       DeploymentCase{"keyed by cell",
                                      [](Settings& s) {
                                          for (auto& c : s.classes) {
@@ -549,12 +548,12 @@
                                      }},
                       DeploymentCase{"siblings and joins off", [](Settings& s) {
                                          s.siblings = Siblings::none;
-                                         s.joins = false;
+                                         s.fillCoalescing = false;
                                      }}));
 
 TEST(Discovery, IsAskedForWhereItMustBeAndAgainAfterAFailure) {
     Settings s = basicSettings();
-    s.mustAskForList = true;
+    s.mustSubscribeToList = true;
     Harness h(s);
     EXPECT_EQ(h.all<Watch>().size(), 1u);
     h.listFailed();
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -69,7 +69,7 @@
 TEST(Slow, AnAttemptIsNotBegunAnewWhileItsHostAnswersOthers) {
     for (const bool answers : {true, false}) {
         Settings settings = basicSettings();
-        settings.secondCopies = false;
+        settings.mayHedge = false;
         Harness h(settings);
         h.usualList();
         h.growUp();
@@ -217,7 +217,7 @@
 
 TEST(Effects, NoSecondCopyWhereBarred) {
     Settings s = basicSettings();
-    s.secondCopies = false;
+    s.mayHedge = false;
     Harness h(s);
     h.usualList();
     const RequestId id = h.ask("a");
@@ -296,7 +296,7 @@
 TEST(ColdHosts, WithoutSizesAnAttemptWeighsWhatHitsTook) {
     Settings settings = basicSettings();
     settings.weights = Weights::none;
-    settings.direct = false;
+    settings.directUpstream = false;
     Harness h(settings);
     h.usualList();
     h.took = 300ms;
