--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -69,15 +69,16 @@
     Time answerGrace{};  // how long after the client's deadline an answer still counts
     Time askWithin{};
     Time drainGrace{};
-    double coldFrom = 1;  // least share of its capacity that a restarted cache has
-    Time warmWithin{};
-    double fallMultiple = 0;  // load, in multiples of its capacity, at which a cold cache fails; zero: never
-    Time fallWindow{};
-    double parentColdFrom = 1;
-    Time parentWarmWithin{};
-    double parentFallMultiple = 0;
-    double originFallMultiple = 0;  // zero: the origin never fails
-    Time originFallWindow{};
+    double coldStartShare = 1;  // least share of its capacity that a restarted cache has
+    Time warmUpTime{};
+    double coldOverloadMultiple =
+        0;  // load, in multiples of its capacity, at which a cold cache fails; zero: never
+    Time coldLoadWindow{};
+    double parentColdStartShare = 1;
+    Time parentWarmUpTime{};
+    double parentColdOverloadMultiple = 0;
+    double originOverloadMultiple = 0;  // zero: the origin never fails
+    Time originLoadWindow{};
     Time purgeGrace{};
     Time purgeSettleTime{};
 };
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -352,7 +352,7 @@
         filter_.fromOldest([&](auto name, auto& record) { known.objects.emplace_back(name, record); });
         for (Host& h : hosts_)
             if (h.listed)
-                known.hosts.push_back({h, h.entry.name, h.coldWork.over(now, settings_->fallWindow)});
+                known.hosts.push_back({h, h.entry.name, h.coldWork.over(now, settings_->coldLoadWindow)});
         return known;
     }
 
@@ -536,8 +536,8 @@
     bool isCold(Time now, const Host& host) const {
         const bool parent = host.entry.role == Role::parent;
         if (host.entry.role == Role::origin || host.entry.startedAt.count() <= 0) return false;
-        return (parent ? settings_->parentFallMultiple : settings_->fallMultiple) > 0 &&
-               now - host.entry.startedAt < (parent ? settings_->parentWarmWithin : settings_->warmWithin);
+        return (parent ? settings_->parentColdOverloadMultiple : settings_->coldOverloadMultiple) > 0 &&
+               now - host.entry.startedAt < (parent ? settings_->parentWarmUpTime : settings_->warmUpTime);
     }
 
     // A cold host has a budget per sliding window, shared by all routers; each router uses only its part of
@@ -545,19 +545,20 @@
     bool withinColdBudget(Time now, Host& host, double work) const {
         if (!isCold(now, host)) return true;
         const bool parent = host.entry.role == Role::parent;
-        const Time warm = parent ? settings_->parentWarmWithin : settings_->warmWithin;
-        const double multiple = parent ? settings_->parentFallMultiple : settings_->fallMultiple;
+        const Time warm = parent ? settings_->parentWarmUpTime : settings_->warmUpTime;
+        const double multiple =
+            parent ? settings_->parentColdOverloadMultiple : settings_->coldOverloadMultiple;
         const double age = seconds(now - host.entry.startedAt);
-        const double from = parent ? settings_->parentColdFrom : settings_->coldFrom;
+        const double from = parent ? settings_->parentColdStartShare : settings_->coldStartShare;
         const double present =
             linkTransfersOf(host) * (from + (1 - from) * std::max(0.0, age) / seconds(warm));
         const double share = std::min(kColdLoadCapacityMultiple, kColdLoadOverloadShare * multiple);
-        const double part = share * present * seconds(settings_->fallWindow) / routersSharing(host);
-        const double used = host.coldWork.over(now, settings_->fallWindow);
+        const double part = share * present * seconds(settings_->coldLoadWindow) / routersSharing(host);
+        const double used = host.coldWork.over(now, settings_->coldLoadWindow);
         if (used + work <= part) return true;
         if (used > 0 || part * routersSharing(host) < kLotteryMinBudgetRequests * work) return false;
         // One draw per window. The windows of different routers begin at different times.
-        const auto window = static_cast<std::uint64_t>(settings_->fallWindow.count());
+        const auto window = static_cast<std::uint64_t>(settings_->coldLoadWindow.count());
         const std::uint64_t turn = (static_cast<std::uint64_t>(now.count()) + drawSalt_ % window) / window;
         return unitInterval(combine(combine(drawSalt_, host.hash), turn)) < kLotteryBudgetShare * part / work;
     }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -89,11 +89,11 @@
     settings.cacheStatusReported = textOr(extra, "noteLevel", "silent") == "all";
     settings.purgeGrace = timeOr(extra, "obeyAfter");
     settings.purgeSettleTime = timeOr(extra, "purgeSettles");
-    settings.parentColdFrom = numberOr(extra, "parentFloor", 1);
-    settings.parentWarmWithin = timeOr(extra, "parentRamp");
-    settings.parentFallMultiple = numberOr(extra, "parentBreaksAt", 0);
-    settings.originFallMultiple = numberOr(extra, "rootFallMultiple", 0);
-    settings.originFallWindow = timeOr(extra, "rootFall");
+    settings.parentColdStartShare = numberOr(extra, "parentFloor", 1);
+    settings.parentWarmUpTime = timeOr(extra, "parentRamp");
+    settings.parentColdOverloadMultiple = numberOr(extra, "parentBreaksAt", 0);
+    settings.originOverloadMultiple = numberOr(extra, "rootFallMultiple", 0);
+    settings.originLoadWindow = timeOr(extra, "rootFall");
     words.parentShape = shapeAt(info, wholeOr(extra, "parentKind", -1));
     words.originShape = shapeAt(info, wholeOr(extra, "originKind", -1));
     const auto whole = [](const json& item, const char* key) { return static_cast<int>(number(item, key)); };
@@ -203,10 +203,10 @@
     settings.answerGrace = timeOr(rules, "graceToAnswer");
     settings.askWithin = timeOr(rules, "askWithin");
     settings.drainGrace = timeOr(rules, "stopSendingWithin");
-    settings.coldFrom = numberOr(rules, "coldFrom", 1);
-    settings.warmWithin = timeOr(rules, "warmWithin");
-    settings.fallMultiple = numberOr(rules, "fallMultiple", 0);
-    settings.fallWindow = timeOr(rules, "fall");
+    settings.coldStartShare = numberOr(rules, "coldFrom", 1);
+    settings.warmUpTime = timeOr(rules, "warmWithin");
+    settings.coldOverloadMultiple = numberOr(rules, "fallMultiple", 0);
+    settings.coldLoadWindow = timeOr(rules, "fall");
 
     readExtra(words, info, objectOrEmpty(info, "extra"));
     return words;
--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -238,10 +238,10 @@
 double allowedRequests(const Settings& settings, const ColdStart& start, double link, Time age,
                        double meanWork) {
     const bool parent = start.role == Role::parent;
-    const double from = parent ? settings.parentColdFrom : settings.coldFrom;
-    const Time warm = parent ? settings.parentWarmWithin : settings.warmWithin;
+    const double from = parent ? settings.parentColdStartShare : settings.coldStartShare;
+    const Time warm = parent ? settings.parentWarmUpTime : settings.warmUpTime;
     const double grown = from + (1 - from) * std::chrono::duration<double>(age) / warm;
-    const double window = std::chrono::duration<double>(settings.fallWindow).count();
+    const double window = std::chrono::duration<double>(settings.coldLoadWindow).count();
     return start.fallMultiple * link * grown * window / meanWork;
 }
 
@@ -253,7 +253,7 @@
 
     static Settings settingsOf(const ColdStart& start) {
         Settings settings = settingsFor(start.gateways);
-        settings.fallMultiple = settings.parentFallMultiple = start.fallMultiple;
+        settings.coldOverloadMultiple = settings.parentColdOverloadMultiple = start.fallMultiple;
         return settings;
     }
     static std::string nameOf(Role role) { return role == Role::parent ? "p1" : "c1"; }
@@ -314,7 +314,7 @@
         const std::vector<Time> times = coldHostSends(start, seed, 6s);
         EXPECT_FALSE(times.empty()) << "a cold host has to get something, or it never warms up";
         for (std::size_t last = 0, first = 0; last < times.size(); ++last) {
-            while (times[last] - times[first] >= settings.fallWindow) ++first;
+            while (times[last] - times[first] >= settings.coldLoadWindow) ++first;
             const double allowed = allowedRequests(settings, start, kLink, times[first], kMeanWork);
             const auto got = static_cast<double>(last - first + 1);
             ASSERT_LE(got, allowed + 2 * std::sqrt(allowed) + 2)
