--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -130,7 +130,7 @@
 };
 
 struct LoadReport {
-    std::optional<double> inFlight, queued, busy, hitShare, linkFill;
+    std::optional<double> inFlight, queued, busy, hitShare, linkUtilization;
 };
 
 struct AttemptEnded {
@@ -138,9 +138,9 @@
     int attempt = 0;
     Outcome outcome = Outcome::error;
     Time elapsed{};
-    bool over = false;       // the request is closed: it needs no further answer
-    bool blameless = false;  // tells nothing about its host beyond an outcome already reported
-    CacheStatus note = CacheStatus::none;
+    bool requestClosed = false;  // the request is closed: it needs no further answer
+    bool blameless = false;      // tells nothing about its host beyond an outcome already reported
+    CacheStatus cacheStatus = CacheStatus::none;
     double sizeKb = 0;  // of the answer; zero: unknown; negative: not sent, since the client had it
     LoadReport load;
 };
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -91,7 +91,7 @@
     load.queued = read("q");
     load.busy = read("busy");
     load.hitShare = read("x0");
-    load.linkFill = read("x1");
+    load.linkUtilization = read("x1");
     return load;
 }
 
@@ -256,8 +256,8 @@
             ended.attempt = static_cast<int>(requireInteger(event, "roundNo"));
             ended.outcome = outcomeOf(requireText(event, "disposition"));
             ended.elapsed = timeOr(event, "costTime");
-            ended.over = booleanOr(event, "over", false);
-            ended.note = cacheStatusOf(integerOr(event, "note", 0));
+            ended.requestClosed = booleanOr(event, "over", false);
+            ended.cacheStatus = cacheStatusOf(integerOr(event, "note", 0));
             ended.load = loadOf(event);
             to.router.handle(now_, ended, actions_);
         } else if (what == "wakeup") {
--- a/src/core/decisions.cpp
+++ b/src/core/decisions.cpp
@@ -184,14 +184,14 @@
     ended.attempt = report.attempt;
     ended.outcome = report.outcome;
     ended.elapsed = report.elapsed;
-    ended.note = report.note;
+    ended.cacheStatus = report.note;
     ended.blameless = report.blameless;
     if (report.unchanged)
         ended.sizeKb = -1;
     else if (words_.bytesPerKb > 0)
         ended.sizeKb = static_cast<double>(report.bytes) / words_.bytesPerKb;
-    ended.over = report.outcome == Outcome::served || report.answered;
-    if (ended.over) attempts_.erase(report.request);
+    ended.requestClosed = report.outcome == Outcome::served || report.answered;
+    if (ended.requestClosed) attempts_.erase(report.request);
     router_.handle(moduleTime(now), ended, actions_);
     return collect(now);
 }
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -284,7 +284,7 @@
         if (e.outcome == Outcome::served) learnFromAnswer(p, a, e);
         updateLimiters(now, p, a, e);
         updateHealth(now, p, a, e);
-        if (e.over) markAnswered(p, out);
+        if (e.requestClosed) markAnswered(p, out);
         if (!p.answered && p.attemptsInFlight() == 0) {
             if (a.highestTier != Tier::origin && e.outcome == Outcome::noCopy)
                 sendOrGiveUp(now, p, out);  // now it is known that a fill is needed
@@ -446,7 +446,7 @@
     void learnFromAnswer(Pending& p, const Attempt& a, const AttemptEnded& e) {
         if (p.request.sizeKb > 0 || e.sizeKb < 0) return;
         const bool told = e.sizeKb > 0 && settings_->maxFlowKbPerSecond > 0;
-        if (!told && (e.note != CacheStatus::hit || !a.hostHadRoom)) return;
+        if (!told && (e.cacheStatus != CacheStatus::hit || !a.hostHadRoom)) return;
         const double work = told ? e.sizeKb / settings_->maxFlowKbPerSecond : seconds(e.elapsed);
         learnSendSeconds(p.request.classIndex, work);
         if (!told) return;
@@ -630,10 +630,11 @@
             host.reportedInFlight = before + kLoadReportWeight * (*load.inFlight - before);
             host.reportedAt = now;
         }
-        if (host.entry.role != Role::cache || !load.linkFill) return;
+        if (host.entry.role != Role::cache || !load.linkUtilization) return;
         const bool fresh = now - linkReportAt_ < kLoadReportLifetime;
-        linkUtilization_ = fresh ? linkUtilization_ + kLoadReportWeight * (*load.linkFill - linkUtilization_)
-                                 : *load.linkFill;
+        linkUtilization_ =
+            fresh ? linkUtilization_ + kLoadReportWeight * (*load.linkUtilization - linkUtilization_)
+                  : *load.linkUtilization;
         linkReportAt_ = now;
     }
 
@@ -748,8 +749,8 @@
         if (a.highestTier == Tier::caches || a.countedLate || e.outcome == Outcome::notSent || e.blameless)
             return;
         if (hosts_[a.host].entry.role == Role::cache) {
-            if (e.note == CacheStatus::hit || e.note == CacheStatus::stale ||
-                e.note == CacheStatus::noFillPlace)
+            if (e.cacheStatus == CacheStatus::hit || e.cacheStatus == CacheStatus::stale ||
+                e.cacheStatus == CacheStatus::noFillPlace)
                 return;
             if (e.outcome == Outcome::noConnection) return;
         }
@@ -761,10 +762,10 @@
         // fault.
         const bool inTime = e.elapsed <= p.aim - p.arrived || zoneLinkUtilization(now) > 1;
         // A prompt error is a fault of the host itself, and a cancelled attempt was not late yet.
-        const bool prompt = e.outcome == Outcome::error && e.note != CacheStatus::originFailed;
+        const bool prompt = e.outcome == Outcome::error && e.cacheStatus != CacheStatus::originFailed;
         if (inTime && (prompt || e.outcome == Outcome::cancelled)) return;
         const bool good = e.outcome == Outcome::noCopy || (served && inTime);
-        const bool atParent = a.highestTier == Tier::parents || e.note == CacheStatus::filled;
+        const bool atParent = a.highestTier == Tier::parents || e.cacheStatus == CacheStatus::filled;
         const HostIndex upper = a.source != kNoHost ? a.source : a.host;
         if (good && hosts_[upper].entry.role == Role::origin) originBudget_.deposit(kOriginSendsPerSuccess);
 
@@ -999,8 +1000,9 @@
         switch (e.outcome) {
             case Outcome::served: {
                 recordSuccess(a.host);
-                const bool fetched = e.note == CacheStatus::filled || e.note == CacheStatus::filledByOrigin ||
-                                     e.note == CacheStatus::joined;
+                const bool fetched = e.cacheStatus == CacheStatus::filled ||
+                                     e.cacheStatus == CacheStatus::filledByOrigin ||
+                                     e.cacheStatus == CacheStatus::joined;
                 const Time trip = overheadTime(p);
                 if (p.work > seconds(trip) && seconds(e.elapsed - trip) < kOverdueSendTimeMultiple * p.work) {
                     hosts_[a.host].fullPaceAt = now;
@@ -1027,9 +1029,10 @@
                 break;
         }
         const double weight = e.blameless ? 0 : a.countedSlow ? 1 - kSlowAttemptFailureWeight : 1;
-        if (e.note >= CacheStatus::sourceRefused) {  // this and the later values tell why a fill failed
-            const bool atSource = hasSource && e.note != CacheStatus::noFillPlace;
-            const bool itsOwn = atSource && e.note != CacheStatus::originFailed;
+        if (e.cacheStatus >=
+            CacheStatus::sourceRefused) {  // this and the later values tell why a fill failed
+            const bool atSource = hasSource && e.cacheStatus != CacheStatus::noFillPlace;
+            const bool itsOwn = atSource && e.cacheStatus != CacheStatus::originFailed;
             return blame(now, p, atSource ? a.source : a.host, itsOwn ? weight : 0);
         }
         blame(now, p, a.host, hasSource ? weight / 2 : weight);
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -109,10 +109,10 @@
         e.request = id;
         e.attempt = attempt;
         e.outcome = outcome;
-        e.over = outcome == Outcome::served;
-        e.note = note;
+        e.requestClosed = outcome == Outcome::served;
+        e.cacheStatus = note;
         e.elapsed = took;
-        e.load.linkFill = linkFill;
+        e.load.linkUtilization = linkFill;
         last.clear();
         router_.handle(now, e, last);
     }
