--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -149,8 +149,9 @@
         if (a.plain) return;
         text("source", a.source);
         field("holdRank", a.keepRank);
-        field("howOld", a.oldest.count());
-        field("switches", (a.join ? 1 : 0) + (a.heldOnly ? 2 : 0) + (a.renew ? 8 : 0));
+        field("howOld", a.maxCopyAge.count());
+        field("switches",
+              (a.coalesce ? 1 : 0) + (a.sourceOnlyIfCached ? 2 : 0) + (a.refreshInBackground ? 8 : 0));
     }
     void write(std::int64_t instance, const Refuse& a) {
         beginAction("deny", instance);
--- a/src/core/decisions.cpp
+++ b/src/core/decisions.cpp
@@ -235,13 +235,13 @@
             verdict.host = action.host;
             if (!action.plain && action.source != action.host) verdict.source = action.source;
             verdict.keepRank = action.plain ? 0 : action.keepRank;
-            verdict.rank = action.rank;
-            verdict.oldest = duration_cast<Micros>(action.oldest);
+            verdict.rank = action.ownCopyRank;
+            verdict.oldest = duration_cast<Micros>(action.maxCopyAge);
             // Rounded down to nothing it would mean "any age".
-            if (action.oldest.count() > 0 && verdict.oldest.count() == 0) verdict.oldest = Micros{1};
-            verdict.join = action.join;
-            verdict.heldOnly = action.heldOnly;
-            verdict.renew = action.renew;
+            if (action.maxCopyAge.count() > 0 && verdict.oldest.count() == 0) verdict.oldest = Micros{1};
+            verdict.join = action.coalesce;
+            verdict.heldOnly = action.sourceOnlyIfCached;
+            verdict.renew = action.refreshInBackground;
             verdict.timeout = duration_cast<Micros>(action.timeout);
             verdict.pickedAt = now;
         } else if constexpr (std::is_same_v<Kind, Refuse>) {
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -817,16 +817,16 @@
         s.host = host.entry.name;
         s.timeout = p.request.deadline - now;
         s.plain = host.entry.role == Role::origin;
-        s.rank = p.keepRank;
+        s.ownCopyRank = p.keepRank;
         if (!s.plain) {
             const HostIndex source = sourceOf(route);
             s.source = hosts_[source].entry.name;
             s.keepRank = host.entry.role == Role::cache ? route.keepRank : 0;
-            s.oldest = maxCopyAgeFor(now, p, c);
-            s.join = settings_->fillCoalescing;
-            s.heldOnly = route.sourceOnlyIfCached && host.entry.role == Role::cache;
+            s.maxCopyAge = maxCopyAgeFor(now, p, c);
+            s.coalesce = settings_->fillCoalescing;
+            s.sourceOnlyIfCached = route.sourceOnlyIfCached && host.entry.role == Role::cache;
             if (route.sourceOnlyIfCached && host.entry.role == Role::parent) s.source = host.entry.name;
-            s.renew = c.freshFor.count() > 0 && p.inFilter;
+            s.refreshInBackground = c.freshFor.count() > 0 && p.inFilter;
             if (source != route.host) chargeColdBudget(now, hosts_[source], p);
         }
         chargeColdBudget(now, host, p);
--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -57,7 +57,7 @@
             const auto* send = std::get_if<Send>(&action);
             if (send == nullptr) continue;
             const int attempt = attempts_[send->request]++;
-            if (send->source != send->host && !send->heldOnly) {
+            if (send->source != send->host && !send->sourceOnlyIfCached) {
                 ++fills;
                 continue;
             }
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -178,7 +178,7 @@
         const RequestId id = h.ask("k" + std::to_string(i % 10));
         std::vector<Send> sent = h.all<Send>();
         for (std::size_t k = 0; k < sent.size(); ++k) {
-            const bool fill = sent[k].source != sent[k].host && !sent[k].heldOnly;
+            const bool fill = sent[k].source != sent[k].host && !sent[k].sourceOnlyIfCached;
             ++(fill ? upward : held);
             h.end(id, static_cast<int>(k), fill ? Outcome::error : Outcome::noCopy,
                   CacheStatus::originFailed);
@@ -211,8 +211,8 @@
         const auto first = h.one<Send>();
         if (first) h.end(id, 0, Outcome::noCopy);
         const auto second = h.one<Send>();
-        if (first && first->heldOnly && second && startsWith(second->source, 'p')) {
-            EXPECT_FALSE(second->heldOnly);
+        if (first && first->sourceOnlyIfCached && second && startsWith(second->source, 'p')) {
+            EXPECT_FALSE(second->sourceOnlyIfCached);
             EXPECT_EQ(second->source, first->source);
             ++compared;
         }
@@ -342,11 +342,11 @@
     h.usualList();
     h.know("a");
     const RequestId id = h.ask("a");
-    EXPECT_EQ(h.one<Send>()->oldest, 8s);
-    EXPECT_TRUE(h.one<Send>()->renew);
+    EXPECT_EQ(h.one<Send>()->maxCopyAge, 8s);
+    EXPECT_TRUE(h.one<Send>()->refreshInBackground);
     h.end(id, 0, Outcome::error, CacheStatus::sourceUnreached);
     ASSERT_TRUE(h.one<Send>());
-    EXPECT_EQ(h.one<Send>()->oldest, 18s);
+    EXPECT_EQ(h.one<Send>()->maxCopyAge, 18s);
 }
 
 TEST(Failures, AnotherAttemptTakesAnotherRoute) {
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -362,12 +362,12 @@
     auto sent = h.one<Send>();
     ASSERT_TRUE(sent);
     EXPECT_FALSE(sent->plain);
-    EXPECT_GT(sent->oldest, 0ns);
-    EXPECT_LE(sent->oldest, 250ms);
+    EXPECT_GT(sent->maxCopyAge, 0ns);
+    EXPECT_LE(sent->maxCopyAge, 250ms);
     h.ask("b");
     sent = h.one<Send>();
     ASSERT_TRUE(sent);
-    EXPECT_EQ(sent->oldest, 0ns);
+    EXPECT_EQ(sent->maxCopyAge, 0ns);
 }
 
 TEST(Purges, OfAGroupHoldForAllItsObjectsAndHigherLimitsGiveWay) {
@@ -380,12 +380,12 @@
     h.ask("any", 0, 1, 50, 3s, 7);
     auto sent = h.one<Send>();
     ASSERT_TRUE(sent);
-    EXPECT_EQ(sent->oldest, 1ns);  // zero would mean any age
+    EXPECT_EQ(sent->maxCopyAge, 1ns);  // zero would mean any age
     h.now += 5s;
     h.ask("any", 0, 1, 50, 3s, 7);
-    EXPECT_LE(h.one<Send>()->oldest, 5s);
+    EXPECT_LE(h.one<Send>()->maxCopyAge, 5s);
     h.ask("other", 0, 1, 50, 3s, 8);
-    EXPECT_EQ(h.one<Send>()->oldest, 8s);
+    EXPECT_EQ(h.one<Send>()->maxCopyAge, 8s);
 }
 
 TEST(Purges, HoldForFurtherAttemptsToo) {
@@ -400,8 +400,8 @@
     h.end(id, 0, Outcome::error);
     for (const Send& again : h.all<Send>()) {
         if (again.plain) continue;
-        EXPECT_GT(again.oldest, 0ns);
-        EXPECT_LE(again.oldest, 410ms);
+        EXPECT_GT(again.maxCopyAge, 0ns);
+        EXPECT_LE(again.maxCopyAge, 410ms);
     }
     EXPECT_EQ(h.all<Send>().size(), 1u);
 }
