--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -216,21 +216,21 @@
 struct LearnedObject {  // an object name in the filter
     std::int64_t lastPart = -1;
     bool manyViewers = false;
-    double work = 0;  // sending time of one part at full pace, as last seen; zero: unknown
+    double sendSeconds = 0;  // sending time of one part at full pace, as last seen; zero: unknown
 };
 struct LearnedHost {
-    double failures = 0;  // moving average
-    bool out = false;     // gets only trial requests until some succeed
-    Time outUntil{}, pause{};
-    double link = 0;  // lower bound of its link: the most transfers at a time that it has served
+    double failureShare = 0;  // moving average
+    bool ejected = false;     // gets only trial requests until some succeed
+    Time ejectedUntil{}, ejectionTime{};
+    double linkTransfers = 0;  // lower bound of its link: the most transfers at a time that it has served
 };
 struct NamedLearnedHost : LearnedHost {
     std::string name;
-    double coldWork = 0;  // sending time of what was sent to it lately
+    double coldSendSeconds = 0;  // sending time of what was sent to it lately
 };
 struct LearnedState {
     Time startedAt{};
-    std::vector<double> meanWork;                                  // by class; zero: unknown
+    std::vector<double> meanSendSeconds;                           // by class; zero: unknown
     std::vector<std::pair<std::uint64_t, LearnedObject>> objects;  // oldest first
     std::vector<NamedLearnedHost> hosts;
 };
--- a/src/core/decisions.cpp
+++ b/src/core/decisions.cpp
@@ -47,11 +47,13 @@
     using nlohmann::json;
     const LearnedState known = router_.learnedState(moduleTime(now));
     json work = json::object(), objects = json::array(), hosts = json::object();
-    for (std::size_t i = 0; i < known.meanWork.size(); ++i) work[words_.classNames[i]] = known.meanWork[i];
+    for (std::size_t i = 0; i < known.meanSendSeconds.size(); ++i)
+        work[words_.classNames[i]] = known.meanSendSeconds[i];
     for (const auto& [name, object] : known.objects)
-        objects.push_back({name, object.lastPart, object.manyViewers, object.work});
+        objects.push_back({name, object.lastPart, object.manyViewers, object.sendSeconds});
     for (const NamedLearnedHost& h : known.hosts)
-        hosts[h.name] = {h.failures, h.out, h.outUntil.count(), h.pause.count(), h.link, h.coldWork};
+        hosts[h.name] = {h.failureShare,         h.ejected,       h.ejectedUntil.count(),
+                         h.ejectionTime.count(), h.linkTransfers, h.coldSendSeconds};
     return {{"startedAt", known.startedAt.count()}, {"work", work}, {"objects", objects}, {"hosts", hosts}};
 }
 
@@ -61,7 +63,7 @@
     const auto time = [](const nlohmann::json& value) { return Time{value.get<std::int64_t>()}; };
     learnedState.startedAt = time(known.at("startedAt"));
     for (const std::string& name : words_.classNames)
-        learnedState.meanWork.push_back(known.at("work").value(name, 0.0));
+        learnedState.meanSendSeconds.push_back(known.at("work").value(name, 0.0));
     for (const auto& o : known.at("objects"))
         learnedState.objects.push_back({o.at(0), {o.at(1), o.at(2).get<bool>(), o.at(3)}});
     for (const auto& [name, h] : known.at("hosts").items())
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -134,7 +134,7 @@
 Time fromSeconds(double s) { return Time{static_cast<std::int64_t>(s * 1e9)}; }
 
 struct Host : LearnedHost {
-    Host() { pause = kInitialBackoff; }
+    Host() { ejectionTime = kInitialBackoff; }
     HostEntry entry;
     std::uint64_t hash = 0;
     bool listed = false;
@@ -357,14 +357,14 @@
     }
 
     void restore(Time now, const LearnedState& known) {
-        (meanSendSeconds_ = known.meanWork).resize(settings_->classes.size(), 0);
+        (meanSendSeconds_ = known.meanSendSeconds).resize(settings_->classes.size(), 0);
         for (const auto& [name, object] : known.objects) filter_.touch(name).first = {object, {}};
         startedAt_ = std::min(startedAt_, known.startedAt);
         for (const NamedLearnedHost& from : known.hosts) {
             const auto it = hostsByName_.find(from.name);
             if (it == hostsByName_.end()) continue;
             static_cast<LearnedHost&>(hosts_[it->second]) = from;
-            hosts_[it->second].coldWork.add(now, from.coldWork);
+            hosts_[it->second].coldWork.add(now, from.coldSendSeconds);
         }
     }
 
@@ -408,9 +408,9 @@
         if (isNew) hosts_[it->second].hash = fingerprint(entry.name);
         Host& host = hosts_[it->second];
         if (!isNew && entry.startedAt > host.entry.startedAt) {  // a restart resets its health
-            host.out = false;
-            host.failures = 0;
-            host.pause = kInitialBackoff;
+            host.ejected = false;
+            host.failureShare = 0;
+            host.ejectionTime = kInitialBackoff;
         }
         if (entry.readiness == Readiness::gone) markGone(now, host);
         std::string name = isNew ? entry.name : std::move(host.entry.name);
@@ -450,7 +450,7 @@
         const double work = told ? e.sizeKb / settings_->maxFlowKbPerSecond : seconds(e.elapsed);
         learnSendSeconds(p.request.classIndex, work);
         if (!told) return;
-        if (p.request.object != 0 && p.inFilter) filter_.touch(p.request.object).first.work = work;
+        if (p.request.object != 0 && p.inFilter) filter_.touch(p.request.object).first.sendSeconds = work;
         p.work = work;
         setTargetTime(p);
     }
@@ -462,14 +462,14 @@
         host.served.add(now, kServedAveragingTime, work);
         const double all =
             kServedLinkShare * host.served.perSecond(now, kServedAveragingTime) * routersSharing(host);
-        const double known = isCold(now, host) ? linkTransfersOf(host) : host.link;
-        if (now - startedAt_ > kServedAveragingTime && all > known) host.link = all;
+        const double known = isCold(now, host) ? linkTransfersOf(host) : host.linkTransfers;
+        if (now - startedAt_ > kServedAveragingTime && all > known) host.linkTransfers = all;
     }
 
     void lookUpInFilter(Time now, Pending& p, const ClassSettings& c) {
         auto [record, found] = filter_.touch(p.request.object);
-        if (found && record.work > 0 && p.request.sizeKb <= 0) {
-            p.work = record.work;
+        if (found && record.sendSeconds > 0 && p.request.sizeKb <= 0) {
+            p.work = record.sendSeconds;
             setTargetTime(p);
         }
         // One viewer requests the parts in order, so that a repeated or earlier part comes from a second
@@ -502,10 +502,10 @@
     // As configured, or as learned. A host without a figure of its own gets the lowest one of its group.
     double linkTransfersOf(const Host& host) const {
         if (weightsTold() && host.entry.weight > 0) return host.entry.weight;
-        if (host.link > kDefaultLinkTransfers) return host.link;
+        if (host.linkTransfers > kDefaultLinkTransfers) return host.linkTransfers;
         double least = HUGE_VAL;
         for (const HostIndex i : host.entry.role == Role::parent ? parents_ : caches_)
-            if (hosts_[i].link > 0) least = std::min(least, hosts_[i].link);
+            if (hosts_[i].linkTransfers > 0) least = std::min(least, hosts_[i].linkTransfers);
         return least < HUGE_VAL ? std::max(kDefaultLinkTransfers, least) : kDefaultLinkTransfers;
     }
 
@@ -524,12 +524,12 @@
     }
 
     bool healthy(Time now, const Host& host) const {
-        return !host.out || (now >= host.outUntil && host.outstanding == 0);
+        return !host.ejected || (now >= host.ejectedUntil && host.outstanding == 0);
     }
 
     // When most of a group fails at once the cause is probably elsewhere, and ejections are ignored.
     bool mostAreEjected(const std::vector<HostIndex>& group) const {
-        const auto bad = std::ranges::count_if(group, [&](HostIndex i) { return hosts_[i].out; });
+        const auto bad = std::ranges::count_if(group, [&](HostIndex i) { return hosts_[i].ejected; });
         return 2 * bad > static_cast<std::ptrdiff_t>(group.size());
     }
 
@@ -620,7 +620,7 @@
 
     HostIndex pickOrigin(Time now, const Pending& p) {
         const HostIndex i = pick(now, origins_, kParentHashSalt, p, false);
-        return i == kNoHost || hosts_[i].out ? kNoHost : i;
+        return i == kNoHost || hosts_[i].ejected ? kNoHost : i;
     }
 
     void applyLoadReport(Time now, Host& host, const LoadReport& load) {
@@ -1046,17 +1046,17 @@
 
     void recordFailure(Time now, HostIndex i, double weight) {
         Host& host = hosts_[i];
-        host.failures += kOutcomeWeight * weight * (1 - host.failures);
+        host.failureShare += kOutcomeWeight * weight * (1 - host.failureShare);
         host.trialSuccesses = 0;
-        if (host.out) {
-            if (now < host.outUntil) return;
-            host.pause = std::min(2 * host.pause, kMaxBackoff);
-            host.outUntil = now + host.pause;
-        } else if (host.failures > kEjectionFailureShare &&
-                   host.failures >
+        if (host.ejected) {
+            if (now < host.ejectedUntil) return;
+            host.ejectionTime = std::min(2 * host.ejectionTime, kMaxBackoff);
+            host.ejectedUntil = now + host.ejectionTime;
+        } else if (host.failureShare > kEjectionFailureShare &&
+                   host.failureShare >
                        std::min(kLostHostFailureShare, meanPeerFailureShare(i) + kEjectionShareAbovePeers)) {
-            host.out = true;
-            host.outUntil = now + host.pause;
+            host.ejected = true;
+            host.ejectedUntil = now + host.ejectionTime;
         }
     }
 
@@ -1064,17 +1064,17 @@
     double meanPeerFailureShare(HostIndex i) const {
         const auto& group = hosts_[i].entry.role == Role::parent ? parents_ : caches_;
         double sum = 0;
-        for (const HostIndex other : group) sum += other == i ? 0 : hosts_[other].failures;
+        for (const HostIndex other : group) sum += other == i ? 0 : hosts_[other].failureShare;
         return group.size() > 1 ? sum / static_cast<double>(group.size() - 1) : 0;
     }
 
     void recordSuccess(HostIndex i) {
         Host& host = hosts_[i];
-        host.failures -= kOutcomeWeight * host.failures;
-        if (!host.out || ++host.trialSuccesses < kTrialSuccessesToReinstate) return;
-        host.out = false;
-        host.failures = 0;
-        host.pause = kInitialBackoff;
+        host.failureShare -= kOutcomeWeight * host.failureShare;
+        if (!host.ejected || ++host.trialSuccesses < kTrialSuccessesToReinstate) return;
+        host.ejected = false;
+        host.failureShare = 0;
+        host.ejectionTime = kInitialBackoff;
         host.trialSuccesses = 0;
     }
 
