--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -39,7 +39,7 @@
     DeduplicationScope deduplicationScope = DeduplicationScope::all;
     Time deduplicationWindow{};  // how long repeats of a keyed request are dropped
     bool streamed = false;
-    bool inParts = false;
+    bool inParts = false;  // viewers request an object part by part
     bool uncacheable = false;
     Time freshFor{};  // zero: until purged
     Time staleFor{};  // additional age at which a stale copy is acceptable
@@ -59,7 +59,7 @@
     bool directUpstream = false;       // requests may be sent directly to parents and the origin
     bool fillCoalescing = false;       // a request may wait for a fill in progress
     bool cacheStatusReported = false;  // outcomes report why a fill failed
-    bool mayHedge = false;
+    bool mayHedge = false;             // a second attempt while the first is in flight
     bool mayCancel = false;
     bool mayProbe = false;
     bool retryHints = false;
@@ -71,9 +71,8 @@
     Time drainGrace{};
     double coldStartShare = 1;  // least share of its capacity that a restarted cache has
     Time warmUpTime{};
-    double coldOverloadMultiple =
-        0;  // load, in multiples of its capacity, at which a cold cache fails; zero: never
-    Time coldLoadWindow{};
+    double coldOverloadMultiple = 0;  // of its capacity: the load at which a cold cache fails; zero: never
+    Time coldLoadWindow{};            // over which the load of a cold host is measured
     double parentColdStartShare = 1;
     Time parentWarmUpTime{};
     double parentColdOverloadMultiple = 0;
@@ -153,7 +152,7 @@
 struct Purge {
     std::uint64_t object = 0;  // zero: the whole group
     std::int64_t group = 0;
-    Time age{};  // at the time of this event
+    Time age{};  // of the purge at this event
 };
 
 struct ProbeEnded {
