--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -138,19 +138,19 @@
     HostEntry entry;
     std::uint64_t hash = 0;
     bool listed = false;
-    int outstanding = 0;
+    int attemptsInFlight = 0;
     int trialSuccesses = 0;
     double reportedInFlight = 0;
     Time reportedAt = -1h;
-    Time fullPaceAt = -1h;  // of the last answer at full pace
-    WindowSum coldWork;     // seconds of sending time sent to it lately
-    DecayingRate served;    // mean concurrent transfers, in its answers to this router
+    Time fullPaceAt = -1h;         // of the last answer at full pace
+    WindowSum coldSendSeconds;     // seconds of sending time sent to it lately
+    DecayingRate servedTransfers;  // mean concurrent transfers, in its answers to this router
     Time goneAt{};
     Time lastAnswerAt = -1h;  // of any kind
 };
 
 struct ObjectRecord : LearnedObject {
-    DecayingRate bytes;
+    DecayingRate transfers;
 };
 
 enum class Tier { caches, parents, origin };  // the highest that an attempt may use
@@ -170,8 +170,8 @@
     Request request;
     std::shared_ptr<const Settings> settings;  // in force on arrival; kept until the request ends
     Time arrived{};
-    Time aim{};       // an answer after this earns less than its full value
-    double work = 0;  // seconds of sending time
+    Time targetTime{};       // an answer after this earns less than its full value
+    double sendSeconds = 0;  // seconds of sending time
     bool inFilter = false, hot = false;
     int keepRank = 0;
     bool answered = false, streaming = false, retryAfterCancel = false;
@@ -262,7 +262,7 @@
         const ClassSettings& c = p.classSettings();
         if (request.sizeKb > 0 && settings_->maxFlowKbPerSecond > 0)
             learnSendSeconds(request.classIndex, request.sizeKb / settings_->maxFlowKbPerSecond);
-        p.work = estimateSendSeconds(request);
+        p.sendSeconds = estimateSendSeconds(request);
         setTargetTime(p);
         if (!c.uncacheable && !request.write && request.object != 0) lookUpInFilter(now, p, c);
         sendOrGiveUp(now, p, out);
@@ -276,7 +276,7 @@
         Attempt& a = p.attempts[static_cast<std::size_t>(e.attempt)];
         if (!a.inFlight) return;
         a.inFlight = false;
-        --hosts_[a.host].outstanding;
+        --hosts_[a.host].attemptsInFlight;
         a.mayHaveRun = mayHaveRun(e.outcome);
         if (isAnswerFromHost(e.outcome)) hosts_[a.host].lastAnswerAt = now;
         applyLoadReport(now, hosts_[a.host], e.load);
@@ -352,7 +352,8 @@
         filter_.fromOldest([&](auto name, auto& record) { known.objects.emplace_back(name, record); });
         for (Host& h : hosts_)
             if (h.listed)
-                known.hosts.push_back({h, h.entry.name, h.coldWork.over(now, settings_->coldLoadWindow)});
+                known.hosts.push_back(
+                    {h, h.entry.name, h.coldSendSeconds.over(now, settings_->coldLoadWindow)});
         return known;
     }
 
@@ -364,7 +365,7 @@
             const auto it = hostsByName_.find(from.name);
             if (it == hostsByName_.end()) continue;
             static_cast<LearnedHost&>(hosts_[it->second]) = from;
-            hosts_[it->second].coldWork.add(now, from.coldSendSeconds);
+            hosts_[it->second].coldSendSeconds.add(now, from.coldSendSeconds);
         }
     }
 
@@ -382,7 +383,7 @@
     HostIndex acquireHostSlot(Time now) {
         for (HostIndex i = 0; i < hosts_.size(); ++i) {
             const Host& host = hosts_[i];
-            if (host.entry.readiness != Readiness::gone || host.outstanding > 0 ||
+            if (host.entry.readiness != Readiness::gone || host.attemptsInFlight > 0 ||
                 now - host.goneAt < kHostSlotReuseDelay)
                 continue;
             const auto refers = [&](const auto& entry) {
@@ -429,15 +430,15 @@
                                        : seconds(settings_->classes[c].latencyTarget) / 4;
     }
 
-    void learnSendSeconds(int classIndex, double work) {
+    void learnSendSeconds(int classIndex, double sendSeconds) {
         double& mean = meanSendSeconds_[static_cast<std::size_t>(classIndex)];
-        mean = mean > 0 ? mean + 0.02 * (work - mean) : work;
+        mean = mean > 0 ? mean + 0.02 * (sendSeconds - mean) : sendSeconds;
     }
 
     void setTargetTime(Pending& p) const {
         const ClassSettings& c = p.classSettings();
-        p.aim = std::min(p.request.deadline,
-                         p.arrived + c.latencyTarget + fromSeconds(c.latencyTargetStretch * p.work));
+        p.targetTime = std::min(p.request.deadline, p.arrived + c.latencyTarget +
+                                                        fromSeconds(c.latencyTargetStretch * p.sendSeconds));
     }
 
     // Where requests carry no size it is learned from answers: from their bytes, or from the time of a hit on
@@ -447,21 +448,22 @@
         if (p.request.sizeKb > 0 || e.sizeKb < 0) return;
         const bool told = e.sizeKb > 0 && settings_->maxFlowKbPerSecond > 0;
         if (!told && (e.cacheStatus != CacheStatus::hit || !a.hostHadRoom)) return;
-        const double work = told ? e.sizeKb / settings_->maxFlowKbPerSecond : seconds(e.elapsed);
-        learnSendSeconds(p.request.classIndex, work);
+        const double sendSeconds = told ? e.sizeKb / settings_->maxFlowKbPerSecond : seconds(e.elapsed);
+        learnSendSeconds(p.request.classIndex, sendSeconds);
         if (!told) return;
-        if (p.request.object != 0 && p.inFilter) filter_.touch(p.request.object).first.sendSeconds = work;
-        p.work = work;
+        if (p.request.object != 0 && p.inFilter)
+            filter_.touch(p.request.object).first.sendSeconds = sendSeconds;
+        p.sendSeconds = sendSeconds;
         setTargetTime(p);
     }
 
     // Learns a lower bound of a host's link from the transfers that it serves at a time, assuming that every
     // router has as many there. A cold host is limited by its budget, so that only a figure above its assumed
     // link proves anything.
-    void learnLinkTransfers(Time now, Host& host, double work) {
-        host.served.add(now, kServedAveragingTime, work);
-        const double all =
-            kServedLinkShare * host.served.perSecond(now, kServedAveragingTime) * routersSharing(host);
+    void learnLinkTransfers(Time now, Host& host, double sendSeconds) {
+        host.servedTransfers.add(now, kServedAveragingTime, sendSeconds);
+        const double all = kServedLinkShare * host.servedTransfers.perSecond(now, kServedAveragingTime) *
+                           routersSharing(host);
         const double known = isCold(now, host) ? linkTransfersOf(host) : host.linkTransfers;
         if (now - startedAt_ > kServedAveragingTime && all > known) host.linkTransfers = all;
     }
@@ -469,7 +471,7 @@
     void lookUpInFilter(Time now, Pending& p, const ClassSettings& c) {
         auto [record, found] = filter_.touch(p.request.object);
         if (found && record.sendSeconds > 0 && p.request.sizeKb <= 0) {
-            p.work = record.sendSeconds;
+            p.sendSeconds = record.sendSeconds;
             setTargetTime(p);
         }
         // One viewer requests the parts in order, so that a repeated or earlier part comes from a second
@@ -477,13 +479,14 @@
         if (found && !p.request.repeated && (!c.inParts || p.request.part <= record.lastPart))
             record.manyViewers = true;
         record.lastPart = std::max(record.lastPart, p.request.part);
-        record.bytes.add(now, kHotObjectAveragingTime, p.work);
+        record.transfers.add(now, kHotObjectAveragingTime, p.sendSeconds);
         p.inFilter = found;
         // Copies with a second viewer rank higher, and so do whole objects: many small ones are worth more
         // than one part.
         p.keepRank = !found ? 0 : (record.manyViewers ? 2 : 1) + (c.inParts ? 0 : 1);
-        p.hot = record.manyViewers && record.bytes.perSecond(now, kHotObjectAveragingTime) * routersInZone() >
-                                          kHotObjectLinkShare * meanCacheLinkTransfers();
+        p.hot =
+            record.manyViewers && record.transfers.perSecond(now, kHotObjectAveragingTime) * routersInZone() >
+                                      kHotObjectLinkShare * meanCacheLinkTransfers();
     }
 
     int routersInZone() const {
@@ -518,13 +521,13 @@
     // ----- choosing a route -----
 
     // Weighted rendezvous hash: the host with the lowest score comes first.
-    double rank(HostIndex i, std::uint64_t key) const {
+    double rendezvousScore(HostIndex i, std::uint64_t key) const {
         return -std::log(unitInterval(combine(key, hosts_[i].hash))) /
                (weightsTold() ? linkTransfersOf(hosts_[i]) : 1);
     }
 
     bool healthy(Time now, const Host& host) const {
-        return !host.ejected || (now >= host.ejectedUntil && host.outstanding == 0);
+        return !host.ejected || (now >= host.ejectedUntil && host.attemptsInFlight == 0);
     }
 
     // When most of a group fails at once the cause is probably elsewhere, and ejections are ignored.
@@ -542,7 +545,7 @@
 
     // A cold host has a budget per sliding window, shared by all routers; each router uses only its part of
     // it.
-    bool withinColdBudget(Time now, Host& host, double work) const {
+    bool withinColdBudget(Time now, Host& host, double sendSeconds) const {
         if (!isCold(now, host)) return true;
         const bool parent = host.entry.role == Role::parent;
         const Time warm = parent ? settings_->parentWarmUpTime : settings_->warmUpTime;
@@ -554,19 +557,21 @@
             linkTransfersOf(host) * (from + (1 - from) * std::max(0.0, age) / seconds(warm));
         const double share = std::min(kColdLoadCapacityMultiple, kColdLoadOverloadShare * multiple);
         const double part = share * present * seconds(settings_->coldLoadWindow) / routersSharing(host);
-        const double used = host.coldWork.over(now, settings_->coldLoadWindow);
-        if (used + work <= part) return true;
-        if (used > 0 || part * routersSharing(host) < kLotteryMinBudgetRequests * work) return false;
+        const double used = host.coldSendSeconds.over(now, settings_->coldLoadWindow);
+        if (used + sendSeconds <= part) return true;
+        if (used > 0 || part * routersSharing(host) < kLotteryMinBudgetRequests * sendSeconds) return false;
         // One draw per window. The windows of different routers begin at different times.
         const auto window = static_cast<std::uint64_t>(settings_->coldLoadWindow.count());
         const std::uint64_t turn = (static_cast<std::uint64_t>(now.count()) + drawSalt_ % window) / window;
-        return unitInterval(combine(combine(drawSalt_, host.hash), turn)) < kLotteryBudgetShare * part / work;
+        return unitInterval(combine(combine(drawSalt_, host.hash), turn)) <
+               kLotteryBudgetShare * part / sendSeconds;
     }
 
     // The load that an attempt counts for. Too low an estimate would overload a cold host unnoticed.
     double coldCharge(const Host& host, const Pending& p) const {
         const double mean = meanSendSeconds_[static_cast<std::size_t>(p.request.classIndex)];
-        return std::max(mean > 0 ? mean : p.work, host.entry.role == Role::parent ? p.work : 1e-3);
+        return std::max(mean > 0 ? mean : p.sendSeconds,
+                        host.entry.role == Role::parent ? p.sendSeconds : 1e-3);
     }
 
     bool usable(Time now, HostIndex i, const Pending& p, bool ignoreHealth) {
@@ -587,7 +592,7 @@
         HostIndex first = kNoHost, second = kNoHost;
         double best = HUGE_VAL, next = HUGE_VAL;
         for (const HostIndex i : group) {
-            const double score = rank(i, key);
+            const double score = rendezvousScore(i, key);
             if (score >= (spread ? next : best) || !usable(now, i, p, ignoreHealth)) continue;
             if (score < best) {
                 next = std::exchange(best, score);
@@ -599,7 +604,7 @@
         }
         if (!spread || second == kNoHost) return first;
         const auto load = [&](HostIndex i) {
-            return (hosts_[i].outstanding + 1) / linkTransfersOf(hosts_[i]);
+            return (hosts_[i].attemptsInFlight + 1) / linkTransfersOf(hosts_[i]);
         };
         return load(second) < load(first) ? second : first;
     }
@@ -652,15 +657,17 @@
         return fills * routersInZone() * settings_->maxFlowKbPerSecond / settings_->zoneLinkKbPerSecond[zone];
     }
 
-    bool inTime(Time now, const Pending& p, double fill) const {
-        return fill <= 1 || now + fromSeconds(p.work * fill) + overheadTime(p) <= p.aim;
+    bool canMeetTarget(Time now, const Pending& p, double utilization) const {
+        return utilization <= 1 ||
+               now + fromSeconds(p.sendSeconds * utilization) + overheadTime(p) <= p.targetTime;
     }
 
     // A full link that admits every request serves none in time. It is left to requests that can still meet
     // their target, and preferably to those that leave a copy. Guards against refills after purges, bursts,
     // scans and caches that return empty. Cost: a wrong report of a full link keeps requests off a free one.
     bool zoneLinkMeetsTarget(Time now, const Pending& p) const {
-        return inTime(now, p, zoneLinkUtilization(now) * (p.keepRank > 0 ? 1 : kUncachedTransferWeight));
+        return canMeetTarget(now, p,
+                             zoneLinkUtilization(now) * (p.keepRank > 0 ? 1 : kUncachedTransferWeight));
     }
 
     Time overheadTime(const Pending& p) const {
@@ -670,7 +677,7 @@
     // Concurrent transfers at the host, divided by those that its own link carries at full pace: as reported
     // recently, or else estimated on the assumption that all routers send as much as this one.
     double linkUtilizationOf(Time now, const Host& host) const {
-        const double own = host.outstanding;
+        const double own = host.attemptsInFlight;
         const bool recent = now - host.reportedAt < kLoadReportLifetime;
         const double guessed = own * routersSharing(host);
         return (recent ? std::max(own, host.reportedInFlight) : guessed) /
@@ -683,7 +690,7 @@
         const bool origin =
             host.entry.role == Role::origin;  // its link is unknown; its concurrency limiter applies
         return origin || now - host.fullPaceAt < kFullPaceLifetime ||
-               inTime(now, p, linkUtilizationOf(now, host));
+               canMeetTarget(now, p, linkUtilizationOf(now, host));
     }
 
     // The normal route, or what remains of it when hosts are missing, ejected or already tried.
@@ -703,9 +710,9 @@
         // parent is cold: each attempt that could become a fill is charged to its budget.
         if (!write && p.attempts.empty() && source != kNoHost) {
             const bool cacheOnly = limiters_[0].isLimiting(now) || isCold(now, hosts_[source]);
-            if (!upward && cacheOnly) return heldOnly(now, p, kNoHost);
+            if (!upward && cacheOnly) return cachedOnlyRoute(now, p, kNoHost);
             if (!cacheOnly && parent != kNoHost && limiters_[1].isLimiting(now))
-                return upward ? Route{parent, kNoHost, 0, true} : heldOnly(now, p, parent);
+                return upward ? Route{parent, kNoHost, 0, true} : cachedOnlyRoute(now, p, parent);
         }
         if (!write && !limiters_[0].admits(now)) return staleCopyRoute(now, p, kNoHost);
         if (!write && !limiters_[1].admits(now)) return staleCopyRoute(now, p, parent);
@@ -723,11 +730,11 @@
         const bool older = p.classSettings().staleFor.count() > 0;
         if (!p.attempts.empty() && (p.acceptStale || !older)) return {};
         p.acceptStale = true;
-        return heldOnly(now, p, parent);
+        return cachedOnlyRoute(now, p, parent);
     }
 
     // Only a copy that the cache, or the parent, already holds; no fetch from the origin.
-    Route heldOnly(Time now, const Pending& p, HostIndex parent) {
+    Route cachedOnlyRoute(Time now, const Pending& p, HostIndex parent) {
         const HostIndex cache = pickCache(now, p);
         return {cache, parent == kNoHost ? cache : parent, p.keepRank, parent != kNoHost};
     }
@@ -760,7 +767,7 @@
         // Late answers are not attributed to a tier while the zone's own link is full.
         // Measured from the start of this attempt: time that the request lost before is not this tier's
         // fault.
-        const bool inTime = e.elapsed <= p.aim - p.arrived || zoneLinkUtilization(now) > 1;
+        const bool inTime = e.elapsed <= p.targetTime - p.arrived || zoneLinkUtilization(now) > 1;
         // A prompt error is a fault of the host itself, and a cancelled attempt was not late yet.
         const bool prompt = e.outcome == Outcome::error && e.cacheStatus != CacheStatus::originFailed;
         if (inTime && (prompt || e.outcome == Outcome::cancelled)) return;
@@ -771,7 +778,7 @@
 
         const double bad = good ? 0 : silent ? kUnansweredFailureWeight : 1;
         // Answers well in time raise the limit by more than those just in time.
-        const double spare = 1 - seconds(e.elapsed) / std::max(1e-3, seconds(p.aim - p.arrived));
+        const double spare = 1 - seconds(e.elapsed) / std::max(1e-3, seconds(p.targetTime - p.arrived));
         if (good || atParent) recordOutcome(now, limiters_[0], p, a, bad, spare);
         if (!atParent) recordOutcome(now, limiters_[1], p, a, bad, spare);
     }
@@ -802,7 +809,7 @@
     // ----- sending -----
 
     void sendOrGiveUp(Time now, Pending& p, Actions& out) {
-        const bool late = p.request.deadline - now <= fromSeconds(p.work);
+        const bool late = p.request.deadline - now <= fromSeconds(p.sendSeconds);
         if (late || static_cast<int>(p.attempts.size()) >= p.settings->maxAttempts)
             return giveUp(p, late ? GiveUpReason::noTime : GiveUpReason::attemptLimit, out);
         const Route route = chooseRoute(now, p);
@@ -831,7 +838,7 @@
         }
         chargeColdBudget(now, host, p);
         const bool hostHadRoom = linkUtilizationOf(now, host) < 1;
-        ++host.outstanding;
+        ++host.attemptsInFlight;
         const int number = static_cast<int>(p.attempts.size());
         const Tier highestTier = s.plain || (s.source != s.host && !route.sourceOnlyIfCached) ? Tier::origin
                                  : route.sourceOnlyIfCached                                   ? Tier::parents
@@ -850,7 +857,7 @@
     }
 
     void chargeColdBudget(Time now, Host& host, const Pending& p) {
-        if (host.entry.startedAt.count() > 0) host.coldWork.add(now, coldCharge(host, p));
+        if (host.entry.startedAt.count() > 0) host.coldSendSeconds.add(now, coldCharge(host, p));
     }
 
     // A purge limits the age of an acceptable copy to at least 1 ns, since zero would mean any age.
@@ -871,12 +878,12 @@
     // Sets one timer for when another attempt must start to meet the latency target, and one for when this
     // attempt is late.
     void setTimers(Time now, const Pending& p, int attempt, Actions& out) {
-        const Time needed = fromSeconds(kOverdueSendTimeMultiple * p.work) + overheadTime(p);
-        const Time at = std::max(now + needed, p.aim - needed);
+        const Time needed = fromSeconds(kOverdueSendTimeMultiple * p.sendSeconds) + overheadTime(p);
+        const Time at = std::max(now + needed, p.targetTime - needed);
         if ((p.settings->mayHedge || p.settings->mayCancel) && at + needed < p.request.deadline)
             setTimer(at - now, p, attempt, false, out);
         if (p.attempts.back().highestTier != Tier::caches)
-            setTimer(p.aim - p.arrived + kMinTimerDelay, p, attempt, true, out);
+            setTimer(p.targetTime - p.arrived + kMinTimerDelay, p, attempt, true, out);
     }
 
     void setTimer(Time delay, const Pending& p, int attempt, bool late, Actions& out) {
@@ -1003,15 +1010,16 @@
                 const bool fetched = e.cacheStatus == CacheStatus::filled ||
                                      e.cacheStatus == CacheStatus::filledByOrigin ||
                                      e.cacheStatus == CacheStatus::joined;
-                const Time trip = overheadTime(p);
-                if (p.work > seconds(trip) && seconds(e.elapsed - trip) < kOverdueSendTimeMultiple * p.work) {
+                const Time overhead = overheadTime(p);
+                if (p.sendSeconds > seconds(overhead) &&
+                    seconds(e.elapsed - overhead) < kOverdueSendTimeMultiple * p.sendSeconds) {
                     hosts_[a.host].fullPaceAt = now;
                     if (fetched) linkFullPaceAt_ = now;
                 }
                 if (hasSource && fetched) recordSuccess(a.source);
                 if (e.sizeKb < 0) return;
-                learnLinkTransfers(now, hosts_[a.host], p.work);
-                if (hasSource && fetched) learnLinkTransfers(now, hosts_[a.source], p.work);
+                learnLinkTransfers(now, hosts_[a.host], p.sendSeconds);
+                if (hasSource && fetched) learnLinkTransfers(now, hosts_[a.source], p.sendSeconds);
                 return;
             }
             case Outcome::cancelled:
