--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -446,11 +446,11 @@
     // the concurrency limits.
     void learnFromAnswer(Pending& p, const Attempt& a, const AttemptEnded& e) {
         if (p.request.sizeKb > 0 || e.sizeKb < 0) return;
-        const bool told = e.sizeKb > 0 && settings_->maxFlowKbPerSecond > 0;
-        if (!told && (e.cacheStatus != CacheStatus::hit || !a.hostHadRoom)) return;
-        const double sendSeconds = told ? e.sizeKb / settings_->maxFlowKbPerSecond : seconds(e.elapsed);
+        const bool isKnown = e.sizeKb > 0 && settings_->maxFlowKbPerSecond > 0;
+        if (!isKnown && (e.cacheStatus != CacheStatus::hit || !a.hostHadRoom)) return;
+        const double sendSeconds = isKnown ? e.sizeKb / settings_->maxFlowKbPerSecond : seconds(e.elapsed);
         learnSendSeconds(p.request.classIndex, sendSeconds);
-        if (!told) return;
+        if (!isKnown) return;
         if (p.request.object != 0 && p.inFilter)
             filter_.touch(p.request.object).first.sendSeconds = sendSeconds;
         p.sendSeconds = sendSeconds;
@@ -491,11 +491,11 @@
 
     int routersInZone() const {
         const auto zone = static_cast<std::size_t>(settings_->zone);
-        const bool told = settings_->zone >= 0 && zone < settings_->routersByZone.size();
-        return std::max(1, told ? settings_->routersByZone[zone] : settings_->routers);
+        const bool isKnown = settings_->zone >= 0 && zone < settings_->routersByZone.size();
+        return std::max(1, isKnown ? settings_->routersByZone[zone] : settings_->routers);
     }
 
-    bool weightsTold() const {
+    bool weightsAreLinks() const {
         return settings_->weights == Weights::nominal || settings_->weights == Weights::rough;
     }
     int routersSharing(const Host& host) const {
@@ -504,7 +504,7 @@
 
     // As configured, or as learned. A host without a figure of its own gets the lowest one of its group.
     double linkTransfersOf(const Host& host) const {
-        if (weightsTold() && host.entry.weight > 0) return host.entry.weight;
+        if (weightsAreLinks() && host.entry.weight > 0) return host.entry.weight;
         if (host.linkTransfers > kDefaultLinkTransfers) return host.linkTransfers;
         double least = HUGE_VAL;
         for (const HostIndex i : host.entry.role == Role::parent ? parents_ : caches_)
@@ -523,7 +523,7 @@
     // Weighted rendezvous hash: the host with the lowest score comes first.
     double rendezvousScore(HostIndex i, std::uint64_t key) const {
         return -std::log(unitInterval(combine(key, hosts_[i].hash))) /
-               (weightsTold() ? linkTransfersOf(hosts_[i]) : 1);
+               (weightsAreLinks() ? linkTransfersOf(hosts_[i]) : 1);
     }
 
     bool healthy(Time now, const Host& host) const {
@@ -649,9 +649,9 @@
     double zoneLinkUtilization(Time now) const {
         if (now - linkReportAt_ < kLoadReportLifetime) return linkUtilization_;
         const auto zone = static_cast<std::size_t>(settings_->zone);
-        const bool told = settings_->zone >= 0 && zone < settings_->zoneLinkKbPerSecond.size() &&
-                          settings_->zoneLinkKbPerSecond[zone] > 0;
-        if (!told || now - linkFullPaceAt_ < kFullPaceLifetime) return 0;
+        const bool isKnown = settings_->zone >= 0 && zone < settings_->zoneLinkKbPerSecond.size() &&
+                             settings_->zoneLinkKbPerSecond[zone] > 0;
+        if (!isKnown || now - linkFullPaceAt_ < kFullPaceLifetime) return 0;
         const double fills =
             std::max<double>(limiters_[0].inFlight, meanFillsInFlight_.mean(now, kFillsAveragingTime));
         return fills * routersInZone() * settings_->maxFlowKbPerSecond / settings_->zoneLinkKbPerSecond[zone];
