--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -51,7 +51,8 @@
 constexpr double kLostHostFailureShare = 0.8;
 // Weight of an attempt that is slow; one that failed weighs 1.
 constexpr double kSlowAttemptFailureWeight = 0.5;
-// Of an ejected host, doubled after each failed trial; the first one also delays a new subscription.
+// Time until the first trial of an ejected host, doubled after each failed trial. The initial value is also
+// the delay before a failed subscription to the host list is repeated.
 constexpr Time kInitialBackoff = 500ms, kMaxBackoff = 4s;
 constexpr int kTrialSuccessesToReinstate = 3;
 
@@ -526,6 +527,7 @@
                (weightsAreLinks() ? linkTransfersOf(hosts_[i]) : 1);
     }
 
+    // Also true for an ejected host that is due for a trial: one attempt at a time.
     bool healthy(Time now, const Host& host) const {
         return !host.ejected || (now >= host.ejectedUntil && host.attemptsInFlight == 0);
     }
@@ -585,7 +587,7 @@
     HostIndex pick(Time now, const std::vector<HostIndex>& group, std::uint64_t key, const Pending& p,
                    bool spread) {
         // If most caches fail while most parents answer, and the parents may be asked directly, the caches
-        // are really down, for example with their whole zone.
+        // are really down, for example with their whole zone, and their ejections hold.
         const bool lost =
             &group == &caches_ && settings_->directUpstream && !parents_.empty() && !mostAreEjected(parents_);
         const bool ignoreHealth = mostAreEjected(group) && !lost;
@@ -687,8 +689,8 @@
     // Whether the host can still answer in time. A host that admits more serves all of them late, so the rest
     // goes elsewhere or is refused at once. Guards against overload, bursts, hot objects and slow hosts.
     bool hostMeetsTarget(Time now, const Pending& p, const Host& host) const {
-        const bool origin =
-            host.entry.role == Role::origin;  // its link is unknown; its concurrency limiter applies
+        // The link of the origin is unknown; its concurrency limiter applies instead.
+        const bool origin = host.entry.role == Role::origin;
         return origin || now - host.fullPaceAt < kFullPaceLifetime ||
                canMeetTarget(now, p, linkUtilizationOf(now, host));
     }
@@ -801,8 +803,8 @@
         }
         if (limiter.limit >= 1) return;
         const double spread = 0.5 + unitInterval(randomState_ = mix(randomState_ + 1));
-        const double took =
-            seconds(std::max(overheadTime(p), now - a.sentAt));  // a refusal may take no time at all
+        // A refusal may take no time at all.
+        const double took = seconds(std::max(overheadTime(p), now - a.sentAt));
         limiter.closedUntil = now + fromSeconds(took * (1 / limiter.limit - 1) * spread);
     }
 
@@ -860,7 +862,7 @@
         if (host.entry.startedAt.count() > 0) host.coldSendSeconds.add(now, coldCharge(host, p));
     }
 
-    // A purge limits the age of an acceptable copy to at least 1 ns, since zero would mean any age.
+    // A purge limits the age of acceptable copies. The limit is at least 1 ns, since zero would mean any age.
     Time maxCopyAgeFor(Time now, const Pending& p, const ClassSettings& c) const {
         Time limit{0};
         if (c.freshFor.count() > 0) limit = c.freshFor + (p.acceptStale ? c.staleFor : Time{0});
@@ -1031,14 +1033,15 @@
                 return;
             case Outcome::noConnection:
             case Outcome::broken:
-                if (e.blameless && answeredSince(a)) return;  // an answer arrived over another connection
+                if (e.blameless && answeredSince(a))
+                    return;  // may be retried at once over another connection
                 return blame(now, p, a.host, e.blameless ? 0 : 1);
             default:
                 break;
         }
         const double weight = e.blameless ? 0 : a.countedSlow ? 1 - kSlowAttemptFailureWeight : 1;
-        if (e.cacheStatus >=
-            CacheStatus::sourceRefused) {  // this and the later values tell why a fill failed
+        // This value and the later ones tell why a fill failed.
+        if (e.cacheStatus >= CacheStatus::sourceRefused) {
             const bool atSource = hasSource && e.cacheStatus != CacheStatus::noFillPlace;
             const bool itsOwn = atSource && e.cacheStatus != CacheStatus::originFailed;
             return blame(now, p, atSource ? a.source : a.host, itsOwn ? weight : 0);
