--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -166,7 +166,7 @@
 struct Send {
     RequestId request = 0;
     std::string_view host;             // views stay valid for the lifetime of the router
-    bool plain = false;                // without a source, and the host keeps no copy
+    bool withoutSource = false;        // an ordinary request: no fill, and the host keeps no copy
     std::string_view source;           // where a miss is filled from; equal to `host`: no fill
     int keepRank = 0;                  // rank of the copy that the host keeps; zero: none
     int ownCopyRank = 0;               // rank of a copy that the gateway itself keeps; zero: none
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -142,11 +142,11 @@
     }
 
     void write(std::int64_t instance, const Send& a) {
-        beginAction(a.plain ? "try" : "deliverVia", instance);
+        beginAction(a.withoutSource ? "try" : "deliverVia", instance);
         id(a.request);
         text("host", a.host);
         field("patience", a.timeout.count());
-        if (a.plain) return;
+        if (a.withoutSource) return;
         text("source", a.source);
         field("holdRank", a.keepRank);
         field("howOld", a.maxCopyAge.count());
--- a/src/core/decisions.cpp
+++ b/src/core/decisions.cpp
@@ -235,8 +235,8 @@
             verdict.request = action.request;
             verdict.attempt = attempts_[action.request]++;
             verdict.host = action.host;
-            if (!action.plain && action.source != action.host) verdict.source = action.source;
-            verdict.keepRank = action.plain ? 0 : action.keepRank;
+            if (!action.withoutSource && action.source != action.host) verdict.source = action.source;
+            verdict.keepRank = action.withoutSource ? 0 : action.keepRank;
             verdict.rank = action.ownCopyRank;
             verdict.oldest = duration_cast<Micros>(action.maxCopyAge);
             // Rounded down to nothing it would mean "any age".
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -825,9 +825,9 @@
         s.request = p.request.id;
         s.host = host.entry.name;
         s.timeout = p.request.deadline - now;
-        s.plain = host.entry.role == Role::origin;
+        s.withoutSource = host.entry.role == Role::origin;
         s.ownCopyRank = p.keepRank;
-        if (!s.plain) {
+        if (!s.withoutSource) {
             const HostIndex source = sourceOf(route);
             s.source = hosts_[source].entry.name;
             s.keepRank = host.entry.role == Role::cache ? route.keepRank : 0;
@@ -842,9 +842,10 @@
         const bool hostHadRoom = linkUtilizationOf(now, host) < 1;
         ++host.attemptsInFlight;
         const int number = static_cast<int>(p.attempts.size());
-        const Tier highestTier = s.plain || (s.source != s.host && !route.sourceOnlyIfCached) ? Tier::origin
-                                 : route.sourceOnlyIfCached                                   ? Tier::parents
-                                                                                              : Tier::caches;
+        const Tier highestTier = s.withoutSource || (s.source != s.host && !route.sourceOnlyIfCached)
+                                     ? Tier::origin
+                                 : route.sourceOnlyIfCached ? Tier::parents
+                                                            : Tier::caches;
         p.attempts.push_back(
             Attempt{route.host, route.source, now, true, true, highestTier, false, hostHadRoom});
         countInFlight(now, p.attempts.back(), 1);
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -57,7 +57,7 @@
         const auto sent = h.one<Send>();
         ASSERT_TRUE(sent);
         EXPECT_FALSE(startsWith(sent->host, 'c'));
-        EXPECT_TRUE(sent->plain || sent->source == "o");
+        EXPECT_TRUE(sent->withoutSource || sent->source == "o");
         h.end(id, 0, Outcome::served);
     }
 }
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -361,7 +361,7 @@
     h.ask("a");
     auto sent = h.one<Send>();
     ASSERT_TRUE(sent);
-    EXPECT_FALSE(sent->plain);
+    EXPECT_FALSE(sent->withoutSource);
     EXPECT_GT(sent->maxCopyAge, 0ns);
     EXPECT_LE(sent->maxCopyAge, 250ms);
     h.ask("b");
@@ -399,7 +399,7 @@
     h.now += 400ms;
     h.end(id, 0, Outcome::error);
     for (const Send& again : h.all<Send>()) {
-        if (again.plain) continue;
+        if (again.withoutSource) continue;
         EXPECT_GT(again.maxCopyAge, 0ns);
         EXPECT_LE(again.maxCopyAge, 410ms);
     }
