--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -25,9 +25,9 @@
 enum class Role { cache, parent, origin };
 enum class Readiness { gone, ready, draining };
 // What a host's weight in the list means; `none` and `live` do not measure its link.
-enum class Weights { none, nominal, rough, live };
+enum class WeightMeaning { none, nominal, rough, live };
 // Which other caches may be the source of a fill.
-enum class Siblings { none, zone, any };
+enum class SiblingSources { none, zone, any };
 
 struct ClassSettings {
     Time latencyTarget{};             // an answer within this time, plus the stretch, earns full value
@@ -54,8 +54,8 @@
     std::vector<double> zoneLinkKbPerSecond;  // capacity into each zone; zero: unknown
     int routers = 1;                          // in all zones
     double maxFlowKbPerSecond = 0;            // of one answer; zero: unknown
-    Weights weights = Weights::none;
-    Siblings siblings = Siblings::none;
+    WeightMeaning weights = WeightMeaning::none;
+    SiblingSources siblings = SiblingSources::none;
     bool directUpstream = false;       // requests may be sent directly to parents and the origin
     bool fillCoalescing = false;       // a request may wait for a fill in progress
     bool cacheStatusReported = false;  // outcomes report why a fill failed
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -497,7 +497,7 @@
     }
 
     bool weightsAreLinks() const {
-        return settings_->weights == Weights::nominal || settings_->weights == Weights::rough;
+        return settings_->weights == WeightMeaning::nominal || settings_->weights == WeightMeaning::rough;
     }
     int routersSharing(const Host& host) const {
         return host.entry.role == Role::cache ? routersInZone() : std::max(1, settings_->routers);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -28,17 +28,17 @@
     throw Malformed("unknown group '" + word + "'");
 }
 
-Weights weightsOf(const std::string& word) {
-    if (word == "nominal") return Weights::nominal;
-    if (word == "rough") return Weights::rough;
-    if (word == "live") return Weights::live;
-    return Weights::none;
+WeightMeaning weightsOf(const std::string& word) {
+    if (word == "nominal") return WeightMeaning::nominal;
+    if (word == "rough") return WeightMeaning::rough;
+    if (word == "live") return WeightMeaning::live;
+    return WeightMeaning::none;
 }
 
-Siblings siblingsOf(const std::string& word) {
-    if (word == "any") return Siblings::any;
-    if (word == "location") return Siblings::zone;
-    return Siblings::none;
+SiblingSources siblingsOf(const std::string& word) {
+    if (word == "any") return SiblingSources::any;
+    if (word == "location") return SiblingSources::zone;
+    return SiblingSources::none;
 }
 
 // What a request can't be served without is never guessed: a file that lacks it is not whole.
--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -212,7 +212,7 @@
 // reduced the budget further.
 TEST(ColdHosts, ABudgetIsNotLearnedAsTheLink) {
     Settings settings = settingsFor(4);
-    settings.weights = Weights::none;
+    settings.weights = WeightMeaning::none;
     Harness h(settings);
     h.usualList();
     fillsFrom(h, "p1", 200, 200);  // the other parents' links are learned as about 15 transfers
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -33,8 +33,8 @@
     s.routersByZone = {0, 1, 1};
     s.routers = 2;
     s.maxFlowKbPerSecond = 1000;
-    s.weights = Weights::nominal;
-    s.siblings = Siblings::any;
+    s.weights = WeightMeaning::nominal;
+    s.siblings = SiblingSources::any;
     s.directUpstream = true;
     s.fillCoalescing = true;
     s.mayHedge = true;
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -525,7 +525,7 @@
                       DeploymentCase{"nothing told",
                                      [](Settings& s) {
                                          s.maxFlowKbPerSecond = 0;
-                                         s.weights = Weights::none;
+                                         s.weights = WeightMeaning::none;
                                          s.routersByZone.clear();
                                      }},
                       DeploymentCase{"no cancel, no second copy",
@@ -547,7 +547,7 @@
                                          }
                                      }},
                       DeploymentCase{"siblings and joins off", [](Settings& s) {
-                                         s.siblings = Siblings::none;
+                                         s.siblings = SiblingSources::none;
                                          s.fillCoalescing = false;
                                      }}));
 
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -40,7 +40,7 @@
 // Sizes and links that are not configured are learned from answers: an answer in time must not count as late.
 TEST(Learning, TheSizeOfAnAnswerSetsTheAimOfItsRequest) {
     Settings settings = basicSettings();
-    settings.weights = Weights::none;
+    settings.weights = WeightMeaning::none;
     settings.classes[1].latencyTarget =
         200ms;  // plus twice the sending time; the first estimate is a quarter of it
     Harness h(settings);
@@ -295,7 +295,7 @@
 // Without sizes an attempt once counted for next to nothing, so that cold caches were overloaded and failed.
 TEST(ColdHosts, WithoutSizesAnAttemptWeighsWhatHitsTook) {
     Settings settings = basicSettings();
-    settings.weights = Weights::none;
+    settings.weights = WeightMeaning::none;
     settings.directUpstream = false;
     Harness h(settings);
     h.usualList();
