--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -230,30 +230,30 @@
     int gateways;
     bool skewed;  // a quarter of the gateways has three quarters of the requests
     Role role;
-    double fallMultiple;
+    double overloadMultiple;
 };
 
 // The number of requests of mean size that the settings allow a cold host of this age within one window. By
 // chance a host may get more: twice the square root of that number, plus two.
 double allowedRequests(const Settings& settings, const ColdStart& start, double link, Time age,
-                       double meanWork) {
+                       double meanSendSeconds) {
     const bool parent = start.role == Role::parent;
     const double from = parent ? settings.parentColdStartShare : settings.coldStartShare;
     const Time warm = parent ? settings.parentWarmUpTime : settings.warmUpTime;
     const double grown = from + (1 - from) * std::chrono::duration<double>(age) / warm;
     const double window = std::chrono::duration<double>(settings.coldLoadWindow).count();
-    return start.fallMultiple * link * grown * window / meanWork;
+    return start.overloadMultiple * link * grown * window / meanSendSeconds;
 }
 
 class ColdStarts : public ::testing::TestWithParam<ColdStart> {
 protected:
-    static constexpr double kLink = 10;  // transfers at a time
-    static constexpr double kMeanWork = 0.1;
-    static constexpr double kKb = 100;
+    static constexpr double kLinkTransfers = 10;  // transfers at a time
+    static constexpr double kMeanSendSeconds = 0.1;
+    static constexpr double kSizeKb = 100;
 
     static Settings settingsOf(const ColdStart& start) {
         Settings settings = settingsFor(start.gateways);
-        settings.coldOverloadMultiple = settings.parentColdOverloadMultiple = start.fallMultiple;
+        settings.coldOverloadMultiple = settings.parentColdOverloadMultiple = start.overloadMultiple;
         return settings;
     }
     static std::string nameOf(Role role) { return role == Role::parent ? "p1" : "c1"; }
@@ -266,15 +266,17 @@
         std::deque<Harness> gateways;
         for (int g = 0; g < start.gateways; ++g) {
             Harness& h = gateways.emplace_back(settings, seed * 1000 + static_cast<std::uint64_t>(g));
-            h.list({Harness::host("c1", Role::cache, 1, kLink), Harness::host("c2", Role::cache, 1, kLink),
-                    Harness::host("p1", Role::parent, 0, kLink), Harness::host("p2", Role::parent, 0, kLink),
+            h.list({Harness::host("c1", Role::cache, 1, kLinkTransfers),
+                    Harness::host("c2", Role::cache, 1, kLinkTransfers),
+                    Harness::host("p1", Role::parent, 0, kLinkTransfers),
+                    Harness::host("p2", Role::parent, 0, kLinkTransfers),
                     Harness::host("o", Role::origin, 0, 1)});
-            h.took = fromSeconds(kMeanWork);
+            h.took = fromSeconds(kMeanSendSeconds);
             h.growUp(40);
             const Role other = start.role == Role::parent ? Role::cache : Role::parent;
-            h.list({Harness::host(nameOf(start.role), start.role, start.role == Role::parent ? 0 : 1, kLink,
-                                  h.now),
-                    Harness::host(nameOf(other), other, other == Role::parent ? 0 : 1, kLink)},
+            h.list({Harness::host(nameOf(start.role), start.role, start.role == Role::parent ? 0 : 1,
+                                  kLinkTransfers, h.now),
+                    Harness::host(nameOf(other), other, other == Role::parent ? 0 : 1, kLinkTransfers)},
                    false);
         }
         std::vector<Time> times;
@@ -294,7 +296,7 @@
 private:
     static void sendRequest(Harness& h, const std::string& cold, Time at, std::vector<Time>& times) {
         const std::string object = "object" + std::to_string((at / 10ms * 7) % 60);
-        const RequestId id = h.ask(object, 0, 1, kKb, 10s);
+        const RequestId id = h.ask(object, 0, 1, kSizeKb, 10s);
         for (int attempt = 0; attempt < 8; ++attempt) {
             const auto sent = h.one<Send>();
             if (!sent) return;
@@ -315,7 +317,8 @@
         EXPECT_FALSE(times.empty()) << "a cold host has to get something, or it never warms up";
         for (std::size_t last = 0, first = 0; last < times.size(); ++last) {
             while (times[last] - times[first] >= settings.coldLoadWindow) ++first;
-            const double allowed = allowedRequests(settings, start, kLink, times[first], kMeanWork);
+            const double allowed =
+                allowedRequests(settings, start, kLinkTransfers, times[first], kMeanSendSeconds);
             const auto got = static_cast<double>(last - first + 1);
             ASSERT_LE(got, allowed + 2 * std::sqrt(allowed) + 2)
                 << "seed " << seed << " at " << times[last] / 1ms << " ms";
