--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -25,61 +25,61 @@
 enum class Role { cache, parent, origin };
 enum class Readiness { gone, ready, draining };
 // What a host's weight in the list means; `none` and `live` do not measure its link.
-enum class Weights { none, nominal, rough, live };
+enum class WeightMeaning { none, nominal, rough, live };
 // Which other caches may be the source of a fill.
-enum class Siblings { none, zone, any };
+enum class SiblingSources { none, zone, any };
 
 struct ClassSettings {
-    Time aim{};             // an answer within this time, plus the stretch, earns full value
-    double aimStretch = 0;  // multiple of the answer's sending time that is added to the target
-    Time giveUp{};          // over all tries of the client
-    double worth = 1;
-    double lateWorth = 0;  // share of the value that a late answer earns
+    Time latencyTarget{};             // an answer within this time, plus the stretch, earns full value
+    double latencyTargetStretch = 0;  // multiple of the answer's sending time that is added to the target
+    Time clientTimeout{};             // over all tries of the client
+    double value = 1;
+    double lateValueShare = 0;  // share of the value that a late answer earns
     Effect effect = Effect::unsafe;
-    DeduplicationScope group = DeduplicationScope::all;
-    Time repeatWindow{};  // how long repeats of a keyed request are dropped
+    DeduplicationScope deduplicationScope = DeduplicationScope::all;
+    Time deduplicationWindow{};  // how long repeats of a keyed request are dropped
     bool streamed = false;
-    bool inParts = false;
-    bool neverKept = false;
+    bool inParts = false;  // viewers request an object part by part
+    bool uncacheable = false;
     Time freshFor{};  // zero: until purged
     Time staleFor{};  // additional age at which a stale copy is acceptable
-    double staleWorth = 0;
+    double staleValueShare = 0;
 };
 
 struct Settings {
     std::vector<ClassSettings> classes;
-    int zone = 0;                    // of this router
-    std::vector<int> zoneHub;        // by zone: the hub that it is connected to
-    std::vector<int> routersByZone;  // empty: unknown
-    std::vector<double> zoneLinkKb;  // capacity into each zone; zero: unknown
-    int routers = 1;                 // in all zones
-    double paceKb = 0;               // of one answer; zero: unknown
-    Weights weights = Weights::none;
-    Siblings siblings = Siblings::none;
-    bool direct = false;     // requests may be sent directly to parents and the origin
-    bool joins = false;      // a request may wait for a fill in progress
-    bool notesTold = false;  // outcomes report why a fill failed
-    bool secondCopies = false;
+    int zone = 0;                             // of this router
+    std::vector<int> zoneHub;                 // by zone: the hub that it is connected to
+    std::vector<int> routersByZone;           // empty: unknown
+    std::vector<double> zoneLinkKbPerSecond;  // capacity into each zone; zero: unknown
+    int routers = 1;                          // in all zones
+    double maxFlowKbPerSecond = 0;            // of one answer; zero: unknown
+    WeightMeaning weights = WeightMeaning::none;
+    SiblingSources siblings = SiblingSources::none;
+    bool directUpstream = false;       // requests may be sent directly to parents and the origin
+    bool fillCoalescing = false;       // a request may wait for a fill in progress
+    bool cacheStatusReported = false;  // outcomes report why a fill failed
+    bool mayHedge = false;             // a second attempt while the first is in flight
     bool mayCancel = false;
     bool mayProbe = false;
     bool retryHints = false;
-    bool mustAskForList = false;  // changes are sent only to subscribers
-    int mostTries = 1;
+    bool mustSubscribeToList = false;  // changes are sent only to subscribers
+    int maxAttempts = 1;
     Time maxRetryHint{};
     Time answerGrace{};  // how long after the client's deadline an answer still counts
     Time askWithin{};
     Time drainGrace{};
-    double coldFrom = 1;  // least share of its capacity that a restarted cache has
-    Time warmWithin{};
-    double fallMultiple = 0;  // load, in multiples of its capacity, at which a cold cache fails; zero: never
-    Time fallWindow{};
-    double parentColdFrom = 1;
-    Time parentWarmWithin{};
-    double parentFallMultiple = 0;
-    double originFallMultiple = 0;  // zero: the origin never fails
-    Time originFallWindow{};
+    double coldStartShare = 1;  // least share of its capacity that a restarted cache has
+    Time warmUpTime{};
+    double coldOverloadMultiple = 0;  // of its capacity: the load at which a cold cache fails; zero: never
+    Time coldLoadWindow{};            // over which the load of a cold host is measured
+    double parentColdStartShare = 1;
+    Time parentWarmUpTime{};
+    double parentColdOverloadMultiple = 0;
+    double originOverloadMultiple = 0;  // zero: the origin never fails
+    Time originLoadWindow{};
     Time purgeGrace{};
-    Time purgeSettles{};
+    Time purgeSettleTime{};
 };
 
 // --- events ---
@@ -129,7 +129,7 @@
 };
 
 struct LoadReport {
-    std::optional<double> inFlight, queued, busy, hitShare, linkFill;
+    std::optional<double> inFlight, queued, busy, hitShare, linkUtilization;
 };
 
 struct AttemptEnded {
@@ -137,9 +137,9 @@
     int attempt = 0;
     Outcome outcome = Outcome::error;
     Time elapsed{};
-    bool over = false;       // the request is closed: it needs no further answer
-    bool blameless = false;  // tells nothing about its host beyond an outcome already reported
-    CacheStatus note = CacheStatus::none;
+    bool requestClosed = false;  // the request is closed: it needs no further answer
+    bool blameless = false;      // tells nothing about its host beyond an outcome already reported
+    CacheStatus cacheStatus = CacheStatus::none;
     double sizeKb = 0;  // of the answer; zero: unknown; negative: not sent, since the client had it
     LoadReport load;
 };
@@ -152,7 +152,7 @@
 struct Purge {
     std::uint64_t object = 0;  // zero: the whole group
     std::int64_t group = 0;
-    Time age{};  // at the time of this event
+    Time age{};  // of the purge at this event
 };
 
 struct ProbeEnded {
@@ -165,15 +165,15 @@
 
 struct Send {
     RequestId request = 0;
-    std::string_view host;    // views stay valid for the lifetime of the router
-    bool plain = false;       // without a source, and the host keeps no copy
-    std::string_view source;  // where a miss is filled from; equal to `host`: no fill
-    int keepRank = 0;         // rank of the copy that the host keeps; zero: none
-    int rank = 0;             // rank of a copy that the gateway itself keeps; zero: none
-    Time oldest{};            // of an acceptable copy; zero: the class's fresh time
-    bool join = false;        // wait for a fill in progress
-    bool heldOnly = false;    // the source answers only from its own copies
-    bool renew = false;       // an aging copy is served and refreshed in the background
+    std::string_view host;             // views stay valid for the lifetime of the router
+    bool withoutSource = false;        // an ordinary request: no fill, and the host keeps no copy
+    std::string_view source;           // where a miss is filled from; equal to `host`: no fill
+    int keepRank = 0;                  // rank of the copy that the host keeps; zero: none
+    int ownCopyRank = 0;               // rank of a copy that the gateway itself keeps; zero: none
+    Time maxCopyAge{};                 // of an acceptable copy; zero: the class's fresh time
+    bool coalesce = false;             // wait for a fill in progress
+    bool sourceOnlyIfCached = false;   // the source answers only from its own copies
+    bool refreshInBackground = false;  // an aging copy is served and refreshed in the background
     Time timeout{};
 };
 // Why a request was given up, that is, answered at once by Refuse or Fail.
@@ -215,21 +215,21 @@
 struct LearnedObject {  // an object name in the filter
     std::int64_t lastPart = -1;
     bool manyViewers = false;
-    double work = 0;  // sending time of one part at full pace, as last seen; zero: unknown
+    double sendSeconds = 0;  // sending time of one part at full pace, as last seen; zero: unknown
 };
 struct LearnedHost {
-    double failures = 0;  // moving average
-    bool out = false;     // gets only trial requests until some succeed
-    Time outUntil{}, pause{};
-    double link = 0;  // lower bound of its link: the most transfers at a time that it has served
+    double failureShare = 0;  // moving average
+    bool ejected = false;     // gets only trial requests until some succeed
+    Time ejectedUntil{}, ejectionTime{};
+    double linkTransfers = 0;  // lower bound of its link: the most transfers at a time that it has served
 };
 struct NamedLearnedHost : LearnedHost {
     std::string name;
-    double coldWork = 0;  // sending time of what was sent to it lately
+    double coldSendSeconds = 0;  // sending time of what was sent to it lately
 };
 struct LearnedState {
     Time startedAt{};
-    std::vector<double> meanWork;                                  // by class; zero: unknown
+    std::vector<double> meanSendSeconds;                           // by class; zero: unknown
     std::vector<std::pair<std::uint64_t, LearnedObject>> objects;  // oldest first
     std::vector<NamedLearnedHost> hosts;
 };
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -91,7 +91,7 @@
     load.queued = read("q");
     load.busy = read("busy");
     load.hitShare = read("x0");
-    load.linkFill = read("x1");
+    load.linkUtilization = read("x1");
     return load;
 }
 
@@ -142,15 +142,16 @@
     }
 
     void write(std::int64_t instance, const Send& a) {
-        beginAction(a.plain ? "try" : "deliverVia", instance);
+        beginAction(a.withoutSource ? "try" : "deliverVia", instance);
         id(a.request);
         text("host", a.host);
         field("patience", a.timeout.count());
-        if (a.plain) return;
+        if (a.withoutSource) return;
         text("source", a.source);
         field("holdRank", a.keepRank);
-        field("howOld", a.oldest.count());
-        field("switches", (a.join ? 1 : 0) + (a.heldOnly ? 2 : 0) + (a.renew ? 8 : 0));
+        field("howOld", a.maxCopyAge.count());
+        field("switches",
+              (a.coalesce ? 1 : 0) + (a.sourceOnlyIfCached ? 2 : 0) + (a.refreshInBackground ? 8 : 0));
     }
     void write(std::int64_t instance, const Refuse& a) {
         beginAction("deny", instance);
@@ -256,8 +257,8 @@
             ended.attempt = static_cast<int>(requireInteger(event, "roundNo"));
             ended.outcome = outcomeOf(requireText(event, "disposition"));
             ended.elapsed = timeOr(event, "costTime");
-            ended.over = booleanOr(event, "over", false);
-            ended.note = cacheStatusOf(integerOr(event, "note", 0));
+            ended.requestClosed = booleanOr(event, "over", false);
+            ended.cacheStatus = cacheStatusOf(integerOr(event, "note", 0));
             ended.load = loadOf(event);
             to.router.handle(now_, ended, actions_);
         } else if (what == "wakeup") {
--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -13,7 +13,7 @@
 
 // Whatever a site allows, a request of the real gateway has one attempt out at a time.
 settings::DecodedSettings withoutSecondCopies(settings::DecodedSettings vocabulary) {
-    vocabulary.settings.secondCopies = false;
+    vocabulary.settings.mayHedge = false;
     return vocabulary;
 }
 
@@ -50,12 +50,13 @@
     using nlohmann::json;
     const LearnedState known = router_.learnedState(routerTime(now));
     json work = json::object(), objects = json::array(), hosts = json::object();
-    for (std::size_t i = 0; i < known.meanWork.size(); ++i)
-        work[vocabulary_.classNames[i]] = known.meanWork[i];
+    for (std::size_t i = 0; i < known.meanSendSeconds.size(); ++i)
+        work[vocabulary_.classNames[i]] = known.meanSendSeconds[i];
     for (const auto& [name, object] : known.objects)
-        objects.push_back({name, object.lastPart, object.manyViewers, object.work});
+        objects.push_back({name, object.lastPart, object.manyViewers, object.sendSeconds});
     for (const NamedLearnedHost& h : known.hosts)
-        hosts[h.name] = {h.failures, h.out, h.outUntil.count(), h.pause.count(), h.link, h.coldWork};
+        hosts[h.name] = {h.failureShare,         h.ejected,       h.ejectedUntil.count(),
+                         h.ejectionTime.count(), h.linkTransfers, h.coldSendSeconds};
     return {{"startedAt", known.startedAt.count()}, {"work", work}, {"objects", objects}, {"hosts", hosts}};
 }
 
@@ -65,7 +66,7 @@
     const auto time = [](const nlohmann::json& value) { return Time{value.get<std::int64_t>()}; };
     learnedState.startedAt = time(known.at("startedAt"));
     for (const std::string& name : vocabulary_.classNames)
-        learnedState.meanWork.push_back(known.at("work").value(name, 0.0));
+        learnedState.meanSendSeconds.push_back(known.at("work").value(name, 0.0));
     for (const auto& o : known.at("objects"))
         learnedState.objects.push_back({o.at(0), {o.at(1), o.at(2).get<bool>(), o.at(3)}});
     for (const auto& [name, h] : known.at("hosts").items())
@@ -133,7 +134,7 @@
 // the module has forgotten them.
 void DecisionFacade::forgetOldPurges(Micros now) {
     constexpr std::chrono::minutes kPurgeRetention{2};
-    const Micros kept = kPurgeRetention + 2 * duration_cast<Micros>(vocabulary_.settings.purgeSettles);
+    const Micros kept = kPurgeRetention + 2 * duration_cast<Micros>(vocabulary_.settings.purgeSettleTime);
     if (now - lastPurgeSweep_ < kPurgeRetention) return;
     lastPurgeSweep_ = now;
     const auto old = [&](const auto& entry) { return now - entry.second.receivedAt > kept; };
@@ -172,7 +173,7 @@
     asked.part = request.part;
     asked.deadline = routerTime(request.deadline);
     asked.repeated = request.repeated;
-    asked.write = vocabulary_.settings.classes[static_cast<std::size_t>(request.classIndex)].neverKept;
+    asked.write = vocabulary_.settings.classes[static_cast<std::size_t>(request.classIndex)].uncacheable;
     attempts_[request.id] = 0;
     router_.handle(routerTime(now), asked, actions_);
     for (Decision& decision : collect(now))
@@ -188,14 +189,14 @@
     ended.attempt = report.attempt;
     ended.outcome = report.outcome;
     ended.elapsed = report.elapsed;
-    ended.note = report.note;
+    ended.cacheStatus = report.note;
     ended.blameless = report.ignoreForHealth;
     if (report.unchanged)
         ended.sizeKb = -1;
     else if (vocabulary_.bytesPerKb > 0)
         ended.sizeKb = static_cast<double>(report.bytes) / vocabulary_.bytesPerKb;
-    ended.over = report.outcome == Outcome::served || report.servedLocally;
-    if (ended.over) attempts_.erase(report.request);
+    ended.requestClosed = report.outcome == Outcome::served || report.servedLocally;
+    if (ended.requestClosed) attempts_.erase(report.request);
     router_.handle(routerTime(now), ended, actions_);
     return collect(now);
 }
@@ -237,15 +238,15 @@
             decision.request = action.request;
             decision.attempt = attempts_[action.request]++;
             decision.host = action.host;
-            if (!action.plain && action.source != action.host) decision.source = action.source;
-            decision.keepRank = action.plain ? 0 : action.keepRank;
-            decision.localKeepRank = action.rank;
-            decision.maxAge = duration_cast<Micros>(action.oldest);
+            if (!action.withoutSource && action.source != action.host) decision.source = action.source;
+            decision.keepRank = action.withoutSource ? 0 : action.keepRank;
+            decision.localKeepRank = action.ownCopyRank;
+            decision.maxAge = duration_cast<Micros>(action.maxCopyAge);
             // Rounded down to nothing it would mean "any age".
-            if (action.oldest.count() > 0 && decision.maxAge.count() == 0) decision.maxAge = Micros{1};
-            decision.joinFill = action.join;
-            decision.onlyIfCached = action.heldOnly;
-            decision.staleWhileRevalidate = action.renew;
+            if (action.maxCopyAge.count() > 0 && decision.maxAge.count() == 0) decision.maxAge = Micros{1};
+            decision.joinFill = action.coalesce;
+            decision.onlyIfCached = action.sourceOnlyIfCached;
+            decision.staleWhileRevalidate = action.refreshInBackground;
             decision.timeout = duration_cast<Micros>(action.timeout);
             decision.pickedAt = now;
         } else if constexpr (std::is_same_v<Kind, Refuse>) {
--- a/src/core/rules.cpp
+++ b/src/core/rules.cpp
@@ -25,10 +25,10 @@
                  Locality to) {
     if (!earlier || rules.effect == Effect::safe) return Denial::none;
     if (rules.effect == Effect::unsafe) return Denial::mayRunTwice;
-    if (now - earlier->sentAt >= rules.repeatWindow) return Denial::keyWindowPassed;
-    if (rules.group == DeduplicationScope::zone && to.zone != earlier->at.zone)
+    if (now - earlier->sentAt >= rules.deduplicationWindow) return Denial::keyWindowPassed;
+    if (rules.deduplicationScope == DeduplicationScope::zone && to.zone != earlier->at.zone)
         return Denial::otherRepeatGroup;
-    if (rules.group == DeduplicationScope::cell && to.cell != earlier->at.cell)
+    if (rules.deduplicationScope == DeduplicationScope::cell && to.cell != earlier->at.cell)
         return Denial::otherRepeatGroup;
     return Denial::none;
 }
@@ -46,7 +46,8 @@
 Denial mayRefuse(const ClassSettings& rules, bool mayHaveRun) {
     if (!mayHaveRun || rules.effect == Effect::safe) return Denial::none;
     // Wherever the client's next try goes, its key is known there.
-    const bool keyKnown = rules.effect == Effect::keyed && rules.group == DeduplicationScope::all;
+    const bool keyKnown =
+        rules.effect == Effect::keyed && rules.deduplicationScope == DeduplicationScope::all;
     return keyKnown ? Denial::none : Denial::mayHaveTakenEffect;
 }
 
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -102,7 +102,7 @@
 inline Micros longestClientTimeout(const Settings& settings) {
     Micros longest{};
     for (const ClassSettings& c : settings.classes)
-        longest = std::max(longest, std::chrono::duration_cast<Micros>(c.giveUp));
+        longest = std::max(longest, std::chrono::duration_cast<Micros>(c.clientTimeout));
     return longest;
 }
 
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -51,7 +51,8 @@
 constexpr double kLostHostFailureShare = 0.8;
 // Weight of an attempt that is slow; one that failed weighs 1.
 constexpr double kSlowAttemptFailureWeight = 0.5;
-// Of an ejected host, doubled after each failed trial; the first one also delays a new subscription.
+// Time until the first trial of an ejected host, doubled after each failed trial. The initial value is also
+// the delay before a failed subscription to the host list is repeated.
 constexpr Time kInitialBackoff = 500ms, kMaxBackoff = 4s;
 constexpr int kTrialSuccessesToReinstate = 3;
 
@@ -134,23 +135,23 @@
 Time fromSeconds(double s) { return Time{static_cast<std::int64_t>(s * 1e9)}; }
 
 struct Host : LearnedHost {
-    Host() { pause = kInitialBackoff; }
+    Host() { ejectionTime = kInitialBackoff; }
     HostEntry entry;
     std::uint64_t hash = 0;
     bool listed = false;
-    int outstanding = 0;
+    int attemptsInFlight = 0;
     int trialSuccesses = 0;
     double reportedInFlight = 0;
     Time reportedAt = -1h;
-    Time fullPaceAt = -1h;  // of the last answer at full pace
-    WindowSum coldWork;     // seconds of sending time sent to it lately
-    DecayingRate served;    // mean concurrent transfers, in its answers to this router
+    Time fullPaceAt = -1h;         // of the last answer at full pace
+    WindowSum coldSendSeconds;     // seconds of sending time sent to it lately
+    DecayingRate servedTransfers;  // mean concurrent transfers, in its answers to this router
     Time goneAt{};
     Time lastAnswerAt = -1h;  // of any kind
 };
 
 struct ObjectRecord : LearnedObject {
-    DecayingRate bytes;
+    DecayingRate transfers;
 };
 
 enum class Tier { caches, parents, origin };  // the highest that an attempt may use
@@ -170,8 +171,8 @@
     Request request;
     std::shared_ptr<const Settings> settings;  // in force on arrival; kept until the request ends
     Time arrived{};
-    Time aim{};       // an answer after this earns less than its full value
-    double work = 0;  // seconds of sending time
+    Time targetTime{};       // an answer after this earns less than its full value
+    double sendSeconds = 0;  // seconds of sending time
     bool inFilter = false, hot = false;
     int keepRank = 0;
     bool answered = false, streaming = false, retryAfterCancel = false;
@@ -218,7 +219,7 @@
 
     void start(Time now, Actions& out) {
         startedAt_ = now;
-        if (settings_->mustAskForList) out.push_back(Watch{});
+        if (settings_->mustSubscribeToList) out.push_back(Watch{});
     }
 
     void reconfigure(Settings settings) {
@@ -246,7 +247,7 @@
     }
 
     void listFailed(Time, Actions& out) {
-        if (!settings_->mustAskForList) return;
+        if (!settings_->mustSubscribeToList) return;
         out.push_back(SetTimer{watchTimer_ = nextTimer_++, kInitialBackoff});
     }
 
@@ -260,11 +261,11 @@
         p.settings = settings_;
         p.arrived = now;
         const ClassSettings& c = p.classSettings();
-        if (request.sizeKb > 0 && settings_->paceKb > 0)
-            learnSendSeconds(request.classIndex, request.sizeKb / settings_->paceKb);
-        p.work = estimateSendSeconds(request);
+        if (request.sizeKb > 0 && settings_->maxFlowKbPerSecond > 0)
+            learnSendSeconds(request.classIndex, request.sizeKb / settings_->maxFlowKbPerSecond);
+        p.sendSeconds = estimateSendSeconds(request);
         setTargetTime(p);
-        if (!c.neverKept && !request.write && request.object != 0) lookUpInFilter(now, p, c);
+        if (!c.uncacheable && !request.write && request.object != 0) lookUpInFilter(now, p, c);
         sendOrGiveUp(now, p, out);
     }
 
@@ -276,7 +277,7 @@
         Attempt& a = p.attempts[static_cast<std::size_t>(e.attempt)];
         if (!a.inFlight) return;
         a.inFlight = false;
-        --hosts_[a.host].outstanding;
+        --hosts_[a.host].attemptsInFlight;
         a.mayHaveRun = mayHaveRun(e.outcome);
         if (isAnswerFromHost(e.outcome)) hosts_[a.host].lastAnswerAt = now;
         applyLoadReport(now, hosts_[a.host], e.load);
@@ -284,7 +285,7 @@
         if (e.outcome == Outcome::served) learnFromAnswer(p, a, e);
         updateLimiters(now, p, a, e);
         updateHealth(now, p, a, e);
-        if (e.over) markAnswered(p, out);
+        if (e.requestClosed) markAnswered(p, out);
         if (!p.answered && p.attemptsInFlight() == 0) {
             if (a.highestTier != Tier::origin && e.outcome == Outcome::noCopy)
                 sendOrGiveUp(now, p, out);  // now it is known that a fill is needed
@@ -333,7 +334,7 @@
         purgeOrder_.emplace_back(now, purge);
         // Kept for twice the configured time. Keeping one longer does no harm: it never rejects a copy that
         // is younger than the purge.
-        while (!purgeOrder_.empty() && purgeOrder_.front().first + 2 * settings_->purgeSettles < now) {
+        while (!purgeOrder_.empty() && purgeOrder_.front().first + 2 * settings_->purgeSettleTime < now) {
             const Purge old = purgeOrder_.front().second;
             const Time made = purgeOrder_.front().first - old.age;
             auto& table = old.object != 0 ? objectPurges_ : groupPurges_;
@@ -352,19 +353,20 @@
         filter_.fromOldest([&](auto name, auto& record) { known.objects.emplace_back(name, record); });
         for (Host& h : hosts_)
             if (h.listed)
-                known.hosts.push_back({h, h.entry.name, h.coldWork.over(now, settings_->fallWindow)});
+                known.hosts.push_back(
+                    {h, h.entry.name, h.coldSendSeconds.over(now, settings_->coldLoadWindow)});
         return known;
     }
 
     void restore(Time now, const LearnedState& known) {
-        (meanSendSeconds_ = known.meanWork).resize(settings_->classes.size(), 0);
+        (meanSendSeconds_ = known.meanSendSeconds).resize(settings_->classes.size(), 0);
         for (const auto& [name, object] : known.objects) filter_.touch(name).first = {object, {}};
         startedAt_ = std::min(startedAt_, known.startedAt);
         for (const NamedLearnedHost& from : known.hosts) {
             const auto it = hostsByName_.find(from.name);
             if (it == hostsByName_.end()) continue;
             static_cast<LearnedHost&>(hosts_[it->second]) = from;
-            hosts_[it->second].coldWork.add(now, from.coldWork);
+            hosts_[it->second].coldSendSeconds.add(now, from.coldSendSeconds);
         }
     }
 
@@ -382,7 +384,7 @@
     HostIndex acquireHostSlot(Time now) {
         for (HostIndex i = 0; i < hosts_.size(); ++i) {
             const Host& host = hosts_[i];
-            if (host.entry.readiness != Readiness::gone || host.outstanding > 0 ||
+            if (host.entry.readiness != Readiness::gone || host.attemptsInFlight > 0 ||
                 now - host.goneAt < kHostSlotReuseDelay)
                 continue;
             const auto refers = [&](const auto& entry) {
@@ -408,9 +410,9 @@
         if (isNew) hosts_[it->second].hash = fingerprint(entry.name);
         Host& host = hosts_[it->second];
         if (!isNew && entry.startedAt > host.entry.startedAt) {  // a restart resets its health
-            host.out = false;
-            host.failures = 0;
-            host.pause = kInitialBackoff;
+            host.ejected = false;
+            host.failureShare = 0;
+            host.ejectionTime = kInitialBackoff;
         }
         if (entry.readiness == Readiness::gone) markGone(now, host);
         std::string name = isNew ? entry.name : std::move(host.entry.name);
@@ -423,18 +425,21 @@
 
     double estimateSendSeconds(const Request& r) const {
         const auto c = static_cast<std::size_t>(r.classIndex);
-        if (r.sizeKb > 0 && settings_->paceKb > 0) return r.sizeKb / settings_->paceKb;
-        return meanSendSeconds_[c] > 0 ? meanSendSeconds_[c] : seconds(settings_->classes[c].aim) / 4;
+        if (r.sizeKb > 0 && settings_->maxFlowKbPerSecond > 0)
+            return r.sizeKb / settings_->maxFlowKbPerSecond;
+        return meanSendSeconds_[c] > 0 ? meanSendSeconds_[c]
+                                       : seconds(settings_->classes[c].latencyTarget) / 4;
     }
 
-    void learnSendSeconds(int classIndex, double work) {
+    void learnSendSeconds(int classIndex, double sendSeconds) {
         double& mean = meanSendSeconds_[static_cast<std::size_t>(classIndex)];
-        mean = mean > 0 ? mean + 0.02 * (work - mean) : work;
+        mean = mean > 0 ? mean + 0.02 * (sendSeconds - mean) : sendSeconds;
     }
 
     void setTargetTime(Pending& p) const {
         const ClassSettings& c = p.classSettings();
-        p.aim = std::min(p.request.deadline, p.arrived + c.aim + fromSeconds(c.aimStretch * p.work));
+        p.targetTime = std::min(p.request.deadline, p.arrived + c.latencyTarget +
+                                                        fromSeconds(c.latencyTargetStretch * p.sendSeconds));
     }
 
     // Where requests carry no size it is learned from answers: from their bytes, or from the time of a hit on
@@ -442,31 +447,32 @@
     // the concurrency limits.
     void learnFromAnswer(Pending& p, const Attempt& a, const AttemptEnded& e) {
         if (p.request.sizeKb > 0 || e.sizeKb < 0) return;
-        const bool told = e.sizeKb > 0 && settings_->paceKb > 0;
-        if (!told && (e.note != CacheStatus::hit || !a.hostHadRoom)) return;
-        const double work = told ? e.sizeKb / settings_->paceKb : seconds(e.elapsed);
-        learnSendSeconds(p.request.classIndex, work);
-        if (!told) return;
-        if (p.request.object != 0 && p.inFilter) filter_.touch(p.request.object).first.work = work;
-        p.work = work;
+        const bool isKnown = e.sizeKb > 0 && settings_->maxFlowKbPerSecond > 0;
+        if (!isKnown && (e.cacheStatus != CacheStatus::hit || !a.hostHadRoom)) return;
+        const double sendSeconds = isKnown ? e.sizeKb / settings_->maxFlowKbPerSecond : seconds(e.elapsed);
+        learnSendSeconds(p.request.classIndex, sendSeconds);
+        if (!isKnown) return;
+        if (p.request.object != 0 && p.inFilter)
+            filter_.touch(p.request.object).first.sendSeconds = sendSeconds;
+        p.sendSeconds = sendSeconds;
         setTargetTime(p);
     }
 
     // Learns a lower bound of a host's link from the transfers that it serves at a time, assuming that every
     // router has as many there. A cold host is limited by its budget, so that only a figure above its assumed
     // link proves anything.
-    void learnLinkTransfers(Time now, Host& host, double work) {
-        host.served.add(now, kServedAveragingTime, work);
-        const double all =
-            kServedLinkShare * host.served.perSecond(now, kServedAveragingTime) * routersSharing(host);
-        const double known = isCold(now, host) ? linkTransfersOf(host) : host.link;
-        if (now - startedAt_ > kServedAveragingTime && all > known) host.link = all;
+    void learnLinkTransfers(Time now, Host& host, double sendSeconds) {
+        host.servedTransfers.add(now, kServedAveragingTime, sendSeconds);
+        const double all = kServedLinkShare * host.servedTransfers.perSecond(now, kServedAveragingTime) *
+                           routersSharing(host);
+        const double known = isCold(now, host) ? linkTransfersOf(host) : host.linkTransfers;
+        if (now - startedAt_ > kServedAveragingTime && all > known) host.linkTransfers = all;
     }
 
     void lookUpInFilter(Time now, Pending& p, const ClassSettings& c) {
         auto [record, found] = filter_.touch(p.request.object);
-        if (found && record.work > 0 && p.request.sizeKb <= 0) {
-            p.work = record.work;
+        if (found && record.sendSeconds > 0 && p.request.sizeKb <= 0) {
+            p.sendSeconds = record.sendSeconds;
             setTargetTime(p);
         }
         // One viewer requests the parts in order, so that a repeated or earlier part comes from a second
@@ -474,23 +480,24 @@
         if (found && !p.request.repeated && (!c.inParts || p.request.part <= record.lastPart))
             record.manyViewers = true;
         record.lastPart = std::max(record.lastPart, p.request.part);
-        record.bytes.add(now, kHotObjectAveragingTime, p.work);
+        record.transfers.add(now, kHotObjectAveragingTime, p.sendSeconds);
         p.inFilter = found;
         // Copies with a second viewer rank higher, and so do whole objects: many small ones are worth more
         // than one part.
         p.keepRank = !found ? 0 : (record.manyViewers ? 2 : 1) + (c.inParts ? 0 : 1);
-        p.hot = record.manyViewers && record.bytes.perSecond(now, kHotObjectAveragingTime) * routersInZone() >
-                                          kHotObjectLinkShare * meanCacheLinkTransfers();
+        p.hot =
+            record.manyViewers && record.transfers.perSecond(now, kHotObjectAveragingTime) * routersInZone() >
+                                      kHotObjectLinkShare * meanCacheLinkTransfers();
     }
 
     int routersInZone() const {
         const auto zone = static_cast<std::size_t>(settings_->zone);
-        const bool told = settings_->zone >= 0 && zone < settings_->routersByZone.size();
-        return std::max(1, told ? settings_->routersByZone[zone] : settings_->routers);
+        const bool isKnown = settings_->zone >= 0 && zone < settings_->routersByZone.size();
+        return std::max(1, isKnown ? settings_->routersByZone[zone] : settings_->routers);
     }
 
-    bool weightsTold() const {
-        return settings_->weights == Weights::nominal || settings_->weights == Weights::rough;
+    bool weightsAreLinks() const {
+        return settings_->weights == WeightMeaning::nominal || settings_->weights == WeightMeaning::rough;
     }
     int routersSharing(const Host& host) const {
         return host.entry.role == Role::cache ? routersInZone() : std::max(1, settings_->routers);
@@ -498,11 +505,11 @@
 
     // As configured, or as learned. A host without a figure of its own gets the lowest one of its group.
     double linkTransfersOf(const Host& host) const {
-        if (weightsTold() && host.entry.weight > 0) return host.entry.weight;
-        if (host.link > kDefaultLinkTransfers) return host.link;
+        if (weightsAreLinks() && host.entry.weight > 0) return host.entry.weight;
+        if (host.linkTransfers > kDefaultLinkTransfers) return host.linkTransfers;
         double least = HUGE_VAL;
         for (const HostIndex i : host.entry.role == Role::parent ? parents_ : caches_)
-            if (hosts_[i].link > 0) least = std::min(least, hosts_[i].link);
+            if (hosts_[i].linkTransfers > 0) least = std::min(least, hosts_[i].linkTransfers);
         return least < HUGE_VAL ? std::max(kDefaultLinkTransfers, least) : kDefaultLinkTransfers;
     }
 
@@ -515,54 +522,58 @@
     // ----- choosing a route -----
 
     // Weighted rendezvous hash: the host with the lowest score comes first.
-    double rank(HostIndex i, std::uint64_t key) const {
+    double rendezvousScore(HostIndex i, std::uint64_t key) const {
         return -std::log(unitInterval(combine(key, hosts_[i].hash))) /
-               (weightsTold() ? linkTransfersOf(hosts_[i]) : 1);
+               (weightsAreLinks() ? linkTransfersOf(hosts_[i]) : 1);
     }
 
+    // Also true for an ejected host that is due for a trial: one attempt at a time.
     bool healthy(Time now, const Host& host) const {
-        return !host.out || (now >= host.outUntil && host.outstanding == 0);
+        return !host.ejected || (now >= host.ejectedUntil && host.attemptsInFlight == 0);
     }
 
     // When most of a group fails at once the cause is probably elsewhere, and ejections are ignored.
     bool mostAreEjected(const std::vector<HostIndex>& group) const {
-        const auto bad = std::ranges::count_if(group, [&](HostIndex i) { return hosts_[i].out; });
+        const auto bad = std::ranges::count_if(group, [&](HostIndex i) { return hosts_[i].ejected; });
         return 2 * bad > static_cast<std::ptrdiff_t>(group.size());
     }
 
     bool isCold(Time now, const Host& host) const {
         const bool parent = host.entry.role == Role::parent;
         if (host.entry.role == Role::origin || host.entry.startedAt.count() <= 0) return false;
-        return (parent ? settings_->parentFallMultiple : settings_->fallMultiple) > 0 &&
-               now - host.entry.startedAt < (parent ? settings_->parentWarmWithin : settings_->warmWithin);
+        return (parent ? settings_->parentColdOverloadMultiple : settings_->coldOverloadMultiple) > 0 &&
+               now - host.entry.startedAt < (parent ? settings_->parentWarmUpTime : settings_->warmUpTime);
     }
 
     // A cold host has a budget per sliding window, shared by all routers; each router uses only its part of
     // it.
-    bool withinColdBudget(Time now, Host& host, double work) const {
+    bool withinColdBudget(Time now, Host& host, double sendSeconds) const {
         if (!isCold(now, host)) return true;
         const bool parent = host.entry.role == Role::parent;
-        const Time warm = parent ? settings_->parentWarmWithin : settings_->warmWithin;
-        const double multiple = parent ? settings_->parentFallMultiple : settings_->fallMultiple;
+        const Time warm = parent ? settings_->parentWarmUpTime : settings_->warmUpTime;
+        const double multiple =
+            parent ? settings_->parentColdOverloadMultiple : settings_->coldOverloadMultiple;
         const double age = seconds(now - host.entry.startedAt);
-        const double from = parent ? settings_->parentColdFrom : settings_->coldFrom;
+        const double from = parent ? settings_->parentColdStartShare : settings_->coldStartShare;
         const double present =
             linkTransfersOf(host) * (from + (1 - from) * std::max(0.0, age) / seconds(warm));
         const double share = std::min(kColdLoadCapacityMultiple, kColdLoadOverloadShare * multiple);
-        const double part = share * present * seconds(settings_->fallWindow) / routersSharing(host);
-        const double used = host.coldWork.over(now, settings_->fallWindow);
-        if (used + work <= part) return true;
-        if (used > 0 || part * routersSharing(host) < kLotteryMinBudgetRequests * work) return false;
+        const double part = share * present * seconds(settings_->coldLoadWindow) / routersSharing(host);
+        const double used = host.coldSendSeconds.over(now, settings_->coldLoadWindow);
+        if (used + sendSeconds <= part) return true;
+        if (used > 0 || part * routersSharing(host) < kLotteryMinBudgetRequests * sendSeconds) return false;
         // One draw per window. The windows of different routers begin at different times.
-        const auto window = static_cast<std::uint64_t>(settings_->fallWindow.count());
+        const auto window = static_cast<std::uint64_t>(settings_->coldLoadWindow.count());
         const std::uint64_t turn = (static_cast<std::uint64_t>(now.count()) + drawSalt_ % window) / window;
-        return unitInterval(combine(combine(drawSalt_, host.hash), turn)) < kLotteryBudgetShare * part / work;
+        return unitInterval(combine(combine(drawSalt_, host.hash), turn)) <
+               kLotteryBudgetShare * part / sendSeconds;
     }
 
     // The load that an attempt counts for. Too low an estimate would overload a cold host unnoticed.
     double coldCharge(const Host& host, const Pending& p) const {
         const double mean = meanSendSeconds_[static_cast<std::size_t>(p.request.classIndex)];
-        return std::max(mean > 0 ? mean : p.work, host.entry.role == Role::parent ? p.work : 1e-3);
+        return std::max(mean > 0 ? mean : p.sendSeconds,
+                        host.entry.role == Role::parent ? p.sendSeconds : 1e-3);
     }
 
     bool usable(Time now, HostIndex i, const Pending& p, bool ignoreHealth) {
@@ -576,14 +587,14 @@
     HostIndex pick(Time now, const std::vector<HostIndex>& group, std::uint64_t key, const Pending& p,
                    bool spread) {
         // If most caches fail while most parents answer, and the parents may be asked directly, the caches
-        // are really down, for example with their whole zone.
+        // are really down, for example with their whole zone, and their ejections hold.
         const bool lost =
-            &group == &caches_ && settings_->direct && !parents_.empty() && !mostAreEjected(parents_);
+            &group == &caches_ && settings_->directUpstream && !parents_.empty() && !mostAreEjected(parents_);
         const bool ignoreHealth = mostAreEjected(group) && !lost;
         HostIndex first = kNoHost, second = kNoHost;
         double best = HUGE_VAL, next = HUGE_VAL;
         for (const HostIndex i : group) {
-            const double score = rank(i, key);
+            const double score = rendezvousScore(i, key);
             if (score >= (spread ? next : best) || !usable(now, i, p, ignoreHealth)) continue;
             if (score < best) {
                 next = std::exchange(best, score);
@@ -595,7 +606,7 @@
         }
         if (!spread || second == kNoHost) return first;
         const auto load = [&](HostIndex i) {
-            return (hosts_[i].outstanding + 1) / linkTransfersOf(hosts_[i]);
+            return (hosts_[i].attemptsInFlight + 1) / linkTransfersOf(hosts_[i]);
         };
         return load(second) < load(first) ? second : first;
     }
@@ -616,7 +627,7 @@
 
     HostIndex pickOrigin(Time now, const Pending& p) {
         const HostIndex i = pick(now, origins_, kParentHashSalt, p, false);
-        return i == kNoHost || hosts_[i].out ? kNoHost : i;
+        return i == kNoHost || hosts_[i].ejected ? kNoHost : i;
     }
 
     void applyLoadReport(Time now, Host& host, const LoadReport& load) {
@@ -626,10 +637,11 @@
             host.reportedInFlight = before + kLoadReportWeight * (*load.inFlight - before);
             host.reportedAt = now;
         }
-        if (host.entry.role != Role::cache || !load.linkFill) return;
+        if (host.entry.role != Role::cache || !load.linkUtilization) return;
         const bool fresh = now - linkReportAt_ < kLoadReportLifetime;
-        linkUtilization_ = fresh ? linkUtilization_ + kLoadReportWeight * (*load.linkFill - linkUtilization_)
-                                 : *load.linkFill;
+        linkUtilization_ =
+            fresh ? linkUtilization_ + kLoadReportWeight * (*load.linkUtilization - linkUtilization_)
+                  : *load.linkUtilization;
         linkReportAt_ = now;
     }
 
@@ -639,33 +651,35 @@
     double zoneLinkUtilization(Time now) const {
         if (now - linkReportAt_ < kLoadReportLifetime) return linkUtilization_;
         const auto zone = static_cast<std::size_t>(settings_->zone);
-        const bool told =
-            settings_->zone >= 0 && zone < settings_->zoneLinkKb.size() && settings_->zoneLinkKb[zone] > 0;
-        if (!told || now - linkFullPaceAt_ < kFullPaceLifetime) return 0;
+        const bool isKnown = settings_->zone >= 0 && zone < settings_->zoneLinkKbPerSecond.size() &&
+                             settings_->zoneLinkKbPerSecond[zone] > 0;
+        if (!isKnown || now - linkFullPaceAt_ < kFullPaceLifetime) return 0;
         const double fills =
             std::max<double>(limiters_[0].inFlight, meanFillsInFlight_.mean(now, kFillsAveragingTime));
-        return fills * routersInZone() * settings_->paceKb / settings_->zoneLinkKb[zone];
+        return fills * routersInZone() * settings_->maxFlowKbPerSecond / settings_->zoneLinkKbPerSecond[zone];
     }
 
-    bool inTime(Time now, const Pending& p, double fill) const {
-        return fill <= 1 || now + fromSeconds(p.work * fill) + overheadTime(p) <= p.aim;
+    bool canMeetTarget(Time now, const Pending& p, double utilization) const {
+        return utilization <= 1 ||
+               now + fromSeconds(p.sendSeconds * utilization) + overheadTime(p) <= p.targetTime;
     }
 
     // A full link that admits every request serves none in time. It is left to requests that can still meet
     // their target, and preferably to those that leave a copy. Guards against refills after purges, bursts,
     // scans and caches that return empty. Cost: a wrong report of a full link keeps requests off a free one.
     bool zoneLinkMeetsTarget(Time now, const Pending& p) const {
-        return inTime(now, p, zoneLinkUtilization(now) * (p.keepRank > 0 ? 1 : kUncachedTransferWeight));
+        return canMeetTarget(now, p,
+                             zoneLinkUtilization(now) * (p.keepRank > 0 ? 1 : kUncachedTransferWeight));
     }
 
     Time overheadTime(const Pending& p) const {
-        return fromSeconds(kOverheadLatencyTargetShare * seconds(p.classSettings().aim));
+        return fromSeconds(kOverheadLatencyTargetShare * seconds(p.classSettings().latencyTarget));
     }
 
     // Concurrent transfers at the host, divided by those that its own link carries at full pace: as reported
     // recently, or else estimated on the assumption that all routers send as much as this one.
     double linkUtilizationOf(Time now, const Host& host) const {
-        const double own = host.outstanding;
+        const double own = host.attemptsInFlight;
         const bool recent = now - host.reportedAt < kLoadReportLifetime;
         const double guessed = own * routersSharing(host);
         return (recent ? std::max(own, host.reportedInFlight) : guessed) /
@@ -675,16 +689,16 @@
     // Whether the host can still answer in time. A host that admits more serves all of them late, so the rest
     // goes elsewhere or is refused at once. Guards against overload, bursts, hot objects and slow hosts.
     bool hostMeetsTarget(Time now, const Pending& p, const Host& host) const {
-        const bool origin =
-            host.entry.role == Role::origin;  // its link is unknown; its concurrency limiter applies
+        // The link of the origin is unknown; its concurrency limiter applies instead.
+        const bool origin = host.entry.role == Role::origin;
         return origin || now - host.fullPaceAt < kFullPaceLifetime ||
-               inTime(now, p, linkUtilizationOf(now, host));
+               canMeetTarget(now, p, linkUtilizationOf(now, host));
     }
 
     // The normal route, or what remains of it when hosts are missing, ejected or already tried.
     Route chooseRoute(Time now, Pending& p) {
         const ClassSettings& c = p.classSettings();
-        const bool write = c.neverKept || p.request.write;
+        const bool write = c.uncacheable || p.request.write;
         if (!write && !zoneLinkMeetsTarget(now, p)) return staleCopyRoute(now, p, kNoHost);
         const HostIndex parent = pickParent(now, p);
         const HostIndex top = parent == kNoHost || write ? pickOrigin(now, p) : kNoHost;
@@ -692,14 +706,15 @@
         // A filter that was started recently does not know all popular names: an unknown one still goes
         // through its cache, which keeps no copy of it.
         const bool young = now - startedAt_ < kFilterWarmUpTime;
-        const bool upward = settings_->direct && (write || (!p.inFilter && (!young || !p.attempts.empty())));
+        const bool upward =
+            settings_->directUpstream && (write || (!p.inFilter && (!young || !p.attempts.empty())));
         // The copy is requested first and the fill only after a miss where fills are limited, and where the
         // parent is cold: each attempt that could become a fill is charged to its budget.
         if (!write && p.attempts.empty() && source != kNoHost) {
             const bool cacheOnly = limiters_[0].isLimiting(now) || isCold(now, hosts_[source]);
-            if (!upward && cacheOnly) return heldOnly(now, p, kNoHost);
+            if (!upward && cacheOnly) return cachedOnlyRoute(now, p, kNoHost);
             if (!cacheOnly && parent != kNoHost && limiters_[1].isLimiting(now))
-                return upward ? Route{parent, kNoHost, 0, true} : heldOnly(now, p, parent);
+                return upward ? Route{parent, kNoHost, 0, true} : cachedOnlyRoute(now, p, parent);
         }
         if (!write && !limiters_[0].admits(now)) return staleCopyRoute(now, p, kNoHost);
         if (!write && !limiters_[1].admits(now)) return staleCopyRoute(now, p, parent);
@@ -707,8 +722,8 @@
         const HostIndex cache = pickCache(now, p);
         if (cache != kNoHost && source != kNoHost && (!upward || top == kNoHost))
             if (source != top || originBudget_.tryTake()) return {cache, source, p.keepRank, false};
-        if (settings_->direct && parent != kNoHost) return {parent, kNoHost, 0, false};
-        if (settings_->direct && top != kNoHost && originBudget_.tryTake()) return {top, kNoHost, 0};
+        if (settings_->directUpstream && parent != kNoHost) return {parent, kNoHost, 0, false};
+        if (settings_->directUpstream && top != kNoHost && originBudget_.tryTake()) return {top, kNoHost, 0};
         return write ? Route{} : staleCopyRoute(now, p, kNoHost);
     }
 
@@ -717,11 +732,11 @@
         const bool older = p.classSettings().staleFor.count() > 0;
         if (!p.attempts.empty() && (p.acceptStale || !older)) return {};
         p.acceptStale = true;
-        return heldOnly(now, p, parent);
+        return cachedOnlyRoute(now, p, parent);
     }
 
     // Only a copy that the cache, or the parent, already holds; no fetch from the origin.
-    Route heldOnly(Time now, const Pending& p, HostIndex parent) {
+    Route cachedOnlyRoute(Time now, const Pending& p, HostIndex parent) {
         const HostIndex cache = pickCache(now, p);
         return {cache, parent == kNoHost ? cache : parent, p.keepRank, parent != kNoHost};
     }
@@ -743,8 +758,8 @@
         if (a.highestTier == Tier::caches || a.countedLate || e.outcome == Outcome::notSent || e.blameless)
             return;
         if (hosts_[a.host].entry.role == Role::cache) {
-            if (e.note == CacheStatus::hit || e.note == CacheStatus::stale ||
-                e.note == CacheStatus::noFillPlace)
+            if (e.cacheStatus == CacheStatus::hit || e.cacheStatus == CacheStatus::stale ||
+                e.cacheStatus == CacheStatus::noFillPlace)
                 return;
             if (e.outcome == Outcome::noConnection) return;
         }
@@ -754,18 +769,18 @@
         // Late answers are not attributed to a tier while the zone's own link is full.
         // Measured from the start of this attempt: time that the request lost before is not this tier's
         // fault.
-        const bool inTime = e.elapsed <= p.aim - p.arrived || zoneLinkUtilization(now) > 1;
+        const bool inTime = e.elapsed <= p.targetTime - p.arrived || zoneLinkUtilization(now) > 1;
         // A prompt error is a fault of the host itself, and a cancelled attempt was not late yet.
-        const bool prompt = e.outcome == Outcome::error && e.note != CacheStatus::originFailed;
+        const bool prompt = e.outcome == Outcome::error && e.cacheStatus != CacheStatus::originFailed;
         if (inTime && (prompt || e.outcome == Outcome::cancelled)) return;
         const bool good = e.outcome == Outcome::noCopy || (served && inTime);
-        const bool atParent = a.highestTier == Tier::parents || e.note == CacheStatus::filled;
+        const bool atParent = a.highestTier == Tier::parents || e.cacheStatus == CacheStatus::filled;
         const HostIndex upper = a.source != kNoHost ? a.source : a.host;
         if (good && hosts_[upper].entry.role == Role::origin) originBudget_.deposit(kOriginSendsPerSuccess);
 
         const double bad = good ? 0 : silent ? kUnansweredFailureWeight : 1;
         // Answers well in time raise the limit by more than those just in time.
-        const double spare = 1 - seconds(e.elapsed) / std::max(1e-3, seconds(p.aim - p.arrived));
+        const double spare = 1 - seconds(e.elapsed) / std::max(1e-3, seconds(p.targetTime - p.arrived));
         if (good || atParent) recordOutcome(now, limiters_[0], p, a, bad, spare);
         if (!atParent) recordOutcome(now, limiters_[1], p, a, bad, spare);
     }
@@ -788,16 +803,16 @@
         }
         if (limiter.limit >= 1) return;
         const double spread = 0.5 + unitInterval(randomState_ = mix(randomState_ + 1));
-        const double took =
-            seconds(std::max(overheadTime(p), now - a.sentAt));  // a refusal may take no time at all
+        // A refusal may take no time at all.
+        const double took = seconds(std::max(overheadTime(p), now - a.sentAt));
         limiter.closedUntil = now + fromSeconds(took * (1 / limiter.limit - 1) * spread);
     }
 
     // ----- sending -----
 
     void sendOrGiveUp(Time now, Pending& p, Actions& out) {
-        const bool late = p.request.deadline - now <= fromSeconds(p.work);
-        if (late || static_cast<int>(p.attempts.size()) >= p.settings->mostTries)
+        const bool late = p.request.deadline - now <= fromSeconds(p.sendSeconds);
+        if (late || static_cast<int>(p.attempts.size()) >= p.settings->maxAttempts)
             return giveUp(p, late ? GiveUpReason::noTime : GiveUpReason::attemptLimit, out);
         const Route route = chooseRoute(now, p);
         route.ok() ? send(now, p, route, out) : giveUp(p, GiveUpReason::noRoute, out);
@@ -810,26 +825,27 @@
         s.request = p.request.id;
         s.host = host.entry.name;
         s.timeout = p.request.deadline - now;
-        s.plain = host.entry.role == Role::origin;
-        s.rank = p.keepRank;
-        if (!s.plain) {
+        s.withoutSource = host.entry.role == Role::origin;
+        s.ownCopyRank = p.keepRank;
+        if (!s.withoutSource) {
             const HostIndex source = sourceOf(route);
             s.source = hosts_[source].entry.name;
             s.keepRank = host.entry.role == Role::cache ? route.keepRank : 0;
-            s.oldest = maxCopyAgeFor(now, p, c);
-            s.join = settings_->joins;
-            s.heldOnly = route.sourceOnlyIfCached && host.entry.role == Role::cache;
+            s.maxCopyAge = maxCopyAgeFor(now, p, c);
+            s.coalesce = settings_->fillCoalescing;
+            s.sourceOnlyIfCached = route.sourceOnlyIfCached && host.entry.role == Role::cache;
             if (route.sourceOnlyIfCached && host.entry.role == Role::parent) s.source = host.entry.name;
-            s.renew = c.freshFor.count() > 0 && p.inFilter;
+            s.refreshInBackground = c.freshFor.count() > 0 && p.inFilter;
             if (source != route.host) chargeColdBudget(now, hosts_[source], p);
         }
         chargeColdBudget(now, host, p);
         const bool hostHadRoom = linkUtilizationOf(now, host) < 1;
-        ++host.outstanding;
+        ++host.attemptsInFlight;
         const int number = static_cast<int>(p.attempts.size());
-        const Tier highestTier = s.plain || (s.source != s.host && !route.sourceOnlyIfCached) ? Tier::origin
-                                 : route.sourceOnlyIfCached                                   ? Tier::parents
-                                                                                              : Tier::caches;
+        const Tier highestTier = s.withoutSource || (s.source != s.host && !route.sourceOnlyIfCached)
+                                     ? Tier::origin
+                                 : route.sourceOnlyIfCached ? Tier::parents
+                                                            : Tier::caches;
         p.attempts.push_back(
             Attempt{route.host, route.source, now, true, true, highestTier, false, hostHadRoom});
         countInFlight(now, p.attempts.back(), 1);
@@ -844,10 +860,10 @@
     }
 
     void chargeColdBudget(Time now, Host& host, const Pending& p) {
-        if (host.entry.startedAt.count() > 0) host.coldWork.add(now, coldCharge(host, p));
+        if (host.entry.startedAt.count() > 0) host.coldSendSeconds.add(now, coldCharge(host, p));
     }
 
-    // A purge limits the age of an acceptable copy to at least 1 ns, since zero would mean any age.
+    // A purge limits the age of acceptable copies. The limit is at least 1 ns, since zero would mean any age.
     Time maxCopyAgeFor(Time now, const Pending& p, const ClassSettings& c) const {
         Time limit{0};
         if (c.freshFor.count() > 0) limit = c.freshFor + (p.acceptStale ? c.staleFor : Time{0});
@@ -865,12 +881,12 @@
     // Sets one timer for when another attempt must start to meet the latency target, and one for when this
     // attempt is late.
     void setTimers(Time now, const Pending& p, int attempt, Actions& out) {
-        const Time needed = fromSeconds(kOverdueSendTimeMultiple * p.work) + overheadTime(p);
-        const Time at = std::max(now + needed, p.aim - needed);
-        if ((p.settings->secondCopies || p.settings->mayCancel) && at + needed < p.request.deadline)
+        const Time needed = fromSeconds(kOverdueSendTimeMultiple * p.sendSeconds) + overheadTime(p);
+        const Time at = std::max(now + needed, p.targetTime - needed);
+        if ((p.settings->mayHedge || p.settings->mayCancel) && at + needed < p.request.deadline)
             setTimer(at - now, p, attempt, false, out);
         if (p.attempts.back().highestTier != Tier::caches)
-            setTimer(p.aim - p.arrived + kMinTimerDelay, p, attempt, true, out);
+            setTimer(p.targetTime - p.arrived + kMinTimerDelay, p, attempt, true, out);
     }
 
     void setTimer(Time delay, const Pending& p, int attempt, bool late, Actions& out) {
@@ -898,14 +914,15 @@
         if (!alive) recordFailure(now, a.host, kSlowAttemptFailureWeight);
         if (a.source != kNoHost && a.source != a.host)
             recordFailure(now, a.source, kSlowAttemptFailureWeight);
-        if (alive || static_cast<int>(p.attempts.size()) >= p.settings->mostTries || p.attemptsInFlight() > 1)
+        if (alive || static_cast<int>(p.attempts.size()) >= p.settings->maxAttempts ||
+            p.attemptsInFlight() > 1)
             return;
         if (p.classSettings().effect != Effect::safe) return;
         excludeHost(p, a.host);
         if (a.source != kNoHost) excludeHost(p, a.source);
         const Route route = chooseRoute(now, p);
         if (!route.ok() || !retryBudget_.tryTake()) return;
-        if (p.settings->secondCopies) return send(now, p, route, out);
+        if (p.settings->mayHedge) return send(now, p, route, out);
         p.retryAfterCancel = true;
         out.push_back(Cancel{p.request.id, number});
     }
@@ -941,9 +958,11 @@
             if (!a.inFlight && !a.mayHaveRun) continue;
             if (c.effect == Effect::unsafe) return false;
             const HostEntry& before = hosts_[a.host].entry;
-            if (now - a.sentAt >= c.repeatWindow) return false;
-            if (c.group == DeduplicationScope::zone && before.zone != host.entry.zone) return false;
-            if (c.group == DeduplicationScope::cell && before.cell != host.entry.cell) return false;
+            if (now - a.sentAt >= c.deduplicationWindow) return false;
+            if (c.deduplicationScope == DeduplicationScope::zone && before.zone != host.entry.zone)
+                return false;
+            if (c.deduplicationScope == DeduplicationScope::cell && before.cell != host.entry.cell)
+                return false;
         }
         return true;
     }
@@ -953,7 +972,7 @@
         if (c.effect == Effect::safe) return true;
         const bool perhapsRun = std::any_of(p.attempts.begin(), p.attempts.end(),
                                             [](const Attempt& a) { return a.inFlight || a.mayHaveRun; });
-        return !perhapsRun || (c.effect == Effect::keyed && c.group == DeduplicationScope::all);
+        return !perhapsRun || (c.effect == Effect::keyed && c.deduplicationScope == DeduplicationScope::all);
     }
 
     void giveUp(Pending& p, GiveUpReason why, Actions& out) {
@@ -991,17 +1010,19 @@
         switch (e.outcome) {
             case Outcome::served: {
                 recordSuccess(a.host);
-                const bool fetched = e.note == CacheStatus::filled || e.note == CacheStatus::filledByOrigin ||
-                                     e.note == CacheStatus::joined;
-                const Time trip = overheadTime(p);
-                if (p.work > seconds(trip) && seconds(e.elapsed - trip) < kOverdueSendTimeMultiple * p.work) {
+                const bool fetched = e.cacheStatus == CacheStatus::filled ||
+                                     e.cacheStatus == CacheStatus::filledByOrigin ||
+                                     e.cacheStatus == CacheStatus::joined;
+                const Time overhead = overheadTime(p);
+                if (p.sendSeconds > seconds(overhead) &&
+                    seconds(e.elapsed - overhead) < kOverdueSendTimeMultiple * p.sendSeconds) {
                     hosts_[a.host].fullPaceAt = now;
                     if (fetched) linkFullPaceAt_ = now;
                 }
                 if (hasSource && fetched) recordSuccess(a.source);
                 if (e.sizeKb < 0) return;
-                learnLinkTransfers(now, hosts_[a.host], p.work);
-                if (hasSource && fetched) learnLinkTransfers(now, hosts_[a.source], p.work);
+                learnLinkTransfers(now, hosts_[a.host], p.sendSeconds);
+                if (hasSource && fetched) learnLinkTransfers(now, hosts_[a.source], p.sendSeconds);
                 return;
             }
             case Outcome::cancelled:
@@ -1013,15 +1034,17 @@
                 return;
             case Outcome::noConnection:
             case Outcome::broken:
-                if (e.blameless && answeredSince(a)) return;  // an answer arrived over another connection
+                if (e.blameless && answeredSince(a))
+                    return;  // may be retried at once over another connection
                 return blame(now, p, a.host, e.blameless ? 0 : 1);
             default:
                 break;
         }
         const double weight = e.blameless ? 0 : a.countedSlow ? 1 - kSlowAttemptFailureWeight : 1;
-        if (e.note >= CacheStatus::sourceRefused) {  // this and the later values tell why a fill failed
-            const bool atSource = hasSource && e.note != CacheStatus::noFillPlace;
-            const bool itsOwn = atSource && e.note != CacheStatus::originFailed;
+        // This value and the later ones tell why a fill failed.
+        if (e.cacheStatus >= CacheStatus::sourceRefused) {
+            const bool atSource = hasSource && e.cacheStatus != CacheStatus::noFillPlace;
+            const bool itsOwn = atSource && e.cacheStatus != CacheStatus::originFailed;
             return blame(now, p, atSource ? a.source : a.host, itsOwn ? weight : 0);
         }
         blame(now, p, a.host, hasSource ? weight / 2 : weight);
@@ -1035,17 +1058,17 @@
 
     void recordFailure(Time now, HostIndex i, double weight) {
         Host& host = hosts_[i];
-        host.failures += kOutcomeWeight * weight * (1 - host.failures);
+        host.failureShare += kOutcomeWeight * weight * (1 - host.failureShare);
         host.trialSuccesses = 0;
-        if (host.out) {
-            if (now < host.outUntil) return;
-            host.pause = std::min(2 * host.pause, kMaxBackoff);
-            host.outUntil = now + host.pause;
-        } else if (host.failures > kEjectionFailureShare &&
-                   host.failures >
+        if (host.ejected) {
+            if (now < host.ejectedUntil) return;
+            host.ejectionTime = std::min(2 * host.ejectionTime, kMaxBackoff);
+            host.ejectedUntil = now + host.ejectionTime;
+        } else if (host.failureShare > kEjectionFailureShare &&
+                   host.failureShare >
                        std::min(kLostHostFailureShare, meanPeerFailureShare(i) + kEjectionShareAbovePeers)) {
-            host.out = true;
-            host.outUntil = now + host.pause;
+            host.ejected = true;
+            host.ejectedUntil = now + host.ejectionTime;
         }
     }
 
@@ -1053,17 +1076,17 @@
     double meanPeerFailureShare(HostIndex i) const {
         const auto& group = hosts_[i].entry.role == Role::parent ? parents_ : caches_;
         double sum = 0;
-        for (const HostIndex other : group) sum += other == i ? 0 : hosts_[other].failures;
+        for (const HostIndex other : group) sum += other == i ? 0 : hosts_[other].failureShare;
         return group.size() > 1 ? sum / static_cast<double>(group.size() - 1) : 0;
     }
 
     void recordSuccess(HostIndex i) {
         Host& host = hosts_[i];
-        host.failures -= kOutcomeWeight * host.failures;
-        if (!host.out || ++host.trialSuccesses < kTrialSuccessesToReinstate) return;
-        host.out = false;
-        host.failures = 0;
-        host.pause = kInitialBackoff;
+        host.failureShare -= kOutcomeWeight * host.failureShare;
+        if (!host.ejected || ++host.trialSuccesses < kTrialSuccessesToReinstate) return;
+        host.ejected = false;
+        host.failureShare = 0;
+        host.ejectionTime = kInitialBackoff;
         host.trialSuccesses = 0;
     }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -28,17 +28,17 @@
     throw DecodeError("unknown group '" + word + "'");
 }
 
-Weights weightsOf(const std::string& word) {
-    if (word == "nominal") return Weights::nominal;
-    if (word == "rough") return Weights::rough;
-    if (word == "live") return Weights::live;
-    return Weights::none;
+WeightMeaning weightsOf(const std::string& word) {
+    if (word == "nominal") return WeightMeaning::nominal;
+    if (word == "rough") return WeightMeaning::rough;
+    if (word == "live") return WeightMeaning::live;
+    return WeightMeaning::none;
 }
 
-Siblings siblingsOf(const std::string& word) {
-    if (word == "any") return Siblings::any;
-    if (word == "location") return Siblings::zone;
-    return Siblings::none;
+SiblingSources siblingsOf(const std::string& word) {
+    if (word == "any") return SiblingSources::any;
+    if (word == "location") return SiblingSources::zone;
+    return SiblingSources::none;
 }
 
 // What a request can't be served without is never guessed: a file that lacks it is not whole.
@@ -51,14 +51,14 @@
 
 ClassSettings readClass(const json& entry) {
     ClassSettings result;
-    result.aim = Time{requirePositive(entry, "aim")};
-    result.aimStretch = numberOr(entry, "aimStretch", 0);
-    result.giveUp = Time{requirePositive(entry, "hardLimit")};
-    result.worth = numberOr(entry, "value", 1);
-    result.lateWorth = numberOr(entry, "lateValue", 0);
+    result.latencyTarget = Time{requirePositive(entry, "aim")};
+    result.latencyTargetStretch = numberOr(entry, "aimStretch", 0);
+    result.clientTimeout = Time{requirePositive(entry, "hardLimit")};
+    result.value = numberOr(entry, "value", 1);
+    result.lateValueShare = numberOr(entry, "lateValue", 0);
     result.effect = effectOf(requireString(entry, "effect"));
-    result.group = groupOf(stringOr(entry, "group", "all"));
-    result.repeatWindow = timeOr(entry, "window");
+    result.deduplicationScope = groupOf(stringOr(entry, "group", "all"));
+    result.deduplicationWindow = timeOr(entry, "window");
     if (result.effect == Effect::keyed) requirePositive(entry, "window");
     result.streamed = boolOr(entry, "stream", false);
     return result;
@@ -82,18 +82,18 @@
 
 void readExtra(DecodedSettings& decoded, const json& info, const json& extra) {
     Settings& settings = decoded.settings;
-    settings.direct = boolOr(extra, "direct", false);
-    settings.joins = boolOr(extra, "joins", false);
-    settings.paceKb = numberOr(extra, "flowKbPerS", 0);
+    settings.directUpstream = boolOr(extra, "direct", false);
+    settings.fillCoalescing = boolOr(extra, "joins", false);
+    settings.maxFlowKbPerSecond = numberOr(extra, "flowKbPerS", 0);
     settings.siblings = siblingsOf(stringOr(extra, "siblings", "silent"));
-    settings.notesTold = stringOr(extra, "noteLevel", "silent") == "all";
+    settings.cacheStatusReported = stringOr(extra, "noteLevel", "silent") == "all";
     settings.purgeGrace = timeOr(extra, "obeyAfter");
-    settings.purgeSettles = timeOr(extra, "purgeSettles");
-    settings.parentColdFrom = numberOr(extra, "parentFloor", 1);
-    settings.parentWarmWithin = timeOr(extra, "parentRamp");
-    settings.parentFallMultiple = numberOr(extra, "parentBreaksAt", 0);
-    settings.originFallMultiple = numberOr(extra, "rootFallMultiple", 0);
-    settings.originFallWindow = timeOr(extra, "rootFall");
+    settings.purgeSettleTime = timeOr(extra, "purgeSettles");
+    settings.parentColdStartShare = numberOr(extra, "parentFloor", 1);
+    settings.parentWarmUpTime = timeOr(extra, "parentRamp");
+    settings.parentColdOverloadMultiple = numberOr(extra, "parentBreaksAt", 0);
+    settings.originOverloadMultiple = numberOr(extra, "rootFallMultiple", 0);
+    settings.originLoadWindow = timeOr(extra, "rootFall");
     decoded.parentType = storeTypeAt(info, integerOr(extra, "parentKind", -1));
     decoded.originType = storeTypeAt(info, integerOr(extra, "originKind", -1));
     const auto whole = [](const json& item, const char* key) { return static_cast<int>(number(item, key)); };
@@ -101,7 +101,7 @@
     for (const json& item : listOrEmpty(extra, "instancesByZone"))
         settings.routersByZone.push_back(whole(item, "instancesByZone"));
     for (const json& item : listOrEmpty(extra, "inletKbPerS"))
-        settings.zoneLinkKb.push_back(number(item, "inletKbPerS"));
+        settings.zoneLinkKbPerSecond.push_back(number(item, "inletKbPerS"));
     const auto time = [](const json& item, const char* key) {
         return Time{static_cast<std::int64_t>(std::llround(number(item, key)))};
     };
@@ -114,11 +114,11 @@
     eachClass(settings, extra, "staleFor",
               [&](ClassSettings& c, const json& item) { c.staleFor = time(item, "staleFor"); });
     eachClass(settings, extra, "staleEarns",
-              [&](ClassSettings& c, const json& item) { c.staleWorth = number(item, "staleEarns"); });
+              [&](ClassSettings& c, const json& item) { c.staleValueShare = number(item, "staleEarns"); });
     eachClass(settings, extra, "inParts",
               [&](ClassSettings& c, const json& item) { c.inParts = flag(item, "inParts"); });
     eachClass(settings, extra, "neverKept",
-              [&](ClassSettings& c, const json& item) { c.neverKept = flag(item, "neverKept"); });
+              [&](ClassSettings& c, const json& item) { c.uncacheable = flag(item, "neverKept"); });
 }
 
 Readiness readinessOf(const std::string& word) {
@@ -186,14 +186,14 @@
     settings.zone = decoded.zoneOf(stringOr(info, "zone", ""));
     settings.routers = static_cast<int>(integerOr(info, "balancers", 1));
     settings.weights = weightsOf(stringOr(info, "weights", "silent"));
-    settings.mustAskForList = stringOr(info, "discovery", "pushed") == "on_request";
+    settings.mustSubscribeToList = stringOr(info, "discovery", "pushed") == "on_request";
 
     const json& allowed = objectOrEmpty(info, "allowed");
-    settings.secondCopies = boolOr(allowed, "secondCopies", false);
+    settings.mayHedge = boolOr(allowed, "secondCopies", false);
     settings.mayCancel = boolOr(allowed, "mayCancel", false);
     settings.mayProbe = boolOr(allowed, "mayProbe", false);
     settings.retryHints = boolOr(allowed, "retryAfter", false);
-    settings.mostTries =
+    settings.maxAttempts =
         static_cast<int>(std::min<std::int64_t>(requirePositive(allowed, "mostTries"), 1000));
     settings.maxRetryHint = timeOr(allowed, "maxRetryAfter");
     decoded.connectTimeout = timeOr(allowed, "connectTimeout");
@@ -204,10 +204,10 @@
     settings.answerGrace = timeOr(rules, "graceToAnswer");
     settings.askWithin = timeOr(rules, "askWithin");
     settings.drainGrace = timeOr(rules, "stopSendingWithin");
-    settings.coldFrom = numberOr(rules, "coldFrom", 1);
-    settings.warmWithin = timeOr(rules, "warmWithin");
-    settings.fallMultiple = numberOr(rules, "fallMultiple", 0);
-    settings.fallWindow = timeOr(rules, "fall");
+    settings.coldStartShare = numberOr(rules, "coldFrom", 1);
+    settings.warmUpTime = timeOr(rules, "warmWithin");
+    settings.coldOverloadMultiple = numberOr(rules, "fallMultiple", 0);
+    settings.coldLoadWindow = timeOr(rules, "fall");
 
     readExtra(words, info, objectOrEmpty(info, "extra"));
     return decoded;
@@ -256,7 +256,7 @@
     const std::size_t all = decoded.zoneNames.size();
     s.zoneHub = moved(f.zoneHub, zones, {}, all, -1);
     s.routersByZone = moved(f.routersByZone, zones, {}, all, 0);
-    s.zoneLinkKb = moved(f.zoneLinkKb, zones, {}, all, 0.0);
+    s.zoneLinkKbPerSecond = moved(f.zoneLinkKbPerSecond, zones, {}, all, 0.0);
     return decoded;
 }
 
@@ -334,8 +334,8 @@
     result.decoded = readSettings(*info);
     result.flowBytesPerSecond = numberOr(root, "flow_bytes_per_s", 0);
     result.linkBytesPerSecond = numberOr(root, "link_bytes_per_s", 0);
-    if (result.decoded.settings.paceKb > 0)
-        result.decoded.bytesPerKb = result.flowBytesPerSecond / result.decoded.settings.paceKb;
+    if (result.decoded.settings.maxFlowKbPerSecond > 0)
+        result.decoded.bytesPerKb = result.flowBytesPerSecond / result.decoded.settings.maxFlowKbPerSecond;
     if (result.decoded.settings.classes.empty()) throw DecodeError("field 'settings.categories' is empty");
     return result;
 }
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -36,7 +36,7 @@
 
 TEST(Design, TailPassesThroughACacheWhereDirectSendsAreBarred) {
     Settings s = basicSettings();
-    s.direct = false;
+    s.directUpstream = false;
     Harness h(s);
     h.usualList();
     h.growUp();
@@ -49,7 +49,7 @@
 
 TEST(Design, NeverKeptClassSkipsTheFilterAndReachesTheOrigin) {
     Settings s = basicSettings();
-    s.classes[1].neverKept = true;
+    s.classes[1].uncacheable = true;
     Harness h(s);
     h.usualList();
     for (int i = 0; i < 3; ++i) {
@@ -57,7 +57,7 @@
         const auto sent = h.one<Send>();
         ASSERT_TRUE(sent);
         EXPECT_FALSE(startsWith(sent->host, 'c'));
-        EXPECT_TRUE(sent->plain || sent->source == "o");
+        EXPECT_TRUE(sent->withoutSource || sent->source == "o");
         h.end(id, 0, Outcome::served);
     }
 }
@@ -178,7 +178,7 @@
         const RequestId id = h.ask("k" + std::to_string(i % 10));
         std::vector<Send> sent = h.all<Send>();
         for (std::size_t k = 0; k < sent.size(); ++k) {
-            const bool fill = sent[k].source != sent[k].host && !sent[k].heldOnly;
+            const bool fill = sent[k].source != sent[k].host && !sent[k].sourceOnlyIfCached;
             ++(fill ? upward : held);
             h.end(id, static_cast<int>(k), fill ? Outcome::error : Outcome::noCopy,
                   CacheStatus::originFailed);
@@ -211,8 +211,8 @@
         const auto first = h.one<Send>();
         if (first) h.end(id, 0, Outcome::noCopy);
         const auto second = h.one<Send>();
-        if (first && first->heldOnly && second && startsWith(second->source, 'p')) {
-            EXPECT_FALSE(second->heldOnly);
+        if (first && first->sourceOnlyIfCached && second && startsWith(second->source, 'p')) {
+            EXPECT_FALSE(second->sourceOnlyIfCached);
             EXPECT_EQ(second->source, first->source);
             ++compared;
         }
@@ -342,11 +342,11 @@
     h.usualList();
     h.know("a");
     const RequestId id = h.ask("a");
-    EXPECT_EQ(h.one<Send>()->oldest, 8s);
-    EXPECT_TRUE(h.one<Send>()->renew);
+    EXPECT_EQ(h.one<Send>()->maxCopyAge, 8s);
+    EXPECT_TRUE(h.one<Send>()->refreshInBackground);
     h.end(id, 0, Outcome::error, CacheStatus::sourceUnreached);
     ASSERT_TRUE(h.one<Send>());
-    EXPECT_EQ(h.one<Send>()->oldest, 18s);
+    EXPECT_EQ(h.one<Send>()->maxCopyAge, 18s);
 }
 
 TEST(Failures, AnotherAttemptTakesAnotherRoute) {
@@ -512,51 +512,48 @@
                 sent += h.all<Send>().size();
             }
             EXPECT_EQ(answers, 1) << GetParam().description << ", fleet " << fleet << ", request " << i;
-            EXPECT_LE(sent, static_cast<std::size_t>(s.mostTries));
+            EXPECT_LE(sent, static_cast<std::size_t>(s.maxAttempts));
             h.now += 7ms;
         }
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Settings, OtherDeployments,
-                         ::testing::Values(DeploymentCase{"as usual", [](Settings&) {}},
-                                           DeploymentCase{"no direct sends",
-                                                          [](Settings& s) { s.direct = false; }},
-                                           DeploymentCase{"nothing told",
-                                                          [](Settings& s) {
-                                                              s.paceKb = 0;
-                                                              s.weights = Weights::none;
-                                                              s.routersByZone.clear();
-                                                          }},
-                                           DeploymentCase{"no cancel, no second copy",
-                                                          [](Settings& s) {
-                                                              s.mayCancel = s.secondCopies = s.retryHints =
-                                                                  false;
-                                                          }},
-                                           DeploymentCase{"one try", [](Settings& s) { s.mostTries = 1; }},
-                                           DeploymentCase{"keyed by cell",
-                                                          [](Settings& s) {
-                                                              for (auto& c : s.classes) {
-                                                                  c.effect = Effect::keyed;
-                                                                  c.group = DeduplicationScope::cell;
-                                                                  c.repeatWindow = 1s;
-                                                              }
-                                                          }},
-                                           DeploymentCase{"unsafe and never kept",
-                                                          [](Settings& s) {
-                                                              for (auto& c : s.classes) {
-                                                                  c.effect = Effect::unsafe;
-                                                                  c.neverKept = true;
-                                                              }
-                                                          }},
-                                           DeploymentCase{"siblings and joins off", [](Settings& s) {
-                                                              s.siblings = Siblings::none;
-                                                              s.joins = false;
-                                                          }}));
+INSTANTIATE_TEST_SUITE_P(
+    Settings, OtherDeployments,
+    ::testing::Values(DeploymentCase{"as usual", [](Settings&) {}},
+                      DeploymentCase{"no direct sends", [](Settings& s) { s.directUpstream = false; }},
+                      DeploymentCase{"nothing told",
+                                     [](Settings& s) {
+                                         s.maxFlowKbPerSecond = 0;
+                                         s.weights = WeightMeaning::none;
+                                         s.routersByZone.clear();
+                                     }},
+                      DeploymentCase{"no cancel, no second copy",
+                                     [](Settings& s) { s.mayCancel = s.mayHedge = s.retryHints = false; }},
+                      DeploymentCase{"one try", [](Settings& s) { s.maxAttempts = 1; }},
+                      DeploymentCase{"keyed by cell",
+                                     [](Settings& s) {
+                                         for (auto& c : s.classes) {
+                                             c.effect = Effect::keyed;
+                                             c.deduplicationScope = DeduplicationScope::cell;
+                                             c.deduplicationWindow = 1s;
+                                         }
+                                     }},
+                      DeploymentCase{"unsafe and never kept",
+                                     [](Settings& s) {
+                                         for (auto& c : s.classes) {
+                                             c.effect = Effect::unsafe;
+                                             c.uncacheable = true;
+                                         }
+                                     }},
+                      DeploymentCase{"siblings and joins off", [](Settings& s) {
+                                         s.siblings = SiblingSources::none;
+                                         s.fillCoalescing = false;
+                                     }}));
 
 TEST(Discovery, IsAskedForWhereItMustBeAndAgainAfterAFailure) {
     Settings s = basicSettings();
-    s.mustAskForList = true;
+    s.mustSubscribeToList = true;
     Harness h(s);
     EXPECT_EQ(h.all<Watch>().size(), 1u);
     h.listFailed();
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -40,8 +40,9 @@
 // Sizes and links that are not configured are learned from answers: an answer in time must not count as late.
 TEST(Learning, TheSizeOfAnAnswerSetsTheAimOfItsRequest) {
     Settings settings = basicSettings();
-    settings.weights = Weights::none;
-    settings.classes[1].aim = 200ms;  // plus twice the sending time; the first estimate is a quarter of it
+    settings.weights = WeightMeaning::none;
+    settings.classes[1].latencyTarget =
+        200ms;  // plus twice the sending time; the first estimate is a quarter of it
     Harness h(settings);
     h.usualList();
     h.growUp(60);
@@ -68,7 +69,7 @@
 TEST(Slow, AnAttemptIsNotBegunAnewWhileItsHostAnswersOthers) {
     for (const bool answers : {true, false}) {
         Settings settings = basicSettings();
-        settings.secondCopies = false;
+        settings.mayHedge = false;
         Harness h(settings);
         h.usualList();
         h.growUp();
@@ -160,8 +161,8 @@
     Settings s = basicSettings();
     for (ClassSettings& c : s.classes) {
         c.effect = effect;
-        c.group = group;
-        c.repeatWindow = 500ms;
+        c.deduplicationScope = group;
+        c.deduplicationWindow = 500ms;
     }
     return s;
 }
@@ -216,7 +217,7 @@
 
 TEST(Effects, NoSecondCopyWhereBarred) {
     Settings s = basicSettings();
-    s.secondCopies = false;
+    s.mayHedge = false;
     Harness h(s);
     h.usualList();
     const RequestId id = h.ask("a");
@@ -294,8 +295,8 @@
 // Without sizes an attempt once counted for next to nothing, so that cold caches were overloaded and failed.
 TEST(ColdHosts, WithoutSizesAnAttemptWeighsWhatHitsTook) {
     Settings settings = basicSettings();
-    settings.weights = Weights::none;
-    settings.direct = false;
+    settings.weights = WeightMeaning::none;
+    settings.directUpstream = false;
     Harness h(settings);
     h.usualList();
     h.took = 300ms;
@@ -360,13 +361,13 @@
     h.ask("a");
     auto sent = h.one<Send>();
     ASSERT_TRUE(sent);
-    EXPECT_FALSE(sent->plain);
-    EXPECT_GT(sent->oldest, 0ns);
-    EXPECT_LE(sent->oldest, 250ms);
+    EXPECT_FALSE(sent->withoutSource);
+    EXPECT_GT(sent->maxCopyAge, 0ns);
+    EXPECT_LE(sent->maxCopyAge, 250ms);
     h.ask("b");
     sent = h.one<Send>();
     ASSERT_TRUE(sent);
-    EXPECT_EQ(sent->oldest, 0ns);
+    EXPECT_EQ(sent->maxCopyAge, 0ns);
 }
 
 TEST(Purges, OfAGroupHoldForAllItsObjectsAndHigherLimitsGiveWay) {
@@ -379,12 +380,12 @@
     h.ask("any", 0, 1, 50, 3s, 7);
     auto sent = h.one<Send>();
     ASSERT_TRUE(sent);
-    EXPECT_EQ(sent->oldest, 1ns);  // zero would mean any age
+    EXPECT_EQ(sent->maxCopyAge, 1ns);  // zero would mean any age
     h.now += 5s;
     h.ask("any", 0, 1, 50, 3s, 7);
-    EXPECT_LE(h.one<Send>()->oldest, 5s);
+    EXPECT_LE(h.one<Send>()->maxCopyAge, 5s);
     h.ask("other", 0, 1, 50, 3s, 8);
-    EXPECT_EQ(h.one<Send>()->oldest, 8s);
+    EXPECT_EQ(h.one<Send>()->maxCopyAge, 8s);
 }
 
 TEST(Purges, HoldForFurtherAttemptsToo) {
@@ -398,9 +399,9 @@
     h.now += 400ms;
     h.end(id, 0, Outcome::error);
     for (const Send& again : h.all<Send>()) {
-        if (again.plain) continue;
-        EXPECT_GT(again.oldest, 0ns);
-        EXPECT_LE(again.oldest, 410ms);
+        if (again.withoutSource) continue;
+        EXPECT_GT(again.maxCopyAge, 0ns);
+        EXPECT_LE(again.maxCopyAge, 410ms);
     }
     EXPECT_EQ(h.all<Send>().size(), 1u);
 }
