--- a/src/platform/bus_reader.cpp
+++ b/src/platform/bus_reader.cpp
@@ -121,7 +121,7 @@
 
 // A stuck disk holds this up for so long only: further purges must come.
 void BusReader::askOnceKept() {
-    if (!told_.kept || told_.kept() || loop_.now() >= keptBy_) return ask();
+    if (!observer_.isDurable || observer_.isDurable() || loop_.now() >= keptBy_) return ask();
     arm(kKeptAgain, [this] { askOnceKept(); });
 }
 
@@ -159,7 +159,7 @@
         for (const settings::BusEvent& event : batch.events) numbers.push_back(event.offset);
         take(batch);
         const bool complete = batch.last <= offset_;
-        if (told_.batch) told_.batch(from, batch.offset, numbers, complete);
+        if (observer_.onBatch) observer_.onBatch(from, batch.offset, numbers, complete);
         caughtUp_ = caughtUp_ || complete;
     } catch (const std::exception& problem) {
         if (failures_ == 0) std::fprintf(stderr, "event bus: cannot use its answer: %s\n", problem.what());
--- a/src/platform/bus_reader.hpp
+++ b/src/platform/bus_reader.hpp
@@ -22,18 +22,18 @@
         std::uint64_t bytes = 0;  // asked and answered, without the headers of TCP and IP
     };
 
-    struct Told {
+    struct Observer {
         // A batch asked for from behind `from` has been applied; it had these numbers and ended at `last`.
         // `complete`: there is nothing more to be told now.
         std::function<void(std::int64_t from, std::int64_t last, const std::vector<std::int64_t>& numbers,
                            bool complete)>
-            batch;
+            onBatch;
         // Whether what was applied is kept, so that it may be acknowledged by asking from behind it.
-        std::function<bool()> kept;
+        std::function<bool()> isDurable;
     };
 
     BusReader(net::Loop& loop, Apply apply);
-    void listen(Told told) { told_ = std::move(told); }
+    void setObserver(Observer observer) { observer_ = std::move(observer); }
     // Asks again from an earlier event. Lists that have been applied are not applied again; purges are.
     void goBack(std::int64_t offset);
     ~BusReader() override;
@@ -70,7 +70,7 @@
     std::int64_t offset_ = 0;
     std::int64_t listsUpTo_ = 0;  // applied, or older than those that were
     Apply apply_;
-    Told told_;
+    Observer observer_;
     net::Micros keptBy_{};
     Counters counters_;
     net::HttpParser parser_;
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -157,11 +157,12 @@
         before_.listen(
             [this](core::AttemptResult end) { requests_.attemptEnded(loop_.now(), std::move(end)); });
         before_.reconfigure(&baseOf(configuration_).words.settings.classes, formOf(configuration_), pacer());
-        bus_.listen({[this](std::int64_t from, std::int64_t last, const std::vector<std::int64_t>& numbers,
-                            bool complete) {
-                         if (tier_) tier_->told(before_.momentOf(loop_.now()), from, last, numbers, complete);
-                     },
-                     [this] { return !tier_ || tier_->kept(); }});
+        bus_.setObserver({[this](std::int64_t from, std::int64_t last,
+                                 const std::vector<std::int64_t>& numbers, bool complete) {
+                              if (tier_)
+                                  tier_->told(before_.momentOf(loop_.now()), from, last, numbers, complete);
+                          },
+                          [this] { return !tier_ || tier_->kept(); }});
     }
     virtual void printOwnCounters(const std::string& name) const = 0;
 
