--- a/bench/scale/hollow_gateways.cpp
+++ b/bench/scale/hollow_gateways.cpp
@@ -52,12 +52,12 @@
           startedAt_(loop.now()),
           decisions_(configuration.words, index, loop.now(), core::unixClockOffset()),
           reader_(loop, [this](const settings::BusEvent& event) { apply(event); }) {
-        reader_.take(settings::readBatch(configuration_.known));
-        reader_.moveTo(buses_);
+        reader_.applyBatch(settings::readBatch(configuration_.known));
+        reader_.setEndpoints(buses_);
     }
 
-    void disconnect() { reader_.moveTo({}); }
-    void reconnect() { reader_.moveTo(buses_); }
+    void disconnect() { reader_.setEndpoints({}); }
+    void reconnect() { reader_.setEndpoints(buses_); }
     bool ready() const { return reader_.caughtUp(); }
     // Once, when it has become ready.
     std::optional<Restart> takeReadiness() {
--- a/src/platform/bus_reader.cpp
+++ b/src/platform/bus_reader.cpp
@@ -32,7 +32,7 @@
       hold_(kHold),
       silent_(kSilent) {}
 
-void BusReader::obeyWithin(net::Micros grace) {
+void BusReader::setDrainGrace(net::Micros grace) {
     hold_ = grace.count() > 0 ? std::clamp(grace / 2, kLeastHold, kHold) : kHold;
     silent_ = grace.count() > 0 ? std::clamp(grace * 3 / 10, kLeastSilent, kSilent) : kSilent;
 }
@@ -41,7 +41,7 @@
     if (timer_) loop_.cancel(*timer_);
 }
 
-void BusReader::moveTo(const std::vector<settings::Endpoint>& buses) {
+void BusReader::setEndpoints(const std::vector<settings::Endpoint>& buses) {
     if (buses == buses_) return;
     buses_ = buses;
     at_ = 0;
@@ -52,7 +52,7 @@
     if (!buses_.empty()) connect();
 }
 
-void BusReader::take(const settings::BusBatch& batch) {
+void BusReader::applyBatch(const settings::BusBatch& batch) {
     for (const settings::BusEvent& event : batch.events) {
         if (event.offset <= offset_) continue;
         offset_ = event.offset;
@@ -64,7 +64,7 @@
     listsUpTo_ = std::max(listsUpTo_, offset_);
 }
 
-void BusReader::goBack(std::int64_t offset) {
+void BusReader::rewindTo(std::int64_t offset) {
     if (offset >= offset_) return;
     offset_ = offset;
     if (buses_.empty()) return;
@@ -157,7 +157,7 @@
         if (batch.last > batch.offset && batch.offset <= from) return false;
         std::vector<std::int64_t> numbers;
         for (const settings::BusEvent& event : batch.events) numbers.push_back(event.offset);
-        take(batch);
+        applyBatch(batch);
         const bool complete = batch.last <= offset_;
         if (observer_.onBatch) observer_.onBatch(from, batch.offset, numbers, complete);
         caughtUp_ = caughtUp_ || complete;
--- a/src/platform/bus_reader.hpp
+++ b/src/platform/bus_reader.hpp
@@ -35,16 +35,16 @@
     BusReader(net::Loop& loop, Apply apply);
     void setObserver(Observer observer) { observer_ = std::move(observer); }
     // Asks again from an earlier event. Lists that have been applied are not applied again; purges are.
-    void goBack(std::int64_t offset);
+    void rewindTo(std::int64_t offset);
     ~BusReader() override;
     // Asks at these addresses from now on, at once and from the last event that was applied; none: not at
     // all. Of several, which tell the same events under the same numbers, one is asked until it is silent,
     // refuses or is behind what was applied; then the next.
-    void moveTo(const std::vector<settings::Endpoint>& buses);
+    void setEndpoints(const std::vector<settings::Endpoint>& buses);
     // A watch that has gone silent is given up well before what it should have told must be obeyed.
-    void obeyWithin(net::Micros grace);
+    void setDrainGrace(net::Micros grace);
     // An event that came by another way, such as a configuration: applied if it is a later one.
-    void take(const settings::BusBatch& batch);
+    void applyBatch(const settings::BusBatch& batch);
     // It has told all that it had since the start, or there is none.
     bool caughtUp() const { return caughtUp_ || buses_.empty(); }
     // It has answered, and said that there is more: what is not applied yet may be a purge.
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -47,9 +47,9 @@
         if (disk_) openTier();
     }
     void prepare() override {
-        bus_.take(settings::readBatch(baseOf(configuration_).known));
-        bus_.obeyWithin(drainGrace());
-        bus_.moveTo(baseOf(configuration_).bus);
+        bus_.applyBatch(settings::readBatch(baseOf(configuration_).known));
+        bus_.setDrainGrace(drainGrace());
+        bus_.setEndpoints(baseOf(configuration_).bus);
     }
     bool prepared() const override {
         return bus_.caughtUp() && (!tier_ || tier_->settled(before_.momentOf(loop_.now())));
@@ -76,9 +76,9 @@
             decisions_.reconfigure(baseOf(fresh).words);
             configuration_ = std::move(fresh);
             reloadTier(freshDisk);
-            bus_.obeyWithin(drainGrace());
-            bus_.take(known);  // events that came by the event bus already are not applied again
-            bus_.moveTo(baseOf(configuration_).bus);
+            bus_.setDrainGrace(drainGrace());
+            bus_.applyBatch(known);  // events that came by the event bus already are not applied again
+            bus_.setEndpoints(baseOf(configuration_).bus);
             std::fprintf(stderr, "%s: configuration read again\n", name.c_str());
         } catch (const std::system_error& problem) {
             if (mayTryAgain && net::isShortage(problem.code().value())) return false;
@@ -211,7 +211,7 @@
                 [this](const std::string& line) {
                     std::fprintf(stderr, "%s: %s\n", baseOf(configuration_).name.c_str(), line.c_str());
                 },
-                [this](std::int64_t position) { bus_.goBack(position); }, before_.form().version});
+                [this](std::int64_t position) { bus_.rewindTo(position); }, before_.form().version});
         tierId_ = loop_.add(tier_->wakeDescriptor(), EPOLLIN, *this);
         before_.use(tier_.get(), *disk_, pacer());
         tryTierAgain();
