--- a/src/platform/bus_reader.cpp
+++ b/src/platform/bus_reader.cpp
@@ -87,7 +87,7 @@
     asked_ = false;
     if (stream_) loop_.retire(stream_);
     // First in a turn: a call that has come with a drain is picked when the drain is known.
-    stream_ = std::make_shared<net::Stream>(loop_, bus(), static_cast<net::Stream::User&>(*this),
+    stream_ = std::make_shared<net::Stream>(loop_, endpoint(), static_cast<net::Stream::User&>(*this),
                                             net::Priority::first);
     arm(kConnect, [this] { reconnect("no connection in time"); });
 }
@@ -107,25 +107,25 @@
     arm(kBetween, [this] { connect(); });
 }
 
-void BusReader::ask() {
+void BusReader::poll() {
     ++counters_.polls;
     asked_ = true;
     const net::Micros hold = heard_ ? hold_ : kFirstHold;
-    std::string request = "GET /bus/read?from=" + std::to_string(offset_) +
-                          "&hold=" + std::to_string(hold.count() / 1000) +
-                          " HTTP/1.1\r\nHost: " + bus().host + ":" + std::to_string(bus().port) + "\r\n\r\n";
+    std::string request =
+        "GET /bus/read?from=" + std::to_string(offset_) + "&hold=" + std::to_string(hold.count() / 1000) +
+        " HTTP/1.1\r\nHost: " + endpoint().host + ":" + std::to_string(endpoint().port) + "\r\n\r\n";
     counters_.bytes += request.size();
     stream_->write(std::move(request));
     arm(hold + silent_, [this] { reconnect("silent"); });
 }
 
 // A stuck disk holds this up for so long only: further purges must come.
-void BusReader::askOnceKept() {
-    if (!observer_.isDurable || observer_.isDurable() || loop_.now() >= keptBy_) return ask();
-    arm(kKeptAgain, [this] { askOnceKept(); });
+void BusReader::pollOnceDurable() {
+    if (!observer_.isDurable || observer_.isDurable() || loop_.now() >= keptBy_) return poll();
+    arm(kKeptAgain, [this] { pollOnceDurable(); });
 }
 
-void BusReader::streamOpened() { askOnceKept(); }
+void BusReader::streamOpened() { pollOnceDurable(); }
 
 bool BusReader::streamData(std::string_view data) {
     counters_.bytes += data.size();
@@ -135,7 +135,7 @@
         begunAt_.reset();
         // Each answer leads to the next poll: answers to nothing would do so without end.
         const bool due = std::exchange(asked_, false) && stream_->unsent() == 0;
-        if (status != net::HttpParser::Status::message || !due || !takeAnswer() || !data.empty())
+        if (status != net::HttpParser::Status::message || !due || !handleAnswer() || !data.empty())
             return false;
     }
     if (!parser_.midMessage()) return true;
@@ -146,7 +146,7 @@
     return true;
 }
 
-bool BusReader::takeAnswer() {
+bool BusReader::handleAnswer() {
     if (parser_.head().status != 200) return false;
     try {
         const settings::BusBatch batch = settings::readBatch(nlohmann::json::parse(parser_.body()));
@@ -169,7 +169,7 @@
     heard_ = true;
     keptBy_ = loop_.now() + kKeptWait;
     if (parser_.head().keepAlive())
-        askOnceKept();
+        pollOnceDurable();
     else
         loop_.post([this] {
             stream_->close();
@@ -180,7 +180,7 @@
 
 void BusReader::streamEnded(net::Stream::End why) {
     // An answer without a length ends with its connection.
-    if (why == net::Stream::End::closedByPeer && parser_.endOfStream() && takeAnswer()) return;
+    if (why == net::Stream::End::closedByPeer && parser_.endOfStream() && handleAnswer()) return;
     reconnect(why == net::Stream::End::refused       ? "connection refused"
               : why == net::Stream::End::unavailable ? "no descriptor or memory for a connection"
               : why == net::Stream::End::malformed   ? "malformed answer"
--- a/src/platform/bus_reader.hpp
+++ b/src/platform/bus_reader.hpp
@@ -56,12 +56,12 @@
     bool streamData(std::string_view data) override;
     void streamEnded(net::Stream::End why) override;
 
-    const settings::Endpoint& bus() const { return buses_[at_]; }
+    const settings::Endpoint& endpoint() const { return buses_[at_]; }
     void connect();
     void reconnect(const char* why);
-    void ask();
-    void askOnceKept();
-    bool takeAnswer();
+    void poll();
+    void pollOnceDurable();
+    bool handleAnswer();
     void arm(net::Micros delay, std::function<void()> task);
 
     net::Loop& loop_;
