--- a/src/platform/bus_reader.cpp
+++ b/src/platform/bus_reader.cpp
@@ -29,45 +29,45 @@
     : loop_(loop),
       apply_(std::move(apply)),
       parser_(net::HttpParser::Kind::response, kLimits),
-      hold_(kHold),
-      silent_(kSilent) {}
+      holdTime_(kHold),
+      silenceTimeout_(kSilent) {}
 
 void BusReader::setDrainGrace(net::Micros grace) {
-    hold_ = grace.count() > 0 ? std::clamp(grace / 2, kLeastHold, kHold) : kHold;
-    silent_ = grace.count() > 0 ? std::clamp(grace * 3 / 10, kLeastSilent, kSilent) : kSilent;
+    holdTime_ = grace.count() > 0 ? std::clamp(grace / 2, kLeastHold, kHold) : kHold;
+    silenceTimeout_ = grace.count() > 0 ? std::clamp(grace * 3 / 10, kLeastSilent, kSilent) : kSilent;
 }
 
 BusReader::~BusReader() {
     if (timer_) loop_.cancel(*timer_);
 }
 
-void BusReader::setEndpoints(const std::vector<settings::Endpoint>& buses) {
-    if (buses == buses_) return;
-    buses_ = buses;
-    at_ = 0;
+void BusReader::setEndpoints(const std::vector<settings::Endpoint>& endpoints) {
+    if (endpoints == endpoints_) return;
+    endpoints_ = endpoints;
+    current_ = 0;
     failures_ = 0;
     if (stream_) stream_->close();
     if (timer_) loop_.cancel(*timer_);
     timer_.reset();
-    if (!buses_.empty()) connect();
+    if (!endpoints_.empty()) connect();
 }
 
 void BusReader::applyBatch(const settings::BusBatch& batch) {
     for (const settings::BusEvent& event : batch.events) {
         if (event.offset <= offset_) continue;
         offset_ = event.offset;
-        if (event.isList && event.offset <= listsUpTo_) continue;
+        if (event.isList && event.offset <= listsAppliedUpTo_) continue;
         ++counters_.events;
         apply_(event);
     }
     offset_ = std::max(offset_, batch.offset);
-    listsUpTo_ = std::max(listsUpTo_, offset_);
+    listsAppliedUpTo_ = std::max(listsAppliedUpTo_, offset_);
 }
 
 void BusReader::rewindTo(std::int64_t offset) {
     if (offset >= offset_) return;
     offset_ = offset;
-    if (buses_.empty()) return;
+    if (endpoints_.empty()) return;
     // An answer that is on its way would lead past what is wanted.
     if (stream_) stream_->close();
     connect();
@@ -83,8 +83,8 @@
 
 void BusReader::connect() {
     parser_ = net::HttpParser(net::HttpParser::Kind::response, kLimits);
-    begunAt_.reset();
-    asked_ = false;
+    answerBegunAt_.reset();
+    pollPending_ = false;
     if (stream_) loop_.retire(stream_);
     // First in a turn: a call that has come with a drain is picked when the drain is known.
     stream_ = std::make_shared<net::Stream>(loop_, endpoint(), static_cast<net::Stream::User&>(*this),
@@ -96,11 +96,11 @@
     ++counters_.reconnects;
     if (failures_ == 0) std::fprintf(stderr, "event bus: %s, connecting again\n", why);
     if (stream_) stream_->close();
-    if (buses_.size() > 1) {
-        at_ = (at_ + 1) % buses_.size();
+    if (endpoints_.size() > 1) {
+        current_ = (current_ + 1) % endpoints_.size();
         ++counters_.moves;
         // All of them once at once, then with pauses.
-        if (static_cast<std::size_t>(++failures_) < buses_.size()) return connect();
+        if (static_cast<std::size_t>(++failures_) < endpoints_.size()) return connect();
         return arm(kBetween, [this] { connect(); });
     }
     if (failures_++ == 0) return connect();
@@ -109,19 +109,19 @@
 
 void BusReader::poll() {
     ++counters_.polls;
-    asked_ = true;
-    const net::Micros hold = heard_ ? hold_ : kFirstHold;
+    pollPending_ = true;
+    const net::Micros hold = answeredOnce_ ? holdTime_ : kFirstHold;
     std::string request =
         "GET /bus/read?from=" + std::to_string(offset_) + "&hold=" + std::to_string(hold.count() / 1000) +
         " HTTP/1.1\r\nHost: " + endpoint().host + ":" + std::to_string(endpoint().port) + "\r\n\r\n";
     counters_.bytes += request.size();
     stream_->write(std::move(request));
-    arm(hold + silent_, [this] { reconnect("silent"); });
+    arm(hold + silenceTimeout_, [this] { reconnect("silent"); });
 }
 
 // A stuck disk holds this up for so long only: further purges must come.
 void BusReader::pollOnceDurable() {
-    if (!observer_.isDurable || observer_.isDurable() || loop_.now() >= keptBy_) return poll();
+    if (!observer_.isDurable || observer_.isDurable() || loop_.now() >= durableDeadline_) return poll();
     arm(kKeptAgain, [this] { pollOnceDurable(); });
 }
 
@@ -132,17 +132,17 @@
     while (!data.empty()) {
         const auto status = parser_.feed(data);
         if (status == net::HttpParser::Status::needMore) break;
-        begunAt_.reset();
+        answerBegunAt_.reset();
         // Each answer leads to the next poll: answers to nothing would do so without end.
-        const bool due = std::exchange(asked_, false) && stream_->unsent() == 0;
+        const bool due = std::exchange(pollPending_, false) && stream_->unsent() == 0;
         if (status != net::HttpParser::Status::message || !due || !handleAnswer() || !data.empty())
             return false;
     }
     if (!parser_.midMessage()) return true;
     // An answer may come byte by byte; one that stops within is asked for again, from the last event had.
-    if (!begunAt_) begunAt_ = loop_.now();
-    const net::Micros left = std::max(net::Micros{0}, *begunAt_ + kAnswer - loop_.now());
-    arm(std::min(silent_, left), [this] { reconnect("stopped within an answer"); });
+    if (!answerBegunAt_) answerBegunAt_ = loop_.now();
+    const net::Micros left = std::max(net::Micros{0}, *answerBegunAt_ + kAnswer - loop_.now());
+    arm(std::min(silenceTimeout_, left), [this] { reconnect("stopped within an answer"); });
     return true;
 }
 
@@ -152,22 +152,22 @@
         const settings::BusBatch batch = settings::readBatch(nlohmann::json::parse(parser_.body()));
         const std::int64_t from = offset_;
         // One that is behind the others must not be waited for: what it lacks may be a purge.
-        if (buses_.size() > 1 && batch.offset < from) return false;
+        if (endpoints_.size() > 1 && batch.offset < from) return false;
         // One that says that there is more and brings nothing would be asked again without end.
         if (batch.last > batch.offset && batch.offset <= from) return false;
-        std::vector<std::int64_t> numbers;
-        for (const settings::BusEvent& event : batch.events) numbers.push_back(event.offset);
+        std::vector<std::int64_t> offsets;
+        for (const settings::BusEvent& event : batch.events) offsets.push_back(event.offset);
         applyBatch(batch);
         const bool complete = batch.last <= offset_;
-        if (observer_.onBatch) observer_.onBatch(from, batch.offset, numbers, complete);
+        if (observer_.onBatch) observer_.onBatch(from, batch.offset, offsets, complete);
         caughtUp_ = caughtUp_ || complete;
     } catch (const std::exception& problem) {
         if (failures_ == 0) std::fprintf(stderr, "event bus: cannot use its answer: %s\n", problem.what());
         return false;
     }
     failures_ = 0;
-    heard_ = true;
-    keptBy_ = loop_.now() + kKeptWait;
+    answeredOnce_ = true;
+    durableDeadline_ = loop_.now() + kKeptWait;
     if (parser_.head().keepAlive())
         pollOnceDurable();
     else
