--- a/src/platform/bus_reader.cpp
+++ b/src/platform/bus_reader.cpp
@@ -13,28 +13,31 @@
 
 // Events count as told after 7 s whether they arrived or not: a poll that hangs must be noticed well before.
 // Within the time that the settings give for a drain, too, where a poll and the next one fit into it.
-constexpr net::Micros kHold = 1s, kLeastHold = 200ms;
-constexpr net::Micros kFirstHold = 1ms;  // a gateway that starts takes no client before it
-constexpr net::Micros kSilent = 500ms, kLeastSilent = 150ms;  // beyond the hold, or within an answer
-constexpr net::Micros kAnswer = 5s;  // from its first byte to its last, however steadily it comes
-constexpr net::Micros kConnect = 400ms;
-constexpr net::Micros kKeptWait = 200ms;  // for what was applied to be kept
-constexpr net::Micros kKeptAgain = 1ms;
-constexpr net::Micros kBetween = 50ms;  // from the second failure on: at once would be a busy loop
-constexpr net::HttpParser::Limits kLimits{16 * 1024, 1024 * 1024};  // parsed, it takes several times as much
+constexpr net::Micros kPollHold = 1s, kMinPollHold = 200ms;
+constexpr net::Micros kFirstPollHold = 1ms;  // a gateway that starts takes no client before it
+constexpr net::Micros kSilenceTimeout = 500ms,
+                      kMinSilenceTimeout = 150ms;  // beyond the hold, or within an answer
+constexpr net::Micros kAnswerTimeout = 5s;  // from its first byte to its last, however steadily it comes
+constexpr net::Micros kConnectTimeout = 400ms;
+constexpr net::Micros kDurabilityTimeout = 200ms;  // for what was applied to be kept
+constexpr net::Micros kDurabilityCheckInterval = 1ms;
+constexpr net::Micros kReconnectDelay = 50ms;  // from the second failure on: at once would be a busy loop
+constexpr net::HttpParser::Limits kHttpLimits{16 * 1024,
+                                              1024 * 1024};  // parsed, it takes several times as much
 
 }  // namespace
 
 BusReader::BusReader(net::Loop& loop, Apply apply)
     : loop_(loop),
       apply_(std::move(apply)),
-      parser_(net::HttpParser::Kind::response, kLimits),
-      holdTime_(kHold),
-      silenceTimeout_(kSilent) {}
+      parser_(net::HttpParser::Kind::response, kHttpLimits),
+      holdTime_(kPollHold),
+      silenceTimeout_(kSilenceTimeout) {}
 
 void BusReader::setDrainGrace(net::Micros grace) {
-    holdTime_ = grace.count() > 0 ? std::clamp(grace / 2, kLeastHold, kHold) : kHold;
-    silenceTimeout_ = grace.count() > 0 ? std::clamp(grace * 3 / 10, kLeastSilent, kSilent) : kSilent;
+    holdTime_ = grace.count() > 0 ? std::clamp(grace / 2, kMinPollHold, kPollHold) : kPollHold;
+    silenceTimeout_ =
+        grace.count() > 0 ? std::clamp(grace * 3 / 10, kMinSilenceTimeout, kSilenceTimeout) : kSilenceTimeout;
 }
 
 BusReader::~BusReader() {
@@ -82,14 +85,14 @@
 }
 
 void BusReader::connect() {
-    parser_ = net::HttpParser(net::HttpParser::Kind::response, kLimits);
+    parser_ = net::HttpParser(net::HttpParser::Kind::response, kHttpLimits);
     answerBegunAt_.reset();
     pollPending_ = false;
     if (stream_) loop_.retire(stream_);
     // First in a turn: a call that has come with a drain is picked when the drain is known.
     stream_ = std::make_shared<net::Stream>(loop_, endpoint(), static_cast<net::Stream::User&>(*this),
                                             net::Priority::first);
-    arm(kConnect, [this] { reconnect("no connection in time"); });
+    arm(kConnectTimeout, [this] { reconnect("no connection in time"); });
 }
 
 void BusReader::reconnect(const char* why) {
@@ -101,16 +104,16 @@
         ++counters_.moves;
         // All of them once at once, then with pauses.
         if (static_cast<std::size_t>(++failures_) < endpoints_.size()) return connect();
-        return arm(kBetween, [this] { connect(); });
+        return arm(kReconnectDelay, [this] { connect(); });
     }
     if (failures_++ == 0) return connect();
-    arm(kBetween, [this] { connect(); });
+    arm(kReconnectDelay, [this] { connect(); });
 }
 
 void BusReader::poll() {
     ++counters_.polls;
     pollPending_ = true;
-    const net::Micros hold = answeredOnce_ ? holdTime_ : kFirstHold;
+    const net::Micros hold = answeredOnce_ ? holdTime_ : kFirstPollHold;
     std::string request =
         "GET /bus/read?from=" + std::to_string(offset_) + "&hold=" + std::to_string(hold.count() / 1000) +
         " HTTP/1.1\r\nHost: " + endpoint().host + ":" + std::to_string(endpoint().port) + "\r\n\r\n";
@@ -122,7 +125,7 @@
 // A stuck disk holds this up for so long only: further purges must come.
 void BusReader::pollOnceDurable() {
     if (!observer_.isDurable || observer_.isDurable() || loop_.now() >= durableDeadline_) return poll();
-    arm(kKeptAgain, [this] { pollOnceDurable(); });
+    arm(kDurabilityCheckInterval, [this] { pollOnceDurable(); });
 }
 
 void BusReader::streamOpened() { pollOnceDurable(); }
@@ -141,7 +144,7 @@
     if (!parser_.midMessage()) return true;
     // An answer may come byte by byte; one that stops within is asked for again, from the last event had.
     if (!answerBegunAt_) answerBegunAt_ = loop_.now();
-    const net::Micros left = std::max(net::Micros{0}, *answerBegunAt_ + kAnswer - loop_.now());
+    const net::Micros left = std::max(net::Micros{0}, *answerBegunAt_ + kAnswerTimeout - loop_.now());
     arm(std::min(silenceTimeout_, left), [this] { reconnect("stopped within an answer"); });
     return true;
 }
@@ -167,7 +170,7 @@
     }
     failures_ = 0;
     answeredOnce_ = true;
-    durableDeadline_ = loop_.now() + kKeptWait;
+    durableDeadline_ = loop_.now() + kDurabilityTimeout;
     if (parser_.head().keepAlive())
         pollOnceDurable();
     else
