--- a/src/platform/bus_reader.cpp
+++ b/src/platform/bus_reader.cpp
@@ -101,7 +101,7 @@
     if (stream_) stream_->close();
     if (endpoints_.size() > 1) {
         current_ = (current_ + 1) % endpoints_.size();
-        ++counters_.moves;
+        ++counters_.endpointSwitches;
         // All of them once at once, then with pauses.
         if (static_cast<std::size_t>(++failures_) < endpoints_.size()) return connect();
         return arm(kReconnectDelay, [this] { connect(); });
--- a/src/platform/bus_reader.hpp
+++ b/src/platform/bus_reader.hpp
@@ -18,7 +18,7 @@
 public:
     using Apply = std::function<void(const settings::BusEvent&)>;
     struct Counters {
-        std::uint64_t polls = 0, events = 0, reconnects = 0, moves = 0;
+        std::uint64_t polls = 0, events = 0, reconnects = 0, endpointSwitches = 0;
         std::uint64_t bytes = 0;  // asked and answered, without the headers of TCP and IP
     };
 
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -130,7 +130,7 @@
         const auto& b = bus_.counters();
         core::printCounterLine(name, "bus",
                                {{"polls", b.polls},
-                                {"moves", b.moves},
+                                {"moves", b.endpointSwitches},
                                 {"bytes", b.bytes},
                                 {"events", b.events},
                                 {"reconnects", b.reconnects}});
