--- a/src/platform/call_validation.hpp
+++ b/src/platform/call_validation.hpp
@@ -12,10 +12,10 @@
 
 namespace lotuslead::platform {
 
-inline constexpr std::size_t kLargestBody = 48'000;
-inline constexpr std::int64_t kLongestPatienceMs = 600'000;
-inline constexpr std::int64_t kLastBlock = 1'000'000;
-inline constexpr std::int64_t kLastFamily = 255;
+inline constexpr std::size_t kMaxBodyBytes = 48'000;
+inline constexpr std::int64_t kMaxPatienceMs = 600'000;
+inline constexpr std::int64_t kMaxBlock = 1'000'000;
+inline constexpr std::int64_t kMaxFamily = 255;
 
 inline std::size_t bytesOf(const std::vector<std::string>& words) {
     std::size_t bytes = 0;
@@ -39,9 +39,8 @@
         return text.empty() || isHex(text, size);
     };
     return isHex(request.label, 16) && isHex(request.object, 16) && hex(request.known, 16) &&
-           hex(request.key, 32) && within("patience", 1, kLongestPatienceMs) &&
-           within("block", 0, kLastBlock) && within("family", 0, kLastFamily) && within("redo", 1, 1) &&
-           request.body.size() <= kLargestBody;
+           hex(request.key, 32) && within("patience", 1, kMaxPatienceMs) && within("block", 0, kMaxBlock) &&
+           within("family", 0, kMaxFamily) && within("redo", 1, 1) && request.body.size() <= kMaxBodyBytes;
 }
 
 }  // namespace lotuslead::platform
