--- a/src/platform/call_validation.hpp
+++ b/src/platform/call_validation.hpp
@@ -30,7 +30,7 @@
 
 // What the stores are given is checked here, as far as a form can be checked: a store closes the connection
 // on what it can't read, whatever else is open there.
-inline bool usable(const Fields& fields, const core::Request& request) {
+inline bool isValidCall(const Fields& fields, const core::Request& request) {
     const auto within = [&](std::string_view name, std::int64_t least, std::int64_t most) {
         const auto value = fields.whole(name);
         return fields.text(name).empty() || (value && *value >= least && *value <= most);
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -283,7 +283,8 @@
         request.known = fields.text("cached");
         if (words.size() > 4) request.body = std::move(words[4]);
         // A second request under an id that is open would be a second attempt out, to the stores.
-        if (known == classes.end() || !usable(fields, request) || owner_.labels_.count(request.label) > 0) {
+        if (known == classes.end() || !isValidCall(fields, request) ||
+            owner_.labels_.count(request.label) > 0) {
             ++owner_.counters_.unusable;
             answer(tag, "ERR", "-", {});
             strike();
