--- a/src/platform/client_messages.cpp
+++ b/src/platform/client_messages.cpp
@@ -35,9 +35,9 @@
     bytes_.erase(0, bytes_.size() - rest.size());
 }
 
-ClientMessages::TakenBack ClientMessages::takeBack(
+ClientMessages::Cancellations ClientMessages::extractCancellations(
     const std::function<bool(const std::string& tag)>& isOpen) {
-    TakenBack result;
+    Cancellations result;
     for (std::size_t at = 0; at < messages_.size(); ++at) {
         const std::vector<std::string>& words = messages_[at].words;
         if (words.size() < 2 || words[0] != "CANCEL" || !isTag(words[1])) continue;
@@ -54,7 +54,7 @@
         }
         takeAt(call);
         --at;
-        ++result.heldCalls;
+        ++result.droppedCalls;
     }
     return result;
 }
--- a/src/platform/client_messages.hpp
+++ b/src/platform/client_messages.hpp
@@ -30,11 +30,11 @@
 
     // CANCEL overtakes what is held: a call that its client has taken back is not sent on first, and an open
     // one is given up though the client does not read its answers.
-    struct TakenBack {
+    struct Cancellations {
         std::vector<std::string> openTags;
-        int heldCalls = 0;  // dropped with their CANCEL
+        int droppedCalls = 0;  // dropped with their CANCEL
     };
-    TakenBack takeBack(const std::function<bool(const std::string& tag)>& isOpen);
+    Cancellations extractCancellations(const std::function<bool(const std::string& tag)>& isOpen);
 
     bool empty() const { return bytes_.empty() && messages_.empty(); }  // but for the start of a message
     bool midMessage() const { return parser_.midMessage(); }
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -138,10 +138,10 @@
     void takeMessages() {
         if (stream_.closed() || ending_) return;
         input_.parse();
-        const auto takenBack =
-            input_.takeBack([this](const std::string& tag) { return open_.count(tag) > 0; });
-        for (const std::string& tag : takenBack.openTags) takeBack(tag);
-        for (int i = 0; i < takenBack.heldCalls; ++i) strike();
+        const auto cancellations =
+            input_.extractCancellations([this](const std::string& tag) { return open_.count(tag) > 0; });
+        for (const std::string& tag : cancellations.openTags) takeBack(tag);
+        for (int i = 0; i < cancellations.droppedCalls; ++i) strike();
         bool fits = true;
         for (int i = 0; i < kMessagesATurn && fits && input_.hasMessage() && !ending_ && !behind(); ++i) {
             ClientMessages::Message message = input_.takeFirst();
