--- a/src/platform/client_messages.cpp
+++ b/src/platform/client_messages.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t kMostMessages = 64;
-constexpr std::size_t kMostBytes = 64 * 1024;
+constexpr std::size_t kMaxMessages = 64;
+constexpr std::size_t kMaxMessageBytes = 64 * 1024;
 
 bool isCallOf(const std::vector<std::string>& words, const std::string& tag) {
     return words.size() > 2 && words[0] == "CALL" && words[1] == tag;
@@ -18,18 +18,19 @@
 }  // namespace
 
 void ClientMessages::append(std::string_view data, Micros arrivedAt) {
-    if (bytes_.empty()) bytesSince_ = arrivedAt;
+    if (bytes_.empty()) bytesArrivedAt_ = arrivedAt;
     bytes_.append(data);
 }
 
 void ClientMessages::parse() {
     using Status = net::RespParser::Status;
     std::string_view rest = bytes_;
-    while (!malformed_ && messages_.size() < kMostMessages && messageBytes_ < kMostBytes && !rest.empty()) {
+    while (!malformed_ && messages_.size() < kMaxMessages && messageBytes_ < kMaxMessageBytes &&
+           !rest.empty()) {
         const Status status = parser_.feed(rest);
         malformed_ = status == Status::malformed;
         if (status != Status::message) continue;
-        messages_.push_back({parser_.take(), bytesSince_});
+        messages_.push_back({parser_.take(), bytesArrivedAt_});
         messageBytes_ += bytesOf(messages_.back().words);
     }
     bytes_.erase(0, bytes_.size() - rest.size());
--- a/src/platform/client_messages.hpp
+++ b/src/platform/client_messages.hpp
@@ -48,7 +48,7 @@
 
     net::RespParser parser_{{8, 64 * 1024, 80 * 1024}};
     std::string bytes_;  // not yet in messages
-    Micros bytesSince_{};
+    Micros bytesArrivedAt_{};
     std::deque<Message> messages_;
     std::size_t messageBytes_ = 0;
     bool malformed_ = false;
