--- a/src/platform/copy_age.hpp
+++ b/src/platform/copy_age.hpp
@@ -13,17 +13,17 @@
 // A purge and a copy carry dates of other machines, which are compared as they are. Only where an age is to
 // be judged our own wall clock comes in. It may have been ahead when the process started, by which every copy
 // would look too old: the youngest copy seen bounds that.
-class CopyClock {
+class CopyAgeCheck {
 public:
     // `unixClockOffset`: what our wall clock showed beyond the monotonic one at the start.
-    explicit CopyClock(core::Micros unixClockOffset) : unixClockOffset_(unixClockOffset) {}
+    explicit CopyAgeCheck(core::Micros unixClockOffset) : unixClockOffset_(unixClockOffset) {}
 
     void learn(core::Micros now, std::int64_t mintedMs) {
         const core::Micros ahead = std::chrono::milliseconds{mintedMs} - now;
         copiesAhead_ = std::max(ahead, copiesAhead_.value_or(ahead));
     }
     // A copy made before is too old; zero: none is.
-    std::int64_t leastMintedMs(core::Micros now, const core::Decision& send) const {
+    std::int64_t oldestAllowedMs(core::Micros now, const core::Decision& send) const {
         const std::int64_t byPurge = send.lastPurgeMs > 0 ? send.lastPurgeMs - kAsTold.count() : 0;
         if (send.maxAge.count() <= 0 || send.maxAgeFromPurge || !copiesAhead_) return byPurge;
         const core::Micros least = now + std::min(unixClockOffset_, *copiesAhead_) - send.maxAge - kAsTold;
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -145,8 +145,8 @@
         RequestId request;
         int attempt;
         Micros writtenAt;
-        std::string known;           // the tag of the client's copy, if it was named
-        std::int64_t leastMintedMs;  // a copy made before is too old; Unix time
+        std::string known;             // the tag of the client's copy, if it was named
+        std::int64_t oldestAllowedMs;  // a copy made before is too old; Unix time
         bool repeatable;
     };
 
@@ -249,9 +249,10 @@
         end.attempt = found->second.attempt;
         end.outcome = *outcome;
         end.note = noteOf(fields.text("remark"));
-        if (const auto minted = fields.whole("minted")) owner_.copyClock_.learn(owner_.loop_.now(), *minted);
+        if (const auto minted = fields.whole("minted"))
+            owner_.copyAgeCheck_.learn(owner_.loop_.now(), *minted);
         if (*outcome == Outcome::served &&
-            fields.whole("minted").value_or(found->second.leastMintedMs) < found->second.leastMintedMs) {
+            fields.whole("minted").value_or(found->second.oldestAllowedMs) < found->second.oldestAllowedMs) {
             // Passed on, it would be an answer from before a purge. What is not to run twice did run.
             ++owner_.counters_.tooOld;
             end.outcome = found->second.repeatable ? Outcome::noCopy : Outcome::error;
@@ -312,7 +313,7 @@
                                    next.send.attempt,
                                    now,
                                    request.known,
-                                   owner_.copyClock_.leastMintedMs(now, next.send),
+                                   owner_.copyAgeCheck_.oldestAllowedMs(now, next.send),
                                    owner_.repeatable_.at(static_cast<std::size_t>(request.classIndex))};
             waiting_.pop_front();
         }
@@ -394,7 +395,7 @@
 };
 
 Stores::Stores(net::Loop& loop, const settings::Configuration& configuration)
-    : loop_(loop), unixClockOffset_(core::unixClockOffset()), copyClock_(unixClockOffset_) {
+    : loop_(loop), unixClockOffset_(core::unixClockOffset()), copyAgeCheck_(unixClockOffset_) {
     reconfigure(configuration);
 }
 
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -74,7 +74,7 @@
 
     net::Loop& loop_;
     core::Micros unixClockOffset_;
-    CopyClock copyClock_;
+    CopyAgeCheck copyAgeCheck_;
     core::Micros connectTimeout_{}, idleClose_{};
     std::size_t streams_ = 0;
     core::Micros longAnswer_{};     // from an answer's first byte to its last, however steadily it comes
