--- a/src/platform/copy_age.hpp
+++ b/src/platform/copy_age.hpp
@@ -19,23 +19,24 @@
     explicit CopyAgeCheck(core::Micros unixClockOffset) : unixClockOffset_(unixClockOffset) {}
 
     void learn(core::Micros now, std::int64_t mintedMs) {
-        const core::Micros ahead = std::chrono::milliseconds{mintedMs} - now;
-        copiesAhead_ = std::max(ahead, copiesAhead_.value_or(ahead));
+        const core::Micros offset = std::chrono::milliseconds{mintedMs} - now;
+        youngestCopyOffset_ = std::max(offset, youngestCopyOffset_.value_or(offset));
     }
     // A copy made before is too old; zero: none is.
     std::int64_t oldestAllowedMs(core::Micros now, const core::Decision& send) const {
-        const std::int64_t byPurge = send.lastPurgeMs > 0 ? send.lastPurgeMs - kAsTold.count() : 0;
-        if (send.maxAge.count() <= 0 || send.maxAgeFromPurge || !copiesAhead_) return byPurge;
-        const core::Micros least = now + std::min(unixClockOffset_, *copiesAhead_) - send.maxAge - kAsTold;
-        return std::max(byPurge, least.count() / 1000);
+        const std::int64_t fromPurge = send.lastPurgeMs > 0 ? send.lastPurgeMs - kClockTolerance.count() : 0;
+        if (send.maxAge.count() <= 0 || send.maxAgeFromPurge || !youngestCopyOffset_) return fromPurge;
+        const core::Micros oldestAllowed =
+            now + std::min(unixClockOffset_, *youngestCopyOffset_) - send.maxAge - kClockTolerance;
+        return std::max(fromPurge, oldestAllowed.count() / 1000);
     }
 
 private:
     // An age is told in whole milliseconds, and clocks are read apart.
-    static constexpr std::chrono::milliseconds kAsTold{50};
+    static constexpr std::chrono::milliseconds kClockTolerance{50};
 
     core::Micros unixClockOffset_;
-    std::optional<core::Micros> copiesAhead_;  // the clock that dates copies is ahead by that at least
+    std::optional<core::Micros> youngestCopyOffset_;  // the clock that dates copies is ahead by that at least
 };
 
 }  // namespace lotuslead::platform
