--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -91,7 +91,7 @@
             std::string words;
             net::appendResp(words, {"KILL", it->first});
             remember(it->first);
-            if (owner_.loop_.now() - std::max(lastByte_, it->second.writtenAt) > owner_.silence_.limit())
+            if (owner_.loop_.now() - std::max(lastByte_, it->second.writtenAt) > owner_.silence_.value())
                 shunned_ = true;
             out_.erase(it);
             stream_.write(std::move(words));
@@ -202,13 +202,13 @@
         silenceTimer_ = owner_.loop_.after(wait, [this] {
             silenceTimer_.reset();
             if (out_.empty()) return;
-            const Micros left = owner_.silence_.limit() - silentFor();
+            const Micros left = owner_.silence_.value() - silentFor();
             if (left.count() > 0) return watchSilence(left);
             if (echoAt_ > waitsSince()) {
                 ++owner_.counters_.stuck;
                 return fail(Outcome::broken, HealthReport::one, true);
             }
-            if (!owner_.mayProbe_) return watchSilence(owner_.silence_.limit());
+            if (!owner_.mayProbe_) return watchSilence(owner_.silence_.value());
             ++owner_.counters_.echoes;
             ++echoesDue_;
             echoAt_ = owner_.loop_.now();
@@ -308,7 +308,7 @@
             // No room for its first byte: it waits on, and is looked at again before it goes.
             if (!stream_.writeIfRoom(std::move(words))) return;
             if (out_.empty()) waitsSince_ = now;
-            if (!silenceTimer_) watchSilence(owner_.silence_.limit());
+            if (!silenceTimer_) watchSilence(owner_.silence_.value());
             out_[request.label] = {next.send.request,
                                    next.send.attempt,
                                    now,
@@ -411,7 +411,7 @@
     sockets_ = static_cast<std::size_t>(configuration.limits.sockets);
     setProcessCount(processes_);
     const Micros longest = core::longestClientTimeout(words.settings);
-    silence_.bound(longest / 2);
+    silence_.setUpperBound(longest / 2);
     longAnswer_ = std::min(kLongAnswer, longest / 2);
     repeatable_.clear();
     for (const ClassSettings& c : words.settings.classes) repeatable_.push_back(c.effect == Effect::safe);
@@ -501,7 +501,7 @@
     for (const auto& link : store.links) {
         // Two attempts of one id on one connection: a late answer to the first would pass for the second's.
         if (!link->usable() || link->load() >= streams_ || link->knows(label)) continue;
-        auto& place = link->silentFor() > silence_.limit() ? silent : best;
+        auto& place = link->silentFor() > silence_.value() ? silent : best;
         if (!place || link->load() < place->load()) place = link;
     }
     if (best) return best;
@@ -517,7 +517,7 @@
 void Stores::retireStuck(Store& store) {
     const auto links = store.links;
     for (const auto& link : links) {
-        if (!link->waitsForAnswers() || link->silentFor() < silence_.limit() + kStuck) continue;
+        if (!link->waitsForAnswers() || link->silentFor() < silence_.value() + kStuck) continue;
         if (store.answeredWrittenAt <= link->waitsSince()) continue;
         ++counters_.stuck;
         link->fail(Outcome::broken, Link::HealthReport::none, true);
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -84,7 +84,7 @@
     bool mayProbe_ = false;
     // With attempts out and not a byte for longer: the machine may be gone without a word, or an answer has
     // stopped the connection. It is asked for an echo, and new attempts go by another one.
-    SilenceLimit silence_;
+    SilenceTimeout silence_;
     std::uint64_t lastEcho_ = 0;
     Callbacks callbacks_;
     Counters counters_;
--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -330,17 +330,17 @@
 
 // With one request out at a time a connection is silent for as long as its answer takes.
 TEST(SilenceLimit, IsLearnedFromHowLongAnswersTake) {
-    platform::SilenceLimit busy, thin;
-    EXPECT_EQ(busy.limit(), platform::SilenceLimit::kLeast);
+    platform::SilenceTimeout busy, thin;
+    EXPECT_EQ(busy.value(), platform::SilenceTimeout::kMin);
     for (int i = 0; i < 100; ++i) {
         busy.learn(10ms);
         thin.learn(i % 2 == 0 ? 400ms : 800ms);
     }
-    EXPECT_EQ(busy.limit(), platform::SilenceLimit::kLeast);
-    EXPECT_GT(thin.limit(), 1200ms);
-    EXPECT_LT(thin.limit(), 1600ms);
+    EXPECT_EQ(busy.value(), platform::SilenceTimeout::kMin);
+    EXPECT_GT(thin.value(), 1200ms);
+    EXPECT_LT(thin.value(), 1600ms);
     for (int i = 0; i < 100; ++i) thin.learn(60s);  // however long they take
-    EXPECT_EQ(thin.limit(), platform::SilenceLimit::kMost);
+    EXPECT_EQ(thin.value(), platform::SilenceTimeout::kMax);
 }
 
 INSTANTIATE_TEST_SUITE_P(Counts, FleetSize,
