--- a/src/platform/silence_timeout.hpp
+++ b/src/platform/silence_timeout.hpp
@@ -18,21 +18,21 @@
     static constexpr Micros kMax{3'000'000};  // however slow answers are, a dead connection is found by then
 
     // Where requests may not wait so long, a dead connection must be found sooner.
-    void setUpperBound(Micros most) { most_ = std::clamp(most, kMin, kMax); }
+    void setUpperBound(Micros upperBound) { upperBound_ = std::clamp(upperBound, kMin, kMax); }
     void learn(Micros silence) {
-        const auto seen = static_cast<double>(std::clamp(silence, Micros{0}, kMax).count());
-        if (known_.mean > 0) return known_.learn(seen);
-        known_.mean = seen;
-        known_.deviation = seen / 2;
+        const auto observed = static_cast<double>(std::clamp(silence, Micros{0}, kMax).count());
+        if (silences_.mean > 0) return silences_.learn(observed);
+        silences_.mean = observed;
+        silences_.deviation = observed / 2;
     }
     Micros value() const {
-        const double micros = known_.mean + 4 * known_.deviation;
-        return std::clamp(Micros{static_cast<Micros::rep>(micros)}, kMin, most_);
+        const double micros = silences_.mean + 4 * silences_.deviation;
+        return std::clamp(Micros{static_cast<Micros::rep>(micros)}, kMin, upperBound_);
     }
 
 private:
-    Micros most_ = kMax;
-    RunningMean known_{1.0 / 8, 1.0 / 4};
+    Micros upperBound_ = kMax;
+    RunningMean silences_{1.0 / 8, 1.0 / 4};
 };
 
 }  // namespace lotuslead::platform
