--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -303,7 +303,7 @@
             }
             const core::Request& request = *next.request;
             std::string words;
-            const std::string fields = fieldsOf(request, next.send, leftOf(next));
+            const std::string fields = pullFields(request, next.send, leftOf(next));
             net::appendResp(words, {"PULL", request.label, fields, request.body});
             // No room for its first byte: it waits on, and is looked at again before it goes.
             if (!stream_.writeIfRoom(std::move(words))) return;
--- a/src/platform/store_protocol.hpp
+++ b/src/platform/store_protocol.hpp
@@ -39,7 +39,7 @@
     return std::nullopt;
 }
 
-inline std::string fieldsOf(const core::Request& request, const core::Decision& send, core::Micros left) {
+inline std::string pullFields(const core::Request& request, const core::Decision& send, core::Micros left) {
     const auto ms = [](core::Micros t) { return static_cast<std::int64_t>(t.count() / 1000); };
     FieldWriter fields;
     fields.add("profile", request.className);
@@ -51,14 +51,14 @@
     if (send.keepRank > 0) fields.add("tier", send.keepRank);
     // Rounded down, so that a copy from before a purge never passes; 0 would mean "any age".
     if (send.maxAge.count() > 0) fields.add("fresh", std::max<std::int64_t>(1, ms(send.maxAge)));
-    std::string how;
+    std::string options;
     const auto option = [&](bool on, const char* word) {
-        if (on) how += (how.empty() ? "" : "+") + std::string(word);
+        if (on) options += (options.empty() ? "" : "+") + std::string(word);
     };
     option(send.joinFill, "share");
     option(send.onlyIfCached, "peek");
     option(send.staleWhileRevalidate, "swr");
-    if (!how.empty()) fields.add("opts", how);
+    if (!options.empty()) fields.add("opts", options);
     if (!request.known.empty()) fields.add("known", request.known);
     return std::string(fields.text());
 }
