--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -433,7 +433,7 @@
     const auto processes = static_cast<std::size_t>(processes_);
     mostClients_ = static_cast<std::size_t>(limits_.sockets) / 3 / processes;  // the rest is for stores
     const std::size_t all = static_cast<std::size_t>(limits_.memoryMb) * 1024 * 1024;
-    mostBytes_ = (all - std::min(all / 2, kProcessBytes * processes)) / processes * 3 / 4;
+    mostBytes_ = (all - std::min(all / 2, kProcessBaseBytes * processes)) / processes * 3 / 4;
 }
 
 void Front::reconfigure(const settings::Configuration& configuration) {
@@ -551,21 +551,23 @@
 bool Front::roomForOne(std::size_t backlog) const {
     const auto open = static_cast<double>(requests_.openCount() + 1);
     const double coming =
-        open * answer_.mean + kSpreads * std::sqrt(open) * answer_.deviation + kLargestAnswer;
+        open * answer_.mean + kAnswerSizeDeviations * std::sqrt(open) * answer_.deviation + kMaxAnswerBytes;
     return coming + static_cast<double>(unsent_) <= static_cast<double>(mostFor(backlog));
 }
 
 std::size_t Front::mostFor(std::size_t backlog) const {
-    return backlog > kSlow ? mostBytes_ / 2 : mostBytes_;
+    return backlog > kSlowReaderBytes ? mostBytes_ / 2 : mostBytes_;
 }
 
 std::string Front::noRoomFields() const {
     const Settings& s = words_.settings;
     const Micros most = std::chrono::duration_cast<Micros>(s.maxRetryHint);
-    return pauseFields(s.retryHints ? std::min(kNoRoomPause, most) : Micros{0});
+    return pauseFields(s.retryHints ? std::min(kNoMemoryRetryAfter, most) : Micros{0});
 }
 
-std::size_t Front::clientBacklog() const { return std::min(kClientBacklog, mostBytes_ / kClientsShare); }
+std::size_t Front::clientBacklog() const {
+    return std::min(kMaxClientBacklogBytes, mostBytes_ / kClientsAtFullBacklog);
+}
 
 void Front::failOpenRequests() {
     lastCall_ = true;
--- a/src/platform/front_limits.hpp
+++ b/src/platform/front_limits.hpp
@@ -12,16 +12,17 @@
 using core::Micros;
 using namespace std::chrono_literals;
 
-inline constexpr std::size_t kLargestAnswer = 240'000;
-inline constexpr std::size_t kProcessBytes = 8 * 1024 * 1024;  // of a process at rest, with all that it knows
-inline constexpr std::size_t kClientBacklog =
-    2 * 1024 * 1024;                              // unread answers at which a client is not read from
-inline constexpr std::size_t kClientsShare = 16;  // of them may be so far behind
-inline constexpr std::size_t kSlow = 256 * 1024;  // unread answers of one that reads slowly
-inline constexpr double kSpreads = 3;             // of answers' sizes, above their mean
+inline constexpr std::size_t kMaxAnswerBytes = 240'000;
+inline constexpr std::size_t kProcessBaseBytes =
+    8 * 1024 * 1024;  // of a process at rest, with all that it knows
+inline constexpr std::size_t kMaxClientBacklogBytes =
+    2 * 1024 * 1024;                                      // unread answers at which a client is not read from
+inline constexpr std::size_t kClientsAtFullBacklog = 16;  // of them may be so far behind
+inline constexpr std::size_t kSlowReaderBytes = 256 * 1024;  // unread answers of one that reads slowly
+inline constexpr double kAnswerSizeDeviations = 3;           // of answers' sizes, above their mean
 inline constexpr Micros kWayBack =
     10ms;  // the client counts from when it sent; so long an answer is under way
-inline constexpr Micros kNoRoomPause = 200ms;
+inline constexpr Micros kNoMemoryRetryAfter = 200ms;
 // Bad clients: each is owed a refusal, an error or a close within 3 s of connecting.
 inline constexpr Micros kFirstMessage = 2800ms;  // from connecting to the first whole message
 inline constexpr Micros kHalfMessage = 2800ms;   // from the first byte of a later one to its last
