--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -37,7 +37,7 @@
           lastByte_(connectedAt_),
           stream_(owner.loop_, std::move(fd), *this) {
         stream_.dropWithPeer();
-        watch(kFirstMessage);
+        watch(kFirstMessageTimeout);
     }
     ~Client() override { abandon(); }
 
@@ -47,12 +47,14 @@
     bool silent() const { return !used_ && input_.empty() && stream_.quiet(); }
     bool half() const { return input_.midMessage(); }
     bool fresh() const { return !used_; }
-    bool young() const { return owner_.loop_.now() - lastUsed_ < (half() ? kStalledYoung : kSilentYoung); }
+    bool young() const {
+        return owner_.loop_.now() - lastUsed_ < (half() ? kPartialMessageGrace : kSilentGrace);
+    }
     // The process may end: nothing of a request is here, and none is to be expected right now.
     bool settled() const {
         if (!idle() || (!ending_ && !stream_.quiet())) return false;
         const Micros still = owner_.loop_.now() - lastByte_;
-        return ending_ || (used_ ? !half() || still >= kHalfAtTheEnd : still >= kSilentYoung);
+        return ending_ || (used_ ? !half() || still >= kPartialMessageShutdownGrace : still >= kSilentGrace);
     }
     void lastCall() {
         failOpen();
@@ -126,10 +128,10 @@
 
     // What comes in may have been sent while this process was held up, or before it listened.
     Micros waitedUnread() const {
-        const bool fromBeforeTheStart = owner_.loop_.now() - owner_.openedAt_ < kJustOpened;
+        const bool fromBeforeTheStart = owner_.loop_.now() - owner_.openedAt_ < kStartupBacklogWindow;
         const bool mayBeOld = fromBeforeTheStart || owner_.loop_.heldUpOfLate() || stream_.readingLags();
         if (!mayBeOld) return owner_.loop_.heldUp();
-        const Micros told = std::min(stream_.sinceLastArrival(), kLongestUnread);
+        const Micros told = std::min(stream_.sinceLastArrival(), kMaxUnreadWait);
         return told.count() > 0 ? told : owner_.loop_.heldUp();
     }
 
@@ -168,8 +170,8 @@
     // read on until then: a request left unread would be lost.
     void retire() {
         if (std::exchange(retired_, true)) return;
-        const Micros until = connectedAt_ + kFirstMessage - owner_.loop_.now();
-        watch(std::max(until, Micros{kGentle}));
+        const Micros until = connectedAt_ + kFirstMessageTimeout - owner_.loop_.now();
+        watch(std::max(until, Micros{kCloseLinger}));
     }
     void failOpen() {
         while (!open_.empty()) {
@@ -183,7 +185,7 @@
         if (!retired_ || !open_.empty() || !input_.empty() || std::exchange(ending_, true)) return;
         if (Trace::on()) Trace::write("client_close", {{"client", std::to_string(number_)}});
         stopWatch();
-        stream_.closeGently(kGentle);
+        stream_.closeGently(kCloseLinger);
     }
     // Useless messages in a row: nothing is gained by reading on.
     void strike() {
@@ -208,7 +210,7 @@
     void watchMessage() {
         if (retired_ || !used_) return;
         if (!input_.midMessage()) return stopWatch();
-        if (!watch_) watch(kHalfMessage);
+        if (!watch_) watch(kMessageTimeout);
     }
     void watch(Micros delay) {
         stopWatch();
@@ -219,7 +221,7 @@
                 failOpen();
                 return endIfAnswered();
             }
-            if (!input_.empty() || behind()) return watch(kHalfMessage);  // it waits for us
+            if (!input_.empty() || behind()) return watch(kMessageTimeout);  // it waits for us
             ++(used_ ? owner_.counters_.halfMessages : owner_.counters_.silent);
             retired_ = true;
             failOpen();
@@ -255,7 +257,7 @@
         const Call call = found->second;
         release(tag);
         owner_.requests_.clientGone(owner_.loop_.now(), call.id);
-        if (owner_.loop_.now() - call.takenAt < kTakenBackAtOnce) strike();
+        if (owner_.loop_.now() - call.takenAt < kImmediateCancel) strike();
     }
 
     bool call(std::vector<std::string>& words, Micros arrivedAt) {
@@ -304,7 +306,7 @@
         const auto giveUp = owner_.words_.settings.classes[static_cast<std::size_t>(known->second)].giveUp;
         const Micros wait = patience ? Micros{std::chrono::milliseconds{*patience}}
                                      : std::chrono::duration_cast<Micros>(giveUp);
-        request.deadline = arrivedAt + std::max(Micros{1ms}, wait - kWayBack);
+        request.deadline = arrivedAt + std::max(Micros{1ms}, wait - kAnswerTransitTime);
         open_[tag] = {request.id, request.label, now};
         if (Trace::on())
             Trace::write("call",
--- a/src/platform/front_limits.hpp
+++ b/src/platform/front_limits.hpp
@@ -20,19 +20,20 @@
 inline constexpr std::size_t kClientsAtFullBacklog = 16;  // of them may be so far behind
 inline constexpr std::size_t kSlowReaderBytes = 256 * 1024;  // unread answers of one that reads slowly
 inline constexpr double kAnswerSizeDeviations = 3;           // of answers' sizes, above their mean
-inline constexpr Micros kWayBack =
+inline constexpr Micros kAnswerTransitTime =
     10ms;  // the client counts from when it sent; so long an answer is under way
 inline constexpr Micros kNoMemoryRetryAfter = 200ms;
 // Bad clients: each is owed a refusal, an error or a close within 3 s of connecting.
-inline constexpr Micros kFirstMessage = 2800ms;  // from connecting to the first whole message
-inline constexpr Micros kHalfMessage = 2800ms;   // from the first byte of a later one to its last
-inline constexpr Micros kGentle = 500ms;         // for what was answered to be read before the close
-inline constexpr Micros kSilentYoung = 200ms;    // a new connection may still be about to ask
-inline constexpr Micros kStalledYoung = 50ms;    // and one that writes may be between two pieces
-inline constexpr Micros kHalfAtTheEnd = 200ms;   // and before the process ends it has so long to go on
-inline constexpr Micros kJustOpened = 1s;        // what comes so soon may have waited for this process
-inline constexpr Micros kLongestUnread = 5s;
-inline constexpr Micros kTakenBackAtOnce = 20ms;  // no client that waits for its answer does so
+inline constexpr Micros kFirstMessageTimeout = 2800ms;  // from connecting to the first whole message
+inline constexpr Micros kMessageTimeout = 2800ms;       // from the first byte of a later one to its last
+inline constexpr Micros kCloseLinger = 500ms;           // for what was answered to be read before the close
+inline constexpr Micros kSilentGrace = 200ms;           // a new connection may still be about to ask
+inline constexpr Micros kPartialMessageGrace = 50ms;    // and one that writes may be between two pieces
+inline constexpr Micros kPartialMessageShutdownGrace =
+    200ms;                                           // and before the process ends it has so long to go on
+inline constexpr Micros kStartupBacklogWindow = 1s;  // what comes so soon may have waited for this process
+inline constexpr Micros kMaxUnreadWait = 5s;
+inline constexpr Micros kImmediateCancel = 20ms;  // no client that waits for its answer does so
 // Operators send clients away: 4 s after that nobody is to be held.
 inline constexpr Micros kSweep = 50ms;
 inline constexpr Micros kDrainRefuses = 1900ms;
