--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -75,7 +75,7 @@
         if (last && since && lastCall_ >= *since) failOpen();
         if (ending_ || !open_.empty() || !input_.empty() || !stream_.quiet()) return;
         if (input_.midMessage() && !last) return;
-        if (!used_ && now - connectedAt_ < kSilentDrained) return;
+        if (!used_ && now - connectedAt_ < kDrainSilentGrace) return;
         // A request may have come since it was looked at.
         if (!owner_.requests_.checks().allows(core::mayClose(closeFacts()))) return;
         ++owner_.counters_.drained;
@@ -492,17 +492,17 @@
 }
 
 bool Front::refuses() const {
-    return lastCall_ || (drainingSince_ && loop_.now() - *drainingSince_ >= kDrainRefuses);
+    return lastCall_ || (drainingSince_ && loop_.now() - *drainingSince_ >= kDrainRefuseAfter);
 }
 
 void Front::sweep() {
     std::optional<Micros> refusing;
-    if (refuses()) refusing = *drainingSince_ + kDrainRefuses;
-    const bool last = loop_.now() - *drainingSince_ >= kDrainEnds;
+    if (refuses()) refusing = *drainingSince_ + kDrainRefuseAfter;
+    const bool last = loop_.now() - *drainingSince_ >= kDrainFailAfter;
     std::vector<std::shared_ptr<Client>> all;  // an end takes it from the table
     for (const auto& [key, client] : clients_) all.push_back(client);
     for (const auto& client : all) client->endForDrain(refusing, last);
-    sweep_ = loop_.after(kSweep, [this] {
+    sweep_ = loop_.after(kDrainSweepInterval, [this] {
         sweep_.reset();
         sweep();
     });
--- a/src/platform/front_limits.hpp
+++ b/src/platform/front_limits.hpp
@@ -35,12 +35,12 @@
 inline constexpr Micros kMaxUnreadWait = 5s;
 inline constexpr Micros kImmediateCancel = 20ms;  // no client that waits for its answer does so
 // Operators send clients away: 4 s after that nobody is to be held.
-inline constexpr Micros kSweep = 50ms;
-inline constexpr Micros kDrainRefuses = 1900ms;
+inline constexpr Micros kDrainSweepInterval = 50ms;
+inline constexpr Micros kDrainRefuseAfter = 1900ms;
 // Where a connection has been refusing for so long, what is still open on it is failed: one slow request
 // would have hundreds refused behind it.
-inline constexpr Micros kDrainEnds = 2300ms;
-inline constexpr Micros kSilentDrained = 500ms;      // one that connects still has so long to ask
+inline constexpr Micros kDrainFailAfter = 2300ms;
+inline constexpr Micros kDrainSilentGrace = 500ms;   // one that connects still has so long to ask
 inline constexpr std::size_t kOpenAConnection = 32;  // the protocol's bound
 inline constexpr int kMessagesATurn = 16;            // of one client; then the others have their turn
 inline constexpr int kMostStrikes = 12;              // useless messages in a row that a connection may bring
