--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -145,7 +145,8 @@
         for (const std::string& tag : cancellations.openTags) takeBack(tag);
         for (int i = 0; i < cancellations.droppedCalls; ++i) strike();
         bool fits = true;
-        for (int i = 0; i < kMessagesATurn && fits && input_.hasMessage() && !ending_ && !behind(); ++i) {
+        for (int i = 0; i < kMaxMessagesPerTurn && fits && input_.hasMessage() && !ending_ && !behind();
+             ++i) {
             ClientMessages::Message message = input_.takeFirst();
             fits = take(std::move(message.words), message.arrivedAt);
         }
@@ -189,7 +190,7 @@
     }
     // Useless messages in a row: nothing is gained by reading on.
     void strike() {
-        if (++strikes_ < kMostStrikes || retired_) return;
+        if (++strikes_ < kMaxUselessMessages || retired_) return;
         ++owner_.counters_.retired;
         retire();
     }
@@ -323,7 +324,7 @@
         facts.draining = owner_.refuses();
         facts.connectionClosing = retired_;
         facts.openOnConnection = open_.size();
-        facts.maxOnConnection = kOpenAConnection;
+        facts.maxOnConnection = kMaxOpenPerConnection;
         return facts;
     }
 
--- a/src/platform/front_limits.hpp
+++ b/src/platform/front_limits.hpp
@@ -40,9 +40,9 @@
 // Where a connection has been refusing for so long, what is still open on it is failed: one slow request
 // would have hundreds refused behind it.
 inline constexpr Micros kDrainFailAfter = 2300ms;
-inline constexpr Micros kDrainSilentGrace = 500ms;   // one that connects still has so long to ask
-inline constexpr std::size_t kOpenAConnection = 32;  // the protocol's bound
-inline constexpr int kMessagesATurn = 16;            // of one client; then the others have their turn
-inline constexpr int kMostStrikes = 12;              // useless messages in a row that a connection may bring
+inline constexpr Micros kDrainSilentGrace = 500ms;        // one that connects still has so long to ask
+inline constexpr std::size_t kMaxOpenPerConnection = 32;  // the protocol's bound
+inline constexpr int kMaxMessagesPerTurn = 16;            // of one client; then the others have their turn
+inline constexpr int kMaxUselessMessages = 12;  // useless messages in a row that a connection may bring
 
 }  // namespace lotuslead::platform::limits
