--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -72,7 +72,7 @@
     void endForDrain(std::optional<Micros> since, bool last) {
         if (ending_ || !stream_.allTaken()) return;
         const Micros now = owner_.loop_.now();
-        if (last && since && lastCall_ >= *since) failOpen();
+        if (last && since && lastCallAt_ >= *since) failOpen();
         if (ending_ || !open_.empty() || !input_.empty() || !stream_.quiet()) return;
         if (input_.midMessage() && !last) return;
         if (!used_ && now - connectedAt_ < kDrainSilentGrace) return;
@@ -270,7 +270,7 @@
             retire();
             return true;
         }
-        lastCall_ = owner_.loop_.now();
+        lastCallAt_ = owner_.loop_.now();
         if (const auto denial = core::mayAdmit(admissionFacts()); denial != core::Denial::none) {
             refuse(tag, denial);
             return true;
@@ -412,7 +412,7 @@
     ClientMessages input_;
     std::unordered_map<std::string, Call> open_;  // by tag
     std::size_t counted_ = 0;
-    Micros connectedAt_, lastUsed_, lastByte_, lastCall_{};
+    Micros connectedAt_, lastUsed_, lastByte_, lastCallAt_{};
     std::optional<net::Loop::TimerKey> watch_, resume_;
     int strikes_ = 0;
     bool takePosted_ = false;
