--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -56,7 +56,7 @@
         const Micros still = owner_.loop_.now() - lastByte_;
         return ending_ || (used_ ? !half() || still >= kPartialMessageShutdownGrace : still >= kSilentGrace);
     }
-    void lastCall() {
+    void failOpenRequests() {
         failOpen();
         endIfAnswered();
         settle();
@@ -157,7 +157,7 @@
         settle();
     }
 
-    bool behind() const { return stream_.unsent() > owner_.clientBacklog() && !owner_.lastCall_; }
+    bool behind() const { return stream_.unsent() > owner_.clientBacklog() && !owner_.failingRequests_; }
     // What comes next can't be told apart any more. What was taken has its answer, and the client the time to
     // read it.
     void spoilt() {
@@ -320,7 +320,7 @@
 
     core::AdmissionFacts admissionFacts() const {
         core::AdmissionFacts facts;
-        facts.shuttingDown = owner_.lastCall_;
+        facts.shuttingDown = owner_.failingRequests_;
         facts.draining = owner_.refuses();
         facts.connectionClosing = retired_;
         facts.openOnConnection = open_.size();
@@ -493,7 +493,7 @@
 }
 
 bool Front::refuses() const {
-    return lastCall_ || (drainingSince_ && loop_.now() - *drainingSince_ >= kDrainRefuseAfter);
+    return failingRequests_ || (drainingSince_ && loop_.now() - *drainingSince_ >= kDrainRefuseAfter);
 }
 
 void Front::sweep() {
@@ -573,10 +573,10 @@
 }
 
 void Front::failOpenRequests() {
-    lastCall_ = true;
+    failingRequests_ = true;
     std::vector<std::shared_ptr<Client>> all;  // an end takes it from the table
     for (const auto& [key, client] : clients_) all.push_back(client);
-    for (const auto& client : all) client->lastCall();
+    for (const auto& client : all) client->failOpenRequests();
 }
 
 bool Front::settled() {
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -86,7 +86,7 @@
     // Bytes of the last fifty answers or so; before any, a quarter of the largest.
     RunningMean answer_{0.02, 0.02, 60'000};
     bool leaving_ = false;
-    bool lastCall_ = false;
+    bool failingRequests_ = false;
     bool yielding_ = false;
     std::optional<core::Micros> drainingSince_;
     std::optional<net::Loop::TimerKey> sweep_;
