--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -157,7 +157,7 @@
         settle();
     }
 
-    bool behind() const { return stream_.unsent() > owner_.clientBacklog() && !owner_.failingRequests_; }
+    bool behind() const { return stream_.unsent() > owner_.maxClientBacklog() && !owner_.failingRequests_; }
     // What comes next can't be told apart any more. What was taken has its answer, and the client the time to
     // read it.
     void spoilt() {
@@ -293,7 +293,7 @@
             strike();
             return true;
         }
-        if (!owner_.roomForOne(counted_)) {
+        if (!owner_.hasRoomForCall(countedBytes_)) {
             refuse(tag, core::Denial::noMemory);
             return true;
         }
@@ -337,7 +337,7 @@
         if (Trace::on())
             Trace::write("refuse",
                          {{"client", std::to_string(number_)}, {"tag", tag}, {"why", nameOf(denial)}});
-        answer(tag, "SHED", owner_.noRoomFields(), {});
+        answer(tag, "SHED", owner_.noMemoryFields(), {});
         if (useless) strike();
     }
 
@@ -354,10 +354,10 @@
         release(tag);
         if (reply.kind == Reply::Kind::served) {
             strikes_ = 0;
-            owner_.answer_.learn(static_cast<double>(reply.payload.body.size()));
+            owner_.answerBytes_.learn(static_cast<double>(reply.payload.body.size()));
             if (reply.payload.unchanged) {
                 answer(tag, "SERVED", "keep=1", {});
-            } else if (owner_.unsent_ + reply.payload.body.size() > owner_.mostFor(counted_)) {
+            } else if (owner_.heldBytes_ + reply.payload.body.size() > owner_.heldBytesLimit(countedBytes_)) {
                 ++owner_.counters_.dropped;
                 answer(tag, "ERR", "-", {});
             } else
@@ -402,16 +402,16 @@
         });
     }
     void count(std::size_t unsent) {
-        owner_.unsent_ += unsent;
-        owner_.unsent_ -= counted_;
-        counted_ = unsent;
+        owner_.heldBytes_ += unsent;
+        owner_.heldBytes_ -= countedBytes_;
+        countedBytes_ = unsent;
     }
 
     Front& owner_;
     std::uint64_t number_ = ++owner_.lastClient_;  // in the trace
     ClientMessages input_;
     std::unordered_map<std::string, Call> open_;  // by tag
-    std::size_t counted_ = 0;
+    std::size_t countedBytes_ = 0;
     Micros connectedAt_, lastUsed_, lastByte_, lastCallAt_{};
     std::optional<net::Loop::TimerKey> watch_, resume_;
     int strikes_ = 0;
@@ -429,14 +429,14 @@
       address_(configuration.listen),
       former_(loop) {
     limits_ = configuration.limits;
-    takeLimits();
+    applyLimits();
 }
 
-void Front::takeLimits() {
+void Front::applyLimits() {
     const auto processes = static_cast<std::size_t>(processes_);
-    mostClients_ = static_cast<std::size_t>(limits_.sockets) / 3 / processes;  // the rest is for stores
+    maxClients_ = static_cast<std::size_t>(limits_.sockets) / 3 / processes;  // the rest is for stores
     const std::size_t all = static_cast<std::size_t>(limits_.memoryMb) * 1024 * 1024;
-    mostBytes_ = (all - std::min(all / 2, kProcessBaseBytes * processes)) / processes * 3 / 4;
+    maxHeldBytes_ = (all - std::min(all / 2, kProcessBaseBytes * processes)) / processes * 3 / 4;
 }
 
 void Front::reconfigure(const settings::Configuration& configuration) {
@@ -444,7 +444,7 @@
         former_.replace(listener_, listenOn(configuration.listen));
     address_ = configuration.listen;
     limits_ = configuration.limits;
-    takeLimits();
+    applyLimits();
 }
 
 Front::~Front() {
@@ -477,7 +477,7 @@
 
 void Front::setProcessCount(int processes) {
     processes_ = processes;
-    takeLimits();
+    applyLimits();
 }
 
 void Front::leaveToSuccessor() {
@@ -515,7 +515,7 @@
 }
 
 void Front::accept(net::Descriptor fd) {
-    if (clients_.size() >= mostClients_ && !makeRoom()) {
+    if (clients_.size() >= maxClients_ && !evictClient()) {
         ++counters_.turnedAway;
         return;
     }
@@ -528,7 +528,7 @@
 // connected, then who has stopped within its first message, then who was used longest ago (a client that does
 // need it connects again), then who is merely new. Connections that have not yet asked for anything hold at
 // most half of the places, or a crowd of them would push the others out.
-bool Front::makeRoom() {
+bool Front::evictClient() {
     Client *mute = nullptr, *half = nullptr, *resting = nullptr;
     std::size_t fresh = 0;
     for (const auto& [key, client] : clients_) {
@@ -538,11 +538,11 @@
         if (older && (client->fresh() ? client->silent() : client->resting())) place = client.get();
     }
     if (!mute || (mute->young() && half && half->lastUsed() < mute->lastUsed())) mute = half;
-    const bool muteFirst = mute && (!resting || !mute->young() || 2 * fresh >= mostClients_);
+    const bool muteFirst = mute && (!resting || !mute->young() || 2 * fresh >= maxClients_);
     Client* one = muteFirst ? mute : resting;
     if (!one) return false;
     // A request may have come since it was chosen: then it is no longer one of those, and the next is.
-    if (!requests_.checks().allows(core::mayClose(one->closeFacts()))) return makeRoom();
+    if (!requests_.checks().allows(core::mayClose(one->closeFacts()))) return evictClient();
     ++(one == resting ? counters_.closedIdle : one->half() ? counters_.halfMessages : counters_.silent);
     one->abandon();
     forget(one);
@@ -551,25 +551,25 @@
 
 // What is held, and what the requests in hand may yet bring: as large as answers have been of late, and one
 // of them the largest there is. Who reads slowly leaves half of it to the others.
-bool Front::roomForOne(std::size_t backlog) const {
+bool Front::hasRoomForCall(std::size_t backlog) const {
     const auto open = static_cast<double>(requests_.openCount() + 1);
-    const double coming =
-        open * answer_.mean + kAnswerSizeDeviations * std::sqrt(open) * answer_.deviation + kMaxAnswerBytes;
-    return coming + static_cast<double>(unsent_) <= static_cast<double>(mostFor(backlog));
+    const double coming = open * answerBytes_.mean +
+                          kAnswerSizeDeviations * std::sqrt(open) * answerBytes_.deviation + kMaxAnswerBytes;
+    return coming + static_cast<double>(heldBytes_) <= static_cast<double>(heldBytesLimit(backlog));
 }
 
-std::size_t Front::mostFor(std::size_t backlog) const {
-    return backlog > kSlowReaderBytes ? mostBytes_ / 2 : mostBytes_;
+std::size_t Front::heldBytesLimit(std::size_t backlog) const {
+    return backlog > kSlowReaderBytes ? maxHeldBytes_ / 2 : maxHeldBytes_;
 }
 
-std::string Front::noRoomFields() const {
+std::string Front::noMemoryFields() const {
     const Settings& s = words_.settings;
     const Micros most = std::chrono::duration_cast<Micros>(s.maxRetryHint);
     return pauseFields(s.retryHints ? std::min(kNoMemoryRetryAfter, most) : Micros{0});
 }
 
-std::size_t Front::clientBacklog() const {
-    return std::min(kMaxClientBacklogBytes, mostBytes_ / kClientsAtFullBacklog);
+std::size_t Front::maxClientBacklog() const {
+    return std::min(kMaxClientBacklogBytes, maxHeldBytes_ / kClientsAtFullBacklog);
 }
 
 void Front::failOpenRequests() {
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -60,17 +60,17 @@
     class Client;
 
     void accept(net::Descriptor fd);
-    bool makeRoom();
-    bool roomForOne(std::size_t backlog) const;
+    bool evictClient();
+    bool hasRoomForCall(std::size_t backlog) const;
     // Bytes that may be held with those for a client that has so many unread.
-    std::size_t mostFor(std::size_t backlog) const;
-    std::string noRoomFields() const;  // of a refusal here, as far as the settings allow a hint
+    std::size_t heldBytesLimit(std::size_t backlog) const;
+    std::string noMemoryFields() const;  // of a refusal here, as far as the settings allow a hint
     void forget(Client* client);
-    std::size_t clientBacklog() const;
+    std::size_t maxClientBacklog() const;
     void sweep();
     bool refuses() const;
     bool saysNo() const;
-    void takeLimits();
+    void applyLimits();
     std::unique_ptr<net::Listener> listenOn(const settings::Endpoint& address);
 
     net::Loop& loop_;
@@ -80,11 +80,12 @@
     settings::Limits limits_;
     int processes_ = 1;
     net::Descriptor inherited_;
-    std::size_t mostClients_ = 0;
-    std::size_t mostBytes_ = 0;
-    std::size_t unsent_ = 0;  // bytes of answers that clients have not yet read, and of calls not yet taken
+    std::size_t maxClients_ = 0;
+    std::size_t maxHeldBytes_ = 0;
+    std::size_t heldBytes_ =
+        0;  // bytes of answers that clients have not yet read, and of calls not yet taken
     // Bytes of the last fifty answers or so; before any, a quarter of the largest.
-    RunningMean answer_{0.02, 0.02, 60'000};
+    RunningMean answerBytes_{0.02, 0.02, 60'000};
     bool leaving_ = false;
     bool failingRequests_ = false;
     bool yielding_ = false;
