--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -95,7 +95,7 @@
             owner_.requests_.clientGone(owner_.loop_.now(), call.id);
         }
         input_.clear();
-        count(0);
+        updateHeldBytes(0);
     }
 
 private:
@@ -392,7 +392,7 @@
     // A client that does not read its answers gets no further ones until it does; it is read on as far as
     // what it says can be held.
     void settle() {
-        count(stream_.unsent() + input_.heldBytes());
+        updateHeldBytes(stream_.unsent() + input_.heldBytes());
         if (ending_ || stream_.closed()) return;
         stream_.pauseReading(!input_.hasRoom());
         if (input_.empty() || behind() || resume_) return;
@@ -401,10 +401,10 @@
             takeMessages();
         });
     }
-    void count(std::size_t unsent) {
-        owner_.heldBytes_ += unsent;
+    void updateHeldBytes(std::size_t bytes) {
+        owner_.heldBytes_ += bytes;
         owner_.heldBytes_ -= countedBytes_;
-        countedBytes_ = unsent;
+        countedBytes_ = bytes;
     }
 
     Front& owner_;
