--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -91,7 +91,7 @@
         const auto open = std::move(open_);
         open_.clear();
         for (const auto& [tag, call] : open) {
-            owner_.labels_.erase(call.label);
+            owner_.openLabels_.erase(call.label);
             owner_.requests_.clientGone(owner_.loop_.now(), call.id);
         }
         input_.clear();
@@ -248,7 +248,7 @@
         }
         if (words[0] != "CHECK") return false;
         ++owner_.counters_.checks;
-        answer(words[1], owner_.saysNo() ? "LEAVING" : "PASS", "-", {});
+        answer(words[1], owner_.reportsLeaving() ? "LEAVING" : "PASS", "-", {});
         return true;
     }
 
@@ -287,7 +287,7 @@
         if (words.size() > 4) request.body = std::move(words[4]);
         // A second request under an id that is open would be a second attempt out, to the stores.
         if (known == classes.end() || !isValidCall(fields, request) ||
-            owner_.labels_.count(request.label) > 0) {
+            owner_.openLabels_.count(request.label) > 0) {
             ++owner_.counters_.unusable;
             answer(tag, "ERR", "-", {});
             strike();
@@ -312,7 +312,7 @@
         if (Trace::on())
             Trace::write("call",
                          {{"client", std::to_string(number_)}, {"tag", tag}, {"request", request.label}});
-        owner_.labels_.insert(request.label);
+        owner_.openLabels_.insert(request.label);
         owner_.requests_.submit(now, std::move(request),
                                 [this, tag](RequestId, Reply&& reply) { finish(tag, std::move(reply)); });
         return true;
@@ -321,7 +321,7 @@
     core::AdmissionFacts admissionFacts() const {
         core::AdmissionFacts facts;
         facts.shuttingDown = owner_.failingRequests_;
-        facts.draining = owner_.refuses();
+        facts.draining = owner_.refusesCalls();
         facts.connectionClosing = retired_;
         facts.openOnConnection = open_.size();
         facts.maxOnConnection = kMaxOpenPerConnection;
@@ -344,7 +344,7 @@
     void release(const std::string& tag) {
         const auto found = open_.find(tag);
         if (found == open_.end()) return;
-        owner_.labels_.erase(found->second.label);
+        owner_.openLabels_.erase(found->second.label);
         open_.erase(found);
     }
 
@@ -427,7 +427,7 @@
       requests_(requests),
       words_(configuration.words),
       address_(configuration.listen),
-      former_(loop) {
+      formerListener_(loop) {
     limits_ = configuration.limits;
     applyLimits();
 }
@@ -441,7 +441,7 @@
 
 void Front::reconfigure(const settings::Configuration& configuration) {
     if (listener_ && !(configuration.listen == address_))
-        former_.replace(listener_, listenOn(configuration.listen));
+        formerListener_.replace(listener_, listenOn(configuration.listen));
     address_ = configuration.listen;
     limits_ = configuration.limits;
     applyLimits();
@@ -470,10 +470,10 @@
 void Front::drain() {
     if (drainingSince_) return;
     drainingSince_ = loop_.now();
-    sweep();
+    sweepForDrain();
 }
 
-bool Front::saysNo() const { return leaving_ || (drainingSince_ && !yielding_); }
+bool Front::reportsLeaving() const { return leaving_ || (drainingSince_ && !successorServes_); }
 
 void Front::setProcessCount(int processes) {
     processes_ = processes;
@@ -482,36 +482,36 @@
 
 void Front::leaveToSuccessor() {
     stopListening();
-    yielding_ = true;
+    successorServes_ = true;
     drain();
 }
 
 void Front::undrain() {
     drainingSince_.reset();
-    if (sweep_) loop_.cancel(*sweep_);
-    sweep_.reset();
+    if (drainSweepTimer_) loop_.cancel(*drainSweepTimer_);
+    drainSweepTimer_.reset();
 }
 
-bool Front::refuses() const {
+bool Front::refusesCalls() const {
     return failingRequests_ || (drainingSince_ && loop_.now() - *drainingSince_ >= kDrainRefuseAfter);
 }
 
-void Front::sweep() {
+void Front::sweepForDrain() {
     std::optional<Micros> refusing;
-    if (refuses()) refusing = *drainingSince_ + kDrainRefuseAfter;
+    if (refusesCalls()) refusing = *drainingSince_ + kDrainRefuseAfter;
     const bool last = loop_.now() - *drainingSince_ >= kDrainFailAfter;
     std::vector<std::shared_ptr<Client>> all;  // an end takes it from the table
     for (const auto& [key, client] : clients_) all.push_back(client);
     for (const auto& client : all) client->endForDrain(refusing, last);
-    sweep_ = loop_.after(kDrainSweepInterval, [this] {
-        sweep_.reset();
-        sweep();
+    drainSweepTimer_ = loop_.after(kDrainSweepInterval, [this] {
+        drainSweepTimer_.reset();
+        sweepForDrain();
     });
 }
 
 void Front::stopListening() {
     listener_.reset();
-    former_.close();
+    formerListener_.close();
 }
 
 void Front::accept(net::Descriptor fd) {
@@ -581,7 +581,7 @@
 
 bool Front::settled() {
     if (listener_ && !listener_->takeWaiting()) return false;
-    if (!former_.settled()) return false;
+    if (!formerListener_.settled()) return false;
     return std::all_of(clients_.begin(), clients_.end(),
                        [](const auto& entry) { return entry.second->settled(); });
 }
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -67,9 +67,9 @@
     std::string noMemoryFields() const;  // of a refusal here, as far as the settings allow a hint
     void forget(Client* client);
     std::size_t maxClientBacklog() const;
-    void sweep();
-    bool refuses() const;
-    bool saysNo() const;
+    void sweepForDrain();
+    bool refusesCalls() const;
+    bool reportsLeaving() const;
     void applyLimits();
     std::unique_ptr<net::Listener> listenOn(const settings::Endpoint& address);
 
@@ -88,16 +88,16 @@
     RunningMean answerBytes_{0.02, 0.02, 60'000};
     bool leaving_ = false;
     bool failingRequests_ = false;
-    bool yielding_ = false;
+    bool successorServes_ = false;
     std::optional<core::Micros> drainingSince_;
-    std::optional<net::Loop::TimerKey> sweep_;
+    std::optional<net::Loop::TimerKey> drainSweepTimer_;
     core::Micros openedAt_{};
     RequestId nextId_ = 1;
     std::uint64_t lastClient_ = 0;
     std::unique_ptr<net::Listener> listener_;
-    net::FormerListener former_;
+    net::FormerListener formerListener_;
     std::unordered_map<Client*, std::shared_ptr<Client>> clients_;
-    std::unordered_set<std::string> labels_;  // of the open requests
+    std::unordered_set<std::string> openLabels_;  // of the open requests
     Counters counters_;
 };
 
