--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -52,7 +52,7 @@
     std::size_t clients() const { return clients_.size(); }
     std::uint16_t port() const { return listener_->port(); }
     const Counters& counters() const { return counters_; }
-    net::Listener::Counters accepts() const {
+    net::Listener::Counters listenerCounters() const {
         return listener_ ? listener_->counters() : net::Listener::Counters{};
     }
 
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -34,8 +34,8 @@
                             {"drain_refused", f.drainRefused},
                             {"ended_by_client", f.endedByClient},
                             {"reset", f.reset},
-                            {"accept_failures", front_.accepts().failures},
-                            {"closed_unread", front_.accepts().closedUnread},
+                            {"accept_failures", front_.listenerCounters().failures},
+                            {"closed_unread", front_.listenerCounters().closedUnread},
                             {"clients", front_.clients()}});
     core::printCounterLine(name, "stores",
                            {{"connects", s.connects},
