--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -34,7 +34,7 @@
         : owner_(owner),
           connectedAt_(owner.loop_.now()),
           lastUsed_(connectedAt_),
-          lastByte_(connectedAt_),
+          lastByteAt_(connectedAt_),
           stream_(owner.loop_, std::move(fd), *this) {
         stream_.dropWithPeer();
         watch(kFirstMessageTimeout);
@@ -43,18 +43,21 @@
 
     bool idle() const { return open_.empty() && input_.empty() && stream_.unsent() == 0; }
     // Idle, has been used, and nothing of a further call has come, read or unread.
-    bool resting() const { return idle() && used_ && !retired_ && !input_.midMessage() && stream_.quiet(); }
-    bool silent() const { return !used_ && input_.empty() && stream_.quiet(); }
+    bool resting() const {
+        return idle() && hasSentMessage_ && !refusesMore_ && !input_.midMessage() && stream_.quiet();
+    }
+    bool silent() const { return !hasSentMessage_ && input_.empty() && stream_.quiet(); }
     bool half() const { return input_.midMessage(); }
-    bool fresh() const { return !used_; }
+    bool fresh() const { return !hasSentMessage_; }
     bool young() const {
         return owner_.loop_.now() - lastUsed_ < (half() ? kPartialMessageGrace : kSilentGrace);
     }
     // The process may end: nothing of a request is here, and none is to be expected right now.
     bool settled() const {
-        if (!idle() || (!ending_ && !stream_.quiet())) return false;
-        const Micros still = owner_.loop_.now() - lastByte_;
-        return ending_ || (used_ ? !half() || still >= kPartialMessageShutdownGrace : still >= kSilentGrace);
+        if (!idle() || (!closing_ && !stream_.quiet())) return false;
+        const Micros still = owner_.loop_.now() - lastByteAt_;
+        return closing_ ||
+               (hasSentMessage_ ? !half() || still >= kPartialMessageShutdownGrace : still >= kSilentGrace);
     }
     void failOpenRequests() {
         failOpen();
@@ -70,24 +73,24 @@
     // sees it before it asks again. `since` is when refusals began, `last`: it is time for those that were
     // refused something and have older requests open.
     void endForDrain(std::optional<Micros> since, bool last) {
-        if (ending_ || !stream_.allTaken()) return;
+        if (closing_ || !stream_.allTaken()) return;
         const Micros now = owner_.loop_.now();
         if (last && since && lastCallAt_ >= *since) failOpen();
-        if (ending_ || !open_.empty() || !input_.empty() || !stream_.quiet()) return;
+        if (closing_ || !open_.empty() || !input_.empty() || !stream_.quiet()) return;
         if (input_.midMessage() && !last) return;
-        if (!used_ && now - connectedAt_ < kDrainSilentGrace) return;
+        if (!hasSentMessage_ && now - connectedAt_ < kDrainSilentGrace) return;
         // A request may have come since it was looked at.
         if (!owner_.requests_.checks().allows(core::mayClose(closeFacts()))) return;
         ++owner_.counters_.drained;
-        retired_ = true;
+        refusesMore_ = true;
         endIfAnswered();
     }
 
     void abandon() {
         stream_.close();
         stopWatch();
-        if (resume_) owner_.loop_.cancel(*resume_);
-        resume_.reset();
+        if (resumeTimer_) owner_.loop_.cancel(*resumeTimer_);
+        resumeTimer_.reset();
         const auto open = std::move(open_);
         open_.clear();
         for (const auto& [tag, call] : open) {
@@ -108,20 +111,20 @@
     // ----- input -----
 
     bool streamData(std::string_view data) override {
-        lastByte_ = owner_.loop_.now();
-        if (!used_) lastUsed_ = lastByte_;
-        input_.append(data, lastByte_ - waitedUnread());
+        lastByteAt_ = owner_.loop_.now();
+        if (!hasSentMessage_) lastUsed_ = lastByteAt_;
+        input_.append(data, lastByteAt_ - waitedUnread());
         takeWhenAllIsRead();
         return true;
     }
 
     // A CANCEL may stand behind a call, in what this read has not brought yet.
     void takeWhenAllIsRead() {
-        if (std::exchange(takePosted_, true)) return;
+        if (std::exchange(handlingPosted_, true)) return;
         owner_.loop_.post([self = weak_from_this()] {
             const auto client = self.lock();
             if (!client) return;
-            client->takePosted_ = false;
+            client->handlingPosted_ = false;
             client->takeMessages();
         });
     }
@@ -138,19 +141,19 @@
     // A share of the turn for each client: a burst of one waits in its own connection, not in the others'
     // way. So does what one sends that does not read its answers.
     void takeMessages() {
-        if (stream_.closed() || ending_) return;
+        if (stream_.closed() || closing_) return;
         input_.parse();
         const auto cancellations =
             input_.extractCancellations([this](const std::string& tag) { return open_.count(tag) > 0; });
         for (const std::string& tag : cancellations.openTags) takeBack(tag);
         for (int i = 0; i < cancellations.droppedCalls; ++i) strike();
         bool fits = true;
-        for (int i = 0; i < kMaxMessagesPerTurn && fits && input_.hasMessage() && !ending_ && !behind();
+        for (int i = 0; i < kMaxMessagesPerTurn && fits && input_.hasMessage() && !closing_ && !behind();
              ++i) {
             ClientMessages::Message message = input_.takeFirst();
             fits = take(std::move(message.words), message.arrivedAt);
         }
-        if (stream_.closed() || ending_) return;
+        if (stream_.closed() || closing_) return;
         if (!fits || (input_.malformed() && !input_.hasMessage())) return spoilt();
         endIfAnswered();
         watchMessage();
@@ -162,7 +165,7 @@
     // read it.
     void spoilt() {
         ++owner_.counters_.malformed;
-        retired_ = true;
+        refusesMore_ = true;
         input_.clear();
         failOpen();
         endIfAnswered();
@@ -170,7 +173,7 @@
     // What still comes is refused, and what is open keeps its own answer; then the connection ends. It is
     // read on until then: a request left unread would be lost.
     void retire() {
-        if (std::exchange(retired_, true)) return;
+        if (std::exchange(refusesMore_, true)) return;
         const Micros until = connectedAt_ + kFirstMessageTimeout - owner_.loop_.now();
         watch(std::max(until, Micros{kCloseLinger}));
     }
@@ -183,14 +186,14 @@
         }
     }
     void endIfAnswered() {
-        if (!retired_ || !open_.empty() || !input_.empty() || std::exchange(ending_, true)) return;
-        if (Trace::on()) Trace::write("client_close", {{"client", std::to_string(number_)}});
+        if (!refusesMore_ || !open_.empty() || !input_.empty() || std::exchange(closing_, true)) return;
+        if (Trace::on()) Trace::write("client_close", {{"client", std::to_string(traceNumber_)}});
         stopWatch();
         stream_.closeGently(kCloseLinger);
     }
     // Useless messages in a row: nothing is gained by reading on.
     void strike() {
-        if (++strikes_ < kMaxUselessMessages || retired_) return;
+        if (++uselessMessages_ < kMaxUselessMessages || refusesMore_) return;
         ++owner_.counters_.retired;
         retire();
     }
@@ -199,7 +202,7 @@
     void streamEnded(net::Stream::End why) override {
         ++(why == net::Stream::End::closedByPeer ? owner_.counters_.endedByClient : owner_.counters_.reset);
         if (Trace::on())
-            Trace::write("client_end", {{"client", std::to_string(number_)},
+            Trace::write("client_end", {{"client", std::to_string(traceNumber_)},
                                         {"why", why == net::Stream::End::closedByPeer ? "closed" : "reset"},
                                         {"open", std::to_string(open_.size())}});
         abandon();
@@ -209,7 +212,7 @@
     // ----- time limits -----
 
     void watchMessage() {
-        if (retired_ || !used_) return;
+        if (refusesMore_ || !hasSentMessage_) return;
         if (!input_.midMessage()) return stopWatch();
         if (!watch_) watch(kMessageTimeout);
     }
@@ -217,14 +220,14 @@
         stopWatch();
         watch_ = owner_.loop_.after(delay, [this] {
             watch_.reset();
-            if (retired_) {
+            if (refusesMore_) {
                 input_.clear();
                 failOpen();
                 return endIfAnswered();
             }
             if (!input_.empty() || behind()) return watch(kMessageTimeout);  // it waits for us
-            ++(used_ ? owner_.counters_.halfMessages : owner_.counters_.silent);
-            retired_ = true;
+            ++(hasSentMessage_ ? owner_.counters_.halfMessages : owner_.counters_.silent);
+            refusesMore_ = true;
             failOpen();
             endIfAnswered();
         });
@@ -238,7 +241,7 @@
 
     bool take(std::vector<std::string> words, Micros arrivedAt) {
         if (words.size() < 2 || !isTag(words[1])) return false;
-        const bool first = !std::exchange(used_, true);
+        const bool first = !std::exchange(hasSentMessage_, true);
         if (first) stopWatch();
         lastUsed_ = owner_.loop_.now();
         if (words[0] == "CALL") return call(words, arrivedAt);
@@ -310,8 +313,8 @@
         request.deadline = arrivedAt + std::max(Micros{1ms}, wait - kAnswerTransitTime);
         open_[tag] = {request.id, request.label, now};
         if (Trace::on())
-            Trace::write("call",
-                         {{"client", std::to_string(number_)}, {"tag", tag}, {"request", request.label}});
+            Trace::write(
+                "call", {{"client", std::to_string(traceNumber_)}, {"tag", tag}, {"request", request.label}});
         owner_.openLabels_.insert(request.label);
         owner_.requests_.submit(now, std::move(request),
                                 [this, tag](RequestId, Reply&& reply) { finish(tag, std::move(reply)); });
@@ -322,7 +325,7 @@
         core::AdmissionFacts facts;
         facts.shuttingDown = owner_.failingRequests_;
         facts.draining = owner_.refusesCalls();
-        facts.connectionClosing = retired_;
+        facts.connectionClosing = refusesMore_;
         facts.openOnConnection = open_.size();
         facts.maxOnConnection = kMaxOpenPerConnection;
         return facts;
@@ -336,7 +339,7 @@
                                         : owner_.counters_.drainRefused);
         if (Trace::on())
             Trace::write("refuse",
-                         {{"client", std::to_string(number_)}, {"tag", tag}, {"why", nameOf(denial)}});
+                         {{"client", std::to_string(traceNumber_)}, {"tag", tag}, {"why", nameOf(denial)}});
         answer(tag, "SHED", owner_.noMemoryFields(), {});
         if (useless) strike();
     }
@@ -353,7 +356,7 @@
     void finish(const std::string& tag, Reply&& reply) {
         release(tag);
         if (reply.kind == Reply::Kind::served) {
-            strikes_ = 0;
+            uselessMessages_ = 0;
             owner_.answerBytes_.learn(static_cast<double>(reply.payload.body.size()));
             if (reply.payload.unchanged) {
                 answer(tag, "SERVED", "keep=1", {});
@@ -393,11 +396,11 @@
     // what it says can be held.
     void settle() {
         updateHeldBytes(stream_.unsent() + input_.heldBytes());
-        if (ending_ || stream_.closed()) return;
+        if (closing_ || stream_.closed()) return;
         stream_.pauseReading(!input_.hasRoom());
-        if (input_.empty() || behind() || resume_) return;
-        resume_ = owner_.loop_.after(Micros{1}, [this] {  // in the next turn
-            resume_.reset();
+        if (input_.empty() || behind() || resumeTimer_) return;
+        resumeTimer_ = owner_.loop_.after(Micros{1}, [this] {  // in the next turn
+            resumeTimer_.reset();
             takeMessages();
         });
     }
@@ -408,17 +411,17 @@
     }
 
     Front& owner_;
-    std::uint64_t number_ = ++owner_.lastClient_;  // in the trace
+    std::uint64_t traceNumber_ = ++owner_.lastClient_;  // in the trace
     ClientMessages input_;
     std::unordered_map<std::string, Call> open_;  // by tag
     std::size_t countedBytes_ = 0;
-    Micros connectedAt_, lastUsed_, lastByte_, lastCallAt_{};
-    std::optional<net::Loop::TimerKey> watch_, resume_;
-    int strikes_ = 0;
-    bool takePosted_ = false;
-    bool used_ = false;     // a whole message has come
-    bool retired_ = false;  // what still comes is refused
-    bool ending_ = false;   // nothing is owed any more
+    Micros connectedAt_, lastUsed_, lastByteAt_, lastCallAt_{};
+    std::optional<net::Loop::TimerKey> watch_, resumeTimer_;
+    int uselessMessages_ = 0;
+    bool handlingPosted_ = false;
+    bool hasSentMessage_ = false;  // a whole message has come
+    bool refusesMore_ = false;     // what still comes is refused
+    bool closing_ = false;         // nothing is owed any more
     net::Stream stream_;
 };
 
