--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -46,18 +46,18 @@
     bool resting() const {
         return idle() && hasSentMessage_ && !refusesMore_ && !input_.midMessage() && stream_.quiet();
     }
-    bool silent() const { return !hasSentMessage_ && input_.empty() && stream_.quiet(); }
-    bool half() const { return input_.midMessage(); }
-    bool fresh() const { return !hasSentMessage_; }
-    bool young() const {
-        return owner_.loop_.now() - lastUsed_ < (half() ? kPartialMessageGrace : kSilentGrace);
+    bool saidNothing() const { return !hasSentMessage_ && input_.empty() && stream_.quiet(); }
+    bool inPartialMessage() const { return input_.midMessage(); }
+    bool unused() const { return !hasSentMessage_; }
+    bool recentlyActive() const {
+        return owner_.loop_.now() - lastUsed_ < (inPartialMessage() ? kPartialMessageGrace : kSilentGrace);
     }
     // The process may end: nothing of a request is here, and none is to be expected right now.
     bool settled() const {
         if (!idle() || (!closing_ && !stream_.quiet())) return false;
         const Micros still = owner_.loop_.now() - lastByteAt_;
-        return closing_ ||
-               (hasSentMessage_ ? !half() || still >= kPartialMessageShutdownGrace : still >= kSilentGrace);
+        return closing_ || (hasSentMessage_ ? !inPartialMessage() || still >= kPartialMessageShutdownGrace
+                                            : still >= kSilentGrace);
     }
     void failOpenRequests() {
         failOpen();
@@ -148,7 +148,7 @@
         for (const std::string& tag : cancellations.openTags) takeBack(tag);
         for (int i = 0; i < cancellations.droppedCalls; ++i) strike();
         bool fits = true;
-        for (int i = 0; i < kMaxMessagesPerTurn && fits && input_.hasMessage() && !closing_ && !behind();
+        for (int i = 0; i < kMaxMessagesPerTurn && fits && input_.hasMessage() && !closing_ && !backlogged();
              ++i) {
             ClientMessages::Message message = input_.takeFirst();
             fits = take(std::move(message.words), message.arrivedAt);
@@ -160,7 +160,9 @@
         settle();
     }
 
-    bool behind() const { return stream_.unsent() > owner_.maxClientBacklog() && !owner_.failingRequests_; }
+    bool backlogged() const {
+        return stream_.unsent() > owner_.maxClientBacklog() && !owner_.failingRequests_;
+    }
     // What comes next can't be told apart any more. What was taken has its answer, and the client the time to
     // read it.
     void spoilt() {
@@ -225,7 +227,7 @@
                 failOpen();
                 return endIfAnswered();
             }
-            if (!input_.empty() || behind()) return watch(kMessageTimeout);  // it waits for us
+            if (!input_.empty() || backlogged()) return watch(kMessageTimeout);  // it waits for us
             ++(hasSentMessage_ ? owner_.counters_.halfMessages : owner_.counters_.silent);
             refusesMore_ = true;
             failOpen();
@@ -398,7 +400,7 @@
         updateHeldBytes(stream_.unsent() + input_.heldBytes());
         if (closing_ || stream_.closed()) return;
         stream_.pauseReading(!input_.hasRoom());
-        if (input_.empty() || behind() || resumeTimer_) return;
+        if (input_.empty() || backlogged() || resumeTimer_) return;
         resumeTimer_ = owner_.loop_.after(Micros{1}, [this] {  // in the next turn
             resumeTimer_.reset();
             takeMessages();
@@ -535,18 +537,20 @@
     Client *mute = nullptr, *half = nullptr, *resting = nullptr;
     std::size_t fresh = 0;
     for (const auto& [key, client] : clients_) {
-        if (client->fresh()) ++fresh;
-        Client*& place = !client->fresh() ? resting : client->half() ? half : mute;
+        if (client->unused()) ++fresh;
+        Client*& place = !client->unused() ? resting : client->inPartialMessage() ? half : mute;
         const bool older = !place || client->lastUsed() < place->lastUsed();
-        if (older && (client->fresh() ? client->silent() : client->resting())) place = client.get();
+        if (older && (client->unused() ? client->saidNothing() : client->resting())) place = client.get();
     }
-    if (!mute || (mute->young() && half && half->lastUsed() < mute->lastUsed())) mute = half;
-    const bool muteFirst = mute && (!resting || !mute->young() || 2 * fresh >= maxClients_);
+    if (!mute || (mute->recentlyActive() && half && half->lastUsed() < mute->lastUsed())) mute = half;
+    const bool muteFirst = mute && (!resting || !mute->recentlyActive() || 2 * fresh >= maxClients_);
     Client* one = muteFirst ? mute : resting;
     if (!one) return false;
     // A request may have come since it was chosen: then it is no longer one of those, and the next is.
     if (!requests_.checks().allows(core::mayClose(one->closeFacts()))) return evictClient();
-    ++(one == resting ? counters_.closedIdle : one->half() ? counters_.halfMessages : counters_.silent);
+    ++(one == resting            ? counters_.closedIdle
+       : one->inPartialMessage() ? counters_.halfMessages
+                                 : counters_.silent);
     one->abandon();
     forget(one);
     return true;
