--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -534,25 +534,27 @@
 // need it connects again), then who is merely new. Connections that have not yet asked for anything hold at
 // most half of the places, or a crowd of them would push the others out.
 bool Front::evictClient() {
-    Client *mute = nullptr, *half = nullptr, *resting = nullptr;
-    std::size_t fresh = 0;
+    Client *silent = nullptr, *partial = nullptr, *resting = nullptr;
+    std::size_t unusedCount = 0;
     for (const auto& [key, client] : clients_) {
-        if (client->unused()) ++fresh;
-        Client*& place = !client->unused() ? resting : client->inPartialMessage() ? half : mute;
+        if (client->unused()) ++unusedCount;
+        Client*& place = !client->unused() ? resting : client->inPartialMessage() ? partial : silent;
         const bool older = !place || client->lastUsed() < place->lastUsed();
         if (older && (client->unused() ? client->saidNothing() : client->resting())) place = client.get();
     }
-    if (!mute || (mute->recentlyActive() && half && half->lastUsed() < mute->lastUsed())) mute = half;
-    const bool muteFirst = mute && (!resting || !mute->recentlyActive() || 2 * fresh >= maxClients_);
-    Client* one = muteFirst ? mute : resting;
-    if (!one) return false;
+    if (!silent || (silent->recentlyActive() && partial && partial->lastUsed() < silent->lastUsed()))
+        silent = partial;
+    const bool silentFirst =
+        silent && (!resting || !silent->recentlyActive() || 2 * unusedCount >= maxClients_);
+    Client* victim = silentFirst ? silent : resting;
+    if (!victim) return false;
     // A request may have come since it was chosen: then it is no longer one of those, and the next is.
-    if (!requests_.checks().allows(core::mayClose(one->closeFacts()))) return evictClient();
-    ++(one == resting            ? counters_.closedIdle
-       : one->inPartialMessage() ? counters_.halfMessages
-                                 : counters_.silent);
-    one->abandon();
-    forget(one);
+    if (!requests_.checks().allows(core::mayClose(victim->closeFacts()))) return evictClient();
+    ++(victim == resting            ? counters_.closedIdle
+       : victim->inPartialMessage() ? counters_.halfMessages
+                                    : counters_.silent);
+    victim->abandon();
+    forget(victim);
     return true;
 }
 
