--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -114,18 +114,18 @@
         lastByteAt_ = owner_.loop_.now();
         if (!hasSentMessage_) lastUsed_ = lastByteAt_;
         input_.append(data, lastByteAt_ - waitedUnread());
-        takeWhenAllIsRead();
+        handleMessagesOnceAllRead();
         return true;
     }
 
     // A CANCEL may stand behind a call, in what this read has not brought yet.
-    void takeWhenAllIsRead() {
+    void handleMessagesOnceAllRead() {
         if (std::exchange(handlingPosted_, true)) return;
         owner_.loop_.post([self = weak_from_this()] {
             const auto client = self.lock();
             if (!client) return;
             client->handlingPosted_ = false;
-            client->takeMessages();
+            client->handleMessages();
         });
     }
 
@@ -140,21 +140,21 @@
 
     // A share of the turn for each client: a burst of one waits in its own connection, not in the others'
     // way. So does what one sends that does not read its answers.
-    void takeMessages() {
+    void handleMessages() {
         if (stream_.closed() || closing_) return;
         input_.parse();
         const auto cancellations =
             input_.extractCancellations([this](const std::string& tag) { return open_.count(tag) > 0; });
-        for (const std::string& tag : cancellations.openTags) takeBack(tag);
-        for (int i = 0; i < cancellations.droppedCalls; ++i) strike();
+        for (const std::string& tag : cancellations.openTags) cancelCall(tag);
+        for (int i = 0; i < cancellations.droppedCalls; ++i) countUselessMessage();
         bool fits = true;
         for (int i = 0; i < kMaxMessagesPerTurn && fits && input_.hasMessage() && !closing_ && !backlogged();
              ++i) {
             ClientMessages::Message message = input_.takeFirst();
-            fits = take(std::move(message.words), message.arrivedAt);
+            fits = handleMessage(std::move(message.words), message.arrivedAt);
         }
         if (stream_.closed() || closing_) return;
-        if (!fits || (input_.malformed() && !input_.hasMessage())) return spoilt();
+        if (!fits || (input_.malformed() && !input_.hasMessage())) return closeMalformed();
         endIfAnswered();
         watchMessage();
         settle();
@@ -165,7 +165,7 @@
     }
     // What comes next can't be told apart any more. What was taken has its answer, and the client the time to
     // read it.
-    void spoilt() {
+    void closeMalformed() {
         ++owner_.counters_.malformed;
         refusesMore_ = true;
         input_.clear();
@@ -174,7 +174,7 @@
     }
     // What still comes is refused, and what is open keeps its own answer; then the connection ends. It is
     // read on until then: a request left unread would be lost.
-    void retire() {
+    void refuseMore() {
         if (std::exchange(refusesMore_, true)) return;
         const Micros until = connectedAt_ + kFirstMessageTimeout - owner_.loop_.now();
         watch(std::max(until, Micros{kCloseLinger}));
@@ -194,10 +194,10 @@
         stream_.closeGently(kCloseLinger);
     }
     // Useless messages in a row: nothing is gained by reading on.
-    void strike() {
+    void countUselessMessage() {
         if (++uselessMessages_ < kMaxUselessMessages || refusesMore_) return;
         ++owner_.counters_.retired;
-        retire();
+        refuseMore();
     }
 
     void streamDrained() override { settle(); }
@@ -241,14 +241,14 @@
 
     // ----- messages -----
 
-    bool take(std::vector<std::string> words, Micros arrivedAt) {
+    bool handleMessage(std::vector<std::string> words, Micros arrivedAt) {
         if (words.size() < 2 || !isTag(words[1])) return false;
         const bool first = !std::exchange(hasSentMessage_, true);
         if (first) stopWatch();
         lastUsed_ = owner_.loop_.now();
-        if (words[0] == "CALL") return call(words, arrivedAt);
+        if (words[0] == "CALL") return handleCall(words, arrivedAt);
         if (words[0] == "CANCEL") {
-            takeBack(words[1]);
+            cancelCall(words[1]);
             return true;
         }
         if (words[0] != "CHECK") return false;
@@ -257,22 +257,22 @@
         return true;
     }
 
-    void takeBack(const std::string& tag) {
+    void cancelCall(const std::string& tag) {
         const auto found = open_.find(tag);
         if (found == open_.end()) return;  // the answer was under way already
         const Call call = found->second;
         release(tag);
         owner_.requests_.clientGone(owner_.loop_.now(), call.id);
-        if (owner_.loop_.now() - call.takenAt < kImmediateCancel) strike();
+        if (owner_.loop_.now() - call.takenAt < kImmediateCancel) countUselessMessage();
     }
 
-    bool call(std::vector<std::string>& words, Micros arrivedAt) {
+    bool handleCall(std::vector<std::string>& words, Micros arrivedAt) {
         if (words.size() < 3) return false;
         const std::string tag = words[1];
         if (open_.count(tag) > 0) {
             // An answer under this number would be the open request's, which has nothing to do with it.
             ++owner_.counters_.unusable;
-            retire();
+            refuseMore();
             return true;
         }
         lastCallAt_ = owner_.loop_.now();
@@ -295,7 +295,7 @@
             owner_.openLabels_.count(request.label) > 0) {
             ++owner_.counters_.unusable;
             answer(tag, "ERR", "-", {});
-            strike();
+            countUselessMessage();
             return true;
         }
         if (!owner_.hasRoomForCall(countedBytes_)) {
@@ -343,7 +343,7 @@
             Trace::write("refuse",
                          {{"client", std::to_string(traceNumber_)}, {"tag", tag}, {"why", nameOf(denial)}});
         answer(tag, "SHED", owner_.noMemoryFields(), {});
-        if (useless) strike();
+        if (useless) countUselessMessage();
     }
 
     void release(const std::string& tag) {
@@ -373,7 +373,7 @@
             answer(tag, "ERR", "-", {});
         }
         // Stores answer so what they can't use, such as ids that nobody knows.
-        if (reply.lastOutcome == Outcome::error) strike();
+        if (reply.lastOutcome == Outcome::error) countUselessMessage();
         endIfAnswered();
     }
 
@@ -403,7 +403,7 @@
         if (input_.empty() || backlogged() || resumeTimer_) return;
         resumeTimer_ = owner_.loop_.after(Micros{1}, [this] {  // in the next turn
             resumeTimer_.reset();
-            takeMessages();
+            handleMessages();
         });
     }
     void updateHeldBytes(std::size_t bytes) {
