--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -37,7 +37,7 @@
           lastByteAt_(connectedAt_),
           stream_(owner.loop_, std::move(fd), *this) {
         stream_.dropWithPeer();
-        watch(kFirstMessageTimeout);
+        armMessageTimer(kFirstMessageTimeout);
     }
     ~Client() override { abandon(); }
 
@@ -88,7 +88,7 @@
 
     void abandon() {
         stream_.close();
-        stopWatch();
+        cancelMessageTimer();
         if (resumeTimer_) owner_.loop_.cancel(*resumeTimer_);
         resumeTimer_.reset();
         const auto open = std::move(open_);
@@ -156,7 +156,7 @@
         if (stream_.closed() || closing_) return;
         if (!fits || (input_.malformed() && !input_.hasMessage())) return closeMalformed();
         endIfAnswered();
-        watchMessage();
+        updateMessageTimer();
         settle();
     }
 
@@ -177,7 +177,7 @@
     void refuseMore() {
         if (std::exchange(refusesMore_, true)) return;
         const Micros until = connectedAt_ + kFirstMessageTimeout - owner_.loop_.now();
-        watch(std::max(until, Micros{kCloseLinger}));
+        armMessageTimer(std::max(until, Micros{kCloseLinger}));
     }
     void failOpen() {
         while (!open_.empty()) {
@@ -190,7 +190,7 @@
     void endIfAnswered() {
         if (!refusesMore_ || !open_.empty() || !input_.empty() || std::exchange(closing_, true)) return;
         if (Trace::on()) Trace::write("client_close", {{"client", std::to_string(traceNumber_)}});
-        stopWatch();
+        cancelMessageTimer();
         stream_.closeGently(kCloseLinger);
     }
     // Useless messages in a row: nothing is gained by reading on.
@@ -213,30 +213,30 @@
 
     // ----- time limits -----
 
-    void watchMessage() {
+    void updateMessageTimer() {
         if (refusesMore_ || !hasSentMessage_) return;
-        if (!input_.midMessage()) return stopWatch();
-        if (!watch_) watch(kMessageTimeout);
+        if (!input_.midMessage()) return cancelMessageTimer();
+        if (!messageTimer_) armMessageTimer(kMessageTimeout);
     }
-    void watch(Micros delay) {
-        stopWatch();
-        watch_ = owner_.loop_.after(delay, [this] {
-            watch_.reset();
+    void armMessageTimer(Micros delay) {
+        cancelMessageTimer();
+        messageTimer_ = owner_.loop_.after(delay, [this] {
+            messageTimer_.reset();
             if (refusesMore_) {
                 input_.clear();
                 failOpen();
                 return endIfAnswered();
             }
-            if (!input_.empty() || backlogged()) return watch(kMessageTimeout);  // it waits for us
+            if (!input_.empty() || backlogged()) return armMessageTimer(kMessageTimeout);  // it waits for us
             ++(hasSentMessage_ ? owner_.counters_.halfMessages : owner_.counters_.silent);
             refusesMore_ = true;
             failOpen();
             endIfAnswered();
         });
     }
-    void stopWatch() {
-        if (watch_) owner_.loop_.cancel(*watch_);
-        watch_.reset();
+    void cancelMessageTimer() {
+        if (messageTimer_) owner_.loop_.cancel(*messageTimer_);
+        messageTimer_.reset();
     }
 
     // ----- messages -----
@@ -244,7 +244,7 @@
     bool handleMessage(std::vector<std::string> words, Micros arrivedAt) {
         if (words.size() < 2 || !isTag(words[1])) return false;
         const bool first = !std::exchange(hasSentMessage_, true);
-        if (first) stopWatch();
+        if (first) cancelMessageTimer();
         lastUsed_ = owner_.loop_.now();
         if (words[0] == "CALL") return handleCall(words, arrivedAt);
         if (words[0] == "CANCEL") {
@@ -418,7 +418,7 @@
     std::unordered_map<std::string, Call> open_;  // by tag
     std::size_t countedBytes_ = 0;
     Micros connectedAt_, lastUsed_, lastByteAt_, lastCallAt_{};
-    std::optional<net::Loop::TimerKey> watch_, resumeTimer_;
+    std::optional<net::Loop::TimerKey> messageTimer_, resumeTimer_;
     int uselessMessages_ = 0;
     bool handlingPosted_ = false;
     bool hasSentMessage_ = false;  // a whole message has come
