--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-std::string pauseFields(Micros pause) {
+std::string retryAfterFields(Micros pause) {
     const auto ms = pause.count() / 1000;
     return ms > 0 ? "pause=" + std::to_string(ms) : "-";
 }
@@ -39,7 +39,7 @@
         stream_.dropWithPeer();
         armMessageTimer(kFirstMessageTimeout);
     }
-    ~Client() override { abandon(); }
+    ~Client() override { abortConnection(); }
 
     bool idle() const { return open_.empty() && input_.empty() && stream_.unsent() == 0; }
     // Idle, has been used, and nothing of a further call has come, read or unread.
@@ -62,7 +62,7 @@
     void failOpenRequests() {
         failOpen();
         endIfAnswered();
-        settle();
+        updateFlowControl();
     }
     core::CloseFacts closeFacts() const {
         return {open_.size(), !input_.empty() || !stream_.quiet(), stream_.unsent()};
@@ -86,7 +86,7 @@
         endIfAnswered();
     }
 
-    void abandon() {
+    void abortConnection() {
         stream_.close();
         cancelMessageTimer();
         if (resumeTimer_) owner_.loop_.cancel(*resumeTimer_);
@@ -157,7 +157,7 @@
         if (!fits || (input_.malformed() && !input_.hasMessage())) return closeMalformed();
         endIfAnswered();
         updateMessageTimer();
-        settle();
+        updateFlowControl();
     }
 
     bool backlogged() const {
@@ -184,7 +184,7 @@
             const auto [tag, call] = *open_.begin();
             release(tag);
             owner_.requests_.clientGone(owner_.loop_.now(), call.id);
-            answer(tag, "ERR", "-", {});
+            sendAnswer(tag, "ERR", "-", {});
         }
     }
     void endIfAnswered() {
@@ -200,14 +200,14 @@
         refuseMore();
     }
 
-    void streamDrained() override { settle(); }
+    void streamDrained() override { updateFlowControl(); }
     void streamEnded(net::Stream::End why) override {
         ++(why == net::Stream::End::closedByPeer ? owner_.counters_.endedByClient : owner_.counters_.reset);
         if (Trace::on())
             Trace::write("client_end", {{"client", std::to_string(traceNumber_)},
                                         {"why", why == net::Stream::End::closedByPeer ? "closed" : "reset"},
                                         {"open", std::to_string(open_.size())}});
-        abandon();
+        abortConnection();
         owner_.forget(this);
     }
 
@@ -253,7 +253,7 @@
         }
         if (words[0] != "CHECK") return false;
         ++owner_.counters_.checks;
-        answer(words[1], owner_.reportsLeaving() ? "LEAVING" : "PASS", "-", {});
+        sendAnswer(words[1], owner_.reportsLeaving() ? "LEAVING" : "PASS", "-", {});
         return true;
     }
 
@@ -294,7 +294,7 @@
         if (known == classes.end() || !isValidCall(fields, request) ||
             owner_.openLabels_.count(request.label) > 0) {
             ++owner_.counters_.unusable;
-            answer(tag, "ERR", "-", {});
+            sendAnswer(tag, "ERR", "-", {});
             countUselessMessage();
             return true;
         }
@@ -318,8 +318,9 @@
             Trace::write(
                 "call", {{"client", std::to_string(traceNumber_)}, {"tag", tag}, {"request", request.label}});
         owner_.openLabels_.insert(request.label);
-        owner_.requests_.submit(now, std::move(request),
-                                [this, tag](RequestId, Reply&& reply) { finish(tag, std::move(reply)); });
+        owner_.requests_.submit(now, std::move(request), [this, tag](RequestId, Reply&& reply) {
+            completeCall(tag, std::move(reply));
+        });
         return true;
     }
 
@@ -342,7 +343,7 @@
         if (Trace::on())
             Trace::write("refuse",
                          {{"client", std::to_string(traceNumber_)}, {"tag", tag}, {"why", nameOf(denial)}});
-        answer(tag, "SHED", owner_.noMemoryFields(), {});
+        sendAnswer(tag, "SHED", owner_.noMemoryFields(), {});
         if (useless) countUselessMessage();
     }
 
@@ -355,22 +356,22 @@
 
     // ----- answers -----
 
-    void finish(const std::string& tag, Reply&& reply) {
+    void completeCall(const std::string& tag, Reply&& reply) {
         release(tag);
         if (reply.kind == Reply::Kind::served) {
             uselessMessages_ = 0;
             owner_.answerBytes_.learn(static_cast<double>(reply.payload.body.size()));
             if (reply.payload.unchanged) {
-                answer(tag, "SERVED", "keep=1", {});
+                sendAnswer(tag, "SERVED", "keep=1", {});
             } else if (owner_.heldBytes_ + reply.payload.body.size() > owner_.heldBytesLimit(countedBytes_)) {
                 ++owner_.counters_.dropped;
-                answer(tag, "ERR", "-", {});
+                sendAnswer(tag, "ERR", "-", {});
             } else
-                answer(tag, "SERVED", "-", std::move(reply.payload.body));
+                sendAnswer(tag, "SERVED", "-", std::move(reply.payload.body));
         } else if (reply.kind == Reply::Kind::refused) {
-            answer(tag, "SHED", pauseFields(reply.retryAfter), {});
+            sendAnswer(tag, "SHED", retryAfterFields(reply.retryAfter), {});
         } else {
-            answer(tag, "ERR", "-", {});
+            sendAnswer(tag, "ERR", "-", {});
         }
         // Stores answer so what they can't use, such as ids that nobody knows.
         if (reply.lastOutcome == Outcome::error) countUselessMessage();
@@ -378,7 +379,8 @@
     }
 
     // A body goes out as it came in, without a copy.
-    void answer(const std::string& tag, std::string_view word, std::string_view fields, std::string body) {
+    void sendAnswer(const std::string& tag, std::string_view word, std::string_view fields,
+                    std::string body) {
         std::string head;
         net::appendRespHead(head, {tag, word, fields}, body.size());
         constexpr std::size_t kSmall = 4096;
@@ -391,12 +393,12 @@
             stream_.write(std::move(head));
             stream_.write(std::move(body));
         }
-        settle();
+        updateFlowControl();
     }
 
     // A client that does not read its answers gets no further ones until it does; it is read on as far as
     // what it says can be held.
-    void settle() {
+    void updateFlowControl() {
         updateHeldBytes(stream_.unsent() + input_.heldBytes());
         if (closing_ || stream_.closed()) return;
         stream_.pauseReading(!input_.hasRoom());
@@ -454,7 +456,7 @@
 
 Front::~Front() {
     undrain();
-    for (const auto& [key, client] : clients_) client->abandon();
+    for (const auto& [key, client] : clients_) client->abortConnection();
 }
 
 void Front::open() {
@@ -553,7 +555,7 @@
     ++(victim == resting            ? counters_.closedIdle
        : victim->inPartialMessage() ? counters_.halfMessages
                                     : counters_.silent);
-    victim->abandon();
+    victim->abortConnection();
     forget(victim);
     return true;
 }
@@ -574,7 +576,7 @@
 std::string Front::noMemoryFields() const {
     const Settings& s = words_.settings;
     const Micros most = std::chrono::duration_cast<Micros>(s.maxRetryHint);
-    return pauseFields(s.retryHints ? std::min(kNoMemoryRetryAfter, most) : Micros{0});
+    return retryAfterFields(s.retryHints ? std::min(kNoMemoryRetryAfter, most) : Micros{0});
 }
 
 std::size_t Front::maxClientBacklog() const {
