--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -43,23 +43,23 @@
 
     void useDisk(DiskSource source) {
         diskSource_ = std::move(source);
-        disk_ = diskSource_();
-        if (disk_) openTier();
+        diskSettings_ = diskSource_();
+        if (diskSettings_) openTier();
     }
     void prepare() override {
-        bus_.applyBatch(settings::readBatch(baseOf(configuration_).known));
-        bus_.setDrainGrace(drainGrace());
-        bus_.setEndpoints(baseOf(configuration_).bus);
+        busReader_.applyBatch(settings::readBatch(baseOf(configuration_).known));
+        busReader_.setDrainGrace(drainGrace());
+        busReader_.setEndpoints(baseOf(configuration_).bus);
     }
     bool prepared() const override {
-        return bus_.caughtUp() && (!tier_ || tier_->settled(before_.momentOf(loop_.now())));
+        return busReader_.caughtUp() && (!tier_ || tier_->settled(tierTransport_.momentOf(loop_.now())));
     }
-    bool catchingUp() const override { return bus_.catchingUp(); }
+    bool catchingUp() const override { return busReader_.catchingUp(); }
     void open() override {
         const settings::Configuration& base = baseOf(configuration_);
         front_.open();
         isOpen_ = true;
-        std::fprintf(stderr, "%s: %s on %s:%u\n", base.name.c_str(), opened_, base.listen.host.c_str(),
+        std::fprintf(stderr, "%s: %s on %s:%u\n", base.name.c_str(), listenLabel_, base.listen.host.c_str(),
                      front_.port());
     }
     // All that can fail comes first; from there on the new file applies whole.
@@ -76,9 +76,9 @@
             decisions_.reconfigure(baseOf(fresh).words);
             configuration_ = std::move(fresh);
             reloadTier(freshDisk);
-            bus_.setDrainGrace(drainGrace());
-            bus_.applyBatch(known);  // events that came by the event bus already are not applied again
-            bus_.setEndpoints(baseOf(configuration_).bus);
+            busReader_.setDrainGrace(drainGrace());
+            busReader_.applyBatch(known);  // events that came by the event bus already are not applied again
+            busReader_.setEndpoints(baseOf(configuration_).bus);
             std::fprintf(stderr, "%s: configuration read again\n", name.c_str());
         } catch (const std::system_error& problem) {
             if (mayTryAgain && net::isShortage(problem.code().value())) return false;
@@ -91,11 +91,11 @@
         return true;
     }
     void runTimers(core::Micros now) override {
-        before_.turn(now);
+        tierTransport_.turn(now);
         requests_.runTimers(now);
     }
     core::Micros nextTimerAt() const override {
-        return std::min(requests_.nextTimerAt(), before_.nextTurn());
+        return std::min(requests_.nextTimerAt(), tierTransport_.nextTurn());
     }
     void drain() override { front_.drain(); }
     void undrain() override { front_.undrain(); }
@@ -104,7 +104,7 @@
         front_.leaveToSuccessor();
         if (tier_) tier_->close();  // the successor waits for the folder
     }
-    const char* stateKey() const override { return opened_; }
+    const char* stateKey() const override { return listenLabel_; }
     nlohmann::json exportState() override { return decisions_.exportState(loop_.now()); }
     void importState(const nlohmann::json& known) override { decisions_.importState(loop_.now(), known); }
     bool hasNoClients() const override { return front_.hasNoClients(); }
@@ -127,7 +127,7 @@
         core::printRequestCounters(name, requests_);
         printOwnCounters(name);
         if (tier_) printTierCounters(name);
-        const auto& b = bus_.counters();
+        const auto& b = busReader_.counters();
         core::printCounterLine(name, "bus",
                                {{"polls", b.polls},
                                 {"moves", b.endpointSwitches},
@@ -137,42 +137,45 @@
     }
 
 protected:
-    FrontService(net::Loop& loop, Source source, const char* opened,
+    FrontService(net::Loop& loop, Source source, const char* listenLabel,
                  core::RequestDispatcher::PurgeDuringFetch purged, disk::FrontForm form)
         : loop_(loop),
           source_(std::move(source)),
           configuration_(source_()),
-          opened_(opened),
+          listenLabel_(listenLabel),
           transport_(loop_, configuration_),
           decisions_(baseOf(configuration_).words, baseOf(configuration_).seed, loop_.now(),
                      core::unixClockOffset()),
-          before_(transport_, core::unixClockOffset(), std::move(form)),
-          requests_(decisions_, before_, purged),
+          tierTransport_(transport_, core::unixClockOffset(), std::move(form)),
+          requests_(decisions_, tierTransport_, purged),
           front_(loop_, requests_, configuration_),
-          bus_(loop_, [this](const settings::BusEvent& event) { apply(event); }) {
-        transport_.listen({[this](RequestId request, int attempt) {
-                               return requests_.mayBegin(loop_.now(), request, attempt);
-                           },
-                           [this](core::AttemptResult end) { before_.ended(loop_.now(), std::move(end)); }});
-        before_.listen(
+          busReader_(loop_, [this](const settings::BusEvent& event) { applyEvent(event); }) {
+        transport_.listen(
+            {[this](RequestId request, int attempt) {
+                 return requests_.mayBegin(loop_.now(), request, attempt);
+             },
+             [this](core::AttemptResult end) { tierTransport_.ended(loop_.now(), std::move(end)); }});
+        tierTransport_.listen(
             [this](core::AttemptResult end) { requests_.attemptEnded(loop_.now(), std::move(end)); });
-        before_.reconfigure(&baseOf(configuration_).words.settings.classes, formOf(configuration_), pacer());
-        bus_.setObserver({[this](std::int64_t from, std::int64_t last,
-                                 const std::vector<std::int64_t>& numbers, bool complete) {
-                              if (tier_)
-                                  tier_->told(before_.momentOf(loop_.now()), from, last, numbers, complete);
-                          },
-                          [this] { return !tier_ || tier_->kept(); }});
+        tierTransport_.reconfigure(&baseOf(configuration_).words.settings.classes, formOf(configuration_),
+                                   pacer());
+        busReader_.setObserver({[this](std::int64_t from, std::int64_t last,
+                                       const std::vector<std::int64_t>& numbers, bool complete) {
+                                    if (tier_)
+                                        tier_->told(tierTransport_.momentOf(loop_.now()), from, last, numbers,
+                                                    complete);
+                                },
+                                [this] { return !tier_ || tier_->kept(); }});
     }
     virtual void printOwnCounters(const std::string& name) const = 0;
 
     net::Loop& loop_;
     Source source_;
     Configuration configuration_;
-    const char* opened_;
+    const char* listenLabel_;
     Transport transport_;
     core::DecisionFacade decisions_;
-    disk::Before before_;
+    disk::Before tierTransport_;
     core::RequestDispatcher requests_;
     Front front_;
 
@@ -180,13 +183,13 @@
     core::Micros drainGrace() const {
         return std::chrono::duration_cast<core::Micros>(baseOf(configuration_).words.settings.drainGrace);
     }
-    void apply(const settings::BusEvent& event) {
+    void applyEvent(const settings::BusEvent& event) {
         if (!event.isList) {
             if (tier_) purgeTier(event);
             return decisions_.applyPurge(loop_.now(), event);
         }
         // First the decisions: attempts that end with a host's connections are then not sent to it again.
-        decisions_.applyHostList(loop_.now(), event, isOpen_ && bus_.caughtUp());
+        decisions_.applyHostList(loop_.now(), event, isOpen_ && busReader_.caughtUp());
         transport_.applyHostList(event);
     }
 
@@ -195,7 +198,7 @@
     // Copies that carry our own date are compared with our own date of the purge, if that is the later one.
     void purgeTier(const settings::BusEvent& event) {
         std::int64_t atMs = event.purgedMs;
-        if (before_.form().datedHere) atMs = std::max(atMs, decisions_.unixMsOf(loop_.now()));
+        if (tierTransport_.form().datedHere) atMs = std::max(atMs, decisions_.unixMsOf(loop_.now()));
         if (event.purgedObject.empty())
             tier_->purgeGroup(event.purgedGroup, atMs);
         else
@@ -206,26 +209,27 @@
     void openTier() {
         const bool bus = !baseOf(configuration_).bus.empty();
         tier_ = std::make_unique<disk::Tier>(
-            fileCalls_, disk::tierRules(*disk_, bus),
-            disk::Tier::Users{
-                [this](const std::string& line) {
-                    std::fprintf(stderr, "%s: %s\n", baseOf(configuration_).name.c_str(), line.c_str());
-                },
-                [this](std::int64_t position) { bus_.rewindTo(position); }, before_.form().version});
-        tierId_ = loop_.add(tier_->wakeDescriptor(), EPOLLIN, *this);
-        before_.use(tier_.get(), *disk_, pacer());
-        tryTierAgain();
+            fileCalls_, disk::tierRules(*diskSettings_, bus),
+            disk::Tier::Users{[this](const std::string& line) {
+                                  std::fprintf(stderr, "%s: %s\n", baseOf(configuration_).name.c_str(),
+                                               line.c_str());
+                              },
+                              [this](std::int64_t position) { busReader_.rewindTo(position); },
+                              tierTransport_.form().version});
+        tierHandlerId_ = loop_.add(tier_->wakeDescriptor(), EPOLLIN, *this);
+        tierTransport_.use(tier_.get(), *diskSettings_, pacer());
+        scheduleTierRetry();
     }
     void closeTier() {
         if (tierTimer_) loop_.cancel(*tierTimer_);
         if (!tier_) return;
-        loop_.remove(tierId_, tier_->wakeDescriptor());
+        loop_.remove(tierHandlerId_, tier_->wakeDescriptor());
         tier_->close();
     }
     // Limits hold at once; what the folder was opened with holds for the life of the process.
     void reloadTier(const std::optional<settings::DiskSettings>& fresh) {
         const auto& base = baseOf(configuration_);
-        before_.reconfigure(&base.words.settings.classes, formOf(configuration_), pacer());
+        tierTransport_.reconfigure(&base.words.settings.classes, formOf(configuration_), pacer());
         if (!tier_ || !fresh) {
             if (fresh || tier_)
                 std::fprintf(stderr, "%s: disk tier: it is switched on and off at a start only\n",
@@ -233,27 +237,27 @@
             if (!tier_) return;
         }
         if (fresh) {
-            disk_->readWaitMs = fresh->readWaitMs;
-            disk_->purgeSlackMs = fresh->purgeSlackMs;
-            disk_->busSilenceMs = fresh->busSilenceMs;
+            diskSettings_->readWaitMs = fresh->readWaitMs;
+            diskSettings_->purgeSlackMs = fresh->purgeSlackMs;
+            diskSettings_->busSilenceMs = fresh->busSilenceMs;
         }
-        tier_->reconfigure(disk::tierRules(*disk_, !base.bus.empty()));
-        before_.use(tier_.get(), *disk_, pacer());
+        tier_->reconfigure(disk::tierRules(*diskSettings_, !base.bus.empty()));
+        tierTransport_.use(tier_.get(), *diskSettings_, pacer());
     }
-    void tryTierAgain() {
+    void scheduleTierRetry() {
         tierTimer_ = loop_.after(std::chrono::seconds{1}, [this] {
             tier_->tryAgain();
-            tryTierAgain();
+            scheduleTierRetry();
         });
     }
     std::uint32_t ready(std::uint32_t) override {
-        before_.turn(loop_.now());
+        tierTransport_.turn(loop_.now());
         return 0;
     }
     void printTierCounters(const std::string& name) const {
         const auto& t = tier_->counters();
         const auto& s = tier_->shelf().counters();
-        const auto& b = before_.counters();
+        const auto& b = tierTransport_.counters();
         core::printCounterLine(name, "disk",
                                {{"asked", b.asked},
                                 {"hits", t.hits},
@@ -292,12 +296,12 @@
     }
 
     bool isOpen_ = false;
-    BusReader bus_;
+    BusReader busReader_;
     DiskSource diskSource_;
-    std::optional<settings::DiskSettings> disk_;
+    std::optional<settings::DiskSettings> diskSettings_;
     disk::FileCalls fileCalls_;
     std::unique_ptr<disk::Tier> tier_;
-    net::Loop::HandlerId tierId_ = 0;
+    net::Loop::HandlerId tierHandlerId_ = 0;
     std::optional<net::Loop::TimerKey> tierTimer_;
 };
 
