--- a/src/platform/service.hpp
+++ b/src/platform/service.hpp
@@ -7,7 +7,7 @@
 
 namespace lotuslead::platform {
 
-class Service : public FrontService<settings::Configuration, Front, Stores> {
+class Service : public FrontService<settings::Configuration, Front, StoreConnections> {
 public:
     // `listening`: the number of an inherited socket for clients; empty: it opens its own.
     Service(net::Loop& loop, Source source, const std::string& listening);
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -35,9 +35,9 @@
 
 // One connection. A PULL is put into words only when its first byte can go out at once: until then it can be
 // taken back, and what has changed since it was picked is looked at again.
-class Stores::Link : public net::Stream::User, public std::enable_shared_from_this<Link> {
+class StoreConnections::Link : public net::Stream::User, public std::enable_shared_from_this<Link> {
 public:
-    Link(Stores& owner, std::string host, const settings::Endpoint& to)
+    Link(StoreConnections& owner, std::string host, const settings::Endpoint& to)
         : owner_(owner),
           host_(std::move(host)),
           lastByte_(owner.loop_.now()),
@@ -371,7 +371,7 @@
         if (std::exchange(timed_, false)) owner_.loop_.cancel(timer_);
     }
 
-    Stores& owner_;
+    StoreConnections& owner_;
     std::string host_;
     Micros lastByte_, lastAnswer_{};
     std::optional<Micros> openedAt_;
@@ -394,12 +394,12 @@
     net::Stream stream_;
 };
 
-Stores::Stores(net::Loop& loop, const settings::Configuration& configuration)
+StoreConnections::StoreConnections(net::Loop& loop, const settings::Configuration& configuration)
     : loop_(loop), unixClockOffset_(core::unixClockOffset()), copyAgeCheck_(unixClockOffset_) {
     reconfigure(configuration);
 }
 
-void Stores::reconfigure(const settings::Configuration& configuration) {
+void StoreConnections::reconfigure(const settings::Configuration& configuration) {
     const settings::Vocabulary& words = configuration.words;
     connectTimeout_ = kConnectTimeout;
     idleClose_ = kIdleClose;
@@ -420,16 +420,16 @@
 }
 
 // What is left beside the clients' third, less what the process needs for itself and for operators.
-void Stores::setProcessCount(int processes) {
+void StoreConnections::setProcessCount(int processes) {
     processes_ = processes;
     const std::size_t rest = sockets_ - sockets_ / 3;
     const std::size_t own = std::min<std::size_t>(64, rest / 4);
     mostConnections_ = std::max<std::size_t>(8, (rest - own) / static_cast<std::size_t>(processes));
 }
 
-Stores::~Stores() = default;
+StoreConnections::~StoreConnections() = default;
 
-void Stores::applyHostList(const settings::BusEvent& event) {
+void StoreConnections::applyHostList(const settings::BusEvent& event) {
     if (event.whole) {
         for (auto& [name, store] : stores_) {
             const bool kept = std::any_of(event.stores.begin(), event.stores.end(),
@@ -465,7 +465,7 @@
 
 // Whoever had this address before has gone, though that is still to be told: what is its own by name must not
 // reach the new one, which may be cold.
-void Stores::forsake(const std::string& address, const settings::BusEvent& event) {
+void StoreConnections::forsake(const std::string& address, const settings::BusEvent& event) {
     for (auto& [name, store] : stores_) {
         const bool listed = std::any_of(event.stores.begin(), event.stores.end(),
                                         [&, &key = name](const auto& s) { return s.name == key; });
@@ -473,25 +473,26 @@
     }
 }
 
-void Stores::dropAll(Store& store) {
+void StoreConnections::dropAll(Store& store) {
     const auto links = store.links;
     for (const auto& link : links) link->fail(Outcome::broken, Link::HealthReport::none);
 }
 
 // Lists come late: a connection may be the new process's already.
-void Stores::dropBefore(Store& store, Micros restart) {
+void StoreConnections::dropBefore(Store& store, Micros restart) {
     const auto links = store.links;
     for (const auto& link : links)
         if (!link->openedSince(restart)) link->fail(Outcome::broken, Link::HealthReport::none, true);
 }
 
-void Stores::drop(const std::string& host, Link* link) {
+void StoreConnections::drop(const std::string& host, Link* link) {
     const auto found = stores_.find(host);
     if (found == stores_.end()) return;
     std::erase_if(found->second.links, [&](const auto& held) { return held.get() == link; });
 }
 
-std::shared_ptr<Stores::Link> Stores::linkFor(const std::string& host, const std::string& label) {
+std::shared_ptr<StoreConnections::Link> StoreConnections::linkFor(const std::string& host,
+                                                                  const std::string& label) {
     const auto known = stores_.find(host);
     if (known == stores_.end()) throw settings::Malformed("is not listed");
     Store& store = known->second;
@@ -514,7 +515,7 @@
 }
 
 // Its store goes on answering elsewhere what was sent later: an answer has stopped this connection for good.
-void Stores::retireStuck(Store& store) {
+void StoreConnections::retireStuck(Store& store) {
     const auto links = store.links;
     for (const auto& link : links) {
         if (!link->waitsForAnswers() || link->silentFor() < silence_.value() + kStuck) continue;
@@ -524,18 +525,18 @@
     }
 }
 
-void Stores::answered(const std::string& host, Micros writtenAt) {
+void StoreConnections::answered(const std::string& host, Micros writtenAt) {
     const auto found = stores_.find(host);
     if (found != stores_.end())
         found->second.answeredWrittenAt = std::max(found->second.answeredWrittenAt, writtenAt);
 }
 
-void Stores::send(Micros, const core::Request& request, const core::Decision& send) {
+void StoreConnections::send(Micros, const core::Request& request, const core::Decision& send) {
     places_[request.id] = {{}, send.attempt};
     carry({&request, send});
 }
 
-void Stores::carry(Waiting waiting) {
+void StoreConnections::carry(Waiting waiting) {
     const core::Decision& send = waiting.send;
     const auto place = places_.find(send.request);
     // Taken back meanwhile; its request may be gone, too.
@@ -557,7 +558,7 @@
     tell(std::move(end));
 }
 
-bool Stores::cancel(Micros, RequestId request, int attempt) {
+bool StoreConnections::cancel(Micros, RequestId request, int attempt) {
     const auto found = places_.find(request);
     if (found == places_.end() || found->second.attempt != attempt) return false;
     const auto link = found->second.link.lock();
@@ -565,7 +566,7 @@
     return link ? link->kill(request, attempt) : true;  // between two connections: not written on either
 }
 
-void Stores::tell(AttemptResult end) {
+void StoreConnections::tell(AttemptResult end) {
     // Later in the turn: the caller may be in the middle of the very request that this is about. And what its
     // client has said by then is known before the request is sent on.
     auto shared = std::make_shared<AttemptResult>(std::move(end));
@@ -577,7 +578,7 @@
     });
 }
 
-std::size_t Stores::connections() const {
+std::size_t StoreConnections::connections() const {
     std::size_t count = 0;
     for (const auto& [name, store] : stores_) count += store.links.size();
     return count;
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -17,7 +17,7 @@
 
 namespace lotuslead::platform {
 
-class Stores : public core::AttemptTransport {
+class StoreConnections : public core::AttemptTransport {
 public:
     struct Callbacks {
         std::function<bool(RequestId, int)> mayBegin;  // may this attempt still be begun?
@@ -28,8 +28,8 @@
                       stuck = 0, movedOn = 0, tooOld = 0, lateAnswers = 0, heldBack = 0, noDescriptor = 0;
     };
 
-    Stores(net::Loop& loop, const settings::Configuration& configuration);
-    ~Stores() override;
+    StoreConnections(net::Loop& loop, const settings::Configuration& configuration);
+    ~StoreConnections() override;
 
     void listen(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
     void applyHostList(const settings::BusEvent& event);
