--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -150,7 +150,7 @@
           requests_(decisions_, tierTransport_, purged),
           front_(loop_, requests_, configuration_),
           busReader_(loop_, [this](const settings::BusEvent& event) { applyEvent(event); }) {
-        transport_.listen(
+        transport_.setCallbacks(
             {[this](RequestId request, int attempt) {
                  return requests_.mayBegin(loop_.now(), request, attempt);
              },
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -31,7 +31,7 @@
     StoreConnections(net::Loop& loop, const settings::Configuration& configuration);
     ~StoreConnections() override;
 
-    void listen(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
+    void setCallbacks(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
     void applyHostList(const settings::BusEvent& event);
     void reconfigure(const settings::Configuration& configuration);
     void setProcessCount(int processes);  // of the descriptors
--- a/src/repository/upstreams.hpp
+++ b/src/repository/upstreams.hpp
@@ -33,7 +33,7 @@
     Upstreams(net::Loop& loop, const settings::RepositoryConfiguration& configuration);
     ~Upstreams() override;
 
-    void listen(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
+    void setCallbacks(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
     void applyHostList(const settings::BusEvent& event);
     void setProcessCount(int) {}  // its connections are few: kMostLinks to a server
     void reconfigure(const settings::RepositoryConfiguration& configuration);
