--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -51,7 +51,7 @@
                             {"held_back", s.heldBack},
                             {"no_descriptor", s.noDescriptor},
                             {"connections", transport_.connections()},
-                            {"known", transport_.known()}});
+                            {"known", transport_.storeCount()}});
 }
 
 }  // namespace lotuslead::platform
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -41,7 +41,7 @@
 
     const Counters& counters() const { return counters_; }
     std::size_t connections() const;
-    std::size_t known() const { return stores_.size(); }
+    std::size_t storeCount() const { return stores_.size(); }
 
 private:
     class Link;
