--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -35,9 +35,10 @@
 
 // One connection. A PULL is put into words only when its first byte can go out at once: until then it can be
 // taken back, and what has changed since it was picked is looked at again.
-class StoreConnections::Link : public net::Stream::User, public std::enable_shared_from_this<Link> {
+class StoreConnections::Connection : public net::Stream::User,
+                                     public std::enable_shared_from_this<Connection> {
 public:
-    Link(StoreConnections& owner, std::string host, const settings::Endpoint& to)
+    Connection(StoreConnections& owner, std::string host, const settings::Endpoint& to)
         : owner_(owner),
           host_(std::move(host)),
           lastByte_(owner.loop_.now()),
@@ -49,7 +50,7 @@
         });
         timed_ = true;
     }
-    ~Link() override {
+    ~Connection() override {
         stopTimer();
         stop(stallTimer_);
         stop(silenceTimer_);
@@ -130,7 +131,7 @@
                 auto shared = std::make_shared<Waiting>(w);
                 ++shared->moves;
                 const auto place = owner_.places_.find(w.send.request);
-                if (place != owner_.places_.end()) place->second.link.reset();  // not written on any
+                if (place != owner_.places_.end()) place->second.connection.reset();  // not written on any
                 // Later in the turn: the end may have come in the middle of another's send.
                 owner_.loop_.whenAllIsHeard([owner = &owner_, shared] { owner->carry(std::move(*shared)); });
             } else {
@@ -161,7 +162,7 @@
     void flushWhatWaited() {
         if (waiting_.empty()) return;
         owner_.loop_.whenAllIsHeard([self = weak_from_this()] {
-            if (const auto link = self.lock()) link->flush();
+            if (const auto connection = self.lock()) connection->flush();
         });
     }
     void streamEnded(net::Stream::End why) override {
@@ -321,7 +322,7 @@
 
     void flushNextTurn() {
         owner_.loop_.after(Micros{1}, [self = weak_from_this()] {
-            if (const auto link = self.lock()) link->flush();
+            if (const auto connection = self.lock()) connection->flush();
         });
     }
 
@@ -474,54 +475,56 @@
 }
 
 void StoreConnections::dropAll(Store& store) {
-    const auto links = store.links;
-    for (const auto& link : links) link->fail(Outcome::broken, Link::HealthReport::none);
+    const auto connections = store.connections;
+    for (const auto& connection : connections)
+        connection->fail(Outcome::broken, Connection::HealthReport::none);
 }
 
 // Lists come late: a connection may be the new process's already.
 void StoreConnections::dropBefore(Store& store, Micros restart) {
-    const auto links = store.links;
-    for (const auto& link : links)
-        if (!link->openedSince(restart)) link->fail(Outcome::broken, Link::HealthReport::none, true);
+    const auto connections = store.connections;
+    for (const auto& connection : connections)
+        if (!connection->openedSince(restart))
+            connection->fail(Outcome::broken, Connection::HealthReport::none, true);
 }
 
-void StoreConnections::drop(const std::string& host, Link* link) {
+void StoreConnections::drop(const std::string& host, Connection* connection) {
     const auto found = stores_.find(host);
     if (found == stores_.end()) return;
-    std::erase_if(found->second.links, [&](const auto& held) { return held.get() == link; });
+    std::erase_if(found->second.connections, [&](const auto& held) { return held.get() == connection; });
 }
 
-std::shared_ptr<StoreConnections::Link> StoreConnections::linkFor(const std::string& host,
-                                                                  const std::string& label) {
+std::shared_ptr<StoreConnections::Connection> StoreConnections::connectionFor(const std::string& host,
+                                                                              const std::string& label) {
     const auto known = stores_.find(host);
     if (known == stores_.end()) throw settings::Malformed("is not listed");
     Store& store = known->second;
     if (store.address.empty()) throw settings::Malformed("has no address");
     retireStuck(store);
-    std::shared_ptr<Link> best, silent;
-    for (const auto& link : store.links) {
+    std::shared_ptr<Connection> best, silent;
+    for (const auto& connection : store.connections) {
         // Two attempts of one id on one connection: a late answer to the first would pass for the second's.
-        if (!link->usable() || link->load() >= streams_ || link->knows(label)) continue;
-        auto& place = link->silentFor() > silence_.value() ? silent : best;
-        if (!place || link->load() < place->load()) place = link;
+        if (!connection->usable() || connection->load() >= streams_ || connection->knows(label)) continue;
+        auto& place = connection->silentFor() > silence_.value() ? silent : best;
+        if (!place || connection->load() < place->load()) place = connection;
     }
     if (best) return best;
     const bool full = connections() >= mostConnections_;
-    if (silent && (full || store.links.size() >= kMostLinks)) return silent;
+    if (silent && (full || store.connections.size() >= kMostLinks)) return silent;
     if (full) return nullptr;
-    best = std::make_shared<Link>(*this, host, settings::readEndpoint(store.address, "address"));
-    store.links.push_back(best);
+    best = std::make_shared<Connection>(*this, host, settings::readEndpoint(store.address, "address"));
+    store.connections.push_back(best);
     return best;
 }
 
 // Its store goes on answering elsewhere what was sent later: an answer has stopped this connection for good.
 void StoreConnections::retireStuck(Store& store) {
-    const auto links = store.links;
-    for (const auto& link : links) {
-        if (!link->waitsForAnswers() || link->silentFor() < silence_.value() + kStuck) continue;
-        if (store.answeredWrittenAt <= link->waitsSince()) continue;
+    const auto connections = store.connections;
+    for (const auto& connection : connections) {
+        if (!connection->waitsForAnswers() || connection->silentFor() < silence_.value() + kStuck) continue;
+        if (store.answeredWrittenAt <= connection->waitsSince()) continue;
         ++counters_.stuck;
-        link->fail(Outcome::broken, Link::HealthReport::none, true);
+        connection->fail(Outcome::broken, Connection::HealthReport::none, true);
     }
 }
 
@@ -546,9 +549,9 @@
     end.attempt = send.attempt;
     end.outcome = Outcome::noConnection;
     try {
-        if (const auto link = linkFor(send.host, waiting.request->label)) {
-            place->second.link = link;
-            return link->pull(std::move(waiting));
+        if (const auto connection = connectionFor(send.host, waiting.request->label)) {
+            place->second.connection = connection;
+            return connection->pull(std::move(waiting));
         }
         ++counters_.noDescriptor;
         end.ignoreForHealth = true;  // it is this process that has too many connections
@@ -561,9 +564,10 @@
 bool StoreConnections::cancel(Micros, RequestId request, int attempt) {
     const auto found = places_.find(request);
     if (found == places_.end() || found->second.attempt != attempt) return false;
-    const auto link = found->second.link.lock();
+    const auto connection = found->second.connection.lock();
     places_.erase(found);
-    return link ? link->kill(request, attempt) : true;  // between two connections: not written on either
+    return connection ? connection->kill(request, attempt)
+                      : true;  // between two connections: not written on either
 }
 
 void StoreConnections::tell(AttemptResult end) {
@@ -580,7 +584,7 @@
 
 std::size_t StoreConnections::connections() const {
     std::size_t count = 0;
-    for (const auto& [name, store] : stores_) count += store.links.size();
+    for (const auto& [name, store] : stores_) count += store.connections.size();
     return count;
 }
 
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -44,12 +44,12 @@
     std::size_t storeCount() const { return stores_.size(); }
 
 private:
-    class Link;
+    class Connection;
     struct Store {
         std::string address;
         std::int64_t sinceMs = 0;
         core::Micros answeredWrittenAt{};  // when the latest written of the answered attempts was written
-        std::vector<std::shared_ptr<Link>> links;
+        std::vector<std::shared_ptr<Connection>> connections;
     };
     struct Waiting {
         const core::Request* request;  // lives at least as long as the attempt is out
@@ -57,18 +57,18 @@
         int moves = 0;  // to other connections
     };
     struct Place {
-        std::weak_ptr<Link> link;
+        std::weak_ptr<Connection> connection;
         int attempt = 0;
     };
 
     // None: no descriptor is left for one. Throws settings::Malformed where the host can't be reached at all.
-    std::shared_ptr<Link> linkFor(const std::string& host, const std::string& label);
+    std::shared_ptr<Connection> connectionFor(const std::string& host, const std::string& label);
     void carry(Waiting waiting);
     void retireStuck(Store& store);
     void answered(const std::string& host, core::Micros writtenAt);
     void tell(core::AttemptResult end);
     void forsake(const std::string& address, const settings::BusEvent& event);
-    void drop(const std::string& host, Link* link);
+    void drop(const std::string& host, Connection* connection);
     void dropAll(Store& store);
     void dropBefore(Store& store, core::Micros restart);
 
