--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -29,7 +29,7 @@
     1000;  // answers in a row to nothing that is out; all that was given up brings fewer
 constexpr std::size_t kLastAnswered = 64;  // whose second copies a connection knows
 constexpr std::size_t kLargestAnswer = 240'000;
-constexpr int kMostMoves = 2;
+constexpr int kMaxReassignments = 2;
 
 }  // namespace
 
@@ -64,25 +64,25 @@
     }
     Micros waitsSince() const { return std::max(lastByte_, waitsSince_); }
     bool waitsForAnswers() const { return !out_.empty(); }
-    std::size_t load() const { return out_.size() + waiting_.size(); }
+    std::size_t load() const { return out_.size() + queue_.size(); }
     bool knows(const std::string& label) const {
         return out_.count(label) > 0 || given_.count(label) > 0 ||
                std::find(answered_.begin(), answered_.end(), fingerprint(label)) != answered_.end();
     }
 
-    void pull(Waiting waiting) {
+    void pull(QueuedAttempt waiting) {
         stopIdleTimer();
-        waiting_.push_back(std::move(waiting));
+        queue_.push_back(std::move(waiting));
         flush();
     }
 
     // True: no byte of it was written.
     bool kill(RequestId request, int attempt) {
-        const auto queued = std::find_if(waiting_.begin(), waiting_.end(), [&](const Waiting& w) {
+        const auto queued = std::find_if(queue_.begin(), queue_.end(), [&](const QueuedAttempt& w) {
             return w.send.request == request && w.send.attempt == attempt;
         });
-        if (queued != waiting_.end()) {
-            waiting_.erase(queued);
+        if (queued != queue_.end()) {
+            queue_.erase(queued);
             restIfIdle();
             return true;
         }
@@ -122,16 +122,16 @@
         for (const auto& [label, sent] : out_)
             report(sent.request, sent.attempt, whenWritten, std::exchange(ignoreForHealth, true));
         out_.clear();
-        const auto waiting = std::exchange(waiting_, {});
+        const auto waiting = std::exchange(queue_, {});
         owner_.loop_.retire(self);
         owner_.drop(host_, this);
-        for (const Waiting& w : waiting) {
-            if (moveOn && w.moves < kMostMoves) {
+        for (const QueuedAttempt& w : waiting) {
+            if (moveOn && w.reassignments < kMaxReassignments) {
                 ++owner_.counters_.movedOn;
-                auto shared = std::make_shared<Waiting>(w);
-                ++shared->moves;
-                const auto place = owner_.places_.find(w.send.request);
-                if (place != owner_.places_.end()) place->second.connection.reset();  // not written on any
+                auto shared = std::make_shared<QueuedAttempt>(w);
+                ++shared->reassignments;
+                const auto place = owner_.locations_.find(w.send.request);
+                if (place != owner_.locations_.end()) place->second.connection.reset();  // not written on any
                 // Later in the turn: the end may have come in the middle of another's send.
                 owner_.loop_.whenAllIsHeard([owner = &owner_, shared] { owner->carry(std::move(*shared)); });
             } else {
@@ -160,7 +160,7 @@
     void streamDrained() override { flushWhatWaited(); }
     // Its client may have left in this very turn.
     void flushWhatWaited() {
-        if (waiting_.empty()) return;
+        if (queue_.empty()) return;
         owner_.loop_.whenAllIsHeard([self = weak_from_this()] {
             if (const auto connection = self.lock()) connection->flush();
         });
@@ -289,17 +289,17 @@
 
     void flush() {
         if (owner_.loop_.stale()) return flushNextTurn();
-        while (stream_.opened() && !waiting_.empty() && stream_.unsent() == 0) {
+        while (stream_.opened() && !queue_.empty() && stream_.unsent() == 0) {
             // The store has closed, and that has not been handled yet: what is written now would be lost, and
             // count as perhaps run.
             if (stream_.peerEnded()) return stream_.readSoon();
-            const Waiting& next = waiting_.front();
+            const QueuedAttempt& next = queue_.front();
             const Micros now = owner_.loop_.now();
             const Micros waited = now - next.send.pickedAt;
             if (waited.count() > 0 && !owner_.callbacks_.mayBegin(next.send.request, next.send.attempt)) {
                 ++owner_.counters_.heldBack;
                 report(next.send.request, next.send.attempt, Outcome::notSent);
-                waiting_.pop_front();
+                queue_.pop_front();
                 continue;
             }
             const core::Request& request = *next.request;
@@ -316,7 +316,7 @@
                                    request.known,
                                    owner_.copyAgeCheck_.oldestAllowedMs(now, next.send),
                                    owner_.repeatable_.at(static_cast<std::size_t>(request.classIndex))};
-            waiting_.pop_front();
+            queue_.pop_front();
         }
     }
 
@@ -327,7 +327,7 @@
     }
 
     // What its client still waits, by the clock itself: the turn may be long by now.
-    Micros leftOf(const Waiting& waiting) const {
+    Micros leftOf(const QueuedAttempt& waiting) const {
         const Micros now = net::Loop::clock();
         return std::min(waiting.request->deadline - now, waiting.send.pickedAt + waiting.send.timeout - now);
     }
@@ -379,7 +379,7 @@
     Micros waitsSince_{};  // for any answer
     bool heard_ = false;   // anything at all
     net::RespParser parser_;
-    std::deque<Waiting> waiting_;
+    std::deque<QueuedAttempt> queue_;
     std::unordered_map<std::string, Sent> out_;
     std::unordered_map<std::string, Micros> given_;  // given up, and when; their answers may still come
     std::vector<std::uint64_t> answered_;            // fingerprints of the last ones
@@ -535,15 +535,15 @@
 }
 
 void StoreConnections::send(Micros, const core::Request& request, const core::Decision& send) {
-    places_[request.id] = {{}, send.attempt};
+    locations_[request.id] = {{}, send.attempt};
     carry({&request, send});
 }
 
-void StoreConnections::carry(Waiting waiting) {
+void StoreConnections::carry(QueuedAttempt waiting) {
     const core::Decision& send = waiting.send;
-    const auto place = places_.find(send.request);
+    const auto place = locations_.find(send.request);
     // Taken back meanwhile; its request may be gone, too.
-    if (place == places_.end() || place->second.attempt != send.attempt) return;
+    if (place == locations_.end() || place->second.attempt != send.attempt) return;
     AttemptResult end;
     end.request = send.request;
     end.attempt = send.attempt;
@@ -562,10 +562,10 @@
 }
 
 bool StoreConnections::cancel(Micros, RequestId request, int attempt) {
-    const auto found = places_.find(request);
-    if (found == places_.end() || found->second.attempt != attempt) return false;
+    const auto found = locations_.find(request);
+    if (found == locations_.end() || found->second.attempt != attempt) return false;
     const auto connection = found->second.connection.lock();
-    places_.erase(found);
+    locations_.erase(found);
     return connection ? connection->kill(request, attempt)
                       : true;  // between two connections: not written on either
 }
@@ -575,9 +575,9 @@
     // client has said by then is known before the request is sent on.
     auto shared = std::make_shared<AttemptResult>(std::move(end));
     loop_.whenAllIsHeard([this, shared] {
-        const auto found = places_.find(shared->request);
-        if (found == places_.end() || found->second.attempt != shared->attempt) return;
-        places_.erase(found);
+        const auto found = locations_.find(shared->request);
+        if (found == locations_.end() || found->second.attempt != shared->attempt) return;
+        locations_.erase(found);
         callbacks_.ended(std::move(*shared));
     });
 }
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -51,19 +51,19 @@
         core::Micros answeredWrittenAt{};  // when the latest written of the answered attempts was written
         std::vector<std::shared_ptr<Connection>> connections;
     };
-    struct Waiting {
+    struct QueuedAttempt {
         const core::Request* request;  // lives at least as long as the attempt is out
         core::Decision send;
-        int moves = 0;  // to other connections
+        int reassignments = 0;  // to other connections
     };
-    struct Place {
+    struct AttemptLocation {
         std::weak_ptr<Connection> connection;
         int attempt = 0;
     };
 
     // None: no descriptor is left for one. Throws settings::Malformed where the host can't be reached at all.
     std::shared_ptr<Connection> connectionFor(const std::string& host, const std::string& label);
-    void carry(Waiting waiting);
+    void carry(QueuedAttempt waiting);
     void retireStuck(Store& store);
     void answered(const std::string& host, core::Micros writtenAt);
     void tell(core::AttemptResult end);
@@ -89,7 +89,7 @@
     Callbacks callbacks_;
     Counters counters_;
     std::unordered_map<std::string, Store> stores_;
-    std::unordered_map<RequestId, Place> places_;  // of the attempts that are out
+    std::unordered_map<RequestId, AttemptLocation> locations_;  // of the attempts that are out
 };
 
 }  // namespace lotuslead::platform
