--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -124,7 +124,7 @@
         out_.clear();
         const auto waiting = std::exchange(queue_, {});
         owner_.loop_.retire(self);
-        owner_.drop(host_, this);
+        owner_.removeConnection(host_, this);
         for (const QueuedAttempt& w : waiting) {
             if (moveOn && w.reassignments < kMaxReassignments) {
                 ++owner_.counters_.movedOn;
@@ -133,7 +133,8 @@
                 const auto place = owner_.locations_.find(w.send.request);
                 if (place != owner_.locations_.end()) place->second.connection.reset();  // not written on any
                 // Later in the turn: the end may have come in the middle of another's send.
-                owner_.loop_.whenAllIsHeard([owner = &owner_, shared] { owner->carry(std::move(*shared)); });
+                owner_.loop_.whenAllIsHeard(
+                    [owner = &owner_, shared] { owner->dispatch(std::move(*shared)); });
             } else {
                 report(w.send.request, w.send.attempt, Outcome::noConnection,
                        std::exchange(ignoreForHealth, true));
@@ -264,14 +265,14 @@
             if (!fields.text("tag").empty()) end.payload.metadata.emplace_back("tag", fields.text("tag"));
             if (words.size() > 3) end.payload.body = std::move(words[3]);
         }
-        owner_.answered(host_, found->second.writtenAt);
+        owner_.noteAnswered(host_, found->second.writtenAt);
         owner_.silence_.learn(owner_.loop_.now() - std::max(lastAnswer_, waitsSince_));
         lastAnswer_ = owner_.loop_.now();
         // A second copy would pass for the answer to a further attempt of the same request.
         if (answered_.size() < kLastAnswered) answered_.push_back(0);
         answered_[nextAnswered_++ % kLastAnswered] = fingerprint(words[0]);
         out_.erase(found);
-        owner_.tell(std::move(end));
+        owner_.reportResult(std::move(end));
         restIfIdle();
         return true;
     }
@@ -348,7 +349,7 @@
         end.request = request;
         end.attempt = attempt;
         end.outcome = outcome;
-        owner_.tell(std::move(end));
+        owner_.reportResult(std::move(end));
     }
 
     // Closed before the store would: a PULL that crosses its close would count as broken.
@@ -435,7 +436,7 @@
         for (auto& [name, store] : stores_) {
             const bool kept = std::any_of(event.stores.begin(), event.stores.end(),
                                           [&](const settings::ListedStore& s) { return s.name == name; });
-            if (!kept) dropAll(store);
+            if (!kept) closeAll(store);
         }
         std::erase_if(stores_, [&](const auto& entry) {
             return std::none_of(event.stores.begin(), event.stores.end(),
@@ -446,7 +447,7 @@
         if (listed.readiness == Readiness::gone) {  // it leaves nothing behind
             const auto found = stores_.find(listed.name);
             if (found == stores_.end()) continue;
-            dropAll(found->second);
+            closeAll(found->second);
             stores_.erase(found);
             continue;
         }
@@ -455,10 +456,10 @@
         const bool restarted = listed.sinceMs > store.sinceMs && !store.address.empty();
         const bool moved = !listed.address.empty() && listed.address != store.address;
         if (moved)
-            dropAll(store);
+            closeAll(store);
         else if (restarted)
-            dropBefore(store, std::chrono::milliseconds{listed.sinceMs} - unixClockOffset_);
-        if (moved) forsake(listed.address, event);
+            closeOpenedBefore(store, std::chrono::milliseconds{listed.sinceMs} - unixClockOffset_);
+        if (moved) clearReusedAddress(listed.address, event);
         if (!listed.address.empty()) store.address = listed.address;
         store.sinceMs = listed.sinceMs;
     }
@@ -466,7 +467,7 @@
 
 // Whoever had this address before has gone, though that is still to be told: what is its own by name must not
 // reach the new one, which may be cold.
-void StoreConnections::forsake(const std::string& address, const settings::BusEvent& event) {
+void StoreConnections::clearReusedAddress(const std::string& address, const settings::BusEvent& event) {
     for (auto& [name, store] : stores_) {
         const bool listed = std::any_of(event.stores.begin(), event.stores.end(),
                                         [&, &key = name](const auto& s) { return s.name == key; });
@@ -474,21 +475,21 @@
     }
 }
 
-void StoreConnections::dropAll(Store& store) {
+void StoreConnections::closeAll(Store& store) {
     const auto connections = store.connections;
     for (const auto& connection : connections)
         connection->fail(Outcome::broken, Connection::HealthReport::none);
 }
 
 // Lists come late: a connection may be the new process's already.
-void StoreConnections::dropBefore(Store& store, Micros restart) {
+void StoreConnections::closeOpenedBefore(Store& store, Micros restart) {
     const auto connections = store.connections;
     for (const auto& connection : connections)
         if (!connection->openedSince(restart))
             connection->fail(Outcome::broken, Connection::HealthReport::none, true);
 }
 
-void StoreConnections::drop(const std::string& host, Connection* connection) {
+void StoreConnections::removeConnection(const std::string& host, Connection* connection) {
     const auto found = stores_.find(host);
     if (found == stores_.end()) return;
     std::erase_if(found->second.connections, [&](const auto& held) { return held.get() == connection; });
@@ -500,7 +501,7 @@
     if (known == stores_.end()) throw settings::Malformed("is not listed");
     Store& store = known->second;
     if (store.address.empty()) throw settings::Malformed("has no address");
-    retireStuck(store);
+    closeStuck(store);
     std::shared_ptr<Connection> best, silent;
     for (const auto& connection : store.connections) {
         // Two attempts of one id on one connection: a late answer to the first would pass for the second's.
@@ -518,7 +519,7 @@
 }
 
 // Its store goes on answering elsewhere what was sent later: an answer has stopped this connection for good.
-void StoreConnections::retireStuck(Store& store) {
+void StoreConnections::closeStuck(Store& store) {
     const auto connections = store.connections;
     for (const auto& connection : connections) {
         if (!connection->waitsForAnswers() || connection->silentFor() < silence_.value() + kStuck) continue;
@@ -528,7 +529,7 @@
     }
 }
 
-void StoreConnections::answered(const std::string& host, Micros writtenAt) {
+void StoreConnections::noteAnswered(const std::string& host, Micros writtenAt) {
     const auto found = stores_.find(host);
     if (found != stores_.end())
         found->second.answeredWrittenAt = std::max(found->second.answeredWrittenAt, writtenAt);
@@ -536,10 +537,10 @@
 
 void StoreConnections::send(Micros, const core::Request& request, const core::Decision& send) {
     locations_[request.id] = {{}, send.attempt};
-    carry({&request, send});
+    dispatch({&request, send});
 }
 
-void StoreConnections::carry(QueuedAttempt waiting) {
+void StoreConnections::dispatch(QueuedAttempt waiting) {
     const core::Decision& send = waiting.send;
     const auto place = locations_.find(send.request);
     // Taken back meanwhile; its request may be gone, too.
@@ -558,7 +559,7 @@
     } catch (const settings::Malformed& problem) {
         std::fprintf(stderr, "store %s: %s\n", send.host.c_str(), problem.what());
     }
-    tell(std::move(end));
+    reportResult(std::move(end));
 }
 
 bool StoreConnections::cancel(Micros, RequestId request, int attempt) {
@@ -570,7 +571,7 @@
                       : true;  // between two connections: not written on either
 }
 
-void StoreConnections::tell(AttemptResult end) {
+void StoreConnections::reportResult(AttemptResult end) {
     // Later in the turn: the caller may be in the middle of the very request that this is about. And what its
     // client has said by then is known before the request is sent on.
     auto shared = std::make_shared<AttemptResult>(std::move(end));
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -63,14 +63,14 @@
 
     // None: no descriptor is left for one. Throws settings::Malformed where the host can't be reached at all.
     std::shared_ptr<Connection> connectionFor(const std::string& host, const std::string& label);
-    void carry(QueuedAttempt waiting);
-    void retireStuck(Store& store);
-    void answered(const std::string& host, core::Micros writtenAt);
-    void tell(core::AttemptResult end);
-    void forsake(const std::string& address, const settings::BusEvent& event);
-    void drop(const std::string& host, Connection* connection);
-    void dropAll(Store& store);
-    void dropBefore(Store& store, core::Micros restart);
+    void dispatch(QueuedAttempt waiting);
+    void closeStuck(Store& store);
+    void noteAnswered(const std::string& host, core::Micros writtenAt);
+    void reportResult(core::AttemptResult end);
+    void clearReusedAddress(const std::string& address, const settings::BusEvent& event);
+    void removeConnection(const std::string& host, Connection* connection);
+    void closeAll(Store& store);
+    void closeOpenedBefore(Store& store, core::Micros restart);
 
     net::Loop& loop_;
     core::Micros unixClockOffset_;
