--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -92,7 +92,8 @@
             std::string words;
             net::appendResp(words, {"KILL", it->first});
             remember(it->first);
-            if (owner_.loop_.now() - std::max(lastByte_, it->second.writtenAt) > owner_.silence_.value())
+            if (owner_.loop_.now() - std::max(lastByte_, it->second.writtenAt) >
+                owner_.silenceTimeout_.value())
                 shunned_ = true;
             out_.erase(it);
             stream_.write(std::move(words));
@@ -188,7 +189,8 @@
             return fits;
         }
         if (!half_) half_ = lastByte_;
-        const Micros wait = std::min(kStalled, std::max(Micros{0}, *half_ + owner_.longAnswer_ - lastByte_));
+        const Micros wait =
+            std::min(kStalled, std::max(Micros{0}, *half_ + owner_.maxAnswerTime_ - lastByte_));
         stallTimer_ = owner_.loop_.after(wait, [this] {
             stallTimer_.reset();
             ++owner_.counters_.stalled;
@@ -204,18 +206,18 @@
         silenceTimer_ = owner_.loop_.after(wait, [this] {
             silenceTimer_.reset();
             if (out_.empty()) return;
-            const Micros left = owner_.silence_.value() - silentFor();
+            const Micros left = owner_.silenceTimeout_.value() - silentFor();
             if (left.count() > 0) return watchSilence(left);
             if (echoAt_ > waitsSince()) {
                 ++owner_.counters_.stuck;
                 return fail(Outcome::broken, HealthReport::one, true);
             }
-            if (!owner_.mayProbe_) return watchSilence(owner_.silence_.value());
+            if (!owner_.mayProbe_) return watchSilence(owner_.silenceTimeout_.value());
             ++owner_.counters_.echoes;
             ++echoesDue_;
             echoAt_ = owner_.loop_.now();
             std::string words;
-            net::appendResp(words, {"ECHO", std::to_string(++owner_.lastEcho_)});
+            net::appendResp(words, {"ECHO", std::to_string(++owner_.lastEchoNumber_)});
             stream_.write(std::move(words));
             watchSilence(kEchoWait);
         });
@@ -266,7 +268,7 @@
             if (words.size() > 3) end.payload.body = std::move(words[3]);
         }
         owner_.noteAnswered(host_, found->second.writtenAt);
-        owner_.silence_.learn(owner_.loop_.now() - std::max(lastAnswer_, waitsSince_));
+        owner_.silenceTimeout_.learn(owner_.loop_.now() - std::max(lastAnswer_, waitsSince_));
         lastAnswer_ = owner_.loop_.now();
         // A second copy would pass for the answer to a further attempt of the same request.
         if (answered_.size() < kLastAnswered) answered_.push_back(0);
@@ -310,7 +312,7 @@
             // No room for its first byte: it waits on, and is looked at again before it goes.
             if (!stream_.writeIfRoom(std::move(words))) return;
             if (out_.empty()) waitsSince_ = now;
-            if (!silenceTimer_) watchSilence(owner_.silence_.value());
+            if (!silenceTimer_) watchSilence(owner_.silenceTimeout_.value());
             out_[request.label] = {next.send.request,
                                    next.send.attempt,
                                    now,
@@ -356,7 +358,7 @@
     void restIfIdle() {
         if (ended_ || !stream_.opened() || load() > 0 || timed_) return;
         timed_ = true;
-        const Micros wait = shunned_ ? Micros{0} : owner_.idleClose_;
+        const Micros wait = shunned_ ? Micros{0} : owner_.idleTimeout_;
         timer_ = owner_.loop_.after(wait, [this] {
             timed_ = false;
             fail(Outcome::broken, HealthReport::none, true);
@@ -404,29 +406,30 @@
 void StoreConnections::reconfigure(const settings::Configuration& configuration) {
     const settings::Vocabulary& words = configuration.words;
     connectTimeout_ = kConnectTimeout;
-    idleClose_ = kIdleClose;
-    streams_ = kStreams;
+    idleTimeout_ = kIdleClose;
+    maxAttemptsPerConnection_ = kStreams;
     if (words.connectTimeout.count() > 0)
         connectTimeout_ = std::chrono::duration_cast<Micros>(words.connectTimeout);
     if (words.idleClose.count() > 0)
-        idleClose_ = std::chrono::duration_cast<Micros>(words.idleClose) * 9 / 10;
-    sockets_ = static_cast<std::size_t>(configuration.limits.sockets);
+        idleTimeout_ = std::chrono::duration_cast<Micros>(words.idleClose) * 9 / 10;
+    socketLimit_ = static_cast<std::size_t>(configuration.limits.sockets);
     setProcessCount(processes_);
     const Micros longest = core::longestClientTimeout(words.settings);
-    silence_.setUpperBound(longest / 2);
-    longAnswer_ = std::min(kLongAnswer, longest / 2);
+    silenceTimeout_.setUpperBound(longest / 2);
+    maxAnswerTime_ = std::min(kLongAnswer, longest / 2);
     repeatable_.clear();
     for (const ClassSettings& c : words.settings.classes) repeatable_.push_back(c.effect == Effect::safe);
     mayProbe_ = words.settings.mayProbe;
-    if (words.streamsPerConnection > 0) streams_ = static_cast<std::size_t>(words.streamsPerConnection);
+    if (words.streamsPerConnection > 0)
+        maxAttemptsPerConnection_ = static_cast<std::size_t>(words.streamsPerConnection);
 }
 
 // What is left beside the clients' third, less what the process needs for itself and for operators.
 void StoreConnections::setProcessCount(int processes) {
     processes_ = processes;
-    const std::size_t rest = sockets_ - sockets_ / 3;
+    const std::size_t rest = socketLimit_ - socketLimit_ / 3;
     const std::size_t own = std::min<std::size_t>(64, rest / 4);
-    mostConnections_ = std::max<std::size_t>(8, (rest - own) / static_cast<std::size_t>(processes));
+    maxConnections_ = std::max<std::size_t>(8, (rest - own) / static_cast<std::size_t>(processes));
 }
 
 StoreConnections::~StoreConnections() = default;
@@ -505,12 +508,14 @@
     std::shared_ptr<Connection> best, silent;
     for (const auto& connection : store.connections) {
         // Two attempts of one id on one connection: a late answer to the first would pass for the second's.
-        if (!connection->usable() || connection->load() >= streams_ || connection->knows(label)) continue;
-        auto& place = connection->silentFor() > silence_.value() ? silent : best;
+        if (!connection->usable() || connection->load() >= maxAttemptsPerConnection_ ||
+            connection->knows(label))
+            continue;
+        auto& place = connection->silentFor() > silenceTimeout_.value() ? silent : best;
         if (!place || connection->load() < place->load()) place = connection;
     }
     if (best) return best;
-    const bool full = connections() >= mostConnections_;
+    const bool full = connections() >= maxConnections_;
     if (silent && (full || store.connections.size() >= kMostLinks)) return silent;
     if (full) return nullptr;
     best = std::make_shared<Connection>(*this, host, settings::readEndpoint(store.address, "address"));
@@ -522,7 +527,8 @@
 void StoreConnections::closeStuck(Store& store) {
     const auto connections = store.connections;
     for (const auto& connection : connections) {
-        if (!connection->waitsForAnswers() || connection->silentFor() < silence_.value() + kStuck) continue;
+        if (!connection->waitsForAnswers() || connection->silentFor() < silenceTimeout_.value() + kStuck)
+            continue;
         if (store.answeredWrittenAt <= connection->waitsSince()) continue;
         ++counters_.stuck;
         connection->fail(Outcome::broken, Connection::HealthReport::none, true);
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -75,17 +75,17 @@
     net::Loop& loop_;
     core::Micros unixClockOffset_;
     CopyAgeCheck copyAgeCheck_;
-    core::Micros connectTimeout_{}, idleClose_{};
-    std::size_t streams_ = 0;
-    core::Micros longAnswer_{};     // from an answer's first byte to its last, however steadily it comes
+    core::Micros connectTimeout_{}, idleTimeout_{};
+    std::size_t maxAttemptsPerConnection_ = 0;
+    core::Micros maxAnswerTime_{};  // from an answer's first byte to its last, however steadily it comes
     std::vector<bool> repeatable_;  // by class: what has run may run again
-    std::size_t sockets_ = 0, mostConnections_ = 0;
+    std::size_t socketLimit_ = 0, maxConnections_ = 0;
     int processes_ = 1;
     bool mayProbe_ = false;
     // With attempts out and not a byte for longer: the machine may be gone without a word, or an answer has
     // stopped the connection. It is asked for an echo, and new attempts go by another one.
-    SilenceTimeout silence_;
-    std::uint64_t lastEcho_ = 0;
+    SilenceTimeout silenceTimeout_;
+    std::uint64_t lastEchoNumber_ = 0;
     Callbacks callbacks_;
     Counters counters_;
     std::unordered_map<std::string, Store> stores_;
