--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -16,19 +16,20 @@
 
 namespace {
 
-constexpr Micros kConnectTimeout = 400ms;  // where the settings tell none
-constexpr Micros kIdleClose = 30s;
-constexpr std::size_t kStreams = 100;
-constexpr Micros kEchoWait = 200ms;  // an ECHO is answered beside the queue, if the connection still carries
+constexpr Micros kDefaultConnectTimeout = 400ms;  // where the settings tell none
+constexpr Micros kDefaultIdleTimeout = 30s;
+constexpr std::size_t kDefaultAttemptsPerConnection = 100;
+constexpr Micros kEchoTimeout =
+    200ms;  // an ECHO is answered beside the queue, if the connection still carries
 // Past the limit of silence: those out are given up, if others that were sent later were answered.
-constexpr Micros kStuck = 500ms;
-constexpr Micros kStalled = 300ms;     // within an answer: answers come whole, or not at all
-constexpr Micros kLongAnswer = 3s;     // at most, from an answer's first byte to its last
-constexpr std::size_t kMostLinks = 6;  // to one store
-constexpr int kMostStrays =
+constexpr Micros kStuckTimeout = 500ms;
+constexpr Micros kStalledAnswerTimeout = 300ms;     // within an answer: answers come whole, or not at all
+constexpr Micros kMaxAnswerTime = 3s;               // at most, from an answer's first byte to its last
+constexpr std::size_t kMaxConnectionsPerStore = 6;  // to one store
+constexpr int kMaxUnmatchedAnswers =
     1000;  // answers in a row to nothing that is out; all that was given up brings fewer
-constexpr std::size_t kLastAnswered = 64;  // whose second copies a connection knows
-constexpr std::size_t kLargestAnswer = 240'000;
+constexpr std::size_t kAnsweredLabelsKept = 64;  // whose second copies a connection knows
+constexpr std::size_t kMaxAnswerBytes = 240'000;
 constexpr int kMaxReassignments = 2;
 
 }  // namespace
@@ -190,7 +191,7 @@
         }
         if (!half_) half_ = lastByte_;
         const Micros wait =
-            std::min(kStalled, std::max(Micros{0}, *half_ + owner_.maxAnswerTime_ - lastByte_));
+            std::min(kStalledAnswerTimeout, std::max(Micros{0}, *half_ + owner_.maxAnswerTime_ - lastByte_));
         stallTimer_ = owner_.loop_.after(wait, [this] {
             stallTimer_.reset();
             ++owner_.counters_.stalled;
@@ -219,7 +220,7 @@
             std::string words;
             net::appendResp(words, {"ECHO", std::to_string(++owner_.lastEchoNumber_)});
             stream_.write(std::move(words));
-            watchSilence(kEchoWait);
+            watchSilence(kEchoTimeout);
         });
     }
     bool takeMessages(std::string_view data) {
@@ -242,7 +243,7 @@
             }
             given_.erase(words[0]);
             ++owner_.counters_.lateAnswers;
-            return ++strays_ <= kMostStrays;
+            return ++strays_ <= kMaxUnmatchedAnswers;
         }
         strays_ = 0;
         if (!outcome) return false;
@@ -271,8 +272,8 @@
         owner_.silenceTimeout_.learn(owner_.loop_.now() - std::max(lastAnswer_, waitsSince_));
         lastAnswer_ = owner_.loop_.now();
         // A second copy would pass for the answer to a further attempt of the same request.
-        if (answered_.size() < kLastAnswered) answered_.push_back(0);
-        answered_[nextAnswered_++ % kLastAnswered] = fingerprint(words[0]);
+        if (answered_.size() < kAnsweredLabelsKept) answered_.push_back(0);
+        answered_[nextAnswered_++ % kAnsweredLabelsKept] = fingerprint(words[0]);
         out_.erase(found);
         owner_.reportResult(std::move(end));
         restIfIdle();
@@ -281,7 +282,7 @@
 
     // Looked at before it is passed on: what has lost its bytes or its age on the way is no answer.
     static bool whole(const std::vector<std::string>& words, const Fields& fields, const Sent& sent) {
-        if (words.size() < 4 || words[3].size() > kLargestAnswer) return false;
+        if (words.size() < 4 || words[3].size() > kMaxAnswerBytes) return false;
         if (words[1] == "current" && (sent.known.empty() || !words[3].empty())) return false;
         const std::string_view tag = fields.text("tag"), minted = fields.text("minted");
         // It names the client's copy, or it does not say that this one holds.
@@ -337,11 +338,11 @@
 
     // Most are never heard of again: an answer that is to come at all comes within seconds.
     void remember(const std::string& label) {
-        constexpr std::size_t kMany = 256;
-        constexpr Micros kLate = 10s;
+        constexpr std::size_t kAbandonedBeforeCleanup = 256;
+        constexpr Micros kLateAnswerWindow = 10s;
         const Micros now = owner_.loop_.now();
-        if (given_.size() >= kMany)
-            std::erase_if(given_, [&](const auto& g) { return now - g.second > kLate; });
+        if (given_.size() >= kAbandonedBeforeCleanup)
+            std::erase_if(given_, [&](const auto& g) { return now - g.second > kLateAnswerWindow; });
         given_[label] = now;
     }
 
@@ -405,9 +406,9 @@
 
 void StoreConnections::reconfigure(const settings::Configuration& configuration) {
     const settings::Vocabulary& words = configuration.words;
-    connectTimeout_ = kConnectTimeout;
-    idleTimeout_ = kIdleClose;
-    maxAttemptsPerConnection_ = kStreams;
+    connectTimeout_ = kDefaultConnectTimeout;
+    idleTimeout_ = kDefaultIdleTimeout;
+    maxAttemptsPerConnection_ = kDefaultAttemptsPerConnection;
     if (words.connectTimeout.count() > 0)
         connectTimeout_ = std::chrono::duration_cast<Micros>(words.connectTimeout);
     if (words.idleClose.count() > 0)
@@ -416,7 +417,7 @@
     setProcessCount(processes_);
     const Micros longest = core::longestClientTimeout(words.settings);
     silenceTimeout_.setUpperBound(longest / 2);
-    maxAnswerTime_ = std::min(kLongAnswer, longest / 2);
+    maxAnswerTime_ = std::min(kMaxAnswerTime, longest / 2);
     repeatable_.clear();
     for (const ClassSettings& c : words.settings.classes) repeatable_.push_back(c.effect == Effect::safe);
     mayProbe_ = words.settings.mayProbe;
@@ -516,7 +517,7 @@
     }
     if (best) return best;
     const bool full = connections() >= maxConnections_;
-    if (silent && (full || store.connections.size() >= kMostLinks)) return silent;
+    if (silent && (full || store.connections.size() >= kMaxConnectionsPerStore)) return silent;
     if (full) return nullptr;
     best = std::make_shared<Connection>(*this, host, settings::readEndpoint(store.address, "address"));
     store.connections.push_back(best);
@@ -527,7 +528,8 @@
 void StoreConnections::closeStuck(Store& store) {
     const auto connections = store.connections;
     for (const auto& connection : connections) {
-        if (!connection->waitsForAnswers() || connection->silentFor() < silenceTimeout_.value() + kStuck)
+        if (!connection->waitsForAnswers() ||
+            connection->silentFor() < silenceTimeout_.value() + kStuckTimeout)
             continue;
         if (store.answeredWrittenAt <= connection->waitsSince()) continue;
         ++counters_.stuck;
