--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -42,14 +42,14 @@
     Connection(StoreConnections& owner, std::string host, const settings::Endpoint& to)
         : owner_(owner),
           host_(std::move(host)),
-          lastByte_(owner.loop_.now()),
+          lastByteAt_(owner.loop_.now()),
           stream_(owner.loop_, to, *this) {
         ++owner_.counters_.connects;
         timer_ = owner_.loop_.after(owner_.connectTimeout_, [this] {
-            timed_ = false;
+            timerArmed_ = false;
             fail(Outcome::noConnection, HealthReport::one);
         });
-        timed_ = true;
+        timerArmed_ = true;
     }
     ~Connection() override {
         stopTimer();
@@ -57,18 +57,19 @@
         stop(silenceTimer_);
     }
 
-    bool usable() const { return !ended_ && !shunned_; }
+    bool usable() const { return !ended_ && !noNewAttempts_; }
     // It came up at or after this moment.
     bool openedSince(Micros moment) const { return openedAt_ && *openedAt_ >= moment; }
     Micros silentFor() const {
-        return out_.empty() ? Micros{0} : owner_.loop_.now() - std::max(lastByte_, waitsSince_);
+        return inFlight_.empty() ? Micros{0} : owner_.loop_.now() - std::max(lastByteAt_, waitingSince_);
     }
-    Micros waitsSince() const { return std::max(lastByte_, waitsSince_); }
-    bool waitsForAnswers() const { return !out_.empty(); }
-    std::size_t load() const { return out_.size() + queue_.size(); }
+    Micros waitsSince() const { return std::max(lastByteAt_, waitingSince_); }
+    bool waitsForAnswers() const { return !inFlight_.empty(); }
+    std::size_t load() const { return inFlight_.size() + queue_.size(); }
     bool knows(const std::string& label) const {
-        return out_.count(label) > 0 || given_.count(label) > 0 ||
-               std::find(answered_.begin(), answered_.end(), fingerprint(label)) != answered_.end();
+        return inFlight_.count(label) > 0 || abandoned_.count(label) > 0 ||
+               std::find(answeredLabels_.begin(), answeredLabels_.end(), fingerprint(label)) !=
+                   answeredLabels_.end();
     }
 
     void pull(QueuedAttempt waiting) {
@@ -88,15 +89,15 @@
             return true;
         }
         const auto self = shared_from_this();
-        for (auto it = out_.begin(); it != out_.end(); ++it) {
+        for (auto it = inFlight_.begin(); it != inFlight_.end(); ++it) {
             if (it->second.request != request || it->second.attempt != attempt) continue;
             std::string words;
             net::appendResp(words, {"KILL", it->first});
             remember(it->first);
-            if (owner_.loop_.now() - std::max(lastByte_, it->second.writtenAt) >
+            if (owner_.loop_.now() - std::max(lastByteAt_, it->second.writtenAt) >
                 owner_.silenceTimeout_.value())
-                shunned_ = true;
-            out_.erase(it);
+                noNewAttempts_ = true;
+            inFlight_.erase(it);
             stream_.write(std::move(words));
             // A store that takes no bytes would be told behind the request itself, which may by then be out
             // at another one: a close gives up all that is open here.
@@ -121,9 +122,9 @@
         stream_.close();
         const auto self = shared_from_this();
         bool ignoreForHealth = healthReport == HealthReport::none;
-        for (const auto& [label, sent] : out_)
+        for (const auto& [label, sent] : inFlight_)
             report(sent.request, sent.attempt, whenWritten, std::exchange(ignoreForHealth, true));
-        out_.clear();
+        inFlight_.clear();
         const auto waiting = std::exchange(queue_, {});
         owner_.loop_.retire(self);
         owner_.removeConnection(host_, this);
@@ -175,23 +176,24 @@
             ++owner_.counters_.malformed;
             std::fprintf(stderr, "store %s: malformed answer, connection closed\n", host_.c_str());
         }
-        if (why == End::reset || (why == End::closedByPeer && !out_.empty())) ++owner_.counters_.resets;
+        if (why == End::reset || (why == End::closedByPeer && !inFlight_.empty())) ++owner_.counters_.resets;
         if (why == End::refused) return fail(Outcome::noConnection, HealthReport::one);
         if (why == End::unavailable) return fail(Outcome::noConnection, HealthReport::none);
-        fail(Outcome::broken, heard_ ? HealthReport::one : HealthReport::none, true);
+        fail(Outcome::broken, hasReceived_ ? HealthReport::one : HealthReport::none, true);
     }
     bool streamData(std::string_view data) override {
-        lastByte_ = owner_.loop_.now();
-        heard_ = true;
+        lastByteAt_ = owner_.loop_.now();
+        hasReceived_ = true;
         const bool fits = takeMessages(data);
         stop(stallTimer_);
         if (!fits || ended_ || !parser_.midMessage()) {
-            half_.reset();
+            answerBegunAt_.reset();
             return fits;
         }
-        if (!half_) half_ = lastByte_;
+        if (!answerBegunAt_) answerBegunAt_ = lastByteAt_;
         const Micros wait =
-            std::min(kStalledAnswerTimeout, std::max(Micros{0}, *half_ + owner_.maxAnswerTime_ - lastByte_));
+            std::min(kStalledAnswerTimeout,
+                     std::max(Micros{0}, *answerBegunAt_ + owner_.maxAnswerTime_ - lastByteAt_));
         stallTimer_ = owner_.loop_.after(wait, [this] {
             stallTimer_.reset();
             ++owner_.counters_.stalled;
@@ -206,17 +208,17 @@
     void watchSilence(Micros wait) {
         silenceTimer_ = owner_.loop_.after(wait, [this] {
             silenceTimer_.reset();
-            if (out_.empty()) return;
+            if (inFlight_.empty()) return;
             const Micros left = owner_.silenceTimeout_.value() - silentFor();
             if (left.count() > 0) return watchSilence(left);
-            if (echoAt_ > waitsSince()) {
+            if (echoSentAt_ > waitsSince()) {
                 ++owner_.counters_.stuck;
                 return fail(Outcome::broken, HealthReport::one, true);
             }
             if (!owner_.mayProbe_) return watchSilence(owner_.silenceTimeout_.value());
             ++owner_.counters_.echoes;
-            ++echoesDue_;
-            echoAt_ = owner_.loop_.now();
+            ++pendingEchoes_;
+            echoSentAt_ = owner_.loop_.now();
             std::string words;
             net::appendResp(words, {"ECHO", std::to_string(++owner_.lastEchoNumber_)});
             stream_.write(std::move(words));
@@ -235,17 +237,18 @@
     bool take(std::vector<std::string> words) {
         if (words.size() < 2 || words.size() > 4) return false;
         const auto outcome = outcomeOf(words[1]);
-        const auto found = out_.find(words[0]);
-        if (found == out_.end()) {  // an echo, or of an attempt given up, whose end was on its way already
-            if (echoesDue_ > 0 && (words[1] == "yes" || words[1] == "no")) {
-                --echoesDue_;
+        const auto found = inFlight_.find(words[0]);
+        if (found ==
+            inFlight_.end()) {  // an echo, or of an attempt given up, whose end was on its way already
+            if (pendingEchoes_ > 0 && (words[1] == "yes" || words[1] == "no")) {
+                --pendingEchoes_;
                 return true;
             }
-            given_.erase(words[0]);
+            abandoned_.erase(words[0]);
             ++owner_.counters_.lateAnswers;
-            return ++strays_ <= kMaxUnmatchedAnswers;
+            return ++unmatchedAnswers_ <= kMaxUnmatchedAnswers;
         }
-        strays_ = 0;
+        unmatchedAnswers_ = 0;
         if (!outcome) return false;
         const Fields fields(words.size() > 2 ? std::string_view(words[2]) : std::string_view{});
         if (*outcome == Outcome::served && !whole(words, fields, found->second)) return false;
@@ -269,12 +272,12 @@
             if (words.size() > 3) end.payload.body = std::move(words[3]);
         }
         owner_.noteAnswered(host_, found->second.writtenAt);
-        owner_.silenceTimeout_.learn(owner_.loop_.now() - std::max(lastAnswer_, waitsSince_));
-        lastAnswer_ = owner_.loop_.now();
+        owner_.silenceTimeout_.learn(owner_.loop_.now() - std::max(lastAnswerAt_, waitingSince_));
+        lastAnswerAt_ = owner_.loop_.now();
         // A second copy would pass for the answer to a further attempt of the same request.
-        if (answered_.size() < kAnsweredLabelsKept) answered_.push_back(0);
-        answered_[nextAnswered_++ % kAnsweredLabelsKept] = fingerprint(words[0]);
-        out_.erase(found);
+        if (answeredLabels_.size() < kAnsweredLabelsKept) answeredLabels_.push_back(0);
+        answeredLabels_[nextAnswered_++ % kAnsweredLabelsKept] = fingerprint(words[0]);
+        inFlight_.erase(found);
         owner_.reportResult(std::move(end));
         restIfIdle();
         return true;
@@ -312,14 +315,14 @@
             net::appendResp(words, {"PULL", request.label, fields, request.body});
             // No room for its first byte: it waits on, and is looked at again before it goes.
             if (!stream_.writeIfRoom(std::move(words))) return;
-            if (out_.empty()) waitsSince_ = now;
+            if (inFlight_.empty()) waitingSince_ = now;
             if (!silenceTimer_) watchSilence(owner_.silenceTimeout_.value());
-            out_[request.label] = {next.send.request,
-                                   next.send.attempt,
-                                   now,
-                                   request.known,
-                                   owner_.copyAgeCheck_.oldestAllowedMs(now, next.send),
-                                   owner_.repeatable_.at(static_cast<std::size_t>(request.classIndex))};
+            inFlight_[request.label] = {next.send.request,
+                                        next.send.attempt,
+                                        now,
+                                        request.known,
+                                        owner_.copyAgeCheck_.oldestAllowedMs(now, next.send),
+                                        owner_.repeatable_.at(static_cast<std::size_t>(request.classIndex))};
             queue_.pop_front();
         }
     }
@@ -341,9 +344,9 @@
         constexpr std::size_t kAbandonedBeforeCleanup = 256;
         constexpr Micros kLateAnswerWindow = 10s;
         const Micros now = owner_.loop_.now();
-        if (given_.size() >= kAbandonedBeforeCleanup)
-            std::erase_if(given_, [&](const auto& g) { return now - g.second > kLateAnswerWindow; });
-        given_[label] = now;
+        if (abandoned_.size() >= kAbandonedBeforeCleanup)
+            std::erase_if(abandoned_, [&](const auto& g) { return now - g.second > kLateAnswerWindow; });
+        abandoned_[label] = now;
     }
 
     void report(RequestId request, int attempt, Outcome outcome, bool ignoreForHealth = false) {
@@ -357,11 +360,11 @@
 
     // Closed before the store would: a PULL that crosses its close would count as broken.
     void restIfIdle() {
-        if (ended_ || !stream_.opened() || load() > 0 || timed_) return;
-        timed_ = true;
-        const Micros wait = shunned_ ? Micros{0} : owner_.idleTimeout_;
+        if (ended_ || !stream_.opened() || load() > 0 || timerArmed_) return;
+        timerArmed_ = true;
+        const Micros wait = noNewAttempts_ ? Micros{0} : owner_.idleTimeout_;
         timer_ = owner_.loop_.after(wait, [this] {
-            timed_ = false;
+            timerArmed_ = false;
             fail(Outcome::broken, HealthReport::none, true);
         });
     }
@@ -373,29 +376,29 @@
         if (stream_.opened()) stopTimer();
     }
     void stopTimer() {
-        if (std::exchange(timed_, false)) owner_.loop_.cancel(timer_);
+        if (std::exchange(timerArmed_, false)) owner_.loop_.cancel(timer_);
     }
 
     StoreConnections& owner_;
     std::string host_;
-    Micros lastByte_, lastAnswer_{};
+    Micros lastByteAt_, lastAnswerAt_{};
     std::optional<Micros> openedAt_;
-    Micros waitsSince_{};  // for any answer
-    bool heard_ = false;   // anything at all
+    Micros waitingSince_{};     // for any answer
+    bool hasReceived_ = false;  // anything at all
     net::RespParser parser_;
     std::deque<QueuedAttempt> queue_;
-    std::unordered_map<std::string, Sent> out_;
-    std::unordered_map<std::string, Micros> given_;  // given up, and when; their answers may still come
-    std::vector<std::uint64_t> answered_;            // fingerprints of the last ones
+    std::unordered_map<std::string, Sent> inFlight_;
+    std::unordered_map<std::string, Micros> abandoned_;  // given up, and when; their answers may still come
+    std::vector<std::uint64_t> answeredLabels_;          // fingerprints of the last ones
     std::size_t nextAnswered_ = 0;
-    int strays_ = 0, echoesDue_ = 0;
+    int unmatchedAnswers_ = 0, pendingEchoes_ = 0;
     net::Loop::TimerKey timer_{};
     std::optional<net::Loop::TimerKey> stallTimer_, silenceTimer_;
-    std::optional<Micros> half_;  // when the first byte of the answer in hand came
-    Micros echoAt_{};             // when one was last asked for
-    bool timed_ = false;
+    std::optional<Micros> answerBegunAt_;  // when the first byte of the answer in hand came
+    Micros echoSentAt_{};                  // when one was last asked for
+    bool timerArmed_ = false;
     bool ended_ = false;
-    bool shunned_ = false;  // silent too long: no new attempt goes here
+    bool noNewAttempts_ = false;  // silent too long: no new attempt goes here
     net::Stream stream_;
 };
 
