--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -57,35 +57,35 @@
         stop(silenceTimer_);
     }
 
-    bool usable() const { return !ended_ && !noNewAttempts_; }
+    bool acceptsAttempts() const { return !ended_ && !noNewAttempts_; }
     // It came up at or after this moment.
     bool openedSince(Micros moment) const { return openedAt_ && *openedAt_ >= moment; }
-    Micros silentFor() const {
+    Micros silenceDuration() const {
         return inFlight_.empty() ? Micros{0} : owner_.loop_.now() - std::max(lastByteAt_, waitingSince_);
     }
-    Micros waitsSince() const { return std::max(lastByteAt_, waitingSince_); }
-    bool waitsForAnswers() const { return !inFlight_.empty(); }
+    Micros waitingSince() const { return std::max(lastByteAt_, waitingSince_); }
+    bool hasPendingAnswers() const { return !inFlight_.empty(); }
     std::size_t load() const { return inFlight_.size() + queue_.size(); }
-    bool knows(const std::string& label) const {
+    bool hasSeen(const std::string& label) const {
         return inFlight_.count(label) > 0 || abandoned_.count(label) > 0 ||
                std::find(answeredLabels_.begin(), answeredLabels_.end(), fingerprint(label)) !=
                    answeredLabels_.end();
     }
 
-    void pull(QueuedAttempt waiting) {
+    void enqueue(QueuedAttempt waiting) {
         stopIdleTimer();
         queue_.push_back(std::move(waiting));
         flush();
     }
 
     // True: no byte of it was written.
-    bool kill(RequestId request, int attempt) {
+    bool cancelAttempt(RequestId request, int attempt) {
         const auto queued = std::find_if(queue_.begin(), queue_.end(), [&](const QueuedAttempt& w) {
             return w.send.request == request && w.send.attempt == attempt;
         });
         if (queued != queue_.end()) {
             queue_.erase(queued);
-            restIfIdle();
+            startIdleTimer();
             return true;
         }
         const auto self = shared_from_this();
@@ -93,7 +93,7 @@
             if (it->second.request != request || it->second.attempt != attempt) continue;
             std::string words;
             net::appendResp(words, {"KILL", it->first});
-            remember(it->first);
+            rememberAbandoned(it->first);
             if (owner_.loop_.now() - std::max(lastByteAt_, it->second.writtenAt) >
                 owner_.silenceTimeout_.value())
                 noNewAttempts_ = true;
@@ -104,7 +104,7 @@
             if (stream_.unsent() > 0)
                 fail(Outcome::broken, HealthReport::none, true);
             else
-                restIfIdle();
+                startIdleTimer();
             return false;
         }
         return false;
@@ -123,7 +123,7 @@
         const auto self = shared_from_this();
         bool ignoreForHealth = healthReport == HealthReport::none;
         for (const auto& [label, sent] : inFlight_)
-            report(sent.request, sent.attempt, whenWritten, std::exchange(ignoreForHealth, true));
+            reportOutcome(sent.request, sent.attempt, whenWritten, std::exchange(ignoreForHealth, true));
         inFlight_.clear();
         const auto waiting = std::exchange(queue_, {});
         owner_.loop_.retire(self);
@@ -139,8 +139,8 @@
                 owner_.loop_.whenAllIsHeard(
                     [owner = &owner_, shared] { owner->dispatch(std::move(*shared)); });
             } else {
-                report(w.send.request, w.send.attempt, Outcome::noConnection,
-                       std::exchange(ignoreForHealth, true));
+                reportOutcome(w.send.request, w.send.attempt, Outcome::noConnection,
+                              std::exchange(ignoreForHealth, true));
             }
         }
     }
@@ -158,12 +158,12 @@
     void streamOpened() override {
         openedAt_ = owner_.loop_.now();
         stopTimer();
-        flushWhatWaited();
-        restIfIdle();
+        flushOnceInputRead();
+        startIdleTimer();
     }
-    void streamDrained() override { flushWhatWaited(); }
+    void streamDrained() override { flushOnceInputRead(); }
     // Its client may have left in this very turn.
-    void flushWhatWaited() {
+    void flushOnceInputRead() {
         if (queue_.empty()) return;
         owner_.loop_.whenAllIsHeard([self = weak_from_this()] {
             if (const auto connection = self.lock()) connection->flush();
@@ -184,7 +184,7 @@
     bool streamData(std::string_view data) override {
         lastByteAt_ = owner_.loop_.now();
         hasReceived_ = true;
-        const bool fits = takeMessages(data);
+        const bool fits = handleMessages(data);
         stop(stallTimer_);
         if (!fits || ended_ || !parser_.midMessage()) {
             answerBegunAt_.reset();
@@ -205,36 +205,36 @@
     // A machine that is gone or cut off never resets its connections, and an answer that never comes can hold
     // back all that was sent behind it. So a connection that says nothing while answers are due is asked for
     // an echo.
-    void watchSilence(Micros wait) {
+    void armSilenceTimer(Micros wait) {
         silenceTimer_ = owner_.loop_.after(wait, [this] {
             silenceTimer_.reset();
             if (inFlight_.empty()) return;
-            const Micros left = owner_.silenceTimeout_.value() - silentFor();
-            if (left.count() > 0) return watchSilence(left);
-            if (echoSentAt_ > waitsSince()) {
+            const Micros left = owner_.silenceTimeout_.value() - silenceDuration();
+            if (left.count() > 0) return armSilenceTimer(left);
+            if (echoSentAt_ > waitingSince()) {
                 ++owner_.counters_.stuck;
                 return fail(Outcome::broken, HealthReport::one, true);
             }
-            if (!owner_.mayProbe_) return watchSilence(owner_.silenceTimeout_.value());
+            if (!owner_.mayProbe_) return armSilenceTimer(owner_.silenceTimeout_.value());
             ++owner_.counters_.echoes;
             ++pendingEchoes_;
             echoSentAt_ = owner_.loop_.now();
             std::string words;
             net::appendResp(words, {"ECHO", std::to_string(++owner_.lastEchoNumber_)});
             stream_.write(std::move(words));
-            watchSilence(kEchoTimeout);
+            armSilenceTimer(kEchoTimeout);
         });
     }
-    bool takeMessages(std::string_view data) {
+    bool handleMessages(std::string_view data) {
         while (!data.empty()) {
             const auto status = parser_.feed(data);
             if (status == net::RespParser::Status::malformed) return false;
-            if (status == net::RespParser::Status::message && !take(parser_.take())) return false;
+            if (status == net::RespParser::Status::message && !handleAnswer(parser_.take())) return false;
         }
         return true;
     }
 
-    bool take(std::vector<std::string> words) {
+    bool handleAnswer(std::vector<std::string> words) {
         if (words.size() < 2 || words.size() > 4) return false;
         const auto outcome = outcomeOf(words[1]);
         const auto found = inFlight_.find(words[0]);
@@ -251,7 +251,7 @@
         unmatchedAnswers_ = 0;
         if (!outcome) return false;
         const Fields fields(words.size() > 2 ? std::string_view(words[2]) : std::string_view{});
-        if (*outcome == Outcome::served && !whole(words, fields, found->second)) return false;
+        if (*outcome == Outcome::served && !isWellFormed(words, fields, found->second)) return false;
         AttemptResult end;
         end.request = found->second.request;
         end.attempt = found->second.attempt;
@@ -279,12 +279,12 @@
         answeredLabels_[nextAnswered_++ % kAnsweredLabelsKept] = fingerprint(words[0]);
         inFlight_.erase(found);
         owner_.reportResult(std::move(end));
-        restIfIdle();
+        startIdleTimer();
         return true;
     }
 
     // Looked at before it is passed on: what has lost its bytes or its age on the way is no answer.
-    static bool whole(const std::vector<std::string>& words, const Fields& fields, const Sent& sent) {
+    static bool isWellFormed(const std::vector<std::string>& words, const Fields& fields, const Sent& sent) {
         if (words.size() < 4 || words[3].size() > kMaxAnswerBytes) return false;
         if (words[1] == "current" && (sent.known.empty() || !words[3].empty())) return false;
         const std::string_view tag = fields.text("tag"), minted = fields.text("minted");
@@ -305,18 +305,18 @@
             const Micros waited = now - next.send.pickedAt;
             if (waited.count() > 0 && !owner_.callbacks_.mayBegin(next.send.request, next.send.attempt)) {
                 ++owner_.counters_.heldBack;
-                report(next.send.request, next.send.attempt, Outcome::notSent);
+                reportOutcome(next.send.request, next.send.attempt, Outcome::notSent);
                 queue_.pop_front();
                 continue;
             }
             const core::Request& request = *next.request;
             std::string words;
-            const std::string fields = pullFields(request, next.send, leftOf(next));
+            const std::string fields = pullFields(request, next.send, remainingTime(next));
             net::appendResp(words, {"PULL", request.label, fields, request.body});
             // No room for its first byte: it waits on, and is looked at again before it goes.
             if (!stream_.writeIfRoom(std::move(words))) return;
             if (inFlight_.empty()) waitingSince_ = now;
-            if (!silenceTimer_) watchSilence(owner_.silenceTimeout_.value());
+            if (!silenceTimer_) armSilenceTimer(owner_.silenceTimeout_.value());
             inFlight_[request.label] = {next.send.request,
                                         next.send.attempt,
                                         now,
@@ -334,13 +334,13 @@
     }
 
     // What its client still waits, by the clock itself: the turn may be long by now.
-    Micros leftOf(const QueuedAttempt& waiting) const {
+    Micros remainingTime(const QueuedAttempt& waiting) const {
         const Micros now = net::Loop::clock();
         return std::min(waiting.request->deadline - now, waiting.send.pickedAt + waiting.send.timeout - now);
     }
 
     // Most are never heard of again: an answer that is to come at all comes within seconds.
-    void remember(const std::string& label) {
+    void rememberAbandoned(const std::string& label) {
         constexpr std::size_t kAbandonedBeforeCleanup = 256;
         constexpr Micros kLateAnswerWindow = 10s;
         const Micros now = owner_.loop_.now();
@@ -349,7 +349,7 @@
         abandoned_[label] = now;
     }
 
-    void report(RequestId request, int attempt, Outcome outcome, bool ignoreForHealth = false) {
+    void reportOutcome(RequestId request, int attempt, Outcome outcome, bool ignoreForHealth = false) {
         AttemptResult end;
         end.ignoreForHealth = ignoreForHealth;
         end.request = request;
@@ -359,7 +359,7 @@
     }
 
     // Closed before the store would: a PULL that crosses its close would count as broken.
-    void restIfIdle() {
+    void startIdleTimer() {
         if (ended_ || !stream_.opened() || load() > 0 || timerArmed_) return;
         timerArmed_ = true;
         const Micros wait = noNewAttempts_ ? Micros{0} : owner_.idleTimeout_;
@@ -512,10 +512,10 @@
     std::shared_ptr<Connection> best, silent;
     for (const auto& connection : store.connections) {
         // Two attempts of one id on one connection: a late answer to the first would pass for the second's.
-        if (!connection->usable() || connection->load() >= maxAttemptsPerConnection_ ||
-            connection->knows(label))
+        if (!connection->acceptsAttempts() || connection->load() >= maxAttemptsPerConnection_ ||
+            connection->hasSeen(label))
             continue;
-        auto& place = connection->silentFor() > silenceTimeout_.value() ? silent : best;
+        auto& place = connection->silenceDuration() > silenceTimeout_.value() ? silent : best;
         if (!place || connection->load() < place->load()) place = connection;
     }
     if (best) return best;
@@ -531,10 +531,10 @@
 void StoreConnections::closeStuck(Store& store) {
     const auto connections = store.connections;
     for (const auto& connection : connections) {
-        if (!connection->waitsForAnswers() ||
-            connection->silentFor() < silenceTimeout_.value() + kStuckTimeout)
+        if (!connection->hasPendingAnswers() ||
+            connection->silenceDuration() < silenceTimeout_.value() + kStuckTimeout)
             continue;
-        if (store.answeredWrittenAt <= connection->waitsSince()) continue;
+        if (store.answeredWrittenAt <= connection->waitingSince()) continue;
         ++counters_.stuck;
         connection->fail(Outcome::broken, Connection::HealthReport::none, true);
     }
@@ -563,7 +563,7 @@
     try {
         if (const auto connection = connectionFor(send.host, waiting.request->label)) {
             place->second.connection = connection;
-            return connection->pull(std::move(waiting));
+            return connection->enqueue(std::move(waiting));
         }
         ++counters_.noDescriptor;
         end.ignoreForHealth = true;  // it is this process that has too many connections
@@ -578,7 +578,7 @@
     if (found == locations_.end() || found->second.attempt != attempt) return false;
     const auto connection = found->second.connection.lock();
     locations_.erase(found);
-    return connection ? connection->kill(request, attempt)
+    return connection ? connection->cancelAttempt(request, attempt)
                       : true;  // between two connections: not written on either
 }
 
