--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -47,7 +47,7 @@
         ++owner_.counters_.connects;
         timer_ = owner_.loop_.after(owner_.connectTimeout_, [this] {
             timerArmed_ = false;
-            fail(Outcome::noConnection, HealthReport::one);
+            fail(Outcome::noConnection, HealthReport::failure);
         });
         timerArmed_ = true;
     }
@@ -113,8 +113,8 @@
     // What was written may have run. What was not goes by another connection, if this one did come up and the
     // store is not gone. The end of one connection is one word on its store, however many attempts it ends,
     // and none where the connection was new or at rest.
-    enum class HealthReport { none, one };
-    void fail(Outcome whenWritten, HealthReport healthReport, bool moveOn = false) {
+    enum class HealthReport { none, failure };
+    void fail(Outcome whenWritten, HealthReport healthReport, bool requeue = false) {
         if (std::exchange(ended_, true)) return;
         stopTimer();
         stop(stallTimer_);
@@ -129,7 +129,7 @@
         owner_.loop_.retire(self);
         owner_.removeConnection(host_, this);
         for (const QueuedAttempt& w : waiting) {
-            if (moveOn && w.reassignments < kMaxReassignments) {
+            if (requeue && w.reassignments < kMaxReassignments) {
                 ++owner_.counters_.movedOn;
                 auto shared = std::make_shared<QueuedAttempt>(w);
                 ++shared->reassignments;
@@ -177,9 +177,9 @@
             std::fprintf(stderr, "store %s: malformed answer, connection closed\n", host_.c_str());
         }
         if (why == End::reset || (why == End::closedByPeer && !inFlight_.empty())) ++owner_.counters_.resets;
-        if (why == End::refused) return fail(Outcome::noConnection, HealthReport::one);
+        if (why == End::refused) return fail(Outcome::noConnection, HealthReport::failure);
         if (why == End::unavailable) return fail(Outcome::noConnection, HealthReport::none);
-        fail(Outcome::broken, hasReceived_ ? HealthReport::one : HealthReport::none, true);
+        fail(Outcome::broken, hasReceived_ ? HealthReport::failure : HealthReport::none, true);
     }
     bool streamData(std::string_view data) override {
         lastByteAt_ = owner_.loop_.now();
@@ -213,7 +213,7 @@
             if (left.count() > 0) return armSilenceTimer(left);
             if (echoSentAt_ > waitingSince()) {
                 ++owner_.counters_.stuck;
-                return fail(Outcome::broken, HealthReport::one, true);
+                return fail(Outcome::broken, HealthReport::failure, true);
             }
             if (!owner_.mayProbe_) return armSilenceTimer(owner_.silenceTimeout_.value());
             ++owner_.counters_.echoes;
