--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -72,9 +72,9 @@
                    answeredLabels_.end();
     }
 
-    void enqueue(QueuedAttempt waiting) {
+    void enqueue(QueuedAttempt queued) {
         stopIdleTimer();
-        queue_.push_back(std::move(waiting));
+        queue_.push_back(std::move(queued));
         flush();
     }
 
@@ -125,10 +125,10 @@
         for (const auto& [label, sent] : inFlight_)
             reportOutcome(sent.request, sent.attempt, whenWritten, std::exchange(ignoreForHealth, true));
         inFlight_.clear();
-        const auto waiting = std::exchange(queue_, {});
+        const auto unsent = std::exchange(queue_, {});
         owner_.loop_.retire(self);
         owner_.removeConnection(host_, this);
-        for (const QueuedAttempt& w : waiting) {
+        for (const QueuedAttempt& w : unsent) {
             if (requeue && w.reassignments < kMaxReassignments) {
                 ++owner_.counters_.movedOn;
                 auto shared = std::make_shared<QueuedAttempt>(w);
@@ -334,9 +334,9 @@
     }
 
     // What its client still waits, by the clock itself: the turn may be long by now.
-    Micros remainingTime(const QueuedAttempt& waiting) const {
+    Micros remainingTime(const QueuedAttempt& queued) const {
         const Micros now = net::Loop::clock();
-        return std::min(waiting.request->deadline - now, waiting.send.pickedAt + waiting.send.timeout - now);
+        return std::min(queued.request->deadline - now, queued.send.pickedAt + queued.send.timeout - now);
     }
 
     // Most are never heard of again: an answer that is to come at all comes within seconds.
@@ -551,8 +551,8 @@
     dispatch({&request, send});
 }
 
-void StoreConnections::dispatch(QueuedAttempt waiting) {
-    const core::Decision& send = waiting.send;
+void StoreConnections::dispatch(QueuedAttempt queued) {
+    const core::Decision& send = queued.send;
     const auto place = locations_.find(send.request);
     // Taken back meanwhile; its request may be gone, too.
     if (place == locations_.end() || place->second.attempt != send.attempt) return;
@@ -561,9 +561,9 @@
     end.attempt = send.attempt;
     end.outcome = Outcome::noConnection;
     try {
-        if (const auto connection = connectionFor(send.host, waiting.request->label)) {
+        if (const auto connection = connectionFor(send.host, queued.request->label)) {
             place->second.connection = connection;
-            return connection->enqueue(std::move(waiting));
+            return connection->enqueue(std::move(queued));
         }
         ++counters_.noDescriptor;
         end.ignoreForHealth = true;  // it is this process that has too many connections
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -63,7 +63,7 @@
 
     // None: no descriptor is left for one. Throws settings::Malformed where the host can't be reached at all.
     std::shared_ptr<Connection> connectionFor(const std::string& host, const std::string& label);
-    void dispatch(QueuedAttempt waiting);
+    void dispatch(QueuedAttempt queued);
     void closeStuck(Store& store);
     void noteAnswered(const std::string& host, core::Micros writtenAt);
     void reportResult(core::AttemptResult end);
