--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -134,8 +134,8 @@
         const bool fromBeforeTheStart = owner_.loop_.now() - owner_.openedAt_ < kStartupBacklogWindow;
         const bool mayBeOld = fromBeforeTheStart || owner_.loop_.heldUpOfLate() || stream_.readingLags();
         if (!mayBeOld) return owner_.loop_.heldUp();
-        const Micros told = std::min(stream_.sinceLastArrival(), kMaxUnreadWait);
-        return told.count() > 0 ? told : owner_.loop_.heldUp();
+        const Micros kernelWait = std::min(stream_.sinceLastArrival(), kMaxUnreadWait);
+        return kernelWait.count() > 0 ? kernelWait : owner_.loop_.heldUp();
     }
 
     // A share of the turn for each client: a burst of one waits in its own connection, not in the others'
