--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -507,9 +507,9 @@
     std::optional<Micros> refusing;
     if (refusesCalls()) refusing = *drainingSince_ + kDrainRefuseAfter;
     const bool last = loop_.now() - *drainingSince_ >= kDrainFailAfter;
-    std::vector<std::shared_ptr<Client>> all;  // an end takes it from the table
-    for (const auto& [key, client] : clients_) all.push_back(client);
-    for (const auto& client : all) client->endForDrain(refusing, last);
+    std::vector<std::shared_ptr<Client>> snapshot;  // an end takes it from the table
+    for (const auto& [key, client] : clients_) snapshot.push_back(client);
+    for (const auto& client : snapshot) client->endForDrain(refusing, last);
     drainSweepTimer_ = loop_.after(kDrainSweepInterval, [this] {
         drainSweepTimer_.reset();
         sweepForDrain();
@@ -585,9 +585,9 @@
 
 void Front::failOpenRequests() {
     failingRequests_ = true;
-    std::vector<std::shared_ptr<Client>> all;  // an end takes it from the table
-    for (const auto& [key, client] : clients_) all.push_back(client);
-    for (const auto& client : all) client->failOpenRequests();
+    std::vector<std::shared_ptr<Client>> snapshot;  // an end takes it from the table
+    for (const auto& [key, client] : clients_) snapshot.push_back(client);
+    for (const auto& client : snapshot) client->failOpenRequests();
 }
 
 bool Front::settled() {
