--- a/tests/agent_changes_test.cpp
+++ b/tests/agent_changes_test.cpp
@@ -163,13 +163,13 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-    const Story stories[] = {
+int main(int count, char** names) {
+    const Scenario scenarios[] = {
         {"change-during-replacement", aChangeDuringAReplacementLeavesNoGap},
         {"successor-ends", aSuccessorThatEndsIsStartedAgain},
         {"fork-fails", aForkThatFailsIsTriedAgain},
         {"no-room", agentsGoOnOnceThereIsRoomAgain},
     };
-    playStories(stories, count, words);
+    runScenarios(scenarios, count, names);
     return 0;
 }
--- a/tests/catch_up_test.cpp
+++ b/tests/catch_up_test.cpp
@@ -117,7 +117,7 @@
     assert(polls > 2 && polls < 100);
 }
 
-constexpr Story kStories[] = {
+constexpr Scenario kScenarios[] = {
     {"last-page", aStartingGatewayIsNotReadyBeforeTheLastPage},
     {"nowhere", aPageThatLeadsNowhereIsNotAskedForWithoutPause},
     {"broken-off", aPageThatIsBrokenOffIsAskedForAgainFromWhereItBegan},
@@ -125,4 +125,4 @@
 
 }  // namespace
 
-int main(int count, char** words) { playStories(kStories, count, words); }
+int main(int count, char** names) { runScenarios(kScenarios, count, names); }
--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -202,8 +202,8 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-    const Story stories[] = {
+int main(int count, char** names) {
+    const Scenario scenarios[] = {
         {"ahead", aClockThatIsAheadDoesNotWarmAColdStore},
         {"first-list-ahead", aClockThatIsAheadDoesNotWarmAColdStoreOfTheFirstList},
         {"behind", aClockThatIsBehindDoesNotKeepAStoreCold},
@@ -211,6 +211,6 @@
         {"purge-heard", aPurgeThatIsHeardHolds},
         {"purge-before-start", aPurgeFromBeforeTheStartHolds},
     };
-    playStories(stories, count, words);
+    runScenarios(scenarios, count, names);
     return 0;
 }
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -232,7 +232,7 @@
     assert(late <= 1);  // a copy from before the purge will not do
 }
 
-constexpr Story kStories[] = {
+constexpr Scenario kScenarios[] = {
     {"up-and-left", whoLeavesAsTheConnectionComesUpIsNotSentOn},
     {"refused-and-left", whoLeavesAsItsStoreRefusesIsNotSentOn},
     {"drained-with-calls", aDrainIsKnownToTheCallsThatComeWithIt},
@@ -246,4 +246,4 @@
 
 }  // namespace
 
-int main(int count, char** words) { playStories(kStories, count, words); }
+int main(int count, char** names) { runScenarios(kScenarios, count, names); }
--- a/tests/departed_clients_test.cpp
+++ b/tests/departed_clients_test.cpp
@@ -169,7 +169,7 @@
     noFurtherPartFollowsADeparture();
 }
 
-constexpr Story kStories[] = {
+constexpr Scenario kScenarios[] = {
     {"first-attempt", departuresBeforeTheFirstAttempt},
     {"further-attempt", departuresBeforeAFurtherAttempt},
     {"repository", departuresAtTheRepositoryFront},
@@ -177,4 +177,4 @@
 
 }  // namespace
 
-int main(int count, char** words) { playStories(kStories, count, words); }
+int main(int count, char** names) { runScenarios(kScenarios, count, names); }
--- a/tests/fleet_operations_test.cpp
+++ b/tests/fleet_operations_test.cpp
@@ -265,7 +265,7 @@
     assert(Clock::now() - begin < std::chrono::milliseconds{kPatienceMs} + kSlowMachine);
 }
 
-constexpr Story kStories[] = {
+constexpr Scenario kScenarios[] = {
     {"mass-restart", nineInTenRestartedGatewaysAreReadyInTime},
     {"idle-crowd", aCrowdOfIdleClientsLeavesRoomForBusAndStores},
     {"reload-drain", aDrainHoldsAcrossAReload},
@@ -278,4 +278,4 @@
 
 }  // namespace
 
-int main(int count, char** words) { playStories(kStories, count, words); }
+int main(int count, char** names) { runScenarios(kScenarios, count, names); }
--- a/tests/held_up_test.cpp
+++ b/tests/held_up_test.cpp
@@ -149,14 +149,14 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-    const Story stories[] = {
+int main(int count, char** names) {
+    const Scenario scenarios[] = {
         {"deadline", theDeadlineCountsFromWhenTheCallCame},
         {"cancel", aCallIsNotBegunBeforeItsCancelIsRead},
         {"answer-with-cancel", anAnswerThatCameAfterTheCancelIsNotPassedOn},
         {"repository-departed", aRepositoryClientThatHasLeftIsNotAskedFor},
         {"moved-address", whatWaitsAtAMovedAddressIsAnswered},
     };
-    playStories(stories, count, words);
+    runScenarios(scenarios, count, names);
     return 0;
 }
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -407,7 +407,7 @@
     }
 }
 
-constexpr Story kStories[] = {
+constexpr Scenario kScenarios[] = {
     {"sigkill", whatIsOpenIsAnsweredBeforeSigkillMayCome},
     {"door", whoWaitsAtTheDoorIsServedBeforeTheEnd},
     {"early-signal", aSignalBeforeThereIsAGatewayWaits},
@@ -430,4 +430,4 @@
 
 }  // namespace
 
-int main(int count, char** words) { playStories(kStories, count, words); }
+int main(int count, char** names) { runScenarios(kScenarios, count, names); }
--- a/tests/scenarios.hpp
+++ b/tests/scenarios.hpp
@@ -82,18 +82,18 @@
     Peer first_{script_}, second_{script_};
 };
 
-struct Story {
+struct Scenario {
     const char* name;
-    void (*play)();
+    void (*run)();
 };
 
 // With names: those alone.
 template <std::size_t N>
-void playStories(const Story (&stories)[N], int count, char** words) {
-    for (const Story& story : stories) {
+void runScenarios(const Scenario (&scenarios)[N], int count, char** names) {
+    for (const Scenario& scenario : scenarios) {
         bool wanted = count < 2;
-        for (int i = 1; i < count; ++i) wanted = wanted || std::strcmp(words[i], story.name) == 0;
-        if (wanted) story.play();
+        for (int i = 1; i < count; ++i) wanted = wanted || std::strcmp(names[i], scenario.name) == 0;
+        if (wanted) scenario.run();
     }
 }
 
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -168,8 +168,8 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-    const Story stories[] = {
+int main(int count, char** names) {
+    const Scenario scenarios[] = {
         {"accept-errors", acceptFailsForAMoment},     {"accept-descriptors", acceptShortOfDescriptors},
         {"short-writes", sendTakesFewBytes},          {"send-memory", sendIsShortOfMemory},
         {"receive-memory", receiveIsShortOfMemory},   {"send-broken", sendTellsOfABrokenConnection},
@@ -177,6 +177,6 @@
         {"start", theStartIsShortOfEverything},       {"reload", aReloadIsShortOfDescriptors},
         {"sockets", socketsAreShortForAMoment},
     };
-    playStories(stories, count, words);
+    runScenarios(scenarios, count, names);
     return 0;
 }
