--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -51,7 +51,7 @@
     char entity[17];
     for (int i = 0; i < kCalls; ++i) {
         std::snprintf(entity, sizeof entity, "%016x", 0x5000 + first + i);
-        callFor(client, first + i, entity);
+        callForObject(client, first + i, entity);
         assert(!client.readResp().empty());
     }
 }
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -20,11 +20,11 @@
     program.stop();
     before.sendResp({"CANCEL", "1"});
     late.start();
-    late.ups.await(2);
+    late.connects.await(2);
     after.sendResp({"CANCEL", "1"});
     program.goOn();
     assert(stays.readResp().at(3) == "late store");
-    settle(program.port());
+    waitUntilHandled(program.port());
     assert(late.pulls.count() == 1);
 }
 
@@ -144,7 +144,7 @@
     Mark pulled;
     Peer cache(store([&](Connection&, const std::vector<std::string>&) { pulled.raise(); }));
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
-    limitAll(settings, 1500);
+    setRequestTimeouts(settings, 1500);
     Program program(settings);
     Connection client(program.port());
     call(client, "1");
@@ -152,20 +152,20 @@
     const auto begin = Clock::now();
     program.signal(SIGTERM);
     program.awaitLog("leaving, 1 requests open");
-    limitAll(settings, 9000);
+    setRequestTimeouts(settings, 9000);
     program.rewrite(settings.dump());
     program.signal(SIGHUP);
     program.awaitLog("configuration read again");
     assert(client.readResp().at(0) == "1");
     program.awaitLog("lotuslead: stopped, 0 requests open");
-    assert(Clock::now() - begin < 2200ms + kSlowMachine);
+    assert(Clock::now() - begin < 2200ms + kSlowMachineAllowance);
     assert(program.exitCode() == 0);
 }
 
 void aClientsCopyIsCalledCurrentOnlyIfItIsTheOneNamed() {
     for (const std::string fields : {"tag=4be0c1927d55a6f4,minted=1764576000000", "minted=1764576000000"}) {
         Fleet fleet;
-        SpoiltOnce stores([fields](Connection& c, const std::vector<std::string>& words) {
+        FirstAnswerBad stores([fields](Connection& c, const std::vector<std::string>& words) {
             c.sendResp({words[1], "current", fields, ""});
         });
         Program program(stores.settings(fleet));
--- a/tests/departed_clients_test.cpp
+++ b/tests/departed_clients_test.cpp
@@ -80,7 +80,7 @@
     mayEnd.raise();
     ended.await(1);
     program.awaitCounters(" open=0\n");
-    settle(program.port());
+    waitUntilHandled(program.port());
     assert(pulled.count() == 1);
 }
 
--- a/tests/fleet_operations_test.cpp
+++ b/tests/fleet_operations_test.cpp
@@ -23,7 +23,7 @@
     constexpr int kObjects = 40;
     Connection client(program.port());
     for (int i = 1; i <= kObjects; ++i) {
-        callFor(client, i, "00000000000000" + std::to_string(10 + i));
+        callForObject(client, i, "00000000000000" + std::to_string(10 + i));
         const auto answer = client.readResp();
         assert(answer.at(1) == "SERVED" && answer.at(3) != body);
     }
@@ -123,7 +123,7 @@
     const auto begin = Clock::now();
     bus.become(FailingBus::State::answering);
     program.awaitCounters(" events=2 ");
-    assert(Clock::now() - begin < 1500ms + kSlowMachine);
+    assert(Clock::now() - begin < 1500ms + kSlowMachineAllowance);
     Connection client(port);
     call(client, "1");
     assert(client.readResp().at(3) == "fresh");
@@ -187,7 +187,7 @@
     bus.tell(topology({host("cache-1", drained.address(), "small", "draining")}));
     std::this_thread::sleep_for(100ms);
     bus.become(FailingBus::State::answering);  // for new connections; the old one has been passed over
-    std::this_thread::sleep_for(1500ms + kSlowMachine);
+    std::this_thread::sleep_for(1500ms + kSlowMachineAllowance);
     nothingIsServedBy("drained", program);
 }
 
@@ -262,7 +262,7 @@
         assert(answer.size() >= 2 && answer[1] != "SERVED");
         assert(answered.insert(answer[0]).second);
     }
-    assert(Clock::now() - begin < std::chrono::milliseconds{kPatienceMs} + kSlowMachine);
+    assert(Clock::now() - begin < std::chrono::milliseconds{kPatienceMs} + kSlowMachineAllowance);
 }
 
 constexpr Scenario kScenarios[] = {
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -16,12 +16,12 @@
         Mark pulled;
         Peer cache(store([&](Connection&, const std::vector<std::string>&) { pulled.raise(); }));
         json settings = configuration(fleet.with({host("cache-1", cache.address())}));
-        limitAll(settings, longest);
+        setRequestTimeouts(settings, longest);
         settings["settings"]["allowed"]["mostTries"] = 1;
         Program program(settings);
         Connection client(program.port()), keyed(program.port());
         call(client, "1");
-        call(keyed, "1", kKey, "checkout");
+        call(keyed, "1", kKeyField, "checkout");
         pulled.await(2);
         const auto begin = Clock::now();
         program.signal(SIGTERM);
@@ -30,7 +30,7 @@
         assert(answer.at(0) == "1" && answer[1] != "SERVED");
         assert(client.closed());  // one answer
         program.awaitLog("lotuslead: stopped, 0 requests open");
-        assert(Clock::now() - begin < kill + kSlowMachine);
+        assert(Clock::now() - begin < kill + kSlowMachineAllowance);
         assert(program.exitCode() == 0);
     }
 }
@@ -39,7 +39,7 @@
 void whoWaitsAtTheDoorIsServedBeforeTheEnd() {
     Fleet fleet;
     Peer cache(store(serving("in the end")));
-    Program program(withRoomFor(host("cache-1", cache.address()), fleet));
+    Program program(withAmpleCapacity(host("cache-1", cache.address()), fleet));
     const std::uint16_t port = program.port();
     program.signal(SIGTERM);
     program.awaitLog("leaving, 0 requests open");
@@ -96,7 +96,7 @@
     call(stays, "3");
     program.goOn();
     assert(stays.readResp()[0] == "3");
-    settle(port);
+    waitUntilHandled(port);
     assert(pulled.count() == 2);
 }
 
@@ -178,7 +178,7 @@
             close.raise();
             closed.await(i - 1);
         }
-        call(client, "2", kKey, "checkout");
+        call(client, "2", kKeyField, "checkout");
         if (i > 1) program.goOn();
         assert((client.readResp() == std::vector<std::string>{"2", "SERVED", "-", "here"}));
     }
@@ -200,7 +200,7 @@
             if (words[0] == "KILL") ++kills;
         ended.raise();
     });
-    Program program(withRoomFor(host("cache-1", cache.address()), fleet));
+    Program program(withAmpleCapacity(host("cache-1", cache.address()), fleet));
     std::vector<std::unique_ptr<Connection>> clients;
     for (int i = 0; i < 3; ++i) {  // 4.6 MB, on one connection
         clients.push_back(std::make_unique<Connection>(program.port()));
@@ -226,7 +226,7 @@
         settings["bus"] = bus.address();
         Program program(settings);
         Connection client(program.port());
-        call(client, "1", kKey, "checkout");
+        call(client, "1", kKeyField, "checkout");
         pulled.await(1);
         const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
                              std::chrono::system_clock::now().time_since_epoch())
@@ -259,7 +259,7 @@
     settings["bus"] = bus.address();
     Program program(settings);
     Connection client(program.port());
-    call(client, "1", kKey, "checkout");
+    call(client, "1", kKeyField, "checkout");
     pulled.await(1);
     const auto sent = Clock::now();
     bus.tell(topology({host("cache-2", late.peer.address())}));
@@ -268,7 +268,7 @@
     std::this_thread::sleep_until(sent + 1550ms);
     late.start();
     assert(client.readResp()[1] != "SERVED");
-    settle(program.port());
+    waitUntilHandled(program.port());
     assert(late.pulls.count() == 0);
 }
 
@@ -290,7 +290,7 @@
     bus.tell({{"ban", {{"tag", 3}, {"ts", now.count()}}}});
     call(client, "1", "", "checkout");
     assert(client.readResp()[1] == "ERR");  // never 'refused', which says that it may be sent again
-    settle(program.port());
+    waitUntilHandled(program.port());
     assert(pulled.count() == 1);
 }
 
@@ -299,16 +299,16 @@
 void anAnswerWithoutEndHoldsNothingUpForLongerThanRequestsLast() {
     Fleet fleet;
     std::atomic<bool> over{false};
-    SpoiltOnce stores([&](Connection& c, const std::vector<std::string>& words) {
+    FirstAnswerBad stores([&](Connection& c, const std::vector<std::string>& words) {
         c.send("*4\r\n$16\r\n" + words[1] + "\r\n$2\r\nok\r\n$1\r\n-\r\n$20000\r\n");
         for (int i = 0; i < 100 && !over; ++i, std::this_thread::sleep_for(50ms)) c.send("x");
     });
     json settings = stores.settings(fleet);
-    limitAll(settings, 1600);
+    setRequestTimeouts(settings, 1600);
     Program program(settings);
     Connection client(program.port());
     const auto begin = Clock::now();
-    call(client, "1", kKey, "checkout");
+    call(client, "1", kKeyField, "checkout");
     assert((client.readResp() == std::vector<std::string>{"1", "SERVED", "-", "whole"}));
     assert(Clock::now() - begin < 2s);
     over = true;
@@ -317,12 +317,12 @@
 // Whole answers to nothing that was asked, or echoes: as long as they come, the connection looks alive.
 void answersToNothingEndTheirConnection(const char* word) {
     Fleet fleet;
-    SpoiltOnce stores([word](Connection& c, const std::vector<std::string>&) {
+    FirstAnswerBad stores([word](Connection& c, const std::vector<std::string>&) {
         for (int i = 0; i < 1500; ++i) c.sendResp({"00000000000fffff", word, "minted=1", "stray"});
     });
     Program program(stores.settings(fleet));
     Connection client(program.port());
-    call(client, "1", kKey, "checkout");
+    call(client, "1", kKeyField, "checkout");
     assert((client.readResp() == std::vector<std::string>{"1", "SERVED", "-", "whole"}));
 }
 
@@ -358,7 +358,7 @@
     for (const bool hints : {true, false}) {
         Fleet fleet;
         Peer cache(store([](Connection&, const std::vector<std::string>&) {}));
-        json settings = withRoomFor(host("cache-1", cache.address()), fleet);
+        json settings = withAmpleCapacity(host("cache-1", cache.address()), fleet);
         settings["settings"]["allowed"]["retryAfter"] = hints;
         settings["settings"]["allowed"]["maxRetryAfter"] = 50'000'000;
         Program program(settings);
@@ -378,23 +378,23 @@
             const bool large = valueOf(words[2], "thing").back() == '0';
             serving(std::string(large ? 240'000 : 12'000, 'x'))(c, words);
         }));
-        json settings = withRoomFor(host("cache-1", cache.address()), fleet);
+        json settings = withAmpleCapacity(host("cache-1", cache.address()), fleet);
         settings["limits"]["memory_mb"] = 24;
         Program program(settings);
         const std::uint16_t port = program.port();
         std::vector<std::unique_ptr<Connection>> crowd;
         for (int i = 0; i < (quiet ? 0 : 20); ++i) {
             crowd.push_back(std::make_unique<Connection>(port, 4096));
-            for (int k = 1; k <= 32; ++k) callFor(*crowd.back(), k, "7f3a9c21e0b4d650");
+            for (int k = 1; k <= 32; ++k) callForObject(*crowd.back(), k, "7f3a9c21e0b4d650");
         }
-        settle(port);
+        waitUntilHandled(port);
         program.awaitCounters(" open=0\n");
         int all = 0, served = 0, large = 0, largeServed = 0;
         Connection client(port);
         for (int i = 1; i <= 300; ++i) {
             char entity[17];
             std::snprintf(entity, sizeof entity, "%015x%d", i, i % 10);
-            callFor(client, i, entity);
+            callForObject(client, i, entity);
             const bool came = client.readResp()[1] == "SERVED";
             ++all;
             served += came;
--- a/tests/scenarios.hpp
+++ b/tests/scenarios.hpp
@@ -11,11 +11,11 @@
 
 // The program's clock begins when the signal reaches it; under the sanitizers its end takes longer than its
 // stop.
-constexpr auto kSlowMachine = 600ms;
-inline const std::string kKey = ",nonce=5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+constexpr auto kSlowMachineAllowance = 600ms;
+inline const std::string kKeyField = ",nonce=5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
 inline json& category(json& settings, std::size_t at) { return settings["settings"]["categories"][at]; }
-inline void limitAll(json& settings, long long ms) {
+inline void setRequestTimeouts(json& settings, long long ms) {
     for (auto& one : settings["settings"]["categories"]) {
         one["hardLimit"] = ms * 1'000'000;
         one["aim"] = ms * 500'000;
@@ -23,7 +23,7 @@
 }
 
 // Its link holds all that comes.
-inline json withRoomFor(json cache, const Fleet& fleet) {
+inline json withAmpleCapacity(json cache, const Fleet& fleet) {
     cache["weight"] = 1000;
     json settings = configuration(fleet.with({cache}));
     settings["settings"]["weights"] = "nominal";
@@ -34,7 +34,7 @@
 struct LateStore {
     Peer peer{nullptr, 0};
     Connection filler{peer.port()};
-    Mark ups, pulls;  // the first that comes up is the filler
+    Mark connects, pulls;  // the first that comes up is the filler
 
     void start() {
         const auto serve = store([this](Connection& c, const std::vector<std::string>& words) {
@@ -42,13 +42,13 @@
             serving("late store")(c, words);
         });
         peer.start([this, serve](Connection& c) {
-            ups.raise();
+            connects.raise();
             serve(c);
         });
     }
 };
 
-inline void callFor(Connection& client, int number, const std::string& entity) {
+inline void callForObject(Connection& client, int number, const std::string& entity) {
     char trace[17];
     static int count = 0x1000000;
     std::snprintf(trace, sizeof trace, "%016x", ++count);
@@ -57,7 +57,7 @@
 }
 
 // After a round trip of another client all that came before has been handled.
-inline void settle(std::uint16_t port) {
+inline void waitUntilHandled(std::uint16_t port) {
     for (int i = 1; i <= 3; ++i) {
         Connection c(port);
         c.sendResp({"CHECK", "1", ""});
@@ -66,10 +66,10 @@
 }
 
 // Two stores, of which the one that is asked first answers as told; all that follows is served.
-struct SpoiltOnce {
-    explicit SpoiltOnce(Answer spoilt)
-        : script_(store([this, spoilt](Connection& c, const std::vector<std::string>& words) {
-              ++pulls_ > 1 ? serving("whole")(c, words) : spoilt(c, words);
+struct FirstAnswerBad {
+    explicit FirstAnswerBad(Answer firstAnswer)
+        : script_(store([this, firstAnswer](Connection& c, const std::vector<std::string>& words) {
+              ++pulls_ > 1 ? serving("whole")(c, words) : firstAnswer(c, words);
           })) {}
     json settings(const Fleet& fleet) const {
         return configuration(
