--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -96,7 +96,7 @@
         }
     });
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
-    category(settings, 2)["effect"] = "single_shot";
+    classSettings(settings, 2)["effect"] = "single_shot";
     settings["settings"]["allowed"]["mostTries"] = 1;
     Program program(settings);
     Connection one(program.port()), before(program.port()), after(program.port());
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -255,7 +255,7 @@
         c.shut();
     });
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
-    category(settings, 2)["window"] = 1'500'000'000;
+    classSettings(settings, 2)["window"] = 1'500'000'000;
     settings["bus"] = bus.address();
     Program program(settings);
     Connection client(program.port());
@@ -281,7 +281,7 @@
         serving("done, says an old date")(c, words);
     }));
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
-    category(settings, 2)["effect"] = "single_shot";
+    classSettings(settings, 2)["effect"] = "single_shot";
     settings["bus"] = bus.address();
     Program program(settings);
     Connection client(program.port());
--- a/tests/scenarios.hpp
+++ b/tests/scenarios.hpp
@@ -14,7 +14,7 @@
 constexpr auto kSlowMachineAllowance = 600ms;
 inline const std::string kKeyField = ",nonce=5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
-inline json& category(json& settings, std::size_t at) { return settings["settings"]["categories"][at]; }
+inline json& classSettings(json& settings, std::size_t at) { return settings["settings"]["categories"][at]; }
 inline void setRequestTimeouts(json& settings, long long ms) {
     for (auto& one : settings["settings"]["categories"]) {
         one["hardLimit"] = ms * 1'000'000;
