--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -9,7 +9,7 @@
 
 // ----- the end of the process -----
 
-void whatIsOpenIsAnsweredBeforeSigkillMayCome() {
+void openRequestsAreAnsweredBeforeSigkill() {
     // The longest deadline, counted as 3 s where it is longer, and 0.7 s more.
     for (const auto& [longest, kill] : {std::pair{1500, 2200ms}, std::pair{9000, 3700ms}}) {
         Fleet fleet;
@@ -36,7 +36,7 @@
 }
 
 // The crowd connects and asks while the process stands still, until it might already end.
-void whoWaitsAtTheDoorIsServedBeforeTheEnd() {
+void connectionsInTheBacklogAreServedBeforeExit() {
     Fleet fleet;
     Peer cache(store(serving("in the end")));
     Program program(withAmpleCapacity(host("cache-1", cache.address()), fleet));
@@ -56,7 +56,7 @@
     assert(program.exitCode() == 0);
 }
 
-void aSignalBeforeThereIsAGatewayWaits() {
+void aSignalDuringStartupIsDeferred() {
     const std::string pipe = "/tmp/lotuslead-pipe-" + std::to_string(::getpid());
     const int made = ::mkfifo(pipe.c_str(), 0600);
     assert(made == 0);
@@ -71,7 +71,7 @@
 
 // ----- clients that leave -----
 
-void whatWasTakenBackBeforeItWasReadIsNotSentOn() {
+void callsCancelledBeforeTheyAreReadAreNotForwarded() {
     Fleet fleet;
     Mark pulled;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
@@ -100,7 +100,7 @@
     assert(pulled.count() == 2);
 }
 
-void aClientThatLeavesWithAnswersUnreadIsNoticed(bool closes) {
+void aDepartureWithUnreadAnswersIsDetected(bool closes) {
     Fleet fleet;
     LateStore late;
     Bus bus;
@@ -134,7 +134,7 @@
     assert(late.pulls.count() == 1);
 }
 
-void whereCancelsAreBarredNothingIsSentForAClientThatLeft() {
+void withoutMayCancelNothingIsSentForADepartedClient() {
     Fleet fleet;
     LateStore late;
     json settings = configuration(fleet.with({host("cache-1", late.peer.address())}));
@@ -154,7 +154,7 @@
 // ----- connections to stores -----
 
 // The store's close and the next call are both there when the gateway looks.
-void anIdleConnectionThatWasJustClosedIsNotUsed() {
+void aJustClosedIdleConnectionIsNotReused() {
     Fleet fleet;
     Mark close, closed;
     std::atomic<int> connections{0};
@@ -186,7 +186,7 @@
 }
 
 // Behind the request itself the word to give it up would come too late: another store may have it by then.
-void aStoreThatTakesNoBytesIsLeftNotTold() {
+void aConnectionThatCannotTakeTheCancelIsClosed() {
     Fleet fleet;
     Mark read, ended;
     std::atomic<int> connections{0}, kills{0};
@@ -215,7 +215,7 @@
     assert(kills == 0);
 }
 
-void aLateListEndsNoConnectionOfTheNewProcess() {
+void aLateHostListKeepsConnectionsOfTheRestartedStore() {
     for (const bool older : {false, true}) {
         Fleet fleet;
         Mark pulled, go;
@@ -242,7 +242,7 @@
 
 // ----- what must not run twice -----
 
-void aRepeatThatHasWaitedTooLongIsNotSent() {
+void aRetryPastItsKeyWindowIsNotSent() {
     Fleet fleet;
     LateStore late;
     Mark pulled, go;
@@ -272,7 +272,7 @@
     assert(late.pulls.count() == 0);
 }
 
-void aSpoiltAnswerToAWriteIsNotTakenForAMiss() {
+void aTooOldAnswerToAWriteIsNotAMiss() {
     Fleet fleet;
     Mark pulled;
     Bus bus;
@@ -296,7 +296,7 @@
 
 // ----- times that the settings tell -----
 
-void anAnswerWithoutEndHoldsNothingUpForLongerThanRequestsLast() {
+void anEndlessAnswerIsCutOffWithinTheRequestTimeout() {
     Fleet fleet;
     std::atomic<bool> over{false};
     FirstAnswerBad stores([&](Connection& c, const std::vector<std::string>& words) {
@@ -315,7 +315,7 @@
 }
 
 // Whole answers to nothing that was asked, or echoes: as long as they come, the connection looks alive.
-void answersToNothingEndTheirConnection(const char* word) {
+void unmatchedAnswersCloseTheConnection(const char* word) {
     Fleet fleet;
     FirstAnswerBad stores([word](Connection& c, const std::vector<std::string>&) {
         for (int i = 0; i < 1500; ++i) c.sendResp({"00000000000fffff", word, "minted=1", "stray"});
@@ -326,7 +326,7 @@
     assert((client.readResp() == std::vector<std::string>{"1", "SERVED", "-", "whole"}));
 }
 
-void aDeadWatchIsGivenUpWithinTheTimeForADrain() {
+void aSilentBusPollIsAbandonedWithinTheDrainGrace() {
     Fleet fleet;
     Mark asked, again;
     Clock::time_point silentSince{}, askedAgain{};
@@ -354,7 +354,7 @@
     assert(askedAgain - silentSince < 1s);  // 0.35 s, and a slow machine
 }
 
-void aRefusalAtTheDoorKeepsToTheSettingsOnHints() {
+void aRefusalByTheFrontHonoursTheRetryHintSettings() {
     for (const bool hints : {true, false}) {
         Fleet fleet;
         Peer cache(store([](Connection&, const std::vector<std::string>&) {}));
@@ -371,7 +371,7 @@
 }
 
 // The largest tenth of a class against the class: quiet, and while a crowd that does not read holds memory.
-void theLargestAreAnsweredLikeTheRest() {
+void largeObjectsAreServedAsOftenAsTheRest() {
     for (const bool quiet : {true, false}) {
         Fleet fleet;
         Peer cache(store([](Connection& c, const std::vector<std::string>& words) {
@@ -408,24 +408,24 @@
 }
 
 constexpr Scenario kScenarios[] = {
-    {"sigkill", whatIsOpenIsAnsweredBeforeSigkillMayCome},
-    {"door", whoWaitsAtTheDoorIsServedBeforeTheEnd},
-    {"early-signal", aSignalBeforeThereIsAGatewayWaits},
-    {"taken-back", whatWasTakenBackBeforeItWasReadIsNotSentOn},
-    {"unread-answers", [] { aClientThatLeavesWithAnswersUnreadIsNoticed(true); }},
-    {"unread-cancel", [] { aClientThatLeavesWithAnswersUnreadIsNoticed(false); }},
-    {"no-cancel", whereCancelsAreBarredNothingIsSentForAClientThatLeft},
-    {"just-closed", anIdleConnectionThatWasJustClosedIsNotUsed},
-    {"no-bytes", aStoreThatTakesNoBytesIsLeftNotTold},
-    {"late-list", aLateListEndsNoConnectionOfTheNewProcess},
-    {"late-repeat", aRepeatThatHasWaitedTooLongIsNotSent},
-    {"spoilt-write", aSpoiltAnswerToAWriteIsNotTakenForAMiss},
-    {"endless-answer", anAnswerWithoutEndHoldsNothingUpForLongerThanRequestsLast},
-    {"strays", [] { answersToNothingEndTheirConnection("ok"); }},
-    {"echoes", [] { answersToNothingEndTheirConnection("yes"); }},
-    {"dead-watch", aDeadWatchIsGivenUpWithinTheTimeForADrain},
-    {"largest", theLargestAreAnsweredLikeTheRest},
-    {"hints", aRefusalAtTheDoorKeepsToTheSettingsOnHints},
+    {"sigkill", openRequestsAreAnsweredBeforeSigkill},
+    {"door", connectionsInTheBacklogAreServedBeforeExit},
+    {"early-signal", aSignalDuringStartupIsDeferred},
+    {"taken-back", callsCancelledBeforeTheyAreReadAreNotForwarded},
+    {"unread-answers", [] { aDepartureWithUnreadAnswersIsDetected(true); }},
+    {"unread-cancel", [] { aDepartureWithUnreadAnswersIsDetected(false); }},
+    {"no-cancel", withoutMayCancelNothingIsSentForADepartedClient},
+    {"just-closed", aJustClosedIdleConnectionIsNotReused},
+    {"no-bytes", aConnectionThatCannotTakeTheCancelIsClosed},
+    {"late-list", aLateHostListKeepsConnectionsOfTheRestartedStore},
+    {"late-repeat", aRetryPastItsKeyWindowIsNotSent},
+    {"spoilt-write", aTooOldAnswerToAWriteIsNotAMiss},
+    {"endless-answer", anEndlessAnswerIsCutOffWithinTheRequestTimeout},
+    {"strays", [] { unmatchedAnswersCloseTheConnection("ok"); }},
+    {"echoes", [] { unmatchedAnswersCloseTheConnection("yes"); }},
+    {"dead-watch", aSilentBusPollIsAbandonedWithinTheDrainGrace},
+    {"largest", largeObjectsAreServedAsOftenAsTheRest},
+    {"hints", aRefusalByTheFrontHonoursTheRetryHintSettings},
 };
 
 }  // namespace
