--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -8,7 +8,7 @@
 using namespace lotuslead::testing;
 
 // One has left before the connection came up and one after; the gateway sees all three at once.
-void whoLeavesAsTheConnectionComesUpIsNotSentOn() {
+void aCallCancelledAsTheConnectionOpensIsNotSent() {
     Fleet fleet;
     LateStore late;
     Program program(configuration(fleet.with({host("cache-1", late.peer.address())})));
@@ -29,7 +29,7 @@
 }
 
 // As that, where the store refuses just then and the call would be sent again.
-void whoLeavesAsItsStoreRefusesIsNotSentOn() {
+void aCallCancelledAsTheStoreRefusesIsNotRetried() {
     Fleet fleet;
     Mark pulled, refuse, refused;
     Peer first(store([&](Connection& c, const std::vector<std::string>& words) {
@@ -55,7 +55,7 @@
 }
 
 // The call is there before the event bus tells of the drain, or after it: it is all one turn.
-void aDrainIsKnownToTheCallsThatComeWithIt() {
+void aDrainAppliesToCallsInTheSameTurn() {
     for (const bool drainFirst : {true, false}) {
         Fleet fleet;
         Bus bus;
@@ -78,7 +78,7 @@
 }
 
 // The store's last answer and its close are both unread when the next calls are there, before and after.
-void aCloseBehindAnAnswerIsSeen() {
+void aCloseBehindAnAnswerIsNoticed() {
     Fleet fleet;
     Mark pulled, go, closed;
     std::atomic<int> connections{0};
@@ -116,7 +116,7 @@
 }
 
 // The new one is told before the end of the old one, whose address it has.
-void aStoreAtAnothersAddressIsSentNothingMeantForThat() {
+void aStoreAtAReusedAddressGetsNoRequestsOfItsPredecessor() {
     Fleet fleet;
     Mark pulled;
     Bus bus;
@@ -139,7 +139,7 @@
 }
 
 // The settings in force at SIGTERM count, or later ones that leave less time.
-void aFileReadAgainWhileItLeavesGivesNoMoreTime() {
+void aReloadDuringShutdownDoesNotExtendIt() {
     Fleet fleet;
     Mark pulled;
     Peer cache(store([&](Connection&, const std::vector<std::string>&) { pulled.raise(); }));
@@ -162,7 +162,7 @@
     assert(program.exitCode() == 0);
 }
 
-void aClientsCopyIsCalledCurrentOnlyIfItIsTheOneNamed() {
+void aCopyIsCurrentOnlyIfTheAnswerNamesItsTag() {
     for (const std::string fields : {"tag=4be0c1927d55a6f4,minted=1764576000000", "minted=1764576000000"}) {
         Fleet fleet;
         FirstAnswerBad stores([fields](Connection& c, const std::vector<std::string>& words) {
@@ -176,7 +176,7 @@
 }
 
 // Each answer leads to the next poll. Those that come unasked do not, and who does not read them is left.
-void answersOfTheEventBusToNothingLeadToNoPolls() {
+void unsolicitedBusAnswersTriggerNoPolls() {
     const std::string body = R"({"offset":1,"batch":[]})";
     const std::string answer =
         "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -198,7 +198,7 @@
 }
 
 // The process is held for a second between the first look at its clock and the Unix clock's, by its own file.
-void aStartThatIsHeldUpMovesNoPurge() {
+void aDelayedStartDoesNotShiftPurgeTimes() {
     const std::string pipe = "/tmp/lotuslead-held-" + std::to_string(::getpid());
     const int made = ::mkfifo(pipe.c_str(), 0600);
     assert(made == 0);
@@ -233,15 +233,15 @@
 }
 
 constexpr Scenario kScenarios[] = {
-    {"up-and-left", whoLeavesAsTheConnectionComesUpIsNotSentOn},
-    {"refused-and-left", whoLeavesAsItsStoreRefusesIsNotSentOn},
-    {"drained-with-calls", aDrainIsKnownToTheCallsThatComeWithIt},
-    {"answer-and-close", aCloseBehindAnAnswerIsSeen},
-    {"other-tag", aClientsCopyIsCalledCurrentOnlyIfItIsTheOneNamed},
-    {"address", aStoreAtAnothersAddressIsSentNothingMeantForThat},
-    {"reload-leaving", aFileReadAgainWhileItLeavesGivesNoMoreTime},
-    {"held-start", aStartThatIsHeldUpMovesNoPurge},
-    {"bus-unasked", answersOfTheEventBusToNothingLeadToNoPolls},
+    {"up-and-left", aCallCancelledAsTheConnectionOpensIsNotSent},
+    {"refused-and-left", aCallCancelledAsTheStoreRefusesIsNotRetried},
+    {"drained-with-calls", aDrainAppliesToCallsInTheSameTurn},
+    {"answer-and-close", aCloseBehindAnAnswerIsNoticed},
+    {"other-tag", aCopyIsCurrentOnlyIfTheAnswerNamesItsTag},
+    {"address", aStoreAtAReusedAddressGetsNoRequestsOfItsPredecessor},
+    {"reload-leaving", aReloadDuringShutdownDoesNotExtendIt},
+    {"held-start", aDelayedStartDoesNotShiftPurgeTimes},
+    {"bus-unasked", unsolicitedBusAnswersTriggerNoPolls},
 };
 
 }  // namespace
