--- a/tests/departed_clients_test.cpp
+++ b/tests/departed_clients_test.cpp
@@ -7,16 +7,16 @@
 
 using namespace lotuslead::testing;
 
-constexpr auto kDepartureNoticed = 100ms;
+constexpr auto kDepartureDetectedWithin = 100ms;
 
 enum class Departure { close, halfClose, reset, cancel };
 constexpr Departure kDepartures[] = {Departure::close, Departure::halfClose, Departure::reset,
                                      Departure::cancel};
 
 // A client of the platform's front with one request open, which it can leave in any way.
-class LeavingClient {
+class DepartingClient {
 public:
-    explicit LeavingClient(std::uint16_t port) : connection_(std::make_unique<Connection>(port)) {}
+    explicit DepartingClient(std::uint16_t port) : connection_(std::make_unique<Connection>(port)) {}
     void call(const std::string& more = "", const std::string& kind = "page") {
         lotuslead::testing::call(*connection_, "1", more, kind);
     }
@@ -43,25 +43,26 @@
 };
 
 // How a store ends what it holds, so that the request could go to the next store.
-enum class StoreEnd { refused, error, nothing, reset };
-constexpr StoreEnd kStoreEnds[] = {StoreEnd::refused, StoreEnd::error, StoreEnd::nothing, StoreEnd::reset};
+enum class StoreFailure { refused, error, nothing, reset };
+constexpr StoreFailure kFailures[] = {StoreFailure::refused, StoreFailure::error, StoreFailure::nothing,
+                                      StoreFailure::reset};
 
-const char* wordFor(StoreEnd end) {
-    return end == StoreEnd::refused ? "refused" : end == StoreEnd::error ? "error" : "nothing";
+const char* answerFor(StoreFailure end) {
+    return end == StoreFailure::refused ? "refused" : end == StoreFailure::error ? "error" : "nothing";
 }
 
 // The first store holds the request until its client has been gone for 0.1 s and ends it then: no other store
 // may see it, whether or not the settings let the gateway cancel at the store.
-void noFurtherAttemptFollowsADeparture(bool mayCancel, Departure departure, StoreEnd end) {
+void noFurtherAttemptFollowsADeparture(bool mayCancel, Departure departure, StoreFailure end) {
     Mark pulled, mayEnd, ended;
     const auto holding = store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
         mayEnd.await(1);
-        if (end == StoreEnd::reset) {
+        if (end == StoreFailure::reset) {
             c.reset();
             c.shut();
         } else {
-            c.sendResp({words[1], wordFor(end), "-", ""});
+            c.sendResp({words[1], answerFor(end), "-", ""});
         }
         ended.raise();
     });
@@ -72,11 +73,11 @@
     settings["settings"]["allowed"]["mayCancel"] = mayCancel;
     settings["settings"]["extra"]["direct"] = true;
     Program program(settings);
-    LeavingClient client(program.port());
+    DepartingClient client(program.port());
     client.call();
     pulled.await(1);
     client.leave(departure);
-    std::this_thread::sleep_for(kDepartureNoticed);
+    std::this_thread::sleep_for(kDepartureDetectedWithin);
     mayEnd.raise();
     ended.await(1);
     program.awaitCounters(" open=0\n");
@@ -91,11 +92,11 @@
     json settings = configuration(fleet.with({host("cache-1", late.peer.address())}));
     settings["settings"]["allowed"]["mayCancel"] = mayCancel;
     Program program(settings);
-    LeavingClient client(program.port());
+    DepartingClient client(program.port());
     client.call();
     program.awaitCounters("attempts sent=1 ");
     client.leave(departure);
-    std::this_thread::sleep_for(kDepartureNoticed);
+    std::this_thread::sleep_for(kDepartureDetectedWithin);
     late.start();
     Connection stays(program.port());
     call(stays, "1");
@@ -123,7 +124,7 @@
     ask(*client, path);
     held.await(1);
     if (!stays) client.reset();
-    std::this_thread::sleep_for(kDepartureNoticed);
+    std::this_thread::sleep_for(kDepartureDetectedWithin);
     mayEnd.raise();
     if (stays) return held.await(2);
     program.awaitCounters(" open=0\n");
@@ -143,7 +144,7 @@
         ask(client, "/files/tool.bin");
         assert(!client.readHead().empty());
     }
-    std::this_thread::sleep_for(kDepartureNoticed);
+    std::this_thread::sleep_for(kDepartureDetectedWithin);
     program.awaitCounters(" open=0\n");
     const int atDeparture = fetches;
     std::this_thread::sleep_for(300ms);
@@ -158,7 +159,7 @@
 void departuresBeforeAFurtherAttempt() {
     for (const bool mayCancel : {true, false})
         for (const Departure departure : kDepartures)
-            for (const StoreEnd end : kStoreEnds)
+            for (const StoreFailure end : kFailures)
                 noFurtherAttemptFollowsADeparture(mayCancel, departure, end);
 }
 
