--- a/tests/catch_up_test.cpp
+++ b/tests/catch_up_test.cpp
@@ -7,13 +7,13 @@
 using namespace lotuslead::testing;
 
 constexpr int kPageEvents = 10;
-constexpr auto kPageTakes = 250ms;
+constexpr auto kPageDelay = 250ms;
 
 // Tells its events page by page, and with each how many there are.
 class PagedBus {
 public:
     // With `breaksOff`, every second answer ends in the middle, with its connection.
-    explicit PagedBus(std::vector<json> events, bool breaksOff = false) : breaksOff_(breaksOff) {
+    explicit PagedBus(std::vector<json> events, bool truncates = false) : truncates_(truncates) {
         for (json& event : events) {
             event["offset"] = ++last_;
             events_.push_back(std::move(event));
@@ -26,7 +26,7 @@
     void serve(Connection& c) {
         for (std::string head; !(head = c.readHead()).empty();) {
             const int from = std::atoi(head.c_str() + head.find("from=") + 5);
-            std::this_thread::sleep_for(kPageTakes);
+            std::this_thread::sleep_for(kPageDelay);
             json batch = json::array();
             int reached = from;
             for (const json& event : events_) {
@@ -37,7 +37,7 @@
             const std::string body = json{{"offset", reached}, {"last", last_}, {"batch", batch}}.dump();
             std::string answer =
                 "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-            if (breaksOff_ && ++answers_ % 2 == 0) {
+            if (truncates_ && ++answers_ % 2 == 0) {
                 c.send(answer.substr(0, answer.size() / 2));
                 return c.shut();
             }
@@ -47,7 +47,7 @@
 
     std::vector<json> events_;
     int last_ = 1;  // the first event is the list under `known`
-    bool breaksOff_;
+    bool truncates_;
     std::atomic<int> answers_{0};
     Peer peer_{[this](Connection& c) { serve(c); }};
 };
@@ -80,7 +80,7 @@
         assert(Clock::now() - begin < std::chrono::seconds(kPatience));
     }
     assert(refused > 0);
-    assert(Clock::now() - begin >= 10 * kPageTakes);
+    assert(Clock::now() - begin >= 10 * kPageDelay);
     assert(operate(door, "GET /ready") == 200);
     Connection client(program.port());
     call(client, "1");
@@ -88,7 +88,7 @@
     assert(program.log().find("opens without all") == std::string::npos);
 }
 
-void aPageThatIsBrokenOffIsAskedForAgainFromWhereItBegan() {
+void aTruncatedPageIsRequestedAgainFromItsStart() {
     Fleet fleet;
     PagedBus bus(purges(kPageEvents * 6), true);
     json settings = configuration(fleet.with({}));
@@ -99,7 +99,7 @@
 }
 
 // A bus that always has more and never tells it is asked now and then, not in a busy loop.
-void aPageThatLeadsNowhereIsNotAskedForWithoutPause() {
+void anEmptyPageIsNotPolledInABusyLoop() {
     std::atomic<int> polls{0};
     Peer bus([&](Connection& c) {
         while (!c.readHead().empty()) {
@@ -119,8 +119,8 @@
 
 constexpr Scenario kScenarios[] = {
     {"last-page", aStartingGatewayIsNotReadyBeforeTheLastPage},
-    {"nowhere", aPageThatLeadsNowhereIsNotAskedForWithoutPause},
-    {"broken-off", aPageThatIsBrokenOffIsAskedForAgainFromWhereItBegan},
+    {"nowhere", anEmptyPageIsNotPolledInABusyLoop},
+    {"broken-off", aTruncatedPageIsRequestedAgainFromItsStart},
 };
 
 }  // namespace
