--- a/tests/refused_calls_test.cpp
+++ b/tests/refused_calls_test.cpp
@@ -12,7 +12,7 @@
 using namespace lotuslead::testing;
 
 // From here on, for this thread and what it starts: no Unix socket, splice, sendfile or io_uring (ENOSYS).
-void refuseCalls() {
+void installSeccompFilter() {
     constexpr auto at = [](std::size_t offset) { return static_cast<std::uint32_t>(offset); };
     constexpr std::uint32_t refuse = SECCOMP_RET_ERRNO | ENOSYS;
     sock_filter filter[] = {
@@ -34,20 +34,20 @@
 }
 
 // It starts, tells once what is off, serves, and a broken file at SIGHUP changes nothing.
-void aGatewayOfThreeHundredStartsWhereCallsAreRefused() {
+void aLargeFleetGatewayServesWithoutTheRefusedCalls() {
     Fleet fleet;
     Peer cache(store(serving("bytes")));
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
     settings["settings"]["balancers"] = 300;
     std::thread refused([&] {
-        refuseCalls();
+        installSeccompFilter();
         Program program(settings, "LB_CONFIG", 1024, {{"TMPDIR", "/tmp"}});
         Connection client(program.port());
         call(client, "1");
         assert((client.readResp() == std::vector<std::string>{"1", "SERVED", "-", "bytes"}));
-        const std::string once = "lotuslead: no meeting place for a successor: Function not implemented\n";
+        const std::string warning = "lotuslead: no meeting place for a successor: Function not implemented\n";
         const std::string log = program.log();
-        assert(log.find(once) != std::string::npos && log.find(once) == log.rfind(once));
+        assert(log.find(warning) != std::string::npos && log.find(warning) == log.rfind(warning));
 
         json broken = settings;
         broken["settings"]["balancers"] = "many";
@@ -65,4 +65,4 @@
 
 }  // namespace
 
-int main() { aGatewayOfThreeHundredStartsWhereCallsAreRefused(); }
+int main() { aLargeFleetGatewayServesWithoutTheRefusedCalls(); }
