--- a/tests/held_up_test.cpp
+++ b/tests/held_up_test.cpp
@@ -11,9 +11,9 @@
 constexpr auto kStopped = 700ms;
 constexpr int kPatienceMs = 2000;
 constexpr int kSlackMs = 150;
-constexpr int kWaiting = 20;  // more than are accepted in one turn
+constexpr int kConnections = 20;  // more than are accepted in one turn
 constexpr int kCancelRounds = 20;
-constexpr auto kBothThere = 30ms;  // on loopback
+constexpr auto kDeliveryTime = 30ms;  // on loopback
 
 void callWithPatience(Connection& client, const std::string& tag, int patienceMs) {
     static int count = 0x2000000;
@@ -26,7 +26,7 @@
 }
 
 // The store is told no more time than the client has left.
-void theDeadlineCountsFromWhenTheCallCame() {
+void theDeadlineCountsFromTheArrivalOfTheCall() {
     std::atomic<int> toldMs{0};
     Fleet fleet;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
@@ -49,7 +49,7 @@
 }
 
 // CALL and CANCEL are both there when the process reads on, a few bytes at a time.
-void aCallIsNotBegunBeforeItsCancelIsRead() {
+void aCallIsNotSentBeforeItsCancelIsRead() {
     std::atomic<int> pulls{0};
     Fleet fleet;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
@@ -73,7 +73,7 @@
 
 // The process stands still; a client takes its call back, and after that the store answers. When the process
 // goes on both are there, and the CANCEL came first.
-void anAnswerThatCameAfterTheCancelIsNotPassedOn() {
+void anAnswerAfterTheCancelIsNotForwarded() {
     Mark pulled, may;
     Fleet fleet;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
@@ -89,9 +89,9 @@
         pulled.await(round);
         program.stop();
         client.sendResp({"CANCEL", "1"});
-        std::this_thread::sleep_for(kBothThere);
+        std::this_thread::sleep_for(kDeliveryTime);
         may.raise();
-        std::this_thread::sleep_for(kBothThere);
+        std::this_thread::sleep_for(kDeliveryTime);
         program.goOn();
         client.sendResp({"CHECK", "2", ""});
         passedOn += client.readResp().at(0) == "1" ? 1 : 0;
@@ -103,7 +103,7 @@
 // At the repository front a request and its client's end are both there when the process goes on. Nobody
 // wants the answer: no server is asked. It used to be begun and given up in one turn, by when its first byte
 // was out.
-void aRepositoryClientThatHasLeftIsNotAskedFor() {
+void nothingIsFetchedForADepartedRepositoryClient() {
     const std::string path = "/index/plugins.json";
     Repository server(100'000);
     Program program(repository(server, server), "LB_REPOSITORY");
@@ -111,20 +111,21 @@
     assert(get(client, path).status == 200);
     const int asked = server.requests(path);
     program.stop();
-    for (int i = 0; i < kWaiting; ++i) {
+    for (int i = 0; i < kConnections; ++i) {
         Connection leaver(program.port());
         ask(leaver, path);
     }
     std::this_thread::sleep_for(kStopped);
     program.goOn();
-    for (int i = 0; i < kWaiting; ++i) assert(get(client, "/elsewhere").status == 404);
+    for (int i = 0; i < kConnections; ++i) assert(get(client, "/elsewhere").status == 404);
     std::this_thread::sleep_for(kStopped);
-    std::fprintf(stderr, "%d of %d that had left were asked for\n", server.requests(path) - asked, kWaiting);
+    std::fprintf(stderr, "%d of %d that had left were asked for\n", server.requests(path) - asked,
+                 kConnections);
     assert(server.requests(path) == asked);
 }
 
 // Connections that wait at the old address, with their calls, when SIGHUP moves it.
-void whatWaitsAtAMovedAddressIsAnswered() {
+void callsInTheBacklogOfTheOldAddressAreAnswered() {
     Fleet fleet;
     Peer cache(store(serving("bytes")));
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
@@ -133,7 +134,7 @@
     const std::uint16_t port = program.port();
     program.stop();
     std::vector<std::unique_ptr<Connection>> clients;
-    for (int i = 0; i < kWaiting; ++i) {
+    for (int i = 0; i < kConnections; ++i) {
         clients.push_back(std::make_unique<Connection>(port));
         call(*clients.back(), "1");
     }
@@ -143,19 +144,19 @@
     program.goOn();
     int answered = 0;
     for (const auto& client : clients) answered += client->readResp().size() > 1 ? 1 : 0;
-    std::fprintf(stderr, "%d of %d that waited at the old address answered\n", answered, kWaiting);
-    assert(answered == kWaiting);
+    std::fprintf(stderr, "%d of %d that waited at the old address answered\n", answered, kConnections);
+    assert(answered == kConnections);
 }
 
 }  // namespace
 
 int main(int count, char** names) {
     const Scenario scenarios[] = {
-        {"deadline", theDeadlineCountsFromWhenTheCallCame},
-        {"cancel", aCallIsNotBegunBeforeItsCancelIsRead},
-        {"answer-with-cancel", anAnswerThatCameAfterTheCancelIsNotPassedOn},
-        {"repository-departed", aRepositoryClientThatHasLeftIsNotAskedFor},
-        {"moved-address", whatWaitsAtAMovedAddressIsAnswered},
+        {"deadline", theDeadlineCountsFromTheArrivalOfTheCall},
+        {"cancel", aCallIsNotSentBeforeItsCancelIsRead},
+        {"answer-with-cancel", anAnswerAfterTheCancelIsNotForwarded},
+        {"repository-departed", nothingIsFetchedForADepartedRepositoryClient},
+        {"moved-address", callsInTheBacklogOfTheOldAddressAreAnswered},
     };
     runScenarios(scenarios, count, names);
     return 0;
