--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -19,7 +19,7 @@
 constexpr double kLinkKbPerS = 4000;  // of a store: 200 calls a second at full pace
 constexpr int kWeight = 4;
 // At first 1.5 x a tenth of that: 30 calls in a second, and 2 x root of 30 and 2 more.
-constexpr int kBudget = 43;
+constexpr int kSlowStartBudget = 43;
 constexpr std::int64_t kHourMs = 3'600'000;
 
 std::int64_t unixMs() {
@@ -27,13 +27,13 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
-json listed(json store, std::int64_t sinceMs) {
+json listedSince(json store, std::int64_t sinceMs) {
     store["weight"] = kWeight;
     store["since_ms"] = sinceMs;
     return store;
 }
 
-json slowStart(const std::vector<json>& hosts, long long warmMs) {
+json slowStartConfiguration(const std::vector<json>& hosts, long long warmMs) {
     json all = configuration(hosts);
     all["flow_bytes_per_s"] = kLinkKbPerS / kWeight * 1000;  // as sizes are told on the sockets
     json& settings = all["settings"];
@@ -47,7 +47,7 @@
     return all;
 }
 
-void callForMany(Connection& client, int first) {
+void callManyObjects(Connection& client, int first) {
     char entity[17];
     for (int i = 0; i < kCalls; ++i) {
         std::snprintf(entity, sizeof entity, "%016x", 0x5000 + first + i);
@@ -66,15 +66,16 @@
         serving(body)(c, words);
     }));
     Bus bus;
-    json settings = slowStart(fleet.with({listed(host("cache-1", warm.address()), 0)}), 20'000);
+    json settings =
+        slowStartConfiguration(fleet.with({listedSince(host("cache-1", warm.address()), 0)}), 20'000);
     settings["bus"] = bus.address();
     Program program(settings, "LB_CONFIG", 1024, faultVariables("realtime=3600"));
     Connection client(program.port());
-    callForMany(client, 1);
-    bus.tell(topology({listed(host("cache-2", fresh.address()), unixMs())}));
-    callForMany(client, 1 + kCalls);
-    std::fprintf(stderr, "%d calls at the cold store, %d allowed\n", cold.count(), kBudget);
-    assert(cold.count() <= kBudget);
+    callManyObjects(client, 1);
+    bus.tell(topology({listedSince(host("cache-2", fresh.address()), unixMs())}));
+    callManyObjects(client, 1 + kCalls);
+    std::fprintf(stderr, "%d calls at the cold store, %d allowed\n", cold.count(), kSlowStartBudget);
+    assert(cold.count() <= kSlowStartBudget);
 }
 
 // The same store in the list that the process starts with. Nothing else that it is told then contradicts the
@@ -88,14 +89,15 @@
         cold.raise();
         serving(body)(c, words);
     }));
-    const json settings = slowStart(fleet.with({listed(host("cache-1", warm.address()), 0),
-                                                listed(host("cache-2", fresh.address()), unixMs())}),
-                                    20'000);
+    const json settings =
+        slowStartConfiguration(fleet.with({listedSince(host("cache-1", warm.address()), 0),
+                                           listedSince(host("cache-2", fresh.address()), unixMs())}),
+                               20'000);
     Program program(settings, "LB_CONFIG", 1024, faultVariables("realtime=3600"));
     Connection client(program.port());
-    callForMany(client, 1);
-    std::fprintf(stderr, "%d calls at the cold store, %d allowed\n", cold.count(), kBudget);
-    assert(cold.count() <= kBudget);
+    callManyObjects(client, 1);
+    std::fprintf(stderr, "%d calls at the cold store, %d allowed\n", cold.count(), kSlowStartBudget);
+    assert(cold.count() <= kSlowStartBudget);
 }
 
 // The only store started a minute ago. By a clock that is an hour behind that is in an hour.
@@ -107,18 +109,18 @@
         ++pulls;
         serving(body)(c, words);
     }));
-    const json settings =
-        slowStart(fleet.with({listed(host("cache-1", cache.address()), unixMs() - kHourMs / 60)}), 1000);
+    const json settings = slowStartConfiguration(
+        fleet.with({listedSince(host("cache-1", cache.address()), unixMs() - kHourMs / 60)}), 1000);
     Program program(settings, "LB_CONFIG", 1024, faultVariables("realtime=-3600"));
     Connection client(program.port());
     std::this_thread::sleep_for(1500ms);
-    callForMany(client, 1);
+    callManyObjects(client, 1);
     std::fprintf(stderr, "%d of %d calls at the store\n", pulls.load(), kCalls);
     assert(pulls >= kCalls / 2);
 }
 
 // What the store is asked for one second after a purge, with a copy made after it.
-struct AskedAfterAPurge {
+struct PullAfterPurge {
     std::int64_t freshMs = 0;    // told to the store
     std::int64_t elapsedMs = 0;  // since the purge was made
     bool served = false;
@@ -126,8 +128,8 @@
 
 constexpr std::int64_t kPurgedBeforeStartMs = 10'000;
 
-AskedAfterAPurge askAfterAPurge(const std::string& clockRule, bool beforeTheStart) {
-    AskedAfterAPurge seen;
+PullAfterPurge pullAfterPurge(const std::string& clockRule, bool beforeTheStart) {
+    PullAfterPurge seen;
     std::atomic<std::int64_t> freshMs{0}, pulledMs{0};
     Fleet fleet;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
@@ -163,7 +165,7 @@
 void purgesHoldWithAWrongClock(bool beforeTheStart) {
     for (const char* clockRule :
          {"realtime=5", "realtime=3600", "realtime=-5", "realtime=-3600", "realtime=0"}) {
-        const AskedAfterAPurge seen = askAfterAPurge(clockRule, beforeTheStart);
+        const PullAfterPurge seen = pullAfterPurge(clockRule, beforeTheStart);
         assert(seen.freshMs > 0 && seen.freshMs <= seen.elapsedMs + 1);
         assert(seen.served);
     }
