--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr int kConnections = 12;
 constexpr int kCalls = 20;
-constexpr auto kAnswerWithin = 4s;
+constexpr auto kAnswerTimeout = 4s;
 constexpr std::size_t kLargeBody = 100'000;
 
 // One store that serves `body`, before it the program under these faults.
@@ -35,7 +35,7 @@
     int answered = 0;
     for (int i = 0; i < kConnections; ++i) {
         Connection client(port);
-        client.waitAtMost(kAnswerWithin);
+        client.waitAtMost(kAnswerTimeout);
         answered += served(client, "1") ? 1 : 0;
     }
     return answered;
@@ -48,7 +48,7 @@
     std::fprintf(stderr, "accept %s: %d of %d connections answered\n", error, answered, kConnections);
     assert(answered == kConnections);
 }
-void acceptFailsForAMoment() {
+void acceptFailsBriefly() {
     for (const char* error : {"ENOBUFS", "ENOMEM", "EPROTO", "ENETDOWN", "EHOSTUNREACH", "ECONNABORTED"})
         acceptFailsOnce(error);
 }
@@ -57,7 +57,7 @@
 }
 
 // The socket stays writable all the time, so there is no further edge to wait for.
-void sendTakesFewBytes() {
+void sendsAreShort() {
     const std::string body(kLargeBody / 10, 'b');
     FaultyGateway gateway("send=short:7", body);
     Connection client(gateway.program.port());
@@ -74,7 +74,7 @@
     for (const char* rule : {"send=ENOBUFS:2", "send=ENOMEM:-2"}) {
         FaultyGateway gateway(rule, std::string(kLargeBody, 'b'));
         Connection client(gateway.program.port());
-        client.waitAtMost(kAnswerWithin);
+        client.waitAtMost(kAnswerTimeout);
         for (int i = 1; i <= kCalls; ++i) assert(served(client, std::to_string(i)));
     }
 }
@@ -84,14 +84,14 @@
          {"recv=ENOMEM:3", "recv=ENOBUFS:-2", "recv=EINTR:2", "peek=EINTR:2", "peek=ENOMEM:2"}) {
         FaultyGateway gateway(rule);
         Connection client(gateway.program.port());
-        client.waitAtMost(kAnswerWithin);
+        client.waitAtMost(kAnswerTimeout);
         for (int i = 1; i <= kCalls; ++i) assert(served(client, std::to_string(i)));
     }
 }
 
 // send alone tells that a connection is broken; recv, on Linux, has nothing to say of it any more. The first
 // send goes to the store, the second to the client.
-void sendTellsOfABrokenConnection() {
+void sendReportsABrokenConnection() {
     for (const char* error : {"ETIMEDOUT", "EHOSTUNREACH", "EPIPE"}) {
         {
             Fleet fleet;
@@ -132,7 +132,7 @@
     }
 }
 
-void theStartIsShortOfEverything() {
+void theStartSurvivesShortages() {
     for (const char* rule : {"socket=ENFILE:1:1:3", "bind=EADDRINUSE:1:1:3", "bind=ENOMEM:1:1:3",
                              "listen=EADDRINUSE:1:1:3", "open=ENFILE:1:1:2", "epoll_ctl=ENOMEM:1:1:3"}) {
         FaultyGateway gateway(rule);
@@ -142,7 +142,7 @@
 }
 
 // A file that can't be opened for a moment is no bad file: the new one holds soon.
-void aReloadIsShortOfDescriptors() {
+void aReloadIsRetriedWhenDescriptorsAreShort() {
     FaultSwitch faults;
     Fleet fleet;
     Peer cache(store(serving("bytes")));
@@ -156,7 +156,7 @@
 }
 
 // The machine's own shortage is no word on any store, and costs no request.
-void socketsAreShortForAMoment() {
+void socketsAreBrieflyShort() {
     for (const char* rule :
          {"socket=ENFILE:-2", "connect=EADDRNOTAVAIL:-2", "connect=ENETUNREACH:-2", "connect=EINTR:-2"}) {
         FaultyGateway gateway(rule);
@@ -170,12 +170,17 @@
 
 int main(int count, char** names) {
     const Scenario scenarios[] = {
-        {"accept-errors", acceptFailsForAMoment},     {"accept-descriptors", acceptShortOfDescriptors},
-        {"short-writes", sendTakesFewBytes},          {"send-memory", sendIsShortOfMemory},
-        {"receive-memory", receiveIsShortOfMemory},   {"send-broken", sendTellsOfABrokenConnection},
-        {"signals", signalsAreReadThoughInterrupted}, {"epoll-memory", epollIsShortOfMemory},
-        {"start", theStartIsShortOfEverything},       {"reload", aReloadIsShortOfDescriptors},
-        {"sockets", socketsAreShortForAMoment},
+        {"accept-errors", acceptFailsBriefly},
+        {"accept-descriptors", acceptShortOfDescriptors},
+        {"short-writes", sendsAreShort},
+        {"send-memory", sendIsShortOfMemory},
+        {"receive-memory", receiveIsShortOfMemory},
+        {"send-broken", sendReportsABrokenConnection},
+        {"signals", signalsAreReadThoughInterrupted},
+        {"epoll-memory", epollIsShortOfMemory},
+        {"start", theStartSurvivesShortages},
+        {"reload", aReloadIsRetriedWhenDescriptorsAreShort},
+        {"sockets", socketsAreBrieflyShort},
     };
     runScenarios(scenarios, count, names);
     return 0;
