--- a/tests/platform_clients_test.cpp
+++ b/tests/platform_clients_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace lotuslead::testing;
 
-void descriptorsRunOutAndTheGatewayGoesOn() {
+void theGatewaySurvivesRunningOutOfDescriptors() {
     Fleet fleet;
     Peer cache(store(serving("still here")));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})), "LB_CONFIG", 24);
@@ -31,7 +31,7 @@
     assert(false);
 }
 
-void atAThirdOfTheDescriptorsAnIdleClientMakesRoom() {
+void idleClientsAreEvictedAtAThirdOfTheDescriptors() {
     Fleet fleet;
     json settings = configuration(fleet.with({}));
     settings["limits"]["sockets"] = 64;  // 21 of them for clients
@@ -49,9 +49,9 @@
 }
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr long kMostKb = 700'000;  // what is freed is held back for a while, to be checked
+constexpr long kMaxResidentKb = 700'000;  // what is freed is held back for a while, to be checked
 #else
-constexpr long kMostKb = 180'000;
+constexpr long kMaxResidentKb = 180'000;
 #endif
 
 void aClientThatDoesNotReadCostsLittleMemory() {
@@ -72,7 +72,7 @@
         assert(client.readResp()[1] == "PASS");
         program.signal(SIGUSR1);
         std::this_thread::sleep_for(50ms);
-        assert(program.residentKb() < kMostKb);
+        assert(program.residentKb() < kMaxResidentKb);
         const std::string log = program.log();
         const std::size_t taken = log.rfind(all), open = log.rfind(" open=0\n");
         if (taken != std::string::npos && open != std::string::npos && open > taken &&
@@ -82,7 +82,7 @@
     assert(false);
 }
 
-void whatNoStoreCouldReadEndsAtTheEdge() {
+void invalidCallsAreRejectedByTheFront() {
     Fleet fleet;
     Mark pulled, go;
     Peer cache(store(servingWhenTold(pulled, go, "first")));
@@ -119,7 +119,7 @@
     for (int i = 0; i < 2; ++i) assert(client.readResp()[1] == "SERVED");
 }
 
-void aSecondRequestUnderOneNumberLeavesTheFirstAlone() {
+void aDuplicateTagDoesNotAffectTheOpenRequest() {
     Fleet fleet;
     Mark pulled, go;
     Peer cache(store(servingWhenTold(pulled, go, "first")));
@@ -134,7 +134,7 @@
     assert(pulled.count() == 1);
 }
 
-void whatIsOpenOnASpoiltConnectionIsAnsweredBeforeTheClose() {
+void openCallsOfAMalformedConnectionAreAnsweredBeforeItCloses() {
     Fleet fleet;
     Mark pulled;
     Peer cache(store([&](Connection&, const std::vector<std::string>&) { pulled.raise(); }));
@@ -149,7 +149,7 @@
     }
 }
 
-void aBurstOfOneClientIsItsOwnTrouble() {
+void aBurstOfOneClientDoesNotDelayOthers() {
     Fleet fleet;
     Peer cache(store([](Connection& c, const std::vector<std::string>& w) {
         if (w[3] == "usual") serving("here")(c, w);
@@ -180,7 +180,7 @@
     assert(program.log().find("retired=2") != std::string::npos);
 }
 
-void silenceAndHalfMessagesEndAndAClientAtRestStays() {
+void silentAndPartialConnectionsAreClosedAndIdleOnesKept() {
     Fleet fleet;
     Program program(configuration(fleet.with({})));
     Connection rests(program.port()), silent(program.port()), half(program.port()), later(program.port());
@@ -195,7 +195,7 @@
     assert(rests.readResp()[1] == "PASS");
 }
 
-void aSilentCrowdKeepsNobodyOut() {
+void silentConnectionsDoNotShutOutClients() {
     Fleet fleet;
     json settings = configuration(fleet.with({}));
     settings["limits"]["sockets"] = 64;  // 21 of them for clients
@@ -213,7 +213,7 @@
     assert(asked.readResp()[1] == "PASS");
 }
 
-void aHalfWrittenCrowdKeepsNobodyOutNorDoSmallLimits() {
+void partialMessagesDoNotShutOutClientsAtSmallLimits() {
     Fleet fleet;
     Peer cache(store(serving("served")));
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
@@ -248,14 +248,14 @@
 }  // namespace
 
 int main() {
-    descriptorsRunOutAndTheGatewayGoesOn();
-    atAThirdOfTheDescriptorsAnIdleClientMakesRoom();
+    theGatewaySurvivesRunningOutOfDescriptors();
+    idleClientsAreEvictedAtAThirdOfTheDescriptors();
     aClientThatDoesNotReadCostsLittleMemory();
-    whatNoStoreCouldReadEndsAtTheEdge();
-    aSecondRequestUnderOneNumberLeavesTheFirstAlone();
-    whatIsOpenOnASpoiltConnectionIsAnsweredBeforeTheClose();
-    aBurstOfOneClientIsItsOwnTrouble();
-    silenceAndHalfMessagesEndAndAClientAtRestStays();
-    aSilentCrowdKeepsNobodyOut();
-    aHalfWrittenCrowdKeepsNobodyOutNorDoSmallLimits();
+    invalidCallsAreRejectedByTheFront();
+    aDuplicateTagDoesNotAffectTheOpenRequest();
+    openCallsOfAMalformedConnectionAreAnsweredBeforeItCloses();
+    aBurstOfOneClientDoesNotDelayOthers();
+    silentAndPartialConnectionsAreClosedAndIdleOnesKept();
+    silentConnectionsDoNotShutOutClients();
+    partialMessagesDoNotShutOutClientsAtSmallLimits();
 }
