--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace lotuslead::testing;
 
-void aRequestPassesThroughWholeAndUnchanged() {
+void aRequestIsForwardedUnchanged() {
     Fleet fleet;
     const std::string bytes = std::string(200'000, 'x') + std::string("\r\n\0$", 4);
     std::vector<std::string> pulled;
@@ -41,7 +41,7 @@
     assert((client.readResp() == std::vector<std::string>{"10", "ERR", "-", ""}));
 }
 
-void aSilentStoreIsGivenUpAndItsLateAnswerDropped() {
+void aSilentStoreTimesOutAndItsLateAnswerIsDropped() {
     Fleet fleet;
     Mark silent, killed;
     const auto one = [&](Connection& c) {
@@ -75,7 +75,7 @@
     assert(client.readResp()[0] == "4");
 }
 
-void aDrainTakesBackWhatWaitsForItsConnection() {
+void aDrainCancelsAttemptsThatWaitForAConnection() {
     Fleet fleet;
     Mark pulls;
     Peer full(nullptr, 0);  // takes one connection, and no more until it is started
@@ -98,7 +98,7 @@
     assert(pulls.count() == 0);
 }
 
-void aResetIsAnsweredFromElsewhereOrRefusedAtOnce() {
+void aResetIsRetriedOrRefusedImmediately() {
     Fleet fleet;
     Peer cache([](Connection& c) {
         c.readResp();
@@ -114,7 +114,7 @@
     assert(std::chrono::steady_clock::now() - begin < 4s);  // not held towards its 8 s
 }
 
-void sigtermAnswersWhatWasTakenAndStillComes() {
+void sigtermAnswersOpenAndArrivingRequests() {
     Fleet fleet;
     Mark pulled, go;
     Peer cache(store(servingWhenTold(pulled, go, "in time")));
@@ -134,7 +134,7 @@
     assert(program.log().find("t1: requests taken=1 served=1") != std::string::npos);
 }
 
-void resetsOfNewConnectionsAreNoVerdictOnTheStore() {
+void resetsOfNewConnectionsDoNotAffectHostHealth() {
     Fleet fleet;
     std::atomic<int> count{0};
     Peer cache([&](Connection& c) {
@@ -153,7 +153,7 @@
     assert((client.readResp() == std::vector<std::string>{"7", "SERVED", "-", "well"}));
 }
 
-void anAnswerThatStopsShortEndsItsConnection() {
+void aStalledAnswerClosesItsConnection() {
     Fleet fleet;
     Mark pulled;
     std::atomic<int> kills{0};
@@ -179,7 +179,7 @@
     assert(program.log().find("stalled=1") != std::string::npos && kills == 0);
 }
 
-void anAnswerThatNeverComesIsNotWaitedForBehind() {
+void newAttemptsAvoidASilentConnection() {
     Fleet fleet;
     Mark pulled;
     Peer cache([&](Connection& c) {
@@ -200,7 +200,7 @@
     assert((client.readResp() == std::vector<std::string>{"2", "SERVED", "-", "well"}));
 }
 
-void aSilentConnectionIsAskedForAnEcho() {
+void aSilentConnectionIsProbedByEcho() {
     for (const bool carries : {true, false}) {
         Fleet fleet;
         Mark echoed;
@@ -235,7 +235,7 @@
 
 // One request out at a time, and each answer takes 0.45 s: that is no silence, and asks for no echo each
 // time.
-void storesThatTakeTheirTimeAreNotAskedForEchoes() {
+void slowStoresAreNotProbedRepeatedly() {
     Fleet fleet;
     Peer cache([&](Connection& c) {
         std::vector<std::jthread> answers;
@@ -263,7 +263,7 @@
     assert(log.find(" stuck=0 ") != std::string::npos);
 }
 
-void aSecondCopyIsNotTheAnswerToAFurtherAttempt() {
+void aDuplicateAnswerDoesNotMatchALaterAttempt() {
     Fleet fleet;
     std::atomic<int> pulls{0};
     Peer cache([&](Connection& c) {
@@ -283,9 +283,9 @@
     assert((client.readResp() == std::vector<std::string>{"1", "SERVED", "-", "the real one"}));
 }
 
-void anAnswerThatDoesNotFitItsRequestIsNotPassedOn() {
+void invalidAnswersAreNotForwarded() {
     Fleet fleet;
-    const std::vector<std::vector<std::string>> spoilt = {
+    const std::vector<std::vector<std::string>> invalidAnswers = {
         {"current", "tag=4be0c1927d55a6f3,minted=1", ""},                    // the client has no copy
         {"ok", "tag=4be0c1927d55a6f3,minted=1"},                             // cut off
         {"ok", "tag=#!,minted=1", "body"},                                   // noise
@@ -295,9 +295,9 @@
     std::atomic<std::size_t> count{0};
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
         const std::size_t at = count++;
-        if (at >= spoilt.size()) return serving("whole")(c, words);
+        if (at >= invalidAnswers.size()) return serving("whole")(c, words);
         std::vector<std::string> answer = {words[1]};
-        answer.insert(answer.end(), spoilt[at].begin(), spoilt[at].end());
+        answer.insert(answer.end(), invalidAnswers[at].begin(), invalidAnswers[at].end());
         c.sendResp(answer);
     }));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
@@ -306,16 +306,16 @@
         call(client, std::to_string(i));
         const auto answer = client.readResp();
         if (answer[1] == "SERVED") assert(answer[3] == "whole");
-        if (answer[1] == "SERVED" && count > spoilt.size()) break;
+        if (answer[1] == "SERVED" && count > invalidAnswers.size()) break;
         std::this_thread::sleep_for(100ms);  // the store may be left out for a moment
     }
-    assert(count > spoilt.size());
+    assert(count > invalidAnswers.size());
     program.signal(SIGTERM);
     assert(program.exitCode() == 0);
     assert(program.log().find(" malformed=6 ") != std::string::npos);
 }
 
-void aCopyFromBeforeAPurgeIsNotPassedOn() {
+void aCopyFromBeforeAPurgeIsNotServed() {
     Fleet fleet;
     Bus bus;
     Peer cache(store(serving("from before")));  // minted in 2025
@@ -332,7 +332,7 @@
     assert(client.readResp()[1] != "SERVED");
 }
 
-void storesThatAreGoneLeaveNothingBehind() {
+void removedStoresLeaveNoState() {
     Fleet fleet;
     Peer cache(store(serving("here")));
     Bus bus;
@@ -353,7 +353,7 @@
     assert(log.find("connects=40") != std::string::npos);
 }
 
-void theListIsReadOnThroughABusThatHangsUp() {
+void hostListsAreReadFromABusThatClosesAfterEachAnswer() {
     Fleet fleet;
     Peer cache(store(serving("new")));
     Bus bus(true);
@@ -373,7 +373,7 @@
     assert(client.readResp()[3] == "new");
 }
 
-void theBusMayTakeItsTimeButNotStop() {
+void aSlowBusAnswerIsReadAndAStalledOneAbandoned() {
     Fleet fleet;
     Peer cache(store(serving("new")));
     json listed = topology({host("cache-1", cache.address())});
@@ -417,7 +417,7 @@
     assert(program.log().find(" events=2 reconnects=1\n") != std::string::npos);
 }
 
-void sighupTakesANewFileWholeAndKeepsTheOldOneElse() {
+void sighupAppliesAValidConfigurationAndKeepsTheOldOneOtherwise() {
     Fleet fleet;
     Mark pulled, go;
     Peer slow(store(servingWhenTold(pulled, go, "asked before")));
@@ -464,7 +464,7 @@
     assert((client.readResp() == std::vector<std::string>{"1", "SERVED", "-", "asked before"}));
 }
 
-void badConfigurationIsOneLineAndExitTwo() {
+void aBadConfigurationPrintsOneLineAndExitsWithTwo() {
     json settings = configuration({});
     settings["listen"] = "nowhere";
     Program wrong(settings);
@@ -477,22 +477,22 @@
 }  // namespace
 
 int main() {
-    theBusMayTakeItsTimeButNotStop();
-    aRequestPassesThroughWholeAndUnchanged();
-    aSilentStoreIsGivenUpAndItsLateAnswerDropped();
-    aDrainTakesBackWhatWaitsForItsConnection();
-    aResetIsAnsweredFromElsewhereOrRefusedAtOnce();
-    sigtermAnswersWhatWasTakenAndStillComes();
-    resetsOfNewConnectionsAreNoVerdictOnTheStore();
-    anAnswerThatStopsShortEndsItsConnection();
-    anAnswerThatNeverComesIsNotWaitedForBehind();
-    aSilentConnectionIsAskedForAnEcho();
-    storesThatTakeTheirTimeAreNotAskedForEchoes();
-    aSecondCopyIsNotTheAnswerToAFurtherAttempt();
-    anAnswerThatDoesNotFitItsRequestIsNotPassedOn();
-    aCopyFromBeforeAPurgeIsNotPassedOn();
-    storesThatAreGoneLeaveNothingBehind();
-    theListIsReadOnThroughABusThatHangsUp();
-    sighupTakesANewFileWholeAndKeepsTheOldOneElse();
-    badConfigurationIsOneLineAndExitTwo();
+    aSlowBusAnswerIsReadAndAStalledOneAbandoned();
+    aRequestIsForwardedUnchanged();
+    aSilentStoreTimesOutAndItsLateAnswerIsDropped();
+    aDrainCancelsAttemptsThatWaitForAConnection();
+    aResetIsRetriedOrRefusedImmediately();
+    sigtermAnswersOpenAndArrivingRequests();
+    resetsOfNewConnectionsDoNotAffectHostHealth();
+    aStalledAnswerClosesItsConnection();
+    newAttemptsAvoidASilentConnection();
+    aSilentConnectionIsProbedByEcho();
+    slowStoresAreNotProbedRepeatedly();
+    aDuplicateAnswerDoesNotMatchALaterAttempt();
+    invalidAnswersAreNotForwarded();
+    aCopyFromBeforeAPurgeIsNotServed();
+    removedStoresLeaveNoState();
+    hostListsAreReadFromABusThatClosesAfterEachAnswer();
+    sighupAppliesAValidConfigurationAndKeepsTheOldOneOtherwise();
+    aBadConfigurationPrintsOneLineAndExitsWithTwo();
 }
