--- a/tests/faults/fault_injection.cpp
+++ b/tests/faults/fault_injection.cpp
@@ -90,7 +90,7 @@
         if (!inForce()) return false;
         for (std::size_t i = 0; i < count_; ++i) {
             Rule& rule = rules_[i];
-            if (rule.error == 0 || std::strcmp(rule.call, call) != 0 || leftOut(i)) continue;
+            if (rule.error == 0 || std::strcmp(rule.call, call) != 0 || isMasked(i)) continue;
             const long number = ++rule.calls;
             if (number < rule.first || rule.failures >= rule.count) continue;
             const long every = std::labs(rule.every);
@@ -103,7 +103,7 @@
         return false;
     }
 
-    std::size_t bounded(const char* call, std::size_t bytes) {
+    std::size_t limitBytes(const char* call, std::size_t bytes) {
         if (!inForce()) return bytes;
         for (std::size_t i = 0; i < count_; ++i)
             if (rules_[i].error == 0 && std::strcmp(rules_[i].call, call) == 0)
@@ -111,7 +111,7 @@
         return bytes;
     }
 
-    bool bounds(const char* call) { return bounded(call, SIZE_MAX) != SIZE_MAX; }
+    bool limitsBytes(const char* call) { return limitBytes(call, SIZE_MAX) != SIZE_MAX; }
 
     double clockOffset() const {
         return switch_ ? realtime_ + std::atof(const_cast<const char*>(switch_) + 1) : realtime_;
@@ -132,7 +132,7 @@
 
     bool inForce() const { return count_ > 0 && (!switch_ || switch_[0] == '1'); }
 
-    bool leftOut(std::size_t rule) const { return switch_ && switch_[kSwitchMask + rule] == '0'; }
+    bool isMasked(std::size_t rule) const { return switch_ && switch_[kSwitchMask + rule] == '0'; }
 
     void read(const char* text) {
         while (*text != '\0') {
@@ -201,7 +201,7 @@
 }
 
 // Of the pieces only so many bytes, at least one.
-ssize_t sendPart(int fd, const msghdr* message, int flags, std::size_t bytes) {
+ssize_t sendPrefix(int fd, const msghdr* message, int flags, std::size_t bytes) {
     char part[256];
     std::size_t filled = 0;
     for (std::size_t i = 0; i < message->msg_iovlen && filled < bytes; ++i) {
@@ -246,20 +246,20 @@
 ssize_t send(int fd, const void* bytes, std::size_t size, int flags) {
     static const auto real = next<decltype(send)>("send");
     if (fails("send")) return -1;
-    return real(fd, bytes, Faults::instance().bounded("send", size), flags);
+    return real(fd, bytes, Faults::instance().limitBytes("send", size), flags);
 }
 
 ssize_t sendmsg(int fd, const msghdr* message, int flags) {
     static const auto real = next<decltype(sendmsg)>("sendmsg");
     if (fails("send")) return -1;
-    if (!Faults::instance().bounds("send")) return real(fd, message, flags);
-    return sendPart(fd, message, flags, Faults::instance().bounded("send", 256));
+    if (!Faults::instance().limitsBytes("send")) return real(fd, message, flags);
+    return sendPrefix(fd, message, flags, Faults::instance().limitBytes("send", 256));
 }
 
 ssize_t recv(int fd, void* bytes, std::size_t size, int flags) {
     static const auto real = next<decltype(recv)>("recv");
     if (fails(flags & MSG_PEEK ? "peek" : "recv")) return -1;
-    return real(fd, bytes, flags & MSG_PEEK ? size : Faults::instance().bounded("recv", size), flags);
+    return real(fd, bytes, flags & MSG_PEEK ? size : Faults::instance().limitBytes("recv", size), flags);
 }
 
 ssize_t read(int fd, void* bytes, std::size_t size) {
@@ -270,18 +270,18 @@
 ssize_t write(int fd, const void* bytes, std::size_t size) {
     static const auto real = next<decltype(write)>("write");
     if (fails("write")) return -1;
-    return real(fd, bytes, fd > STDERR_FILENO ? Faults::instance().bounded("write", size) : size);
+    return real(fd, bytes, fd > STDERR_FILENO ? Faults::instance().limitBytes("write", size) : size);
 }
 
 ssize_t pread64(int fd, void* bytes, std::size_t size, off64_t at) {
     static const auto real = next<decltype(pread64)>("pread64");
-    return fails("pread") ? -1 : real(fd, bytes, Faults::instance().bounded("pread", size), at);
+    return fails("pread") ? -1 : real(fd, bytes, Faults::instance().limitBytes("pread", size), at);
 }
 ssize_t pread(int fd, void* bytes, std::size_t size, off_t at) { return pread64(fd, bytes, size, at); }
 
 ssize_t pwrite64(int fd, const void* bytes, std::size_t size, off64_t at) {
     static const auto real = next<decltype(pwrite64)>("pwrite64");
-    return fails("pwrite") ? -1 : real(fd, bytes, Faults::instance().bounded("pwrite", size), at);
+    return fails("pwrite") ? -1 : real(fd, bytes, Faults::instance().limitBytes("pwrite", size), at);
 }
 ssize_t pwrite(int fd, const void* bytes, std::size_t size, off_t at) {
     return pwrite64(fd, bytes, size, at);
