--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Whatever a site allows, a request of the real gateway has one attempt out at a time.
+// Whatever the settings allow, a request of this gateway has at most one attempt in flight.
 settings::Vocabulary withoutSecondCopies(settings::Vocabulary vocabulary) {
     vocabulary.settings.secondCopies = false;
     return vocabulary;
@@ -38,7 +38,7 @@
     router_.reconfigure(settingsForAllProcesses());
 }
 
-// To the module the processes of a gateway are so many routers.
+// To the decision module, each process of a gateway is a router of its own.
 Settings DecisionFacade::settingsForAllProcesses() const {
     Settings settings = vocabulary_.settings;
     settings.routers = std::max(1, settings.routers) * processes_;
@@ -59,7 +59,7 @@
     return {{"startedAt", known.startedAt.count()}, {"work", work}, {"objects", objects}, {"hosts", hosts}};
 }
 
-// Both read the same machine's monotonic clock.
+// Times need no conversion: predecessor and successor read the monotonic clock of the same machine.
 void DecisionFacade::importState(Micros now, const nlohmann::json& known) {
     Warmth warmth;
     const auto time = [](const nlohmann::json& value) { return Time{value.get<std::int64_t>()}; };
@@ -74,9 +74,10 @@
     router_.warm(routerTime(now), warmth);
 }
 
-// The list's clock and ours may be far apart: ours is read once, at the start, and may have been stepped.
-// What it can't be is kept out: a start that is still to come, and one of long ago that is news now. Either
-// counts as a start of this moment, which is the stricter end.
+// The clock that dates the list and ours may be far apart: the offset is read once, at the start, and the
+// wall clock may have been stepped. Impossible starts are rejected: one in the future, and one long past that
+// has only now been reported. Either counts as a start at this moment, which leads to the stricter slow
+// start.
 Time DecisionFacade::hostStartTime(Micros now, const settings::ListedStore& store, const ListedHost& before,
                                    bool receivedLive) const {
     constexpr std::chrono::minutes kMaxReportDelay{1};
@@ -90,7 +91,7 @@
 void DecisionFacade::applyHostList(Micros now, const settings::BusEvent& event, bool receivedLive) {
     HostList list;
     list.whole = event.whole;
-    // A whole list names hosts that stay.
+    // A complete list names every host that stays; all others are gone.
     std::unordered_map<std::string, ListedHost> replaced;
     if (event.whole) replaced.swap(hosts_);
     const auto& before = event.whole ? replaced : hosts_;
@@ -105,7 +106,7 @@
         const auto known = before.find(store.name);
         entry.startedAt =
             hostStartTime(now, store, known == before.end() ? ListedHost{} : known->second, receivedLive);
-        // Nothing is kept of hosts that are gone: on a long day there is no end of them.
+        // No state is kept for hosts that are gone, or the table would grow without bound.
         if (store.readiness == Readiness::gone)
             hosts_.erase(store.name);
         else
@@ -129,8 +130,8 @@
     collect(now);
 }
 
-// No send waits longer than its request may, so older purges are known to every pick that still counts; and
-// the module has forgotten them.
+// No attempt outlives its request, so every decision still in force was made with older purges known. The
+// decision module has forgotten those purges too.
 void DecisionFacade::forgetOldPurges(Micros now) {
     constexpr std::chrono::minutes kPurgeRetention{2};
     const Micros kept = kPurgeRetention + 2 * duration_cast<Micros>(vocabulary_.settings.purgeSettles);
@@ -241,7 +242,7 @@
             decision.keepRank = action.plain ? 0 : action.keepRank;
             decision.localKeepRank = action.rank;
             decision.maxAge = duration_cast<Micros>(action.oldest);
-            // Rounded down to nothing it would mean "any age".
+            // Must not be rounded down to zero, which means "any age".
             if (action.oldest.count() > 0 && decision.maxAge.count() == 0) decision.maxAge = Micros{1};
             decision.joinFill = action.join;
             decision.onlyIfCached = action.heldOnly;
@@ -267,7 +268,7 @@
             timers_.emplace(now + duration_cast<Micros>(action.delay) + Micros{1}, action.timer);
             return;
         } else {
-            return;  // lists are pushed and nothing is probed on this deployment
+            return;  // lists are pushed and hosts are not probed here
         }
         decisions.push_back(std::move(decision));
     };
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -1,5 +1,5 @@
-// The decision module behind calls that return plain verdicts. It owns the Router and its timers; nothing
-// outside of it sees an event or an action.
+// Wraps the decision module in calls that return plain decisions. It owns the Router and its timers; no event
+// or action of the Router is visible outside.
 #pragma once
 
 #include <chrono>
@@ -16,21 +16,21 @@
 
 namespace lotuslead::core {
 
-using Micros = std::chrono::microseconds;  // on the monotonic clock
+using Micros = std::chrono::microseconds;  // point in time on the monotonic clock, or a span
 
-// A request as any front takes it. The fields from `label` on pass through unread.
+// A request as either front accepts it. The fields from `label` on are not read here.
 struct Request {
-    RequestId id = 0;  // of this process
+    RequestId id = 0;  // unique within this process
     int classIndex = 0;
     std::string object;
     std::int64_t group = 0;
     std::int64_t part = 0;
     Micros deadline{};
     bool repeated = false;
-    std::string label;      // the client's id for it
+    std::string label;      // the client's id for the request
     std::string className;  // as the client wrote it
     std::string key;        // idempotency key
-    std::string known;      // tag of a copy that the client holds
+    std::string known;      // tag of the copy that the client holds
     std::string body;
 };
 
@@ -39,19 +39,19 @@
 struct Decision {
     DecisionKind kind = DecisionKind::fail;
     RequestId request = 0;
-    int attempt = 0;               // send and cancel
-    Micros retryAfter{};           // refuse: the client may come back after this
-    GiveUp why = GiveUp::noRoute;  // refuse and fail
-    // send:
+    int attempt = 0;               // for send and cancel
+    Micros retryAfter{};           // for refuse: the client may retry after this
+    GiveUp why = GiveUp::noRoute;  // for refuse and fail
+    // The fields below are for send.
     std::string host;
-    std::string source;  // where a miss is filled from; empty: no fill
+    std::string source;  // host that a miss is filled from; empty: no fill
     int keepRank = 0;
-    int localKeepRank = 0;  // of a copy of the gateway's own; zero: none is kept
-    Micros maxAge{};        // zero: the class's fresh time
-    // Of the last purge of the object or its group that is remembered, by the clock that dates purges and
-    // copies: no copy made before may pass. Zero: none.
+    int localKeepRank = 0;  // rank of a local copy; zero: none is kept
+    Micros maxAge{};        // zero: the class's freshness lifetime
+    // Time of the latest remembered purge of the object or its group, by the clock that dates purges and
+    // copies; copies made before it must not be served. Zero: no purge is remembered.
     std::int64_t lastPurgeMs = 0;
-    bool maxAgeFromPurge = false;  // `oldest` comes from that purge
+    bool maxAgeFromPurge = false;  // `maxAge` results from that purge
     bool joinFill = false;
     bool onlyIfCached = false;
     bool staleWhileRevalidate = false;
@@ -66,63 +66,66 @@
     Micros elapsed{};
     Note note = Note::none;
     bool ignoreForHealth = false;
-    std::size_t bytes = 0;  // served
+    std::size_t bytes = 0;  // bytes served
     bool unchanged = false;
     bool servedLocally =
-        false;  // by a copy of the gateway's own: the request is closed, and no host was asked
+        // Served from a local copy: the request is closed and no host was asked.
+        false;
 };
 
 class DecisionFacade {
 public:
-    // `unixClockOffset` is what the Unix clock shows beyond the monotonic one, fixed for the life of the
+    // `unixClockOffset` is the Unix clock minus the monotonic clock; it stays fixed for the life of the
     // process.
     DecisionFacade(settings::Vocabulary vocabulary, std::uint64_t seed, Micros now, Micros unixClockOffset);
 
     const settings::Vocabulary& vocabulary() const { return vocabulary_; }
-    // In place of those before, of which they are the continuation (settings::continued).
+    // Replaces the settings. The new ones must continue the old ones (settings::continued).
     void reconfigure(settings::Vocabulary vocabulary);
-    // So many processes are one gateway now: each takes its part of what is allowed to all.
+    // Sets the number of processes that together form this gateway; each takes its share of the limits.
     void setProcessCount(int processes);
-    // What a successor on this machine should know, in JSON; of what it takes it keeps what it knows by name.
+    // State for a successor process on this machine, as JSON. A successor keeps the entries whose names it
+    // knows.
     nlohmann::json exportState(Micros now);
-    void importState(Micros now, const nlohmann::json& known);  // throws where it is not of that form
+    void importState(Micros now, const nlohmann::json& known);  // throws if the form is invalid
 
-    // `heardLive`: as it came about, and not from what was known at the start.
+    // `receivedLive`: the event has just occurred, as opposed to being read from the state known at the
+    // start.
     void applyHostList(Micros now, const settings::BusEvent& event, bool receivedLive);
-    // Counts as made when it is heard, the latest that it can have been: its date is another machine's, and
-    // our wall clock may have been wrong when the process started.
+    // A purge counts as made when it is received, which is the latest possible time: its date comes from
+    // another machine, and our wall clock may have been wrong when the process started.
     void applyPurge(Micros now, const settings::BusEvent& event);
 
     Decision pick(Micros now, const Request& request);
     std::vector<Decision> report(Micros now, const AttemptReport& report);
     std::vector<Decision> clientGone(Micros now, RequestId request);
     std::vector<Decision> tick(Micros now);
-    Micros nextTick() const;  // Micros::max(): nothing is due
+    Micros nextTick() const;  // Micros::max(): no timer is pending
 
-    // Fills in what a send has to know of purges.
+    // Adds what a send must know about purges.
     void limitByPurge(Micros now, const Request& request, Decision& send) const;
-    // Whether a purge of the object or its group was told at or after this moment.
+    // Whether a purge of the object or its group was received at or after this time.
     bool purgedSince(const Request& request, Micros when) const;
-    // What the list says of a host.
+    // What the host list says about a host.
     struct ListedHost {
         Readiness readiness = Readiness::gone;
         int zone = 0;
         std::int64_t cell = 0;
-        std::int64_t sinceMs = 0;  // of a late start, by the list's clock
-        Time startedAt{};          // by ours
+        std::int64_t sinceMs = 0;  // start time, by the list's clock
+        Time startedAt{};          // start time, by our clock
     };
     ListedHost hostOf(const std::string& name) const;
 
-    // The Unix date of a moment, by the wall clock as it was at the start.
+    // Converts to Unix time, by the wall clock as it was at the start.
     std::int64_t unixMsOf(Micros when) const;
 
 private:
     struct ReceivedPurge {
         Micros receivedAt{};
-        std::int64_t purgeUnixMs = 0;  // as it was told
+        std::int64_t purgeUnixMs = 0;  // date that the event carries
     };
 
-    // Empty where none is remembered.
+    // Empty if none is remembered.
     std::optional<ReceivedPurge> lastPurgeOf(const Request& request) const;
     Time routerTime(Micros now) const { return now + kRouterClockOffset; }
     std::vector<Decision> collect(Micros now);
@@ -131,8 +134,8 @@
     Time hostStartTime(Micros now, const settings::ListedStore& store, const ListedHost& before,
                        bool receivedLive) const;
 
-    // The router's clock starts this far from zero, so that a host that started before this machine did has
-    // a time above zero (zero stands for "long ago").
+    // Offset of the router's clock from zero, so that a host that started before this machine booted still
+    // has a time above zero (zero stands for "long ago").
     static constexpr std::chrono::hours kRouterClockOffset{24 * 365};
 
     settings::Vocabulary vocabulary_;
@@ -141,8 +144,8 @@
     Micros unixClockOffset_;
     Actions actions_;
     std::multimap<Micros, TimerId> timers_;
-    std::unordered_map<RequestId, int> attempts_;        // made so far, of requests without a final answer
-    std::unordered_map<std::string, ListedHost> hosts_;  // those that are not gone
+    std::unordered_map<RequestId, int> attempts_;  // attempts so far, of requests without a final answer
+    std::unordered_map<std::string, ListedHost> hosts_;  // hosts that are not gone
     std::unordered_map<std::string, ReceivedPurge> objectPurges_;
     std::unordered_map<std::int64_t, ReceivedPurge> groupPurges_;
     Micros lastPurgeSweep_{};
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -58,7 +58,7 @@
 
 void RequestDispatcher::attemptEnded(Micros now, AttemptResult end) {
     const auto found = states_.find(end.request);
-    // A late word on an attempt that was given up is nobody's any more.
+    // A late result of an attempt that was given up is dropped.
     if (found == states_.end() || !found->second.attemptInFlight || found->second.send.attempt != end.attempt)
         return;
     RequestState& state = found->second;
@@ -71,7 +71,7 @@
     AttemptReport report;
     report.outcome = end.outcome;
     if (end.servedLocally && end.outcome == Outcome::served) {
-        report.outcome = Outcome::notSent;  // to its host
+        report.outcome = Outcome::notSent;  // not sent to its host
         report.servedLocally = true;
         ++counters_.servedLocally;
     }
@@ -91,7 +91,7 @@
 
 void RequestDispatcher::runTimers(Micros now) {
     execute(now, decisions_.tick(now));
-    // Machines that went silent never reset: only this clock ends their attempts.
+    // A machine that went silent never resets its connections: only this timeout ends the attempts there.
     while (!timeouts_.empty() && std::get<0>(*timeouts_.begin()) <= now) {
         const auto [at, id, attempt] = *timeouts_.begin();
         RequestState& state = states_.at(id);
@@ -126,7 +126,7 @@
     facts.deadline = state.request.deadline;
     facts.host = decisions_.hostOf(send.host).readiness;
     if (!send.source.empty()) facts.source = decisions_.hostOf(send.source).readiness;
-    // A pick knows of all purges that were told before it, also in the same turn.
+    // A decision takes into account every purge received before it, including those of the same turn.
     facts.purgedSincePick = now > send.pickedAt && decisions_.purgedSince(state.request, send.pickedAt);
     facts.to = localityOf(send.host);
     return maySend(state.classSettings, facts, state.earlier);
@@ -138,7 +138,7 @@
 }
 
 void RequestDispatcher::execute(Micros now, std::vector<Decision> decisions) {
-    // Each verdict may lead to further ones; they are taken in the order in which they came.
+    // Each decision may lead to further ones, which are executed in order of arrival.
     for (std::size_t i = 0; i < decisions.size(); ++i) {
         Decision decision = std::move(decisions[i]);
         const auto found = states_.find(decision.request);
@@ -193,7 +193,7 @@
     decisions_.limitByPurge(now, state.request, state.send);
     state.sentAt = now;
     state.attemptInFlight = true;
-    // Never past the deadline: the final answer is owed by then.
+    // Never beyond the deadline, when the final answer is due.
     Micros until = state.request.deadline;
     if (state.send.timeout.count() > 0) until = std::min(until, now + state.send.timeout);
     timeouts_.emplace(until, state.request.id, state.send.attempt);
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -1,4 +1,5 @@
-// The requests in hand: each has one final answer and at most one attempt out. It knows no wire.
+// Tracks the open requests: each gets exactly one final answer and has at most one attempt in flight.
+// Independent of any protocol.
 #pragma once
 
 #include <array>
@@ -16,19 +17,19 @@
 
 namespace lotuslead::core {
 
-// What an attempt brought back, where it was served.
+// Content of a served attempt.
 struct Payload {
     std::string body;
-    bool unchanged = false;  // the client's own copy is the one: no bytes
+    bool unchanged = false;  // the client's own copy is still valid: no body
     std::vector<std::pair<std::string, std::string>> metadata;
-    std::int64_t mintedMs = 0;  // Unix milliseconds: it is of then or later; zero: not told
+    std::int64_t mintedMs = 0;  // Unix milliseconds; the content is of this time or later; zero: not known
 };
 
 struct Reply {
     enum class Kind { served, refused, failed } kind = Kind::failed;
-    Micros retryAfter{};                 // with a refusal
-    bool deadlineExceeded = false;       // the deadline ended it
-    std::optional<Outcome> lastOutcome;  // of its last attempt, if it had one
+    Micros retryAfter{};                 // for refused
+    bool deadlineExceeded = false;       // the deadline passed before an answer
+    std::optional<Outcome> lastOutcome;  // of its last attempt, if there was one
     Payload payload;
 };
 
@@ -37,18 +38,18 @@
     int attempt = 0;
     Outcome outcome = Outcome::error;
     Note note = Note::none;
-    bool ignoreForHealth = false;  // it says nothing of its host that another end has not said
-    bool servedLocally = false;    // served from a copy of the gateway's own: no host was asked
+    bool ignoreForHealth = false;  // another result already tells this of the host
+    bool servedLocally = false;    // from a local copy: no host was asked
     Payload payload;
 };
 
-// Whoever carries attempts to the hosts. Outcomes come back by RequestDispatcher::attemptEnded, never from
+// Sends attempts to the hosts. Results are reported through RequestDispatcher::attemptEnded, never from
 // within these calls.
 class AttemptTransport {
 public:
     virtual ~AttemptTransport() = default;
     virtual void send(Micros now, const Request& request, const Decision& send) = 0;
-    // Gives the attempt up; its outcome is not told any more. True: not a byte of it was written.
+    // Gives the attempt up; its result is not reported any more. Returns true if no byte of it was written.
     virtual bool cancel(Micros now, RequestId request, int attempt) = 0;
 };
 
@@ -60,18 +61,18 @@
 struct Counters {
     std::uint64_t taken = 0, served = 0, unchanged = 0, refused = 0, failed = 0, clientsGone = 0,
                   deadlineExceeded = 0;
-    std::uint64_t servedLocally = 0;  // served from a copy of the gateway's own
+    std::uint64_t servedLocally = 0;  // from a local copy
     std::uint64_t sent = 0, cancelled = 0;
-    std::array<std::uint64_t, kOutcomes> outcomes{};  // by Outcome
-    std::array<std::uint64_t, kGiveUps> gaveUp{};     // refused or failed without an answer, by GiveUp
+    std::array<std::uint64_t, kOutcomes> outcomes{};  // indexed by Outcome
+    std::array<std::uint64_t, kGiveUps> gaveUp{};  // refused or failed without an answer, indexed by GiveUp
 };
 
 class RequestDispatcher {
 public:
     using AnswerCallback = std::function<void(RequestId, Reply&&)>;
 
-    // What was asked for before a purge was told and comes in after it may be older than the purge. The
-    // platform's rule counts from the send; a front that promises more has such answers fetched anew.
+    // An answer that was requested before a purge and arrives after it may be older than the purge. The
+    // platform's rule counts from the send; a front that promises more has such answers fetched again.
     enum class PurgeDuringFetch { serve, refetch };
 
     RequestDispatcher(DecisionFacade& decisions, AttemptTransport& transport,
@@ -79,12 +80,13 @@
         : decisions_(decisions), transport_(transport), purged_(purged) {}
 
     void submit(Micros now, Request request, AnswerCallback answer);
-    void clientGone(Micros now, RequestId request);  // the client has gone: no answer is owed
+    void clientGone(Micros now, RequestId request);  // no answer is owed any more
     void attemptEnded(Micros now, AttemptResult end);
-    void runTimers(Micros now);  // what is due by the clock
+    void runTimers(Micros now);  // handles due timeouts and timers
     Micros nextTimerAt() const;
 
-    // Whether the attempt, picked earlier, may still be begun; asked right before its first byte.
+    // Whether the attempt, decided on earlier, may still be started; asked right before its first byte is
+    // sent.
     bool mayBegin(Micros now, RequestId request, int attempt);
 
     RuleChecks& checks() { return checks_; }
@@ -95,11 +97,11 @@
 private:
     struct RequestState {
         Request request;
-        ClassSettings classSettings;  // as they were when it was taken
+        ClassSettings classSettings;  // as they were at submission
         AnswerCallback answer;
         Decision send;
         Micros sentAt{};
-        bool attemptInFlight = false;  // an attempt is
+        bool attemptInFlight = false;
         bool answered = false;
         std::optional<Outcome> lastOutcome;
         Locality sentTo;
--- a/src/core/rules.cpp
+++ b/src/core/rules.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::uint64_t kMaxLoggedViolations = 100;  // in the log; all are counted
+constexpr std::uint64_t kMaxLoggedViolations = 100;  // logged; all are counted
 
 }  // namespace
 
@@ -43,7 +43,7 @@
 
 Denial mayRefuse(const ClassSettings& rules, bool mayHaveRun) {
     if (!mayHaveRun || rules.effect == Effect::safe) return Denial::none;
-    // Wherever the client's next try goes, its key is known there.
+    // The key is known wherever the next attempt of the client goes.
     const bool keyKnown = rules.effect == Effect::keyed && rules.group == RepeatGroup::all;
     return keyKnown ? Denial::none : Denial::mayHaveTakenEffect;
 }
--- a/src/core/rules.hpp
+++ b/src/core/rules.hpp
@@ -1,7 +1,7 @@
-// The rules of the protocol on what may be begun, each in one function over plain facts: whether a request
-// may be taken, an attempt sent or repeated, a refusal worded, a connection closed, the service opened.
-// Everybody who is about to take such a step asks here right before it. The decision module keeps the same
-// rules by its choices; where it has not, the step is not taken and RuleChecks counts a violation.
+// Protocol rules on what may be started, one pure function each: whether a request may be admitted, an
+// attempt sent or repeated, a refusal answered, a connection closed, the service opened. Callers ask right
+// before the step. The decision module follows the same rules in its choices; where it does not, the step is
+// not taken and RuleChecks counts a violation.
 #pragma once
 
 #include <array>
@@ -14,34 +14,34 @@
 
 namespace lotuslead::core {
 
-// Why a step may not be taken; `none`: it may.
+// Why a step is denied; `none`: it is allowed.
 enum class Denial : std::uint8_t {
     none,
     answered,            // the request has its final answer, or its client has left
-    attemptInFlight,     // another attempt of the request is out
-    deadlinePassed,      // the client waits no longer
+    attemptInFlight,     // another attempt of the request is in flight
+    deadlinePassed,      // the client's deadline has passed
     hostNotReady,        // draining or gone
-    sourceNotReady,      // likewise, as the source of a fill
-    purgedSincePick,     // the limit on age does not know of a purge
-    mayRunTwice,         // an attempt may have run, and the class allows no other
+    sourceNotReady,      // the source of the fill is draining or gone
+    purgedSincePick,     // a purge arrived after the age limit was chosen
+    mayRunTwice,         // an attempt may have run, and the class allows no second one
     keyWindowPassed,     // the server no longer knows the key of the attempt that may have run
-    otherRepeatGroup,    // the key is known in another zone or cell
-    mayHaveTakenEffect,  // a refusal would, and an attempt may have run
-    copyNotNamed,        // no server has named the client's copy
-    shuttingDown,        // the process answers what it has, and takes nothing more
-    draining,            // operators send clients away
-    connectionClosing,   // what follows on this connection can't be told apart or is useless
+    otherRepeatGroup,    // the key is known in another zone or cell only
+    mayHaveTakenEffect,  // a refusal would promise no effect, but an attempt may have run
+    copyNotNamed,        // no server has confirmed the tag of the client's copy
+    shuttingDown,        // the process completes open requests and admits no new ones
+    draining,            // operators have told clients to go elsewhere
+    connectionClosing,   // further input on this connection is unreadable or useless
     tooManyOpen,         // on one connection
     noMemory,            // for the answer
     requestOpen,         // an answer is owed on the connection
-    unreadBytes,         // a further request may have come
-    unsentAnswer,        // a close could take it back
-    notReady,            // lists or purges are still to be heard
+    unreadBytes,         // another request may have arrived
+    unsentAnswer,        // closing could discard the answer
+    notReady,            // host lists or purges have not been received yet
     count_
 };
 const char* nameOf(Denial denial);
 
-// Where an attempt went, as far as the repeats of a keyed class are bound to it.
+// Where an attempt went, as far as retries of a keyed class are bound to it.
 struct Locality {
     int zone = 0;
     std::int64_t cell = 0;
@@ -61,19 +61,19 @@
     bool attemptInFlight = false;
     Micros now{}, deadline{};
     Readiness host = Readiness::gone;
-    Readiness source = Readiness::ready;  // where there is none it is in nobody's way
+    Readiness source = Readiness::ready;  // ready if there is no source
     bool purgedSincePick = false;
     Locality to;
 };
 Denial maySend(const ClassSettings& rules, const SendFacts& facts, const std::optional<EarlierRun>& earlier);
 
-// A refusal says that nothing has happened and that the client may come again.
+// A refusal promises that the request had no effect and may be retried.
 Denial mayRefuse(const ClassSettings& rules, bool mayHaveRun);
 
 struct AnswerFacts {
     bool answered = false;
-    bool unchanged = false;    // tells the client that its own copy holds
-    bool copyIsNamed = false;  // by the client, and by the server that answered
+    bool unchanged = false;    // tells the client that its own copy is still valid
+    bool copyIsNamed = false;  // both the client and the answering server named its tag
 };
 Denial mayAnswer(const AnswerFacts& facts);
 
@@ -85,7 +85,7 @@
 };
 Denial mayAdmit(const AdmissionFacts& facts);
 
-// Of a connection that this process closes of its own accord.
+// For a connection that this process closes on its own initiative.
 struct CloseFacts {
     std::size_t openRequests = 0;
     bool unreadBytes = false;
@@ -94,20 +94,21 @@
 Denial mayClose(const CloseFacts& facts);
 
 struct StartFacts {
-    bool prepared = false;        // lists and purges are as the event bus has them
-    bool awaitsHandOver = false;  // of a predecessor
+    bool prepared = false;        // host lists and purges are up to date with the event bus
+    bool awaitsHandOver = false;  // of a predecessor's state
     bool waitedLongEnough = false;
 };
 Denial mayServe(const StartFacts& facts);
 
-// Counts what was held back by reason, and steps that would have broken a rule.
+// Counts denied steps by reason, and violations: steps that would have broken a rule.
 class RuleChecks {
 public:
     using Counts = std::array<std::uint64_t, static_cast<std::size_t>(Denial::count_)>;
 
-    // A step that was right when it was chosen and may be so no longer. True: it may be taken.
+    // For a step that was valid when it was chosen and may no longer be. Returns whether it may be taken.
     bool allows(Denial denial);
-    // A step that has just been chosen: a denial is a fault of this program. True: it may be taken.
+    // For a step that has just been chosen: a denial is a bug in this program. Returns whether it may be
+    // taken.
     bool require(Denial denial, const char* step, const std::string& subject);
 
     std::uint64_t violations() const { return violations_; }
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -1,4 +1,4 @@
-// What the gateway asks of each of its fronts, with all that stands behind it.
+// Interface between the gateway and each of its fronts, and helpers to print counters.
 #pragma once
 
 #include <cstdint>
@@ -15,34 +15,34 @@
 class Service {
 public:
     virtual ~Service() = default;
-    virtual void prepare() = 0;         // asks for what is needed before clients are taken
-    virtual bool prepared() const = 0;  // it is there
-    // The event bus has said that there is more than was applied since the start.
+    virtual void prepare() = 0;         // requests what is needed before clients are admitted
+    virtual bool prepared() const = 0;  // all of that has arrived
+    // The event bus has reported more events than have been applied since the start.
     virtual bool catchingUp() const = 0;
-    virtual void open() = 0;  // begins to listen
-    // Reads its configuration again; what can't be used changes nothing, and is told. False, where it may be
-    // tried again: the file can't be read now, for want of descriptors or memory.
+    virtual void open() = 0;  // starts to listen
+    // Reads the configuration again. An unusable one is logged and changes nothing. Returns false if the
+    // caller may retry: the file could not be read for lack of descriptors or memory.
     virtual bool reload(bool mayTryAgain) = 0;
-    virtual void runTimers(Micros now) = 0;  // what is due by the clock
+    virtual void runTimers(Micros now) = 0;  // handles what is due
     virtual Micros nextTimerAt() const = 0;
-    // Sends clients away, until it is taken back.
+    // Tells clients to go elsewhere, until undrain().
     virtual void drain() = 0;
     virtual void undrain() = 0;
-    virtual void leave() = 0;  // the process is to end: health checks are told
-    // As that, but another process serves at the same address: nobody need be told.
+    virtual void leave() = 0;  // the process will exit: health checks are told
+    // As leave(), but another process serves the same address, so clients need not be told.
     virtual void leaveToSuccessor() = 0;
-    virtual bool hasNoClients() const = 0;  // no client is connected
-    // So many processes are one gateway now, and keep to its limits together.
+    virtual bool hasNoClients() const = 0;
+    // Sets the number of processes that form this gateway and share its limits.
     virtual void setProcessCount(int processes) = 0;
-    // What a successor should know, under this name; it throws where it is not of that form.
+    // State for a successor process, stored under this key. importState() throws if the form is invalid.
     virtual const char* stateKey() const = 0;
     virtual nlohmann::json exportState() = 0;
     virtual void importState(const nlohmann::json& known) = 0;
-    // The end is near: what is open is answered at once, and what still comes is refused.
+    // Last step of the shutdown: open requests are answered at once, and new ones refused.
     virtual void failOpenRequests() = 0;
     virtual std::size_t openRequests() const = 0;
-    // No answer is owed, all are with the kernel, and nothing that has come is unread. It takes in whoever
-    // still waits at the door.
+    // True if no answer is owed, all answers have been handed to the kernel, and all input has been read.
+    // Accepts the connections that are still in the backlog.
     virtual bool settled() = 0;
     virtual Micros longestRequestTimeout() const = 0;
     virtual std::optional<settings::Endpoint> operatorAddress() const = 0;
@@ -85,9 +85,9 @@
     printCounterLine(name, "rules", rules);
 }
 
-// Beyond the monotonic clock: the Unix clock stands on the wire only, and by this one offset. Between two
-// looks at the clocks the process may be held up, by its own start or by others: the least difference is the
-// nearest.
+// The Unix clock minus the monotonic clock. Unix time appears on the wire only, converted by this one offset.
+// The process may be delayed between reading the two clocks, so the smallest of several differences is the
+// most accurate.
 inline Micros unixClockOffset() {
     Micros least = Micros::max();
     for (int i = 0; i < 8; ++i) {
