--- a/src/platform/bus_reader.cpp
+++ b/src/platform/bus_reader.cpp
@@ -11,19 +11,19 @@
 
 namespace {
 
-// Events count as told after 7 s whether they arrived or not: a poll that hangs must be noticed well before.
-// Within the time that the settings give for a drain, too, where a poll and the next one fit into it.
+// Events count as delivered after 7 s whether they arrived or not, so a hanging poll must be noticed well
+// before that. If the settings give a drain time, a poll and its successor must fit into it.
 constexpr net::Micros kPollHold = 1s, kMinPollHold = 200ms;
-constexpr net::Micros kFirstPollHold = 1ms;  // a gateway that starts takes no client before it
+constexpr net::Micros kFirstPollHold = 1ms;  // a starting gateway admits no client before it is answered
 constexpr net::Micros kSilenceTimeout = 500ms,
-                      kMinSilenceTimeout = 150ms;  // beyond the hold, or within an answer
-constexpr net::Micros kAnswerTimeout = 5s;  // from its first byte to its last, however steadily it comes
+                      kMinSilenceTimeout = 150ms;  // beyond the hold time, or within an answer
+constexpr net::Micros kAnswerTimeout = 5s;  // from its first byte to its last, at whatever rate it arrives
 constexpr net::Micros kConnectTimeout = 400ms;
-constexpr net::Micros kDurabilityTimeout = 200ms;  // for what was applied to be kept
+constexpr net::Micros kDurabilityTimeout = 200ms;  // for applied events to become durable
 constexpr net::Micros kDurabilityCheckInterval = 1ms;
-constexpr net::Micros kReconnectDelay = 50ms;  // from the second failure on: at once would be a busy loop
+constexpr net::Micros kReconnectDelay = 50ms;  // from the second failure on, to avoid a busy loop
 constexpr net::HttpParser::Limits kHttpLimits{16 * 1024,
-                                              1024 * 1024};  // parsed, it takes several times as much
+                                              1024 * 1024};  // parsed, the body takes several times as much
 
 }  // namespace
 
@@ -71,7 +71,7 @@
     if (offset >= offset_) return;
     offset_ = offset;
     if (endpoints_.empty()) return;
-    // An answer that is on its way would lead past what is wanted.
+    // The answer to the current poll would skip the events that are wanted.
     if (stream_) stream_->close();
     connect();
 }
@@ -89,7 +89,7 @@
     answerBegunAt_.reset();
     pollPending_ = false;
     if (stream_) loop_.retire(stream_);
-    // First in a turn: a call that has come with a drain is picked when the drain is known.
+    // First in a turn, so that a drain is known before a call that arrived with it is decided on.
     stream_ = std::make_shared<net::Stream>(loop_, endpoint(), static_cast<net::Stream::User&>(*this),
                                             net::Priority::first);
     arm(kConnectTimeout, [this] { reconnect("no connection in time"); });
@@ -102,7 +102,7 @@
     if (endpoints_.size() > 1) {
         current_ = (current_ + 1) % endpoints_.size();
         ++counters_.endpointSwitches;
-        // All of them once at once, then with pauses.
+        // Tries every endpoint once without delay, then with pauses.
         if (static_cast<std::size_t>(++failures_) < endpoints_.size()) return connect();
         return arm(kReconnectDelay, [this] { connect(); });
     }
@@ -122,7 +122,7 @@
     arm(hold + silenceTimeout_, [this] { reconnect("silent"); });
 }
 
-// A stuck disk holds this up for so long only: further purges must come.
+// A stuck disk delays the next poll only this long: further purges must get through.
 void BusReader::pollOnceDurable() {
     if (!observer_.isDurable || observer_.isDurable() || loop_.now() >= durableDeadline_) return poll();
     arm(kDurabilityCheckInterval, [this] { pollOnceDurable(); });
@@ -136,13 +136,13 @@
         const auto status = parser_.feed(data);
         if (status == net::HttpParser::Status::needMore) break;
         answerBegunAt_.reset();
-        // Each answer leads to the next poll: answers to nothing would do so without end.
+        // Each answer triggers the next poll, so unsolicited answers would trigger polls without end.
         const bool due = std::exchange(pollPending_, false) && stream_->unsent() == 0;
         if (status != net::HttpParser::Status::message || !due || !handleAnswer() || !data.empty())
             return false;
     }
     if (!parser_.midMessage()) return true;
-    // An answer may come byte by byte; one that stops within is asked for again, from the last event had.
+    // An answer may arrive byte by byte; one that stalls is requested again from the last applied event.
     if (!answerBegunAt_) answerBegunAt_ = loop_.now();
     const net::Micros left = std::max(net::Micros{0}, *answerBegunAt_ + kAnswerTimeout - loop_.now());
     arm(std::min(silenceTimeout_, left), [this] { reconnect("stopped within an answer"); });
@@ -154,9 +154,9 @@
     try {
         const settings::BusBatch batch = settings::readBatch(nlohmann::json::parse(parser_.body()));
         const std::int64_t from = offset_;
-        // One that is behind the others must not be waited for: what it lacks may be a purge.
+        // A server that lags behind the others is not waited for: the events that it lacks may be purges.
         if (endpoints_.size() > 1 && batch.offset < from) return false;
-        // One that says that there is more and brings nothing would be asked again without end.
+        // A server that announces more events but sends none would be polled in a busy loop.
         if (batch.last > batch.offset && batch.offset <= from) return false;
         std::vector<std::int64_t> offsets;
         for (const settings::BusEvent& event : batch.events) offsets.push_back(event.offset);
--- a/src/platform/bus_reader.hpp
+++ b/src/platform/bus_reader.hpp
@@ -1,4 +1,4 @@
-// Reads the event bus: a long poll that is asked again at once, from the last event that was applied.
+// Reads the event bus by long polls, each of which starts at the last applied event.
 #pragma once
 
 #include <cstdint>
@@ -19,35 +19,35 @@
     using Apply = std::function<void(const settings::BusEvent&)>;
     struct Counters {
         std::uint64_t polls = 0, events = 0, reconnects = 0, endpointSwitches = 0;
-        std::uint64_t bytes = 0;  // asked and answered, without the headers of TCP and IP
+        std::uint64_t bytes = 0;  // sent and received, without TCP and IP headers
     };
 
     struct Observer {
-        // A batch asked for from behind `from` has been applied; it had these numbers and ended at `last`.
-        // `complete`: there is nothing more to be told now.
+        // A batch requested from `from` has been applied; it held the events `offsets` and ended at `last`.
+        // `complete`: there are no further events at present.
         std::function<void(std::int64_t from, std::int64_t last, const std::vector<std::int64_t>& offsets,
                            bool complete)>
             onBatch;
-        // Whether what was applied is kept, so that it may be acknowledged by asking from behind it.
+        // Whether the applied events are durable, so that polling from behind them may acknowledge them.
         std::function<bool()> isDurable;
     };
 
     BusReader(net::Loop& loop, Apply apply);
     void setObserver(Observer observer) { observer_ = std::move(observer); }
-    // Asks again from an earlier event. Lists that have been applied are not applied again; purges are.
+    // Polls again from an earlier event. Host lists that have been applied are not applied again; purges are.
     void rewindTo(std::int64_t offset);
     ~BusReader() override;
-    // Asks at these addresses from now on, at once and from the last event that was applied; none: not at
-    // all. Of several, which tell the same events under the same numbers, one is asked until it is silent,
-    // refuses or is behind what was applied; then the next.
+    // Polls these endpoints from now on, at once and from the last applied event; if empty, polling stops.
+    // All endpoints carry the same events under the same numbers: one is polled until it is silent, refuses
+    // or lags behind the applied events, then the next.
     void setEndpoints(const std::vector<settings::Endpoint>& endpoints);
-    // A watch that has gone silent is given up well before what it should have told must be obeyed.
+    // A silent poll is abandoned well before the events that it should have delivered must be obeyed.
     void setDrainGrace(net::Micros grace);
-    // An event that came by another way, such as a configuration: applied if it is a later one.
+    // Applies events that came from elsewhere, such as a configuration, if they are newer than those applied.
     void applyBatch(const settings::BusBatch& batch);
-    // It has told all that it had since the start, or there is none.
+    // All events since the start have been received, or there is no event bus.
     bool caughtUp() const { return caughtUp_ || endpoints_.empty(); }
-    // It has answered, and said that there is more: what is not applied yet may be a purge.
+    // The bus has answered that there are more events: those not yet applied may include a purge.
     bool catchingUp() const { return answeredOnce_ && !caughtUp(); }
     const Counters& counters() const { return counters_; }
 
@@ -66,9 +66,9 @@
 
     net::Loop& loop_;
     std::vector<settings::Endpoint> endpoints_;
-    std::size_t current_ = 0;  // the one that is asked
+    std::size_t current_ = 0;  // index of the endpoint in use
     std::int64_t offset_ = 0;
-    std::int64_t listsAppliedUpTo_ = 0;  // applied, or older than those that were
+    std::int64_t listsAppliedUpTo_ = 0;  // lists up to here were applied, or are older than those that were
     Apply apply_;
     Observer observer_;
     net::Micros durableDeadline_{};
@@ -77,11 +77,11 @@
     std::shared_ptr<net::Stream> stream_;
     std::optional<net::Loop::TimerKey> timer_;
     net::Micros holdTime_, silenceTimeout_;
-    int failures_ = 0;                          // in a row
-    bool answeredOnce_ = false;                 // an answer, since the start
-    bool caughtUp_ = false;                     // once, since the start
-    bool pollPending_ = false;                  // and not answered yet
-    std::optional<net::Micros> answerBegunAt_;  // of the answer in hand
+    int failures_ = 0;                          // consecutive
+    bool answeredOnce_ = false;                 // since the start
+    bool caughtUp_ = false;                     // at least once since the start
+    bool pollPending_ = false;                  // a poll is not answered yet
+    std::optional<net::Micros> answerBegunAt_;  // of the answer being received
 };
 
 }  // namespace lotuslead::platform
--- a/src/platform/call_validation.hpp
+++ b/src/platform/call_validation.hpp
@@ -1,4 +1,4 @@
-// What a CALL must look like before the decisions or a store see it.
+// Validates a CALL before it reaches the decision module or a store.
 #pragma once
 
 #include <algorithm>
@@ -28,8 +28,8 @@
            std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
-// What the stores are given is checked here, as far as a form can be checked: a store closes the connection
-// on what it can't read, whatever else is open there.
+// A store closes its connection on input that it cannot parse, whatever else is open there. So whatever is
+// passed on to stores is validated here.
 inline bool isValidCall(const Fields& fields, const core::Request& request) {
     const auto within = [&](std::string_view name, std::int64_t least, std::int64_t most) {
         const auto value = fields.whole(name);
--- a/src/platform/client_messages.cpp
+++ b/src/platform/client_messages.cpp
@@ -47,7 +47,7 @@
         while (call < at && !isCallOf(messages_[call].words, tag)) ++call;
         const bool open = isOpen(tag);
         const bool held = call < at;
-        if (open == held) continue;  // in its turn
+        if (open == held) continue;  // it is handled in order
         takeAt(at--);
         if (open) {
             result.openTags.push_back(tag);
--- a/src/platform/client_messages.hpp
+++ b/src/platform/client_messages.hpp
@@ -1,5 +1,5 @@
-// What a client has sent and the front has not taken yet: bytes, and the messages among them, with the time
-// at which they arrived. Bounded in number and bytes; what goes beyond stays in the connection.
+// Input of a client that the front has not handled yet: bytes, and complete messages with their arrival
+// times. Bounded in count and bytes; input beyond that stays in the socket.
 #pragma once
 
 #include <chrono>
@@ -23,22 +23,22 @@
     };
 
     void append(std::string_view data, Micros arrivedAt);
-    void parse();  // as many messages as may be held
+    void parse();  // as many messages as the limits allow
 
     bool hasMessage() const { return !messages_.empty(); }
     Message takeFirst() { return takeAt(0); }
 
-    // CANCEL overtakes what is held: a call that its client has taken back is not sent on first, and an open
-    // one is given up though the client does not read its answers.
+    // A CANCEL overtakes queued messages: a cancelled call is not forwarded first, and an open one is
+    // cancelled even if its client does not read its answers.
     struct Cancellations {
         std::vector<std::string> openTags;
-        int droppedCalls = 0;  // dropped with their CANCEL
+        int droppedCalls = 0;  // removed together with their CANCEL
     };
     Cancellations extractCancellations(const std::function<bool(const std::string& tag)>& isOpen);
 
-    bool empty() const { return bytes_.empty() && messages_.empty(); }  // but for the start of a message
+    bool empty() const { return bytes_.empty() && messages_.empty(); }  // apart from an incomplete message
     bool midMessage() const { return parser_.midMessage(); }
-    bool malformed() const { return malformed_; }  // what follows the messages can't be read
+    bool malformed() const { return malformed_; }  // input behind the queued messages is unreadable
     bool hasRoom() const { return !malformed_ && bytes_.empty(); }
     std::size_t heldBytes() const { return bytes_.size() + messageBytes_ + parser_.held(); }
     void clear();
@@ -47,7 +47,7 @@
     Message takeAt(std::size_t at);
 
     net::RespParser parser_{{8, 64 * 1024, 80 * 1024}};
-    std::string bytes_;  // not yet in messages
+    std::string bytes_;  // not yet parsed into messages
     Micros bytesArrivedAt_{};
     std::deque<Message> messages_;
     std::size_t messageBytes_ = 0;
--- a/src/platform/copy_age.hpp
+++ b/src/platform/copy_age.hpp
@@ -1,4 +1,4 @@
-// Judges the dates of copies: too old for what a store was asked for or not.
+// Decides whether a copy that a store returned is too old.
 #pragma once
 
 #include <algorithm>
@@ -10,19 +10,19 @@
 
 namespace lotuslead::platform {
 
-// A purge and a copy carry dates of other machines, which are compared as they are. Only where an age is to
-// be judged our own wall clock comes in. It may have been ahead when the process started, by which every copy
-// would look too old: the youngest copy seen bounds that.
+// Dates of purges and copies both come from other machines and are compared directly. Our own wall clock is
+// used only to judge an age. It may have been ahead when the process started, which would make every copy
+// look too old; the youngest copy seen so far bounds that error.
 class CopyAgeCheck {
 public:
-    // `unixClockOffset`: what our wall clock showed beyond the monotonic one at the start.
+    // `unixClockOffset`: our wall clock minus the monotonic clock, at the start.
     explicit CopyAgeCheck(core::Micros unixClockOffset) : unixClockOffset_(unixClockOffset) {}
 
     void learn(core::Micros now, std::int64_t mintedMs) {
         const core::Micros offset = std::chrono::milliseconds{mintedMs} - now;
         youngestCopyOffset_ = std::max(offset, youngestCopyOffset_.value_or(offset));
     }
-    // A copy made before is too old; zero: none is.
+    // Copies made before this are too old; zero: none is.
     std::int64_t oldestAllowedMs(core::Micros now, const core::Decision& send) const {
         const std::int64_t fromPurge = send.lastPurgeMs > 0 ? send.lastPurgeMs - kClockTolerance.count() : 0;
         if (send.maxAge.count() <= 0 || send.maxAgeFromPurge || !youngestCopyOffset_) return fromPurge;
@@ -32,11 +32,12 @@
     }
 
 private:
-    // An age is told in whole milliseconds, and clocks are read apart.
+    // Ages are sent in whole milliseconds, and the clocks are read at different moments.
     static constexpr std::chrono::milliseconds kClockTolerance{50};
 
     core::Micros unixClockOffset_;
-    std::optional<core::Micros> youngestCopyOffset_;  // the clock that dates copies is ahead by that at least
+    std::optional<core::Micros>
+        youngestCopyOffset_;  // lower bound of the offset of the clock that dates copies
 };
 
 }  // namespace lotuslead::platform
--- a/src/platform/fields.hpp
+++ b/src/platform/fields.hpp
@@ -1,4 +1,4 @@
-// The platform's FIELDS: name=value,name=value, or - for none.
+// The platform's FIELDS syntax: name=value,name=value, or - for none.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 public:
     explicit Fields(std::string_view text) : text_(text == "-" ? std::string_view{} : text) {}
 
-    // Empty where it is absent.
+    // Empty if absent.
     std::string_view text(std::string_view name) const {
         std::string_view rest = text_;
         while (!rest.empty()) {
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -42,7 +42,7 @@
     ~Client() override { abortConnection(); }
 
     bool idle() const { return open_.empty() && input_.empty() && stream_.unsent() == 0; }
-    // Idle, has been used, and nothing of a further call has come, read or unread.
+    // Idle and used before, with no further call received, read or unread.
     bool resting() const {
         return idle() && hasSentMessage_ && !refusesMore_ && !input_.midMessage() && stream_.quiet();
     }
@@ -52,7 +52,7 @@
     bool recentlyActive() const {
         return owner_.loop_.now() - lastUsed_ < (inPartialMessage() ? kPartialMessageGrace : kSilentGrace);
     }
-    // The process may end: nothing of a request is here, and none is to be expected right now.
+    // Whether the process may exit: nothing of a request is here, and none is expected right now.
     bool settled() const {
         if (!idle() || (!closing_ && !stream_.quiet())) return false;
         const Micros still = owner_.loop_.now() - lastByteAt_;
@@ -67,11 +67,11 @@
     core::CloseFacts closeFacts() const {
         return {open_.size(), !input_.empty() || !stream_.quiet(), stream_.unsent()};
     }
-    Micros lastUsed() const { return lastUsed_; }  // before its first message: when something last came
+    Micros lastUsed() const { return lastUsed_; }  // before its first message: time of the last input
 
-    // Clients are to go: an end where nothing is open, unread or still on its way to the client, which then
-    // sees it before it asks again. `since` is when refusals began, `last`: it is time for those that were
-    // refused something and have older requests open.
+    // Closes the connection for a drain if nothing is open, unread or still on its way to the client, so that
+    // the client sees the close before its next request. `since`: when refusals began. `last`: clients that
+    // were refused something have their older open requests failed.
     void endForDrain(std::optional<Micros> since, bool last) {
         if (closing_ || !stream_.allTaken()) return;
         const Micros now = owner_.loop_.now();
@@ -79,7 +79,7 @@
         if (closing_ || !open_.empty() || !input_.empty() || !stream_.quiet()) return;
         if (input_.midMessage() && !last) return;
         if (!hasSentMessage_ && now - connectedAt_ < kDrainSilentGrace) return;
-        // A request may have come since it was looked at.
+        // A request may have arrived since the connection was checked.
         if (!owner_.requests_.checks().allows(core::mayClose(closeFacts()))) return;
         ++owner_.counters_.drained;
         refusesMore_ = true;
@@ -118,7 +118,7 @@
         return true;
     }
 
-    // A CANCEL may stand behind a call, in what this read has not brought yet.
+    // A CANCEL may follow the call in input that this read has not delivered yet.
     void handleMessagesOnceAllRead() {
         if (std::exchange(handlingPosted_, true)) return;
         owner_.loop_.post([self = weak_from_this()] {
@@ -129,7 +129,7 @@
         });
     }
 
-    // What comes in may have been sent while this process was held up, or before it listened.
+    // Input may have been sent while this process was delayed, or before it listened.
     Micros waitedUnread() const {
         const bool fromBeforeTheStart = owner_.loop_.now() - owner_.openedAt_ < kStartupBacklogWindow;
         const bool mayBeOld = fromBeforeTheStart || owner_.loop_.heldUpOfLate() || stream_.readingLags();
@@ -138,8 +138,8 @@
         return kernelWait.count() > 0 ? kernelWait : owner_.loop_.heldUp();
     }
 
-    // A share of the turn for each client: a burst of one waits in its own connection, not in the others'
-    // way. So does what one sends that does not read its answers.
+    // Each client gets a bounded share of a turn: its burst waits in its own connection and does not delay
+    // others. So does the input of a client that does not read its answers.
     void handleMessages() {
         if (stream_.closed() || closing_) return;
         input_.parse();
@@ -163,8 +163,8 @@
     bool backlogged() const {
         return stream_.unsent() > owner_.maxClientBacklog() && !owner_.failingRequests_;
     }
-    // What comes next can't be told apart any more. What was taken has its answer, and the client the time to
-    // read it.
+    // Further input cannot be parsed. Every accepted call gets its answer, and the client has time to read
+    // it.
     void closeMalformed() {
         ++owner_.counters_.malformed;
         refusesMore_ = true;
@@ -172,8 +172,8 @@
         failOpen();
         endIfAnswered();
     }
-    // What still comes is refused, and what is open keeps its own answer; then the connection ends. It is
-    // read on until then: a request left unread would be lost.
+    // New calls are refused and open ones keep their answers; then the connection closes. Input is read until
+    // then: an unread request would be lost.
     void refuseMore() {
         if (std::exchange(refusesMore_, true)) return;
         const Micros until = connectedAt_ + kFirstMessageTimeout - owner_.loop_.now();
@@ -193,7 +193,7 @@
         cancelMessageTimer();
         stream_.closeGently(kCloseLinger);
     }
-    // Useless messages in a row: nothing is gained by reading on.
+    // After a run of useless messages the connection is closed.
     void countUselessMessage() {
         if (++uselessMessages_ < kMaxUselessMessages || refusesMore_) return;
         ++owner_.counters_.retired;
@@ -211,7 +211,7 @@
         owner_.forget(this);
     }
 
-    // ----- time limits -----
+    // ----- timeouts -----
 
     void updateMessageTimer() {
         if (refusesMore_ || !hasSentMessage_) return;
@@ -227,7 +227,8 @@
                 failOpen();
                 return endIfAnswered();
             }
-            if (!input_.empty() || backlogged()) return armMessageTimer(kMessageTimeout);  // it waits for us
+            if (!input_.empty() || backlogged())
+                return armMessageTimer(kMessageTimeout);  // input waits for us, not for the client
             ++(hasSentMessage_ ? owner_.counters_.halfMessages : owner_.counters_.silent);
             refusesMore_ = true;
             failOpen();
@@ -259,7 +260,7 @@
 
     void cancelCall(const std::string& tag) {
         const auto found = open_.find(tag);
-        if (found == open_.end()) return;  // the answer was under way already
+        if (found == open_.end()) return;  // the answer is already on its way
         const Call call = found->second;
         release(tag);
         owner_.requests_.clientGone(owner_.loop_.now(), call.id);
@@ -270,7 +271,7 @@
         if (words.size() < 3) return false;
         const std::string tag = words[1];
         if (open_.count(tag) > 0) {
-            // An answer under this number would be the open request's, which has nothing to do with it.
+            // An answer under this tag would be taken for that of the open request, which is unrelated.
             ++owner_.counters_.unusable;
             refuseMore();
             return true;
@@ -290,7 +291,7 @@
         request.key = fields.text("nonce");
         request.known = fields.text("cached");
         if (words.size() > 4) request.body = std::move(words[4]);
-        // A second request under an id that is open would be a second attempt out, to the stores.
+        // A second request under an open id would look like a second attempt in flight to the stores.
         if (known == classes.end() || !isValidCall(fields, request) ||
             owner_.openLabels_.count(request.label) > 0) {
             ++owner_.counters_.unusable;
@@ -373,12 +374,12 @@
         } else {
             sendAnswer(tag, "ERR", "-", {});
         }
-        // Stores answer so what they can't use, such as ids that nobody knows.
+        // Stores answer so to what they cannot use, such as unknown ids.
         if (reply.lastOutcome == Outcome::error) countUselessMessage();
         endIfAnswered();
     }
 
-    // A body goes out as it came in, without a copy.
+    // The body is passed on without a copy.
     void sendAnswer(const std::string& tag, std::string_view word, std::string_view fields,
                     std::string body) {
         std::string head;
@@ -396,8 +397,8 @@
         updateFlowControl();
     }
 
-    // A client that does not read its answers gets no further ones until it does; it is read on as far as
-    // what it says can be held.
+    // A client that does not read its answers gets no further ones until it does; its input is read as long
+    // as there is room to hold it.
     void updateFlowControl() {
         updateHeldBytes(stream_.unsent() + input_.heldBytes());
         if (closing_ || stream_.closed()) return;
@@ -415,7 +416,7 @@
     }
 
     Front& owner_;
-    std::uint64_t traceNumber_ = ++owner_.lastClient_;  // in the trace
+    std::uint64_t traceNumber_ = ++owner_.lastClient_;
     ClientMessages input_;
     std::unordered_map<std::string, Call> open_;  // by tag
     std::size_t countedBytes_ = 0;
@@ -423,9 +424,9 @@
     std::optional<net::Loop::TimerKey> messageTimer_, resumeTimer_;
     int uselessMessages_ = 0;
     bool handlingPosted_ = false;
-    bool hasSentMessage_ = false;  // a whole message has come
-    bool refusesMore_ = false;     // what still comes is refused
-    bool closing_ = false;         // nothing is owed any more
+    bool hasSentMessage_ = false;  // at least one complete message has arrived
+    bool refusesMore_ = false;     // new calls are refused
+    bool closing_ = false;         // no answer is owed any more
     net::Stream stream_;
 };
 
@@ -507,7 +508,7 @@
     std::optional<Micros> refusing;
     if (refusesCalls()) refusing = *drainingSince_ + kDrainRefuseAfter;
     const bool last = loop_.now() - *drainingSince_ >= kDrainFailAfter;
-    std::vector<std::shared_ptr<Client>> snapshot;  // an end takes it from the table
+    std::vector<std::shared_ptr<Client>> snapshot;  // closing removes from clients_
     for (const auto& [key, client] : clients_) snapshot.push_back(client);
     for (const auto& client : snapshot) client->endForDrain(refusing, last);
     drainSweepTimer_ = loop_.after(kDrainSweepInterval, [this] {
@@ -531,10 +532,10 @@
     clients_[client.get()] = client;
 }
 
-// Closed for a new one is, of those without an open request, first who has long said nothing since it
-// connected, then who has stopped within its first message, then who was used longest ago (a client that does
-// need it connects again), then who is merely new. Connections that have not yet asked for anything hold at
-// most half of the places, or a crowd of them would push the others out.
+// Picks a connection without an open request to close for a new one. First the one that has sent nothing for
+// longest since it connected, then one that stalled within its first message, then the least recently used (a
+// client that still needs it connects again), then a new one. Connections that have not sent a request yet
+// may hold at most half of the places; otherwise many of them could push out the others.
 bool Front::evictClient() {
     Client *silent = nullptr, *partial = nullptr, *resting = nullptr;
     std::size_t unusedCount = 0;
@@ -550,7 +551,7 @@
         silent && (!resting || !silent->recentlyActive() || 2 * unusedCount >= maxClients_);
     Client* victim = silentFirst ? silent : resting;
     if (!victim) return false;
-    // A request may have come since it was chosen: then it is no longer one of those, and the next is.
+    // A request may have arrived since the choice; then the next candidate is tried.
     if (!requests_.checks().allows(core::mayClose(victim->closeFacts()))) return evictClient();
     ++(victim == resting            ? counters_.closedIdle
        : victim->inPartialMessage() ? counters_.halfMessages
@@ -560,8 +561,8 @@
     return true;
 }
 
-// What is held, and what the requests in hand may yet bring: as large as answers have been of late, and one
-// of them the largest there is. Who reads slowly leaves half of it to the others.
+// Estimates the bytes held now plus those that open requests may still bring: the recent mean size with a
+// margin, and one answer of the largest size. A slow reader may use only half of the limit.
 bool Front::hasRoomForCall(std::size_t backlog) const {
     const auto open = static_cast<double>(requests_.openCount() + 1);
     const double coming = open * answerBytes_.mean +
@@ -585,7 +586,7 @@
 
 void Front::failOpenRequests() {
     failingRequests_ = true;
-    std::vector<std::shared_ptr<Client>> snapshot;  // an end takes it from the table
+    std::vector<std::shared_ptr<Client>> snapshot;  // closing removes from clients_
     for (const auto& [key, client] : clients_) snapshot.push_back(client);
     for (const auto& client : snapshot) client->failOpenRequests();
 }
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -1,4 +1,4 @@
-// The platform's front: CALL, CANCEL and CHECK of clients, over RESP.
+// The platform's front: handles CALL, CANCEL and CHECK of clients over RESP.
 #pragma once
 
 #include <cstdint>
@@ -29,25 +29,25 @@
     Front(net::Loop& loop, core::RequestDispatcher& requests, const settings::Configuration& configuration);
     ~Front();
 
-    void open();  // starts to listen
+    void open();
     // Uses this listening socket from open() on.
     void inherit(net::Descriptor listening) { inherited_ = std::move(listening); }
-    void setProcessCount(int processes);  // of the limits
-    // Other limits, and perhaps another address; throws, with nothing changed, where that can't be listened
-    // on.
+    void setProcessCount(int processes);  // that share the limits
+    // Applies new limits and possibly a new address; throws without any change if that cannot be listened on.
     void reconfigure(const settings::Configuration& configuration);
     void stopListening();
-    void leave() { leaving_ = true; }  // tells checks so
-    // Checks are told so at once, and connections end when they are at rest; what still comes is served, and
-    // refused from kDrainRefuses on. The few connections that are then still there end before kDrainEnds.
+    void leave() { leaving_ = true; }  // reported by CHECK
+    // CHECK reports it at once, and connections close when they are idle; new calls are served, and refused
+    // from kDrainRefuseAfter on. The few connections that are left then are closed at kDrainFailAfter.
     void drain();
     void undrain();
-    // Another process listens on the same socket: this one stops, and ends its connections as in a drain,
-    // but says no to nobody.
+    // Another process listens on the same socket: this one stops listening and closes its connections as in a
+    // drain, but CHECK keeps passing.
     void leaveToSuccessor();
     bool hasNoClients() const { return clients_.empty(); }
-    void failOpenRequests();  // what is open is failed at once, what still comes refused
-    // Nothing is owed, all answers are with the kernel and all that has come is read; who waits is taken in.
+    void failOpenRequests();  // open calls are failed at once, new ones refused
+    // No answer is owed, all answers have been handed to the kernel, and all input has been read. Accepts the
+    // connections that are still in the backlog.
     bool settled();
     std::size_t clients() const { return clients_.size(); }
     std::uint16_t port() const { return listener_->port(); }
@@ -62,9 +62,9 @@
     void accept(net::Descriptor fd);
     bool evictClient();
     bool hasRoomForCall(std::size_t backlog) const;
-    // Bytes that may be held with those for a client that has so many unread.
+    // Limit of the held bytes, for a client with this many unread bytes.
     std::size_t heldBytesLimit(std::size_t backlog) const;
-    std::string noMemoryFields() const;  // of a refusal here, as far as the settings allow a hint
+    std::string noMemoryFields() const;  // fields of a refusal here, with a retry hint if allowed
     void forget(Client* client);
     std::size_t maxClientBacklog() const;
     void sweepForDrain();
@@ -83,8 +83,9 @@
     std::size_t maxClients_ = 0;
     std::size_t maxHeldBytes_ = 0;
     std::size_t heldBytes_ =
-        0;  // bytes of answers that clients have not yet read, and of calls not yet taken
-    // Bytes of the last fifty answers or so; before any, a quarter of the largest.
+        // Answers that clients have not read yet, and calls not yet handled.
+        0;
+    // Sizes of about the last fifty answers; before the first one, a quarter of the maximum.
     RunningMean answerBytes_{0.02, 0.02, 60'000};
     bool leaving_ = false;
     bool failingRequests_ = false;
--- a/src/platform/front_limits.hpp
+++ b/src/platform/front_limits.hpp
@@ -1,5 +1,4 @@
-// Times, sizes and counts by which the platform's front treats its clients. They are the platform's figures,
-// in no setting.
+// Timeouts, sizes and counts of the platform's front. The platform prescribes them; they are no settings.
 #pragma once
 
 #include <chrono>
@@ -14,35 +13,40 @@
 
 inline constexpr std::size_t kMaxAnswerBytes = 240'000;
 inline constexpr std::size_t kProcessBaseBytes =
-    8 * 1024 * 1024;  // of a process at rest, with all that it knows
+    // Memory of an idle process with all its state.
+    8 * 1024 * 1024;
 inline constexpr std::size_t kMaxClientBacklogBytes =
-    2 * 1024 * 1024;                                      // unread answers at which a client is not read from
-inline constexpr std::size_t kClientsAtFullBacklog = 16;  // of them may be so far behind
-inline constexpr std::size_t kSlowReaderBytes = 256 * 1024;  // unread answers of one that reads slowly
-inline constexpr double kAnswerSizeDeviations = 3;           // of answers' sizes, above their mean
+    // Unread answers at which input of the client is no longer read.
+    2 * 1024 * 1024;
+inline constexpr std::size_t kClientsAtFullBacklog = 16;     // that many clients may reach that limit
+inline constexpr std::size_t kSlowReaderBytes = 256 * 1024;  // unread answers that mark a slow reader
+inline constexpr double kAnswerSizeDeviations = 3;           // deviations of the answer size above its mean
 inline constexpr Micros kAnswerTransitTime =
-    10ms;  // the client counts from when it sent; so long an answer is under way
+    // Time for the answer to reach the client, whose own deadline counts from when it sent the call.
+    10ms;
 inline constexpr Micros kNoMemoryRetryAfter = 200ms;
-// Bad clients: each is owed a refusal, an error or a close within 3 s of connecting.
-inline constexpr Micros kFirstMessageTimeout = 2800ms;  // from connecting to the first whole message
-inline constexpr Micros kMessageTimeout = 2800ms;       // from the first byte of a later one to its last
-inline constexpr Micros kCloseLinger = 500ms;           // for what was answered to be read before the close
-inline constexpr Micros kSilentGrace = 200ms;           // a new connection may still be about to ask
-inline constexpr Micros kPartialMessageGrace = 50ms;    // and one that writes may be between two pieces
+// Misbehaving clients: each is owed a refusal, an error or a close within 3 s of connecting.
+inline constexpr Micros kFirstMessageTimeout = 2800ms;  // from connecting to the first complete message
+inline constexpr Micros kMessageTimeout = 2800ms;       // from the first byte of a later message to its last
+inline constexpr Micros kCloseLinger = 500ms;           // for the client to read its answers before the close
+inline constexpr Micros kSilentGrace = 200ms;           // a new connection may be about to send a request
+inline constexpr Micros kPartialMessageGrace = 50ms;    // a sender may be between two writes
 inline constexpr Micros kPartialMessageShutdownGrace =
-    200ms;                                           // and before the process ends it has so long to go on
-inline constexpr Micros kStartupBacklogWindow = 1s;  // what comes so soon may have waited for this process
+    // For a partial message to continue before the process exits.
+    200ms;
+inline constexpr Micros kStartupBacklogWindow =
+    1s;  // input this early may have waited for this process to start
 inline constexpr Micros kMaxUnreadWait = 5s;
-inline constexpr Micros kImmediateCancel = 20ms;  // no client that waits for its answer does so
-// Operators send clients away: 4 s after that nobody is to be held.
+inline constexpr Micros kImmediateCancel = 20ms;  // no client that waits for its answer cancels this early
+// Drain: 4 s after its start no client may be left.
 inline constexpr Micros kDrainSweepInterval = 50ms;
 inline constexpr Micros kDrainRefuseAfter = 1900ms;
-// Where a connection has been refusing for so long, what is still open on it is failed: one slow request
-// would have hundreds refused behind it.
+// A connection that has refused calls for this long has its open requests failed: a single slow request could
+// otherwise cause hundreds of refusals behind it.
 inline constexpr Micros kDrainFailAfter = 2300ms;
-inline constexpr Micros kDrainSilentGrace = 500ms;        // one that connects still has so long to ask
-inline constexpr std::size_t kMaxOpenPerConnection = 32;  // the protocol's bound
-inline constexpr int kMaxMessagesPerTurn = 16;            // of one client; then the others have their turn
-inline constexpr int kMaxUselessMessages = 12;  // useless messages in a row that a connection may bring
+inline constexpr Micros kDrainSilentGrace = 500ms;        // for a new connection to send its first request
+inline constexpr std::size_t kMaxOpenPerConnection = 32;  // fixed by the protocol
+inline constexpr int kMaxMessagesPerTurn = 16;            // of one client, before the others get their turn
+inline constexpr int kMaxUselessMessages = 12;            // consecutive, on one connection
 
 }  // namespace lotuslead::platform::limits
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -1,4 +1,5 @@
-// What stands behind either front: decisions, requests, a carrier to the hosts, and the event bus.
+// Joins the parts behind either front: decisions, requests, the transport to the hosts, the disk tier and the
+// event bus.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +18,7 @@
 
 inline const settings::Configuration& baseOf(const settings::Configuration& c) { return c; }
 inline const settings::Configuration& baseOf(const settings::RepositoryConfiguration& c) { return c.base; }
-// What follows a configuration at the same instance: classes keep their places.
+// Makes `fresh` a continuation of the configuration before it: classes keep their indexes.
 inline void continueFrom(const settings::Configuration& before, settings::Configuration& fresh) {
     fresh.words = settings::continued(before.words, fresh.words);
 }
@@ -28,7 +29,7 @@
         route.classIndex = fresh.base.words.classes.at(route.className);
 }
 
-// What else a copy's key must agree in: parts of another size are other parts.
+// Distinguishes keys of copies further: parts of another size are different parts.
 inline std::uint64_t formOf(const settings::Configuration&) { return 0; }
 inline std::uint64_t formOf(const settings::RepositoryConfiguration& c) { return c.partBytes; }
 
@@ -36,7 +37,7 @@
 class FrontService : public core::Service, private net::Handler {
 public:
     using Source = std::function<Configuration()>;  // throws settings::Malformed
-    // None: no tier.
+    // Empty: there is no disk tier.
     using DiskSource = std::function<std::optional<settings::DiskSettings>()>;
 
     ~FrontService() override { closeTier(); }
@@ -62,7 +63,7 @@
         std::fprintf(stderr, "%s: %s on %s:%u\n", base.name.c_str(), listenLabel_, base.listen.host.c_str(),
                      front_.port());
     }
-    // All that can fail comes first; from there on the new file applies whole.
+    // Everything that can fail comes first; after that the new configuration applies as a whole.
     bool reload(bool mayTryAgain) override {
         const std::string name = baseOf(configuration_).name;
         try {
@@ -77,7 +78,7 @@
             configuration_ = std::move(fresh);
             reloadTier(freshDisk);
             busReader_.setDrainGrace(drainGrace());
-            busReader_.applyBatch(known);  // events that came by the event bus already are not applied again
+            busReader_.applyBatch(known);  // skips events already received from the bus
             busReader_.setEndpoints(baseOf(configuration_).bus);
             std::fprintf(stderr, "%s: configuration read again\n", name.c_str());
         } catch (const std::system_error& problem) {
@@ -188,14 +189,15 @@
             if (tier_) purgeTier(event);
             return decisions_.applyPurge(loop_.now(), event);
         }
-        // First the decisions: attempts that end with a host's connections are then not sent to it again.
+        // Decisions first: an attempt that ends with a host's connections is then not sent to that host
+        // again.
         decisions_.applyHostList(loop_.now(), event, isOpen_ && busReader_.caughtUp());
         transport_.applyHostList(event);
     }
 
     // ----- the disk tier -----
 
-    // Copies that carry our own date are compared with our own date of the purge, if that is the later one.
+    // Copies that we date ourselves are compared with our own time of the purge, if that is the later one.
     void purgeTier(const settings::BusEvent& event) {
         std::int64_t atMs = event.purgedMs;
         if (tierTransport_.form().datedHere) atMs = std::max(atMs, decisions_.unixMsOf(loop_.now()));
@@ -226,7 +228,7 @@
         loop_.remove(tierHandlerId_, tier_->wakeDescriptor());
         tier_->close();
     }
-    // Limits hold at once; what the folder was opened with holds for the life of the process.
+    // Limits apply at once; the settings that the folder was opened with stay for the life of the process.
     void reloadTier(const std::optional<settings::DiskSettings>& fresh) {
         const auto& base = baseOf(configuration_);
         tierTransport_.reconfigure(&base.words.settings.classes, formOf(configuration_), pacer());
--- a/src/platform/service.hpp
+++ b/src/platform/service.hpp
@@ -1,4 +1,4 @@
-// The platform's side of the gateway.
+// The platform's front with everything behind it, as a service of the gateway.
 #pragma once
 
 #include "front.hpp"
@@ -9,7 +9,7 @@
 
 class Service : public FrontService<settings::Configuration, Front, StoreConnections> {
 public:
-    // `listening`: the number of an inherited socket for clients; empty: it opens its own.
+    // `listening`: descriptor number of an inherited listening socket; empty: a new socket is opened.
     Service(net::Loop& loop, Source source, const std::string& listening);
 
 private:
--- a/src/platform/silence_timeout.hpp
+++ b/src/platform/silence_timeout.hpp
@@ -1,4 +1,4 @@
-// How long a connection with requests out may say nothing before that is a sign of anything.
+// How long a connection with requests in flight may be silent before it is suspected dead.
 #pragma once
 
 #include <algorithm>
@@ -8,16 +8,18 @@
 
 namespace lotuslead::platform {
 
-// Learned from the silences that ended in an answer, as RFC 6298 learns a retransmission time-out: their mean
-// and four times their mean deviation. With much traffic answers follow one another and the limit stays at
-// its least; with one request out at a time a silence lasts as long as the answer takes, and is no sign.
+// Learned from silences that ended in an answer, as RFC 6298 learns a retransmission timeout: mean plus four
+// times the mean deviation. Under heavy traffic answers follow one another and the timeout stays at its
+// minimum; with one request at a time each silence lasts as long as the answer takes and is no sign of
+// failure.
 class SilenceTimeout {
 public:
     using Micros = std::chrono::microseconds;
-    static constexpr Micros kMin{300'000};    // what a store under way with many requests never reaches
-    static constexpr Micros kMax{3'000'000};  // however slow answers are, a dead connection is found by then
+    static constexpr Micros kMin{
+        300'000};  // a healthy store with many requests in flight is never silent this long
+    static constexpr Micros kMax{3'000'000};  // finds a dead connection however slow the answers are
 
-    // Where requests may not wait so long, a dead connection must be found sooner.
+    // Where requests have shorter deadlines, a dead connection must be found sooner.
     void setUpperBound(Micros upperBound) { upperBound_ = std::clamp(upperBound, kMin, kMax); }
     void learn(Micros silence) {
         const auto observed = static_cast<double>(std::clamp(silence, Micros{0}, kMax).count());
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -16,26 +16,28 @@
 
 namespace {
 
-constexpr Micros kDefaultConnectTimeout = 400ms;  // where the settings tell none
+constexpr Micros kDefaultConnectTimeout = 400ms;  // if the settings give none
 constexpr Micros kDefaultIdleTimeout = 30s;
 constexpr std::size_t kDefaultAttemptsPerConnection = 100;
 constexpr Micros kEchoTimeout =
-    200ms;  // an ECHO is answered beside the queue, if the connection still carries
-// Past the limit of silence: those out are given up, if others that were sent later were answered.
+    // A store answers ECHO out of order, so a working connection carries it within this time.
+    200ms;
+// Beyond the silence timeout: attempts in flight are given up if the store has answered later ones elsewhere.
 constexpr Micros kStuckTimeout = 500ms;
-constexpr Micros kStalledAnswerTimeout = 300ms;     // within an answer: answers come whole, or not at all
-constexpr Micros kMaxAnswerTime = 3s;               // at most, from an answer's first byte to its last
-constexpr std::size_t kMaxConnectionsPerStore = 6;  // to one store
+constexpr Micros kStalledAnswerTimeout = 300ms;  // within an answer: stores send answers whole
+constexpr Micros kMaxAnswerTime = 3s;            // from an answer's first byte to its last
+constexpr std::size_t kMaxConnectionsPerStore = 6;
 constexpr int kMaxUnmatchedAnswers =
-    1000;  // answers in a row to nothing that is out; all that was given up brings fewer
-constexpr std::size_t kAnsweredLabelsKept = 64;  // whose second copies a connection knows
+    // Consecutive answers that match no attempt in flight; abandoned attempts cause fewer.
+    1000;
+constexpr std::size_t kAnsweredLabelsKept = 64;  // to recognise duplicate answers
 constexpr std::size_t kMaxAnswerBytes = 240'000;
 constexpr int kMaxReassignments = 2;
 
 }  // namespace
 
-// One connection. A PULL is put into words only when its first byte can go out at once: until then it can be
-// taken back, and what has changed since it was picked is looked at again.
+// One connection. A PULL is encoded only when its first byte can be sent at once: until then it can be
+// cancelled, and it is checked again for changes since the decision.
 class StoreConnections::Connection : public net::Stream::User,
                                      public std::enable_shared_from_this<Connection> {
 public:
@@ -58,7 +60,7 @@
     }
 
     bool acceptsAttempts() const { return !ended_ && !noNewAttempts_; }
-    // It came up at or after this moment.
+    // Whether the connection opened at or after this moment.
     bool openedSince(Micros moment) const { return openedAt_ && *openedAt_ >= moment; }
     Micros silenceDuration() const {
         return inFlight_.empty() ? Micros{0} : owner_.loop_.now() - std::max(lastByteAt_, waitingSince_);
@@ -78,7 +80,7 @@
         flush();
     }
 
-    // True: no byte of it was written.
+    // Returns true if no byte of it was written.
     bool cancelAttempt(RequestId request, int attempt) {
         const auto queued = std::find_if(queue_.begin(), queue_.end(), [&](const QueuedAttempt& w) {
             return w.send.request == request && w.send.attempt == attempt;
@@ -99,8 +101,8 @@
                 noNewAttempts_ = true;
             inFlight_.erase(it);
             stream_.write(std::move(words));
-            // A store that takes no bytes would be told behind the request itself, which may by then be out
-            // at another one: a close gives up all that is open here.
+            // If the store accepts no bytes, KILL would queue behind the request itself, which may by then be
+            // in flight elsewhere. Closing the connection cancels everything on it.
             if (stream_.unsent() > 0)
                 fail(Outcome::broken, HealthReport::none, true);
             else
@@ -110,9 +112,9 @@
         return false;
     }
 
-    // What was written may have run. What was not goes by another connection, if this one did come up and the
-    // store is not gone. The end of one connection is one word on its store, however many attempts it ends,
-    // and none where the connection was new or at rest.
+    // Attempts that were written may have run. The others are requeued to another connection if this one had
+    // opened and the store is not gone. The end of a connection counts once against the health of its store,
+    // however many attempts it ends, and not at all if the connection was new or idle.
     enum class HealthReport { none, failure };
     void fail(Outcome whenWritten, HealthReport healthReport, bool requeue = false) {
         if (std::exchange(ended_, true)) return;
@@ -135,7 +137,7 @@
                 ++shared->reassignments;
                 const auto place = owner_.locations_.find(w.send.request);
                 if (place != owner_.locations_.end()) place->second.connection.reset();  // not written on any
-                // Later in the turn: the end may have come in the middle of another's send.
+                // Deferred within the turn: the connection may have ended in the middle of another send.
                 owner_.loop_.whenAllIsHeard(
                     [owner = &owner_, shared] { owner->dispatch(std::move(*shared)); });
             } else {
@@ -150,8 +152,8 @@
         RequestId request;
         int attempt;
         Micros writtenAt;
-        std::string known;             // the tag of the client's copy, if it was named
-        std::int64_t oldestAllowedMs;  // a copy made before is too old; Unix time
+        std::string known;             // tag of the client's copy, if it named one
+        std::int64_t oldestAllowedMs;  // Unix time; copies made before are too old
         bool repeatable;
     };
 
@@ -162,7 +164,7 @@
         startIdleTimer();
     }
     void streamDrained() override { flushOnceInputRead(); }
-    // Its client may have left in this very turn.
+    // The client may have left in this very turn.
     void flushOnceInputRead() {
         if (queue_.empty()) return;
         owner_.loop_.whenAllIsHeard([self = weak_from_this()] {
@@ -202,9 +204,9 @@
         return true;
     }
 
-    // A machine that is gone or cut off never resets its connections, and an answer that never comes can hold
-    // back all that was sent behind it. So a connection that says nothing while answers are due is asked for
-    // an echo.
+    // A machine that is gone or cut off never resets its connections, and an answer that never arrives can
+    // hold back everything sent after it. So a connection that is silent while answers are due is probed with
+    // ECHO.
     void armSilenceTimer(Micros wait) {
         silenceTimer_ = owner_.loop_.after(wait, [this] {
             silenceTimer_.reset();
@@ -239,7 +241,9 @@
         const auto outcome = outcomeOf(words[1]);
         const auto found = inFlight_.find(words[0]);
         if (found ==
-            inFlight_.end()) {  // an echo, or of an attempt given up, whose end was on its way already
+            // Not in flight: an ECHO reply, or the answer to an abandoned attempt that was already on its
+            // way.
+            inFlight_.end()) {
             if (pendingEchoes_ > 0 && (words[1] == "yes" || words[1] == "no")) {
                 --pendingEchoes_;
                 return true;
@@ -261,7 +265,7 @@
             owner_.copyAgeCheck_.learn(owner_.loop_.now(), *minted);
         if (*outcome == Outcome::served &&
             fields.whole("minted").value_or(found->second.oldestAllowedMs) < found->second.oldestAllowedMs) {
-            // Passed on, it would be an answer from before a purge. What is not to run twice did run.
+            // Served, it would be an answer from before a purge. An attempt that must not run twice did run.
             ++owner_.counters_.tooOld;
             end.outcome = found->second.repeatable ? Outcome::noCopy : Outcome::error;
         }
@@ -274,7 +278,7 @@
         owner_.noteAnswered(host_, found->second.writtenAt);
         owner_.silenceTimeout_.learn(owner_.loop_.now() - std::max(lastAnswerAt_, waitingSince_));
         lastAnswerAt_ = owner_.loop_.now();
-        // A second copy would pass for the answer to a further attempt of the same request.
+        // A duplicate answer would be taken for the answer to a later attempt of the same request.
         if (answeredLabels_.size() < kAnsweredLabelsKept) answeredLabels_.push_back(0);
         answeredLabels_[nextAnswered_++ % kAnsweredLabelsKept] = fingerprint(words[0]);
         inFlight_.erase(found);
@@ -283,12 +287,12 @@
         return true;
     }
 
-    // Looked at before it is passed on: what has lost its bytes or its age on the way is no answer.
+    // Validates an answer before it is passed on: one whose body or date was damaged is no answer.
     static bool isWellFormed(const std::vector<std::string>& words, const Fields& fields, const Sent& sent) {
         if (words.size() < 4 || words[3].size() > kMaxAnswerBytes) return false;
         if (words[1] == "current" && (sent.known.empty() || !words[3].empty())) return false;
         const std::string_view tag = fields.text("tag"), minted = fields.text("minted");
-        // It names the client's copy, or it does not say that this one holds.
+        // It must name the client's copy, or it does not confirm that one.
         if (words[1] == "current" && tag != sent.known) return false;
         return (tag.empty() || isHex(tag, 16)) &&
                (minted.empty() || fields.whole("minted").value_or(-1) >= 0);
@@ -297,8 +301,8 @@
     void flush() {
         if (owner_.loop_.stale()) return flushNextTurn();
         while (stream_.opened() && !queue_.empty() && stream_.unsent() == 0) {
-            // The store has closed, and that has not been handled yet: what is written now would be lost, and
-            // count as perhaps run.
+            // The store has closed, which is not handled yet: a request written now would be lost, yet count
+            // as possibly run.
             if (stream_.peerEnded()) return stream_.readSoon();
             const QueuedAttempt& next = queue_.front();
             const Micros now = owner_.loop_.now();
@@ -313,7 +317,7 @@
             std::string words;
             const std::string fields = pullFields(request, next.send, remainingTime(next));
             net::appendResp(words, {"PULL", request.label, fields, request.body});
-            // No room for its first byte: it waits on, and is looked at again before it goes.
+            // There is no room for its first byte: it stays queued and is checked again before it is sent.
             if (!stream_.writeIfRoom(std::move(words))) return;
             if (inFlight_.empty()) waitingSince_ = now;
             if (!silenceTimer_) armSilenceTimer(owner_.silenceTimeout_.value());
@@ -333,13 +337,13 @@
         });
     }
 
-    // What its client still waits, by the clock itself: the turn may be long by now.
+    // Time left to the client, by the current clock: much of the turn may have passed.
     Micros remainingTime(const QueuedAttempt& queued) const {
         const Micros now = net::Loop::clock();
         return std::min(queued.request->deadline - now, queued.send.pickedAt + queued.send.timeout - now);
     }
 
-    // Most are never heard of again: an answer that is to come at all comes within seconds.
+    // Answers to abandoned attempts arrive within seconds or not at all.
     void rememberAbandoned(const std::string& label) {
         constexpr std::size_t kAbandonedBeforeCleanup = 256;
         constexpr Micros kLateAnswerWindow = 10s;
@@ -358,7 +362,7 @@
         owner_.reportResult(std::move(end));
     }
 
-    // Closed before the store would: a PULL that crosses its close would count as broken.
+    // Closes before the store's own idle timeout would: a PULL that crosses its close would count as broken.
     void startIdleTimer() {
         if (ended_ || !stream_.opened() || load() > 0 || timerArmed_) return;
         timerArmed_ = true;
@@ -384,21 +388,22 @@
     Micros lastByteAt_, lastAnswerAt_{};
     std::optional<Micros> openedAt_;
     Micros waitingSince_{};     // for any answer
-    bool hasReceived_ = false;  // anything at all
+    bool hasReceived_ = false;  // any byte
     net::RespParser parser_;
     std::deque<QueuedAttempt> queue_;
     std::unordered_map<std::string, Sent> inFlight_;
-    std::unordered_map<std::string, Micros> abandoned_;  // given up, and when; their answers may still come
-    std::vector<std::uint64_t> answeredLabels_;          // fingerprints of the last ones
+    std::unordered_map<std::string, Micros>
+        abandoned_;                              // label -> time of abandonment; answers may still arrive
+    std::vector<std::uint64_t> answeredLabels_;  // fingerprints of the last ones
     std::size_t nextAnswered_ = 0;
     int unmatchedAnswers_ = 0, pendingEchoes_ = 0;
     net::Loop::TimerKey timer_{};
     std::optional<net::Loop::TimerKey> stallTimer_, silenceTimer_;
-    std::optional<Micros> answerBegunAt_;  // when the first byte of the answer in hand came
-    Micros echoSentAt_{};                  // when one was last asked for
+    std::optional<Micros> answerBegunAt_;  // first byte of the answer being received
+    Micros echoSentAt_{};                  // last ECHO
     bool timerArmed_ = false;
     bool ended_ = false;
-    bool noNewAttempts_ = false;  // silent too long: no new attempt goes here
+    bool noNewAttempts_ = false;  // silent for too long: gets no new attempts
     net::Stream stream_;
 };
 
@@ -428,7 +433,7 @@
         maxAttemptsPerConnection_ = static_cast<std::size_t>(words.streamsPerConnection);
 }
 
-// What is left beside the clients' third, less what the process needs for itself and for operators.
+// What remains beside the third for clients, less what the process needs for itself and for operators.
 void StoreConnections::setProcessCount(int processes) {
     processes_ = processes;
     const std::size_t rest = socketLimit_ - socketLimit_ / 3;
@@ -451,7 +456,7 @@
         });
     }
     for (const settings::ListedStore& listed : event.stores) {
-        if (listed.readiness == Readiness::gone) {  // it leaves nothing behind
+        if (listed.readiness == Readiness::gone) {  // no state is kept
             const auto found = stores_.find(listed.name);
             if (found == stores_.end()) continue;
             closeAll(found->second);
@@ -459,7 +464,7 @@
             continue;
         }
         Store& store = stores_[listed.name];
-        // A restart has ended whatever the old process held; and an address may have a new owner.
+        // A restart has ended all connections of the old process, and an address may have a new owner.
         const bool restarted = listed.sinceMs > store.sinceMs && !store.address.empty();
         const bool moved = !listed.address.empty() && listed.address != store.address;
         if (moved)
@@ -472,8 +477,8 @@
     }
 }
 
-// Whoever had this address before has gone, though that is still to be told: what is its own by name must not
-// reach the new one, which may be cold.
+// The previous owner of this address is gone, though the list does not say so yet: requests meant for it must
+// not reach the new owner, which may be cold.
 void StoreConnections::clearReusedAddress(const std::string& address, const settings::BusEvent& event) {
     for (auto& [name, store] : stores_) {
         const bool listed = std::any_of(event.stores.begin(), event.stores.end(),
@@ -488,7 +493,7 @@
         connection->fail(Outcome::broken, Connection::HealthReport::none);
 }
 
-// Lists come late: a connection may be the new process's already.
+// Lists arrive late: a connection may already belong to the new process.
 void StoreConnections::closeOpenedBefore(Store& store, Micros restart) {
     const auto connections = store.connections;
     for (const auto& connection : connections)
@@ -511,7 +516,8 @@
     closeStuck(store);
     std::shared_ptr<Connection> best, silent;
     for (const auto& connection : store.connections) {
-        // Two attempts of one id on one connection: a late answer to the first would pass for the second's.
+        // Two attempts of one id must not share a connection: a late answer to the first would be taken for
+        // that to the second.
         if (!connection->acceptsAttempts() || connection->load() >= maxAttemptsPerConnection_ ||
             connection->hasSeen(label))
             continue;
@@ -527,7 +533,7 @@
     return best;
 }
 
-// Its store goes on answering elsewhere what was sent later: an answer has stopped this connection for good.
+// The store answers later requests on other connections: this one is blocked by an answer for good.
 void StoreConnections::closeStuck(Store& store) {
     const auto connections = store.connections;
     for (const auto& connection : connections) {
@@ -554,7 +560,7 @@
 void StoreConnections::dispatch(QueuedAttempt queued) {
     const core::Decision& send = queued.send;
     const auto place = locations_.find(send.request);
-    // Taken back meanwhile; its request may be gone, too.
+    // It was cancelled meanwhile; its request may be gone as well.
     if (place == locations_.end() || place->second.attempt != send.attempt) return;
     AttemptResult end;
     end.request = send.request;
@@ -566,7 +572,7 @@
             return connection->enqueue(std::move(queued));
         }
         ++counters_.noDescriptor;
-        end.ignoreForHealth = true;  // it is this process that has too many connections
+        end.ignoreForHealth = true;  // this process has run out of connections, not the store
     } catch (const settings::Malformed& problem) {
         std::fprintf(stderr, "store %s: %s\n", send.host.c_str(), problem.what());
     }
@@ -583,8 +589,8 @@
 }
 
 void StoreConnections::reportResult(AttemptResult end) {
-    // Later in the turn: the caller may be in the middle of the very request that this is about. And what its
-    // client has said by then is known before the request is sent on.
+    // Deferred within the turn: the caller may be in the middle of handling this very request. By then all
+    // input of the turn is read, so a client's CANCEL is known before the request is sent again.
     auto shared = std::make_shared<AttemptResult>(std::move(end));
     loop_.whenAllIsHeard([this, shared] {
         const auto found = locations_.find(shared->request);
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -1,4 +1,4 @@
-// Carries attempts to stores, parents and the origin: PULL and KILL over connections that are kept.
+// Sends attempts to stores, parents and the origin: PULL and KILL over persistent connections.
 #pragma once
 
 #include <deque>
@@ -20,7 +20,7 @@
 class StoreConnections : public core::AttemptTransport {
 public:
     struct Callbacks {
-        std::function<bool(RequestId, int)> mayBegin;  // may this attempt still be begun?
+        std::function<bool(RequestId, int)> mayBegin;  // may this attempt still be started?
         std::function<void(core::AttemptResult)> ended;
     };
     struct Counters {
@@ -34,7 +34,7 @@
     void setCallbacks(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
     void applyHostList(const settings::BusEvent& event);
     void reconfigure(const settings::Configuration& configuration);
-    void setProcessCount(int processes);  // of the descriptors
+    void setProcessCount(int processes);  // that share the descriptors
 
     void send(core::Micros now, const core::Request& request, const core::Decision& send) override;
     bool cancel(core::Micros now, RequestId request, int attempt) override;
@@ -48,11 +48,11 @@
     struct Store {
         std::string address;
         std::int64_t sinceMs = 0;
-        core::Micros answeredWrittenAt{};  // when the latest written of the answered attempts was written
+        core::Micros answeredWrittenAt{};  // latest write time among the answered attempts
         std::vector<std::shared_ptr<Connection>> connections;
     };
     struct QueuedAttempt {
-        const core::Request* request;  // lives at least as long as the attempt is out
+        const core::Request* request;  // outlives the attempt
         core::Decision send;
         int reassignments = 0;  // to other connections
     };
@@ -61,7 +61,7 @@
         int attempt = 0;
     };
 
-    // None: no descriptor is left for one. Throws settings::Malformed where the host can't be reached at all.
+    // Null if no descriptor is left. Throws settings::Malformed if the host cannot be reached at all.
     std::shared_ptr<Connection> connectionFor(const std::string& host, const std::string& label);
     void dispatch(QueuedAttempt queued);
     void closeStuck(Store& store);
@@ -77,19 +77,19 @@
     CopyAgeCheck copyAgeCheck_;
     core::Micros connectTimeout_{}, idleTimeout_{};
     std::size_t maxAttemptsPerConnection_ = 0;
-    core::Micros maxAnswerTime_{};  // from an answer's first byte to its last, however steadily it comes
-    std::vector<bool> repeatable_;  // by class: what has run may run again
+    core::Micros maxAnswerTime_{};  // from an answer's first byte to its last
+    std::vector<bool> repeatable_;  // by class: an attempt that ran may run again
     std::size_t socketLimit_ = 0, maxConnections_ = 0;
     int processes_ = 1;
     bool mayProbe_ = false;
-    // With attempts out and not a byte for longer: the machine may be gone without a word, or an answer has
-    // stopped the connection. It is asked for an echo, and new attempts go by another one.
+    // With attempts in flight and no byte for longer than this, the machine may be gone or an answer may
+    // block the connection: it is probed with ECHO, and new attempts use another connection.
     SilenceTimeout silenceTimeout_;
     std::uint64_t lastEchoNumber_ = 0;
     Callbacks callbacks_;
     Counters counters_;
     std::unordered_map<std::string, Store> stores_;
-    std::unordered_map<RequestId, AttemptLocation> locations_;  // of the attempts that are out
+    std::unordered_map<RequestId, AttemptLocation> locations_;  // of the attempts in flight
 };
 
 }  // namespace lotuslead::platform
--- a/src/platform/store_protocol.hpp
+++ b/src/platform/store_protocol.hpp
@@ -1,4 +1,4 @@
-// What is said to the stores and by them, in the platform's words.
+// Translates between the decisions and the words of the store protocol.
 #pragma once
 
 #include <algorithm>
@@ -49,7 +49,7 @@
     if (!request.key.empty()) fields.add("replay", request.key);
     if (!send.source.empty()) fields.add("via", send.source);
     if (send.keepRank > 0) fields.add("tier", send.keepRank);
-    // Rounded down, so that a copy from before a purge never passes; 0 would mean "any age".
+    // Rounded down, so that no copy from before a purge passes; 0 would mean "any age".
     if (send.maxAge.count() > 0) fields.add("fresh", std::max<std::int64_t>(1, ms(send.maxAge)));
     std::string options;
     const auto option = [&](bool on, const char* word) {
