--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -68,9 +68,8 @@
     bool ignoreForHealth = false;
     std::size_t bytes = 0;  // bytes served
     bool unchanged = false;
-    bool servedLocally =
-        // Served from a local copy: the request is closed and no host was asked.
-        false;
+    // Served from a local copy: the request is closed and no host was asked.
+    bool servedLocally = false;
 };
 
 class DecisionFacade {
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -38,7 +38,7 @@
     int attempt = 0;
     Outcome outcome = Outcome::error;
     Note note = Note::none;
-    bool ignoreForHealth = false;  // another result already tells this of the host
+    bool ignoreForHealth = false;  // tells nothing new about the host's health
     bool servedLocally = false;    // from a local copy: no host was asked
     Payload payload;
 };
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -82,9 +82,8 @@
     net::Descriptor inherited_;
     std::size_t maxClients_ = 0;
     std::size_t maxHeldBytes_ = 0;
-    std::size_t heldBytes_ =
-        // Answers that clients have not read yet, and calls not yet handled.
-        0;
+    // Answers that clients have not read yet, and calls not yet handled.
+    std::size_t heldBytes_ = 0;
     // Sizes of about the last fifty answers; before the first one, a quarter of the maximum.
     RunningMean answerBytes_{0.02, 0.02, 60'000};
     bool leaving_ = false;
--- a/src/platform/front_limits.hpp
+++ b/src/platform/front_limits.hpp
@@ -12,18 +12,15 @@
 using namespace std::chrono_literals;
 
 inline constexpr std::size_t kMaxAnswerBytes = 240'000;
-inline constexpr std::size_t kProcessBaseBytes =
-    // Memory of an idle process with all its state.
-    8 * 1024 * 1024;
-inline constexpr std::size_t kMaxClientBacklogBytes =
-    // Unread answers at which input of the client is no longer read.
-    2 * 1024 * 1024;
+// Memory of an idle process with all its state.
+inline constexpr std::size_t kProcessBaseBytes = 8 * 1024 * 1024;
+// Unread answers at which input of the client is no longer read.
+inline constexpr std::size_t kMaxClientBacklogBytes = 2 * 1024 * 1024;
 inline constexpr std::size_t kClientsAtFullBacklog = 16;     // that many clients may reach that limit
 inline constexpr std::size_t kSlowReaderBytes = 256 * 1024;  // unread answers that mark a slow reader
 inline constexpr double kAnswerSizeDeviations = 3;           // deviations of the answer size above its mean
-inline constexpr Micros kAnswerTransitTime =
-    // Time for the answer to reach the client, whose own deadline counts from when it sent the call.
-    10ms;
+// Time for the answer to reach the client, whose own deadline counts from when it sent the call.
+inline constexpr Micros kAnswerTransitTime = 10ms;
 inline constexpr Micros kNoMemoryRetryAfter = 200ms;
 // Misbehaving clients: each is owed a refusal, an error or a close within 3 s of connecting.
 inline constexpr Micros kFirstMessageTimeout = 2800ms;  // from connecting to the first complete message
@@ -31,11 +28,9 @@
 inline constexpr Micros kCloseLinger = 500ms;           // for the client to read its answers before the close
 inline constexpr Micros kSilentGrace = 200ms;           // a new connection may be about to send a request
 inline constexpr Micros kPartialMessageGrace = 50ms;    // a sender may be between two writes
-inline constexpr Micros kPartialMessageShutdownGrace =
-    // For a partial message to continue before the process exits.
-    200ms;
-inline constexpr Micros kStartupBacklogWindow =
-    1s;  // input this early may have waited for this process to start
+// For a partial message to continue before the process exits.
+inline constexpr Micros kPartialMessageShutdownGrace = 200ms;
+inline constexpr Micros kStartupBacklogWindow = 1s;  // such early input may have waited for us
 inline constexpr Micros kMaxUnreadWait = 5s;
 inline constexpr Micros kImmediateCancel = 20ms;  // no client that waits for its answer cancels this early
 // Drain: 4 s after its start no client may be left.
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -19,17 +19,15 @@
 constexpr Micros kDefaultConnectTimeout = 400ms;  // if the settings give none
 constexpr Micros kDefaultIdleTimeout = 30s;
 constexpr std::size_t kDefaultAttemptsPerConnection = 100;
-constexpr Micros kEchoTimeout =
-    // A store answers ECHO out of order, so a working connection carries it within this time.
-    200ms;
+// A store answers ECHO out of order, so a working connection carries it within this time.
+constexpr Micros kEchoTimeout = 200ms;
 // Beyond the silence timeout: attempts in flight are given up if the store has answered later ones elsewhere.
 constexpr Micros kStuckTimeout = 500ms;
 constexpr Micros kStalledAnswerTimeout = 300ms;  // within an answer: stores send answers whole
 constexpr Micros kMaxAnswerTime = 3s;            // from an answer's first byte to its last
 constexpr std::size_t kMaxConnectionsPerStore = 6;
-constexpr int kMaxUnmatchedAnswers =
-    // Consecutive answers that match no attempt in flight; abandoned attempts cause fewer.
-    1000;
+// Consecutive answers that match no attempt in flight; abandoned attempts cause fewer.
+constexpr int kMaxUnmatchedAnswers = 1000;
 constexpr std::size_t kAnsweredLabelsKept = 64;  // to recognise duplicate answers
 constexpr std::size_t kMaxAnswerBytes = 240'000;
 constexpr int kMaxReassignments = 2;
@@ -240,10 +238,9 @@
         if (words.size() < 2 || words.size() > 4) return false;
         const auto outcome = outcomeOf(words[1]);
         const auto found = inFlight_.find(words[0]);
-        if (found ==
-            // Not in flight: an ECHO reply, or the answer to an abandoned attempt that was already on its
-            // way.
-            inFlight_.end()) {
+        // Not in flight: an ECHO reply, or the answer to an abandoned attempt that was already on its
+        // way.
+        if (found == inFlight_.end()) {
             if (pendingEchoes_ > 0 && (words[1] == "yes" || words[1] == "no")) {
                 --pendingEchoes_;
                 return true;
