--- a/tests/catch_up_test.cpp
+++ b/tests/catch_up_test.cpp
@@ -1,5 +1,5 @@
-// The event bus tells much in pages: a gateway that starts is not ready before the last of them, and loses
-// and repeats nothing where a page is broken off.
+// The event bus sends long histories in pages: a starting gateway is not ready before the last page, and
+// loses and repeats no event when a page is truncated.
 #include "scenarios.hpp"
 
 namespace {
@@ -9,10 +9,10 @@
 constexpr int kPageEvents = 10;
 constexpr auto kPageDelay = 250ms;
 
-// Tells its events page by page, and with each how many there are.
+// Serves its events page by page, each with the number of the last event.
 class PagedBus {
 public:
-    // With `breaksOff`, every second answer ends in the middle, with its connection.
+    // With `truncates`, every second answer ends in the middle and the connection closes.
     explicit PagedBus(std::vector<json> events, bool truncates = false) : truncates_(truncates) {
         for (json& event : events) {
             event["offset"] = ++last_;
@@ -46,7 +46,7 @@
     }
 
     std::vector<json> events_;
-    int last_ = 1;  // the first event is the list under `known`
+    int last_ = 1;  // event 1 is the list under `known`
     bool truncates_;
     std::atomic<int> answers_{0};
     Peer peer_{[this](Connection& c) { serve(c); }};
@@ -59,8 +59,8 @@
     return events;
 }
 
-// Ten pages take longer than a gateway waits for an event bus that says nothing. What the last page tells, a
-// store, is known to the first request.
+// Ten pages take longer than a gateway waits for a silent event bus. The last page adds a store, which must
+// be known to the first request.
 void aStartingGatewayIsNotReadyBeforeTheLastPage() {
     Fleet fleet;
     Peer cache(store(serving("from the last page")));
@@ -95,10 +95,10 @@
     settings["bus"] = bus.address();
     Program program(settings);
     program.port();
-    program.awaitCounters(" events=" + std::to_string(bus.last()) + " ");  // each once, the list included
+    program.awaitCounters(" events=" + std::to_string(bus.last()) + " ");  // each once, including the list
 }
 
-// A bus that always has more and never tells it is asked now and then, not in a busy loop.
+// A bus that always announces more events but sends none is polled at intervals, not in a busy loop.
 void anEmptyPageIsNotPolledInABusyLoop() {
     std::atomic<int> polls{0};
     Peer bus([&](Connection& c) {
@@ -112,7 +112,7 @@
     json settings = configuration(fleet.with({}));
     settings["bus"] = bus.address();
     Program program(settings);
-    program.port();  // it has never been told anything: as with a bus that says nothing
+    program.port();  // it has received no event, so it starts as with a silent bus
     std::this_thread::sleep_for(500ms);
     assert(polls > 2 && polls < 100);
 }
--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -1,12 +1,12 @@
-// A wall clock that was wrong when the process started: slow start is kept to, and ends; no copy passes that
-// is older than a purge.
+// The wall clock is wrong when the process starts. Slow start must still be applied and must end, and no copy
+// from before a purge may be served.
 //
-// The gateway reads once at its start how far the wall clock is from the monotonic one, and takes a purge's
-// age out of the date that another machine gave it. With a clock that is an hour ahead a purge of one second
-// ago was an hour old: the PULL said `fresh=3601001` where 1001 is the most, and any store copy of the last
-// hour would do. A purge that is heard counts as made then, the latest that it can
-// have been, whatever the clocks say. The same clock judged `minted`: with a purge's age right and the
-// clock wrong, good copies passed for too old.
+// The gateway reads the offset between its wall clock and the monotonic clock once, at the start. When it
+// derived the age of a purge from the date that another machine had given it, a clock one hour ahead turned a
+// purge of one second ago into one of an hour ago: the PULL said `fresh=3601001` where 1001 is the maximum,
+// and any copy of the last hour was accepted. So a purge counts as made when it is received, the latest
+// possible time, whatever the clocks say. The same wrong clock also judged `minted`: with the correct age of
+// the purge, good copies were rejected as too old.
 #include "faults.hpp"
 #include "scenarios.hpp"
 
@@ -16,9 +16,9 @@
 
 constexpr int kCalls = 160;
 constexpr int kObjectBytes = 20'000;
-constexpr double kLinkKbPerS = 4000;  // of a store: 200 calls a second at full pace
+constexpr double kLinkKbPerS = 4000;  // of a store: 200 calls a second at full rate
 constexpr int kWeight = 4;
-// At first 1.5 x a tenth of that: 30 calls in a second, and 2 x root of 30 and 2 more.
+// Initially 1.5 times a tenth of that: 30 calls in a second, plus 2 times the root of 30, plus 2.
 constexpr int kSlowStartBudget = 43;
 constexpr std::int64_t kHourMs = 3'600'000;
 
@@ -35,7 +35,7 @@
 
 json slowStartConfiguration(const std::vector<json>& hosts, long long warmMs) {
     json all = configuration(hosts);
-    all["flow_bytes_per_s"] = kLinkKbPerS / kWeight * 1000;  // as sizes are told on the sockets
+    all["flow_bytes_per_s"] = kLinkKbPerS / kWeight * 1000;  // in the units of the socket protocol
     json& settings = all["settings"];
     settings["weights"] = "nominal";
     settings["extra"]["flowKbPerS"] = kLinkKbPerS / kWeight;
@@ -56,7 +56,7 @@
     }
 }
 
-// The store started just now. By a clock that is an hour ahead that is an hour ago.
+// The store has just started. By a clock one hour ahead, that was an hour ago.
 void aClockThatIsAheadDoesNotWarmAColdStore() {
     Mark cold;
     Fleet fleet;
@@ -78,8 +78,7 @@
     assert(cold.count() <= kSlowStartBudget);
 }
 
-// The same store in the list that the process starts with. Nothing else that it is told then contradicts the
-// clock.
+// The same store in the list that the process starts with. No later event contradicts the clock.
 void aClockThatIsAheadDoesNotWarmAColdStoreOfTheFirstList() {
     Mark cold;
     Fleet fleet;
@@ -100,7 +99,7 @@
     assert(cold.count() <= kSlowStartBudget);
 }
 
-// The only store started a minute ago. By a clock that is an hour behind that is in an hour.
+// The only store started a minute ago. By a clock one hour behind, that is an hour in the future.
 void aClockThatIsBehindDoesNotKeepAStoreCold() {
     Fleet fleet;
     std::atomic<int> pulls{0};
@@ -119,9 +118,9 @@
     assert(pulls >= kCalls / 2);
 }
 
-// What the store is asked for one second after a purge, with a copy made after it.
+// The PULL that a store receives one second after a purge; its copy was made after the purge.
 struct PullAfterPurge {
-    std::int64_t freshMs = 0;    // told to the store
+    std::int64_t freshMs = 0;    // sent to the store
     std::int64_t elapsedMs = 0;  // since the purge was made
     bool served = false;
 };
@@ -170,9 +169,9 @@
         assert(seen.served);
     }
 }
-// A class with a fresh time: copies are a second old, a minute is allowed. By a clock that is an hour ahead
-// they were an hour old, and passed for too old: 0 of 10 calls served. The youngest copy seen tells how far
-// that clock can be.
+// A class with a freshness lifetime: copies are a second old, a minute is allowed. By a clock one hour ahead
+// they were an hour old and were rejected as too old: 0 of 10 calls served. The youngest copy seen bounds the
+// error of that clock.
 void copiesAreServedWithAWrongClock() {
     constexpr int kCallsEach = 10;
     constexpr std::int64_t kMinute = 60'000'000'000;
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,4 +1,5 @@
-// What comes in one turn, in whatever order the gateway looks at it, and answers that say what they may not.
+// Events that arrive in the same turn, in any order in which the gateway may handle them, and answers with
+// invalid content.
 #include <sys/stat.h>
 
 #include "scenarios.hpp"
@@ -7,7 +8,7 @@
 
 using namespace lotuslead::testing;
 
-// One has left before the connection came up and one after; the gateway sees all three at once.
+// One client leaves before the connection opens and one after; the gateway sees all three events at once.
 void aCallCancelledAsTheConnectionOpensIsNotSent() {
     Fleet fleet;
     LateStore late;
@@ -28,7 +29,7 @@
     assert(late.pulls.count() == 1);
 }
 
-// As that, where the store refuses just then and the call would be sent again.
+// As above, but the store refuses at that moment and the call would be retried.
 void aCallCancelledAsTheStoreRefusesIsNotRetried() {
     Fleet fleet;
     Mark pulled, refuse, refused;
@@ -54,7 +55,7 @@
     program.awaitCounters("attempts sent=2 ");
 }
 
-// The call is there before the event bus tells of the drain, or after it: it is all one turn.
+// The call arrives before or after the event bus announces the drain, within the same turn.
 void aDrainAppliesToCallsInTheSameTurn() {
     for (const bool drainFirst : {true, false}) {
         Fleet fleet;
@@ -77,7 +78,7 @@
     }
 }
 
-// The store's last answer and its close are both unread when the next calls are there, before and after.
+// The store's last answer and its close are both unread when further calls arrive, before and after them.
 void aCloseBehindAnAnswerIsNoticed() {
     Fleet fleet;
     Mark pulled, go, closed;
@@ -115,7 +116,7 @@
     for (Connection* c : {&one, &before, &after}) assert(c->readResp().at(1) == "SERVED");
 }
 
-// The new one is told before the end of the old one, whose address it has.
+// The new store is announced before the removal of the old one, whose address it has.
 void aStoreAtAReusedAddressGetsNoRequestsOfItsPredecessor() {
     Fleet fleet;
     Mark pulled;
@@ -127,7 +128,7 @@
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
     settings["bus"] = bus.address();
     Program program(settings);
-    json fresh = host("cache-2", cache.address(), "small", "draining");  // nothing is its own
+    json fresh = host("cache-2", cache.address(), "small", "draining");  // no object is assigned to it
     bus.tell(topology({fresh}));
     Connection client(program.port());
     call(client, "1");
@@ -138,7 +139,7 @@
     assert(pulled.count() == 1);
 }
 
-// The settings in force at SIGTERM count, or later ones that leave less time.
+// The settings in force at SIGTERM apply, or later ones that leave less time.
 void aReloadDuringShutdownDoesNotExtendIt() {
     Fleet fleet;
     Mark pulled;
@@ -175,7 +176,7 @@
     }
 }
 
-// Each answer leads to the next poll. Those that come unasked do not, and who does not read them is left.
+// Each answer triggers the next poll. Unsolicited answers do not, and a bus that sends them is disconnected.
 void unsolicitedBusAnswersTriggerNoPolls() {
     const std::string body = R"({"offset":1,"batch":[]})";
     const std::string answer =
@@ -197,7 +198,7 @@
     assert(polls <= 1);
 }
 
-// The process is held for a second between the first look at its clock and the Unix clock's, by its own file.
+// Reading its own configuration delays the process for a second between its first readings of the two clocks.
 void aDelayedStartDoesNotShiftPurgeTimes() {
     const std::string pipe = "/tmp/lotuslead-held-" + std::to_string(::getpid());
     const int made = ::mkfifo(pipe.c_str(), 0600);
@@ -229,7 +230,7 @@
     call(client, "1");
     pulled.await(1);
     std::remove(pipe.c_str());
-    assert(late <= 1);  // a copy from before the purge will not do
+    assert(late <= 1);  // no copy from before the purge is accepted
 }
 
 constexpr Scenario kScenarios[] = {
--- a/tests/departed_clients_test.cpp
+++ b/tests/departed_clients_test.cpp
@@ -1,5 +1,5 @@
-// A client that closes its connection or cancels is gone: from 0.1 s on no attempt is begun for it, neither a
-// first nor a further one, at either front.
+// A client that closes its connection or cancels has left: from 0.1 s on neither front starts an attempt for
+// it, first or further.
 #include "repository_server.hpp"
 #include "scenarios.hpp"
 
@@ -13,7 +13,7 @@
 constexpr Departure kDepartures[] = {Departure::close, Departure::halfClose, Departure::reset,
                                      Departure::cancel};
 
-// A client of the platform's front with one request open, which it can leave in any way.
+// A client of the platform's front with one open request, which can leave in any of these ways.
 class DepartingClient {
 public:
     explicit DepartingClient(std::uint16_t port) : connection_(std::make_unique<Connection>(port)) {}
@@ -42,7 +42,7 @@
     std::unique_ptr<Connection> connection_;
 };
 
-// How a store ends what it holds, so that the request could go to the next store.
+// How a store fails a request so that it could be sent to the next store.
 enum class StoreFailure { refused, error, nothing, reset };
 constexpr StoreFailure kFailures[] = {StoreFailure::refused, StoreFailure::error, StoreFailure::nothing,
                                       StoreFailure::reset};
@@ -51,8 +51,8 @@
     return end == StoreFailure::refused ? "refused" : end == StoreFailure::error ? "error" : "nothing";
 }
 
-// The first store holds the request until its client has been gone for 0.1 s and ends it then: no other store
-// may see it, whether or not the settings let the gateway cancel at the store.
+// The first store holds the request until its client has been gone for 0.1 s and then fails it: no other
+// store may receive it, whether or not the settings allow the gateway to cancel at the store.
 void noFurtherAttemptFollowsADeparture(bool mayCancel, Departure departure, StoreFailure end) {
     Mark pulled, mayEnd, ended;
     const auto holding = store([&](Connection& c, const std::vector<std::string>& words) {
@@ -85,7 +85,7 @@
     assert(pulled.count() == 1);
 }
 
-// The first attempt waits for a connection that comes up after the client has gone.
+// The first attempt waits for a connection that opens after the client has left.
 void noFirstAttemptFollowsADeparture(bool mayCancel, Departure departure) {
     Fleet fleet;
     LateStore late;
@@ -104,8 +104,8 @@
     assert(late.pulls.count() == 1);
 }
 
-// The repository front: each server breaks off what it holds once the client has been gone for 0.1 s. A
-// client that stays has its request sent on to another server.
+// Repository front: each server breaks off its answer once the client has been gone for 0.1 s. For a client
+// that stays, the request is sent to another server.
 void noFurtherFetchFollowsADeparture(const std::string& path, bool stays) {
     Mark held, mayEnd;
     const auto breakingOff = [&](Connection& c) {
@@ -128,12 +128,12 @@
     mayEnd.raise();
     if (stays) return held.await(2);
     program.awaitCounters(" open=0\n");
-    Connection next(program.port());  // a round trip: what would have been sent on has been sent
+    Connection next(program.port());  // a round trip: any further attempt has been sent by now
     assert(get(next, "/nowhere").status == 404);
     assert(held.count() == 1);
 }
 
-// A file is fetched part by part: none is asked for once its client has gone.
+// A file is fetched part by part; no part is requested once the client has left.
 void noFurtherPartFollowsADeparture() {
     std::atomic<int> fetches{0};
     const auto count = [&](const std::string&, const std::string&) { ++fetches; };
--- a/tests/faults.hpp
+++ b/tests/faults.hpp
@@ -1,4 +1,4 @@
-// Runs the program under faults/fault_injection.cpp, a library that makes its system calls fail now and then.
+// Runs the program under faults/fault_injection.cpp, a library that makes its system calls fail.
 #pragma once
 
 #include <fcntl.h>
@@ -7,14 +7,15 @@
 
 namespace lotuslead::testing {
 
-// `rules` as fault_injection.cpp has them. The sanitizers want to come first, but do with second place.
+// `rules`: syntax as in fault_injection.cpp. The sanitizers prefer to be loaded first, but this option lets
+// them be second.
 inline Program::Variables faultVariables(const std::string& rules) {
     return {{"LD_PRELOAD", LOTUSLEAD_FAULT_LIBRARY},
             {"LOTUSLEAD_FAULTS", rules},
             {"ASAN_OPTIONS", "verify_asan_link_order=0"}};
 }
 
-// Switches the rules of one program on and off, and steps its wall clock, while it runs.
+// Switches the fault rules of one program on and off and steps its wall clock while it runs.
 class FaultSwitch {
 public:
     FaultSwitch() {
@@ -26,7 +27,7 @@
     ~FaultSwitch() { std::remove(path_.c_str()); }
     FaultSwitch(const FaultSwitch&) = delete;
 
-    // `mask`: a '1' or '0' for each rule, in their order; empty: all of them.
+    // `mask`: '1' or '0' for each rule, in order; empty: all rules are active.
     void set(bool inForce, double clockOffsetSeconds = 0, const std::string& mask = {}) {
         constexpr std::size_t kMaskAt = 32;
         char text[64] = {};
--- a/tests/faults/fault_injection.cpp
+++ b/tests/faults/fault_injection.cpp
@@ -1,15 +1,15 @@
-// A library for LD_PRELOAD that makes system calls of one process fail now and then, as Linux documents it.
+// Library for LD_PRELOAD that makes system calls of one process fail, in ways that Linux documents.
 //
 // LOTUSLEAD_FAULTS holds rules, separated by ';':
 //
-//     CALL=ERROR:EVERY[:FIRST[:COUNT]]   each EVERY-th call, from the FIRST-th on, COUNT times at most, fails
-//     CALL=short:BYTES                   no call moves more than so many bytes
-//     realtime=SECONDS                   the wall clock is off by so much; the monotonic clock is not
+//     CALL=ERROR:EVERY[:FIRST[:COUNT]]   each EVERY-th call, from the FIRST-th on, fails, at most COUNT times
+//     CALL=short:BYTES                   no call transfers more than BYTES bytes
+//     realtime=SECONDS                   offset of the wall clock; the monotonic clock is not changed
 //
-// EVERY may be negative: then the first call of each -EVERY fails, which includes the very first one.
-// LOTUSLEAD_FAULTS_SWITCH may name a file: its first byte is '1' while the rules are in force, and the text
-// behind it, a number of seconds, is added to the wall clock. Without the variable they always are. From byte
-// kSwitchMask on it may have a byte for each rule, in their order: '0' leaves that one out.
+// If EVERY is negative, the first call of each -EVERY fails, including the very first one.
+// LOTUSLEAD_FAULTS_SWITCH may name a file: its first byte is '1' while the rules are active, and the text
+// behind it, a number of seconds, is added to the wall clock. Without the variable the rules are always
+// active. From byte kSwitchMask on the file may have a byte for each rule, in order: '0' disables that rule.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <poll.h>
@@ -41,11 +41,11 @@
 
 struct Rule {
     char call[24] = {};
-    int error = 0;  // zero: calls are cut short
+    int error = 0;  // zero: calls transfer at most `bytes`
     long every = 1;
     long first = 1;         // number of the first call that may fail
-    long count = LONG_MAX;  // failures at most
-    std::size_t bytes = 0;  // with error zero
+    long count = LONG_MAX;  // maximum number of failures
+    std::size_t bytes = 0;  // only if error is zero
     std::atomic<long> calls{0}, failures{0};
 };
 
@@ -85,7 +85,7 @@
         return faults;
     }
 
-    // Sets errno and returns true where this call is to fail.
+    // If this call must fail, sets errno and returns true.
     bool fails(const char* call) {
         if (!inForce()) return false;
         for (std::size_t i = 0; i < count_; ++i) {
@@ -122,7 +122,7 @@
         if (const char* text = std::getenv("LOTUSLEAD_FAULTS")) read(text);
         const char* path = std::getenv("LOTUSLEAD_FAULTS_SWITCH");
         if (!path) return;
-        // Not by open(), which asks for this object.
+        // Not by open(), whose wrapper uses this object.
         const int fd = static_cast<int>(::syscall(SYS_openat, AT_FDCWD, path, O_RDONLY | O_CLOEXEC));
         if (fd < 0) return;
         void* page = ::mmap(nullptr, kSwitchBytes, PROT_READ, MAP_SHARED, fd, 0);
@@ -171,7 +171,7 @@
         if (rule.every == 0) reject(text);
     }
 
-    // A rule that nobody understands would make a test pass for nothing.
+    // A rule that is not understood would let a test pass without its fault.
     [[noreturn]] static void reject(const char* what) {
         std::fprintf(stderr, "fault injection: cannot use '%s'\n", what);
         std::_Exit(99);
@@ -200,7 +200,7 @@
     if (at.tv_nsec < 0) at.tv_sec -= 1, at.tv_nsec += kNanos;
 }
 
-// Of the pieces only so many bytes, at least one.
+// Sends only the first bytes of the pieces, at least one.
 ssize_t sendPrefix(int fd, const msghdr* message, int flags, std::size_t bytes) {
     char part[256];
     std::size_t filled = 0;
@@ -324,7 +324,7 @@
     return fails("unlink") ? -1 : real(path);
 }
 
-// The system call; the rule "open" is for the C library's streams.
+// The system call; the rule "open" applies to the streams of the C library.
 int open64(const char* path, int flags, ...) {
     static const auto real = next<int(const char*, int, ...)>("open64");
     va_list arguments;
--- a/tests/held_up_test.cpp
+++ b/tests/held_up_test.cpp
@@ -1,5 +1,5 @@
-// What waited unread: while the process was stopped, while bytes came few at a time, at an address that
-// moved.
+// Input that waited unread: while the process was stopped, while bytes arrived few at a time, at an address
+// that moved.
 #include "faults.hpp"
 #include "repository_server.hpp"
 #include "scenarios.hpp"
@@ -25,7 +25,7 @@
                      ""});
 }
 
-// The store is told no more time than the client has left.
+// The store must be given no more time than the client has left.
 void theDeadlineCountsFromTheArrivalOfTheCall() {
     std::atomic<int> toldMs{0};
     Fleet fleet;
@@ -48,7 +48,7 @@
     assert(toldMs <= kPatienceMs - stopped + kSlackMs);
 }
 
-// CALL and CANCEL are both there when the process reads on, a few bytes at a time.
+// CALL and CANCEL have both arrived when the process resumes and reads a few bytes at a time.
 void aCallIsNotSentBeforeItsCancelIsRead() {
     std::atomic<int> pulls{0};
     Fleet fleet;
@@ -71,8 +71,8 @@
     assert(pulls == 2);
 }
 
-// The process stands still; a client takes its call back, and after that the store answers. When the process
-// goes on both are there, and the CANCEL came first.
+// While the process is stopped a client cancels its call, and after that the store answers. When the process
+// resumes both have arrived, the CANCEL first.
 void anAnswerAfterTheCancelIsNotForwarded() {
     Mark pulled, may;
     Fleet fleet;
@@ -100,9 +100,9 @@
     assert(passedOn == 0);
 }
 
-// At the repository front a request and its client's end are both there when the process goes on. Nobody
-// wants the answer: no server is asked. It used to be begun and given up in one turn, by when its first byte
-// was out.
+// A request and its client's close have both arrived at the repository front when the process resumes. Nobody
+// wants the answer, so no server may be asked. The request was once started and cancelled within one turn,
+// when its first byte had already been sent.
 void nothingIsFetchedForADepartedRepositoryClient() {
     const std::string path = "/index/plugins.json";
     Repository server(100'000);
@@ -124,7 +124,7 @@
     assert(server.requests(path) == asked);
 }
 
-// Connections that wait at the old address, with their calls, when SIGHUP moves it.
+// Connections with calls wait in the backlog of the old address when SIGHUP moves it.
 void callsInTheBacklogOfTheOldAddressAreAnswered() {
     Fleet fleet;
     Peer cache(store(serving("bytes")));
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -1,4 +1,4 @@
-// Moments that are rare in service, each forced: what comes between two lines of the gateway's own.
+// Race conditions that are rare in service, each forced: events that arrive between two steps of the gateway.
 #include <sys/stat.h>
 
 #include "scenarios.hpp"
@@ -7,10 +7,10 @@
 
 using namespace lotuslead::testing;
 
-// ----- the end of the process -----
+// ----- shutdown -----
 
 void openRequestsAreAnsweredBeforeSigkill() {
-    // The longest deadline, counted as 3 s where it is longer, and 0.7 s more.
+    // The longest deadline, counted as at most 3 s, plus 0.7 s.
     for (const auto& [longest, kill] : {std::pair{1500, 2200ms}, std::pair{9000, 3700ms}}) {
         Fleet fleet;
         Mark pulled;
@@ -28,14 +28,14 @@
         assert(client.readResp().at(0) == "1");
         const auto answer = keyed.readResp();
         assert(answer.at(0) == "1" && answer[1] != "SERVED");
-        assert(client.closed());  // one answer
+        assert(client.closed());  // exactly one answer
         program.awaitLog("lotuslead: stopped, 0 requests open");
         assert(Clock::now() - begin < kill + kSlowMachineAllowance);
         assert(program.exitCode() == 0);
     }
 }
 
-// The crowd connects and asks while the process stands still, until it might already end.
+// The clients connect and send calls while the process is stopped, until shortly before it would exit.
 void connectionsInTheBacklogAreServedBeforeExit() {
     Fleet fleet;
     Peer cache(store(serving("in the end")));
@@ -49,7 +49,7 @@
         crowd.push_back(std::make_unique<Connection>(port));
         call(*crowd.back(), "1");
     }
-    std::this_thread::sleep_for(800ms);  // the time for which connections still come
+    std::this_thread::sleep_for(800ms);  // connections still arrive for this long
     program.goOn();
     for (const auto& c : crowd)
         assert((c->readResp() == std::vector<std::string>{"1", "SERVED", "-", "in the end"}));
@@ -61,7 +61,7 @@
     const int made = ::mkfifo(pipe.c_str(), 0600);
     assert(made == 0);
     Program program(configuration({}), "LB_CONFIG", 1024, {{"LB_DISK", pipe}});
-    std::ofstream file(pipe);  // opens once the process reads it, which is before all else
+    std::ofstream file(pipe);  // opens once the process reads it, which is the first thing it does
     program.signal(SIGHUP);
     file << "{";
     file.close();
@@ -69,7 +69,7 @@
     std::remove(pipe.c_str());
 }
 
-// ----- clients that leave -----
+// ----- departing clients -----
 
 void callsCancelledBeforeTheyAreReadAreNotForwarded() {
     Fleet fleet;
@@ -106,19 +106,19 @@
     Bus bus;
     Peer cache(store(serving(std::string(240'000, 'x'))));
     json lateHost = host("cache-2", late.peer.address()), wide = host("cache-1", cache.address());
-    wide["weight"] = 1000;  // nearly all objects are its own
+    wide["weight"] = 1000;  // gets nearly all objects
     json settings = configuration(fleet.with({lateHost}));
     settings["settings"]["weights"] = "nominal";
     settings["bus"] = bus.address();
     Program program(settings);
     const std::uint16_t port = program.port();
     Connection leaves(port, 4096), stays(port);
-    call(leaves, "1");  // waits for its connection
+    call(leaves, "1");  // waits for a connection to the store
     leaves.sendResp({"CHECK", "2", ""});
     assert(leaves.readResp()[0] == "2");
     bus.tell(topology({wide}));
     for (int i = 3; i < 30; ++i) call(leaves, std::to_string(i));
-    program.awaitCounters(" served=27 ");  // 6 MB, of which it reads nothing
+    program.awaitCounters(" served=27 ");  // 6 MB, none of which the client reads
     if (closes) {
         leaves.shutSending();
     } else {
@@ -153,7 +153,7 @@
 
 // ----- connections to stores -----
 
-// The store's close and the next call are both there when the gateway looks.
+// The store's close and the next call have both arrived when the gateway reads.
 void aJustClosedIdleConnectionIsNotReused() {
     Fleet fleet;
     Mark close, closed;
@@ -185,7 +185,7 @@
     close.raise();
 }
 
-// Behind the request itself the word to give it up would come too late: another store may have it by then.
+// Queued behind the request itself, KILL would arrive too late: another store may have the request by then.
 void aConnectionThatCannotTakeTheCancelIsClosed() {
     Fleet fleet;
     Mark read, ended;
@@ -232,7 +232,8 @@
                              std::chrono::system_clock::now().time_since_epoch())
                              .count();
         json restarted = host("cache-1", cache.address());
-        restarted["since_ms"] = now + (older ? 1 : -60'000);  // the connection is older, or younger
+        restarted["since_ms"] =
+            now + (older ? 1 : -60'000);  // the connection is older or newer than the restart
         bus.tell(topology({restarted}));
         if (!older) go.raise();
         assert((client.readResp()[1] == "SERVED") == !older);
@@ -240,7 +241,7 @@
     }
 }
 
-// ----- what must not run twice -----
+// ----- requests that must not run twice -----
 
 void aRetryPastItsKeyWindowIsNotSent() {
     Fleet fleet;
@@ -264,7 +265,7 @@
     const auto sent = Clock::now();
     bus.tell(topology({host("cache-2", late.peer.address())}));
     go.raise();
-    program.awaitCounters("attempts sent=2 ");  // within the window, but its connection is not up
+    program.awaitCounters("attempts sent=2 ");  // within the key window, but its connection is not open
     std::this_thread::sleep_until(sent + 1550ms);
     late.start();
     assert(client.readResp()[1] != "SERVED");
@@ -289,12 +290,12 @@
         std::chrono::system_clock::now().time_since_epoch());
     bus.tell({{"ban", {{"tag", 3}, {"ts", now.count()}}}});
     call(client, "1", "", "checkout");
-    assert(client.readResp()[1] == "ERR");  // never 'refused', which says that it may be sent again
+    assert(client.readResp()[1] == "ERR");  // never a refusal, which would allow a retry
     waitUntilHandled(program.port());
     assert(pulled.count() == 1);
 }
 
-// ----- times that the settings tell -----
+// ----- timeouts from the settings -----
 
 void anEndlessAnswerIsCutOffWithinTheRequestTimeout() {
     Fleet fleet;
@@ -314,7 +315,7 @@
     over = true;
 }
 
-// Whole answers to nothing that was asked, or echoes: as long as they come, the connection looks alive.
+// Complete answers that match no attempt, or echoes: as long as they arrive, the connection looks alive.
 void unmatchedAnswersCloseTheConnection(const char* word) {
     Fleet fleet;
     FirstAnswerBad stores([word](Connection& c, const std::vector<std::string>&) {
@@ -333,7 +334,8 @@
     Peer bus([&](Connection& c) {
         for (std::string head; !(head = c.readHead()).empty();) {
             asked.raise();
-            if (asked.count() == 2) {  // the first that is meant to wait: nothing comes, and no end
+            if (asked.count() ==
+                2) {  // the first poll that is held open: neither an answer nor a close follows
                 silentSince = Clock::now();
                 continue;
             }
@@ -351,7 +353,7 @@
     settings["bus"] = bus.address();
     Program program(settings);
     again.await(1);
-    assert(askedAgain - silentSince < 1s);  // 0.35 s, and a slow machine
+    assert(askedAgain - silentSince < 1s);  // 0.35 s, plus an allowance for slow machines
 }
 
 void aRefusalByTheFrontHonoursTheRetryHintSettings() {
@@ -363,14 +365,15 @@
         settings["settings"]["allowed"]["maxRetryAfter"] = 50'000'000;
         Program program(settings);
         Connection client(program.port());
-        for (int i = 1; i <= 33; ++i) call(client, std::to_string(i));  // one beyond the bound
+        for (int i = 1; i <= 33; ++i) call(client, std::to_string(i));  // one beyond the limit of 32
         const auto answer = client.readResp();
         assert(answer[0] == "33" && answer[1] == "SHED");
         assert(valueOf(answer[2], "pause") == (hints ? "50" : ""));
     }
 }
 
-// The largest tenth of a class against the class: quiet, and while a crowd that does not read holds memory.
+// Compares the largest tenth of the objects of a class with the whole class: without load, and while clients
+// that do not read hold memory.
 void largeObjectsAreServedAsOftenAsTheRest() {
     for (const bool quiet : {true, false}) {
         Fleet fleet;
--- a/tests/platform_clients_test.cpp
+++ b/tests/platform_clients_test.cpp
@@ -1,4 +1,4 @@
-// Bad, silent and crowding clients of the platform's front, and the limits on descriptors and memory.
+// Misbehaving, silent and numerous clients of the platform's front, and the limits on descriptors and memory.
 #include "loopback.hpp"
 
 namespace {
@@ -15,13 +15,13 @@
     assert(first.readResp()[1] == "SERVED");
     std::vector<std::unique_ptr<Connection>> crowd;
     for (int i = 0; i < 60; ++i) crowd.push_back(std::make_unique<Connection>(port));
-    int closed = 0;  // the last ones are beyond what the system lets it have
+    int closed = 0;  // the last ones exceed the process's descriptor limit
     for (int i = 40; i < 60; ++i) closed += crowd[static_cast<std::size_t>(i)]->closed() ? 1 : 0;
     assert(closed == 20);
     call(first, "2");
     assert(first.readResp()[1] == "SERVED");
     crowd.clear();
-    for (int i = 0; i < 5; ++i) {  // until it has seen those close
+    for (int i = 0; i < 5; ++i) {  // until it has noticed those closes
         Connection next(port);
         next.sendResp({"CHECK", "1", ""});
         const auto answer = next.readResp();
@@ -49,7 +49,7 @@
 }
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr long kMaxResidentKb = 700'000;  // what is freed is held back for a while, to be checked
+constexpr long kMaxResidentKb = 700'000;  // freed memory is quarantined for a while, to be checked
 #else
 constexpr long kMaxResidentKb = 180'000;
 #endif
@@ -64,7 +64,7 @@
         lazy.push_back(std::make_unique<Connection>(port, 4096));
         for (int k = 1; k <= 32; ++k) call(*lazy.back(), std::to_string(k));  // 307 MB in all
     }
-    // Until nothing is open any more: all is answered, into the gateway's memory or with a refusal.
+    // Until no request is open: all are answered, into memory of the gateway or with a refusal.
     Connection client(port);
     const std::string all = "requests taken=";
     for (int i = 1; i < kPatience * 20; ++i) {
@@ -95,9 +95,9 @@
     client.sendResp({"CALL", "2", "page", whole + ",patience=8000", ""});
     const std::vector<std::string> bad = {
         "-",                   // no id
-        "trace=xyz" + object,  // one that is none
+        "trace=xyz" + object,  // an invalid id
         id,                    // no object
-        whole,                 // the id of the open request, of another object or not
+        whole,                 // the id of the open request, for the same object or another
         whole + "1",
         "trace=00000000000000a2,entity=" + kEntity + ",patience=soon",
         "trace=00000000000000a2,entity=" + kEntity + ",patience=-5",
@@ -130,7 +130,7 @@
     pulled.await(1);
     go.raise();
     assert((client.readResp() == std::vector<std::string>{"1", "SERVED", "-", "first"}));
-    assert(client.closed());  // one answer, and no more is taken from it
+    assert(client.closed());  // one answer; nothing more is read from it
     assert(pulled.count() == 1);
 }
 
@@ -142,7 +142,8 @@
     for (const std::string noise : {"*1\r\n$-1\r\n", "*4\r\n$3000000000\r\n", "*999999999\r\n", "GET /"}) {
         Connection client(program.port());
         call(client, "1");
-        // Sent on without a stop: unread at the close, it would take back the answer.
+        // Sent without a pause: left unread at the close, it would reset the connection and discard the
+        // answer.
         client.send(noise + std::string(100'000, 'x'));
         assert((client.readResp() == std::vector<std::string>{"1", "ERR", "-", ""}));
         assert(client.closed());
@@ -155,7 +156,7 @@
         if (w[3] == "usual") serving("here")(c, w);
     }));
     json wide = host("cache-1", cache.address());
-    wide["weight"] = 1000;  // its link holds all that comes
+    wide["weight"] = 1000;  // enough link capacity for all calls
     json settings = configuration(fleet.with({wide}));
     settings["settings"]["weights"] = "nominal";
     Program program(settings);
@@ -170,7 +171,7 @@
     const auto answer = greedy.readResp();
     assert(answer[1] == "SHED" && !valueOf(answer[2], "pause").empty());
     while (!fickle.readResp().empty()) {
-    }  // closed, as is the greedy one once its open requests are over
+    }  // closed, as is the greedy one once its open requests have ended
     while (!greedy.readResp().empty()) {
     }
     call(usual, "2", "", "page", "usual");
@@ -228,7 +229,7 @@
         }
     };
     comes(40);
-    Connection slow(port);  // a call that takes over 2 s to write, while the crowd goes on
+    Connection slow(port);  // a call that takes over 2 s to send, while more clients connect
     std::string text = "*5\r\n$4\r\nCALL\r\n$1\r\n7\r\n$4\r\npage\r\n";
     const std::string fields = "trace=00000000000000b1,patience=8000,entity=" + kEntity;
     text += "$" + std::to_string(fields.size()) + "\r\n" + fields + "\r\n$0\r\n\r\n";
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,4 +1,4 @@
-// The platform's front, as clients, stores and the event bus see it.
+// The platform's front, as seen by clients, stores and the event bus.
 #include "loopback.hpp"
 
 namespace {
@@ -31,7 +31,7 @@
     assert((client.readResp() == std::vector<std::string>{"8", "SERVED", "keep=1", ""}));
     assert(valueOf(pulled[2], "known") == "4be0c1927d55a6f3");
 
-    // A peer that breaks the form loses its connection; the others go on.
+    // A client that sends malformed input loses its connection; the others are served on.
     Connection stray(program.port());
     stray.send("GET / HTTP/1.1\r\n\r\n");
     assert(stray.closed());
@@ -51,7 +51,7 @@
                 silent.raise();
                 id = words[1];
             } else if (words[0] == "PULL") {
-                assert(killed.count() == 1 || id.empty());  // never two out at a time
+                assert(killed.count() == 1 || id.empty());  // at most one attempt in flight
                 c.sendResp({words[1], "ok", "minted=1", "second"});
             } else if (words[0] == "KILL" && words[1] == id) {
                 killed.raise();
@@ -66,7 +66,7 @@
     call(client, "1");
     assert((client.readResp() == std::vector<std::string>{"1", "SERVED", "-", "second"}));
     killed.await(1);
-    // After CANCEL no answer is owed, and none comes: the next one read is that of the next request.
+    // After CANCEL no answer is owed and none arrives: the next answer is that of the next request.
     call(client, "2");
     client.sendResp({"CANCEL", "2"});
     client.sendResp({"CHECK", "3", ""});
@@ -78,7 +78,7 @@
 void aDrainCancelsAttemptsThatWaitForAConnection() {
     Fleet fleet;
     Mark pulls;
-    Peer full(nullptr, 0);  // takes one connection, and no more until it is started
+    Peer full(nullptr, 0);  // accepts one connection, and no more until start()
     Connection filler(full.port());
     Bus bus;
     json settings = configuration(fleet.with({host("cache-1", full.address())}));
@@ -87,7 +87,7 @@
     Connection client(program.port());
     call(client, "1");
     client.sendResp({"CHECK", "2", ""});
-    assert(client.readResp()[0] == "2");  // so the call has been taken, and waits for its connection
+    assert(client.readResp()[0] == "2");  // so the call has been accepted and waits for its connection
     bus.tell(topology({host("cache-1", full.address(), "small", "draining")}));
     full.start(store([&](Connection& c, const std::vector<std::string>& words) {
         pulls.raise();
@@ -111,7 +111,7 @@
     call(client, "1");
     const auto answer = client.readResp();
     assert(answer[1] == "SHED" && !valueOf(answer[2], "pause").empty());
-    assert(std::chrono::steady_clock::now() - begin < 4s);  // not held towards its 8 s
+    assert(std::chrono::steady_clock::now() - begin < 4s);  // well before its deadline of 8 s
 }
 
 void sigtermAnswersOpenAndArrivingRequests() {
@@ -189,14 +189,14 @@
             serving("well")(c, words);
             return store(serving("well"))(c);
         }
-        c.exactly(1'000'000);  // takes all that comes and says nothing more
+        c.exactly(1'000'000);  // reads all input and never answers
     });
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
     Connection client(program.port());
     call(client, "1");
     pulled.await(1);
     std::this_thread::sleep_for(600ms);
-    call(client, "2");  // not behind the first
+    call(client, "2");  // not queued behind the first
     assert((client.readResp() == std::vector<std::string>{"2", "SERVED", "-", "well"}));
 }
 
@@ -228,13 +228,14 @@
         echoed.await(1);
         program.signal(SIGTERM);
         assert(program.exitCode() == 0);
-        assert(kills == 0);  // without an echo it was closed, not given up request by request
+        assert(kills ==
+               0);  // without an echo the connection was closed; attempts were not cancelled one by one
         assert(program.log().find(carries ? " stuck=0 " : " stuck=1 ") != std::string::npos);
     }
 }
 
-// One request out at a time, and each answer takes 0.45 s: that is no silence, and asks for no echo each
-// time.
+// With one request in flight at a time, each answer takes 0.45 s: that is no silence and must not cause an
+// ECHO each time.
 void slowStoresAreNotProbedRepeatedly() {
     Fleet fleet;
     Peer cache([&](Connection& c) {
@@ -287,10 +288,10 @@
     Fleet fleet;
     const std::vector<std::vector<std::string>> invalidAnswers = {
         {"current", "tag=4be0c1927d55a6f3,minted=1", ""},                    // the client has no copy
-        {"ok", "tag=4be0c1927d55a6f3,minted=1"},                             // cut off
-        {"ok", "tag=#!,minted=1", "body"},                                   // noise
-        {"ok", "tag=4be0c1927d55a6f3,minted=soon", "body"},                  // no time
-        {"ok", "tag=4be0c1927d55a6f3,minted=1", std::string(240'001, 'x')},  // longer than any object
+        {"ok", "tag=4be0c1927d55a6f3,minted=1"},                             // truncated
+        {"ok", "tag=#!,minted=1", "body"},                                   // invalid tag
+        {"ok", "tag=4be0c1927d55a6f3,minted=soon", "body"},                  // invalid date
+        {"ok", "tag=4be0c1927d55a6f3,minted=1", std::string(240'001, 'x')},  // larger than any object
         {"what", "-", ""}};
     std::atomic<std::size_t> count{0};
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
@@ -307,7 +308,7 @@
         const auto answer = client.readResp();
         if (answer[1] == "SERVED") assert(answer[3] == "whole");
         if (answer[1] == "SERVED" && count > invalidAnswers.size()) break;
-        std::this_thread::sleep_for(100ms);  // the store may be left out for a moment
+        std::this_thread::sleep_for(100ms);  // the store may be excluded for a moment
     }
     assert(count > invalidAnswers.size());
     program.signal(SIGTERM);
@@ -318,7 +319,7 @@
 void aCopyFromBeforeAPurgeIsNotServed() {
     Fleet fleet;
     Bus bus;
-    Peer cache(store(serving("from before")));  // minted in 2025
+    Peer cache(store(serving("from before")));  // created in 2025
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
     settings["bus"] = bus.address();
     Program program(settings);
@@ -340,7 +341,7 @@
     settings["bus"] = bus.address();
     Program program(settings);
     Connection client(program.port());
-    for (int i = 0; i < 40; ++i) {  // each at the address of the one before
+    for (int i = 0; i < 40; ++i) {  // each store has the address of its predecessor
         call(client, std::to_string(i + 1));
         assert(client.readResp()[3] == "here");
         bus.tell(topology({host("cache-" + std::to_string(i), cache.address(), "small", "removed"),
@@ -366,7 +367,7 @@
     bus.tell(topology({host("cache-1", cache.address())}));
     call(client, "2");
     assert(client.readResp()[3] == "new");
-    // Another store at the same address, told by a further event.
+    // Another store at the same address, announced by a later event.
     bus.tell(topology({host("cache-1", cache.address(), "small", "removed")}));
     bus.tell(topology({host("cache-2", cache.address())}));
     call(client, "3");
@@ -387,7 +388,7 @@
                 json{{"offset", 2}, {"batch", has ? json::array() : json::array({listed})}}.dump();
             const std::string text =
                 "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-            if (++polls == 1) {  // half of it, and then nothing on a connection that stays open
+            if (++polls == 1) {  // half of the answer, then nothing on a connection that stays open
                 c.send(text.substr(0, text.size() / 2));
                 stopped = c.closed();
                 return;
@@ -430,7 +431,7 @@
     call(client, "1");
     pulled.await(1);
 
-    // What can't be used changes nothing, and says so in a line.
+    // An unusable configuration changes nothing and is logged in one line.
     program.rewrite("{");
     program.signal(SIGHUP);
     program.awaitLog("t1: configuration not taken, the old one stays: the configuration is no JSON\n");
@@ -439,9 +440,9 @@
     program.rewrite(wrong.dump());
     program.signal(SIGHUP);
     program.awaitLog("field 'bus' is not address:port");
-    before.tell(topology({host("cache-0", cache.address())}));  // event 2, and it is asked after it
+    before.tell(topology({host("cache-0", cache.address())}));  // event 2; the next poll starts behind it
 
-    // One class less and one more, in another order; the event bus has moved and the numbers continue.
+    // One class less and one more, in another order; the event bus has moved and continues the numbers.
     auto& categories = settings["settings"]["categories"];
     categories = {categories[2], categories[1]};
     categories.push_back(categories[1]);
@@ -454,12 +455,12 @@
     program.awaitLog("t1: configuration read again\n");
     call(client, "2", "", "installer");
     assert((client.readResp() == std::vector<std::string>{"2", "ERR", "-", ""}));
-    after.tell(topology({host("cache-1", slow.address(), "small", "draining")}));  // its event 3
+    after.tell(topology({host("cache-1", slow.address(), "small", "draining")}));  // event 3 of the new bus
     call(client, "3", "", "late");
     assert((client.readResp() == std::vector<std::string>{"3", "SERVED", "-", "new"}));
     call(client, "4", ",nonce=5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "checkout");
     assert((client.readResp() == std::vector<std::string>{"4", "SERVED", "-", "new"}));
-    // The request that was open all the while has its answer.
+    // The request that was open throughout gets its answer.
     go.raise();
     assert((client.readResp() == std::vector<std::string>{"1", "SERVED", "-", "asked before"}));
 }
--- a/tests/refused_calls_test.cpp
+++ b/tests/refused_calls_test.cpp
@@ -1,4 +1,4 @@
-// A gateway of a large fleet where the system refuses what it can do without.
+// A gateway in a fleet of 300, where the system refuses optional system calls.
 #include <linux/filter.h>
 #include <linux/seccomp.h>
 #include <sys/syscall.h>
@@ -11,7 +11,7 @@
 
 using namespace lotuslead::testing;
 
-// From here on, for this thread and what it starts: no Unix socket, splice, sendfile or io_uring (ENOSYS).
+// Denies Unix sockets, splice, sendfile and io_uring (ENOSYS) to this thread and all that it starts.
 void installSeccompFilter() {
     constexpr auto at = [](std::size_t offset) { return static_cast<std::uint32_t>(offset); };
     constexpr std::uint32_t refuse = SECCOMP_RET_ERRNO | ENOSYS;
@@ -30,10 +30,11 @@
     assert(::prctl(PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) == 0);
     assert(::prctl(PR_SET_SECCOMP, SECCOMP_MODE_FILTER, &program, 0, 0) == 0);
     assert(::socket(AF_UNIX, SOCK_STREAM, 0) < 0 && errno == ENOSYS);
-    assert(::syscall(SYS_sendfile, -1, -1, nullptr, 1) < 0 && errno == ENOSYS);  // else EBADF
+    assert(::syscall(SYS_sendfile, -1, -1, nullptr, 1) < 0 && errno == ENOSYS);  // EBADF without the filter
 }
 
-// It starts, tells once what is off, serves, and a broken file at SIGHUP changes nothing.
+// The gateway starts, logs once what is disabled, serves, and keeps its configuration when SIGHUP brings a
+// broken file.
 void aLargeFleetGatewayServesWithoutTheRefusedCalls() {
     Fleet fleet;
     Peer cache(store(serving("bytes")));
--- a/tests/scenarios.hpp
+++ b/tests/scenarios.hpp
@@ -1,4 +1,4 @@
-// What the stories of rare moments share.
+// Helpers shared by the scenario tests.
 #pragma once
 
 #include <cstring>
@@ -9,8 +9,8 @@
 
 using Clock = std::chrono::steady_clock;
 
-// The program's clock begins when the signal reaches it; under the sanitizers its end takes longer than its
-// stop.
+// Allowance on time limits: the program's clock starts when the signal arrives, and under the sanitizers the
+// exit takes longer than the stop.
 constexpr auto kSlowMachineAllowance = 600ms;
 inline const std::string kKeyField = ",nonce=5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
@@ -22,7 +22,7 @@
     }
 }
 
-// Its link holds all that comes.
+// The cache's link has enough capacity for all calls.
 inline json withAmpleCapacity(json cache, const Fleet& fleet) {
     cache["weight"] = 1000;
     json settings = configuration(fleet.with({cache}));
@@ -30,11 +30,11 @@
     return settings;
 }
 
-// A store whose connections do not come up before it is started.
+// A store whose connections do not open before start().
 struct LateStore {
     Peer peer{nullptr, 0};
     Connection filler{peer.port()};
-    Mark connects, pulls;  // the first that comes up is the filler
+    Mark connects, pulls;  // the first to connect is the filler
 
     void start() {
         const auto serve = store([this](Connection& c, const std::vector<std::string>& words) {
@@ -56,7 +56,7 @@
                      "trace=" + std::string(trace) + ",patience=8000,entity=" + entity + ",block=0", ""});
 }
 
-// After a round trip of another client all that came before has been handled.
+// Once another client has completed a round trip, all earlier input has been handled.
 inline void waitUntilHandled(std::uint16_t port) {
     for (int i = 1; i <= 3; ++i) {
         Connection c(port);
@@ -65,7 +65,7 @@
     }
 }
 
-// Two stores, of which the one that is asked first answers as told; all that follows is served.
+// Two stores. The first request gets `firstAnswer`; all later ones are served.
 struct FirstAnswerBad {
     explicit FirstAnswerBad(Answer firstAnswer)
         : script_(store([this, firstAnswer](Connection& c, const std::vector<std::string>& words) {
@@ -87,7 +87,7 @@
     void (*run)();
 };
 
-// With names: those alone.
+// Runs the scenarios named by the arguments, or all of them.
 template <std::size_t N>
 void runScenarios(const Scenario (&scenarios)[N], int count, char** names) {
     for (const Scenario& scenario : scenarios) {
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -1,5 +1,5 @@
-// Stories in which system calls of the gateway fail for a moment, in ways that Linux documents: nothing that
-// a client asked for is lost, and no signal.
+// System calls of the gateway fail for a moment, in ways that Linux documents: no request and no signal may
+// be lost.
 #include "faults.hpp"
 #include "scenarios.hpp"
 
@@ -12,7 +12,7 @@
 constexpr auto kAnswerTimeout = 4s;
 constexpr std::size_t kLargeBody = 100'000;
 
-// One store that serves `body`, before it the program under these faults.
+// One store that serves `body`, and a gateway that runs under these fault rules.
 struct FaultyGateway {
     explicit FaultyGateway(const std::string& rules, const std::string& body = "bytes")
         : cache(store(serving(body))),
@@ -41,7 +41,7 @@
     return answered;
 }
 
-// Each third accept fails once, and nobody else connects until the answer is there.
+// Every third accept fails once, and no other client connects until the answer has arrived.
 void acceptFailsOnce(const char* error) {
     FaultyGateway gateway("accept=" + std::string(error) + ":3");
     const int answered = servedOfOneRequestConnections(gateway.program.port());
@@ -56,7 +56,7 @@
     for (const char* error : {"ENFILE", "EMFILE"}) acceptFailsOnce(error);
 }
 
-// The socket stays writable all the time, so there is no further edge to wait for.
+// The socket stays writable throughout, so no further epoll edge will arrive.
 void sendsAreShort() {
     const std::string body(kLargeBody / 10, 'b');
     FaultyGateway gateway("send=short:7", body);
@@ -68,8 +68,8 @@
     }
 }
 
-// No room in the system for a moment, on a socket that stays writable: clients get their answers, and stores
-// their requests.
+// The system is briefly out of buffer space on a socket that stays writable: clients still get their answers,
+// and stores their requests.
 void sendIsShortOfMemory() {
     for (const char* rule : {"send=ENOBUFS:2", "send=ENOMEM:-2"}) {
         FaultyGateway gateway(rule, std::string(kLargeBody, 'b'));
@@ -89,8 +89,8 @@
     }
 }
 
-// send alone tells that a connection is broken; recv, on Linux, has nothing to say of it any more. The first
-// send goes to the store, the second to the client.
+// Only send reports the broken connection; on Linux recv does not report it again. The first send goes to the
+// store, the second to the client.
 void sendReportsABrokenConnection() {
     for (const char* error : {"ETIMEDOUT", "EHOSTUNREACH", "EPIPE"}) {
         {
@@ -122,7 +122,7 @@
     assert(gateway.program.exitCode() == 0);
 }
 
-// Neither a client's connection nor a store's can be watched at first.
+// Neither a client's connection nor a store's can be registered with epoll at first.
 void epollIsShortOfMemory() {
     for (const char* rule : {"epoll_ctl=ENOMEM:2", "epoll_ctl=ENOSPC:-3"}) {
         FaultyGateway gateway(rule);
@@ -141,7 +141,7 @@
     }
 }
 
-// A file that can't be opened for a moment is no bad file: the new one holds soon.
+// A file that briefly cannot be opened is not an invalid file: the new configuration applies soon after.
 void aReloadIsRetriedWhenDescriptorsAreShort() {
     FaultSwitch faults;
     Fleet fleet;
@@ -155,7 +155,7 @@
     program.awaitLog("configuration read again");
 }
 
-// The machine's own shortage is no word on any store, and costs no request.
+// A shortage on this machine does not count against any store's health, and costs no request.
 void socketsAreBrieflyShort() {
     for (const char* rule :
          {"socket=ENFILE:-2", "connect=EADDRNOTAVAIL:-2", "connect=ENETUNREACH:-2", "connect=EINTR:-2"}) {
