--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -30,7 +30,7 @@
     std::string label;      // the client's id for the request
     std::string className;  // as the client wrote it
     std::string key;        // idempotency key
-    std::string known;      // tag of the copy that the client holds
+    std::string knownTag;   // tag of the copy that the client holds
     std::string body;
 };
 
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -62,7 +62,7 @@
     if (found == states_.end() || !found->second.attemptInFlight || found->second.send.attempt != end.attempt)
         return;
     RequestState& state = found->second;
-    const AnswerFacts answer{false, end.payload.unchanged, !state.request.known.empty()};
+    const AnswerFacts answer{false, end.payload.unchanged, !state.request.knownTag.empty()};
     if (end.outcome == Outcome::served && !checks_.require(mayAnswer(answer), "answer", state.request.label))
         end.outcome = Outcome::error;
     if (end.outcome == Outcome::served && purged_ == PurgeDuringFetch::refetch &&
--- a/src/disk/before.cpp
+++ b/src/disk/before.cpp
@@ -106,7 +106,7 @@
     end.attempt = reading.send.attempt;
     if (copy) {
         const std::string tag = form_.tagFact ? factOf(copy->facts, form_.tagFact) : std::string{};
-        end.payload.unchanged = !tag.empty() && tag == request.known;
+        end.payload.unchanged = !tag.empty() && tag == request.knownTag;
         // On its link a tag costs a twentieth of the bytes.
         const std::size_t bytes = end.payload.unchanged ? copy->body.size() / 20 : copy->body.size();
         if (pacer_.overAt(now_, bytes) > request.deadline) {
--- a/src/disk/before.hpp
+++ b/src/disk/before.hpp
@@ -22,7 +22,7 @@
     std::function<bool(const Key&, const core::Payload&)> storable;  // may it be kept at all?
     std::function<std::uint64_t(const Facts&)> version;              // as Tier::Users has it
     const char* tagFact =
-        nullptr;             // the fact that `Request::known` is compared with; none: the front compares
+        nullptr;             // the fact that `Request::knownTag` is compared with; none: the front compares
     bool datedHere = false;  // copies are dated by this gateway's wall clock, not by their origin's
 };
 
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -289,7 +289,7 @@
         request.object = fields.text("entity");
         request.repeated = fields.text("redo") == "1";
         request.key = fields.text("nonce");
-        request.known = fields.text("cached");
+        request.knownTag = fields.text("cached");
         if (words.size() > 4) request.body = std::move(words[4]);
         // A second request under an open id would look like a second attempt in flight to the stores.
         if (known == classes.end() || !isValidCall(fields, request) ||
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -150,7 +150,7 @@
         RequestId request;
         int attempt;
         Micros writtenAt;
-        std::string known;             // tag of the client's copy, if it named one
+        std::string knownTag;          // tag of the client's copy, if it named one
         std::int64_t oldestAllowedMs;  // Unix time; copies made before are too old
         bool repeatable;
     };
@@ -287,10 +287,10 @@
     // Validates an answer before it is passed on: one whose body or date was damaged is no answer.
     static bool isWellFormed(const std::vector<std::string>& words, const Fields& fields, const Sent& sent) {
         if (words.size() < 4 || words[3].size() > kMaxAnswerBytes) return false;
-        if (words[1] == "current" && (sent.known.empty() || !words[3].empty())) return false;
+        if (words[1] == "current" && (sent.knownTag.empty() || !words[3].empty())) return false;
         const std::string_view tag = fields.text("tag"), minted = fields.text("minted");
         // It must name the client's copy, or it does not confirm that one.
-        if (words[1] == "current" && tag != sent.known) return false;
+        if (words[1] == "current" && tag != sent.knownTag) return false;
         return (tag.empty() || isHex(tag, 16)) &&
                (minted.empty() || fields.whole("minted").value_or(-1) >= 0);
     }
@@ -321,7 +321,7 @@
             inFlight_[request.label] = {next.send.request,
                                         next.send.attempt,
                                         now,
-                                        request.known,
+                                        request.knownTag,
                                         owner_.copyAgeCheck_.oldestAllowedMs(now, next.send),
                                         owner_.repeatable_.at(static_cast<std::size_t>(request.classIndex))};
             queue_.pop_front();
--- a/src/platform/store_protocol.hpp
+++ b/src/platform/store_protocol.hpp
@@ -59,7 +59,7 @@
     option(send.onlyIfCached, "peek");
     option(send.staleWhileRevalidate, "swr");
     if (!options.empty()) fields.add("opts", options);
-    if (!request.known.empty()) fields.add("known", request.known);
+    if (!request.knownTag.empty()) fields.add("known", request.knownTag);
     return std::string(fields.text());
 }
 
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -233,7 +233,7 @@
         request.object = job_->path;
         request.group = job_->route.group;
         request.part = static_cast<std::int64_t>(part);
-        if (!job_->file && !job_->range) request.known = job_->ifNoneMatch;
+        if (!job_->file && !job_->range) request.knownTag = job_->ifNoneMatch;
         const auto& words = configuration.base.words.settings.classes;
         const Micros now = owner_.loop_.now();
         request.deadline = now + std::chrono::duration_cast<Micros>(
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -159,7 +159,7 @@
             facts.emplace_back(kFirst, std::to_string(range.first.value_or(0)));
         } else if (status == 304) {
             // Of a copy that the client holds, or it says nothing of any.
-            const std::string& known = work.request->known;
+            const std::string& known = work.request->knownTag;
             const std::string* tag = head.field("etag");
             end.payload.unchanged = !known.empty() && (!tag || matchesAny(known, *tag));
             if (!end.payload.unchanged) end.outcome = Outcome::error;
@@ -334,7 +334,7 @@
         words += "Range: bytes=" + std::to_string(first) + "-" +
                  std::to_string(first + configuration_.partBytes - 1) + "\r\n";
     }
-    if (!request.known.empty()) words += "If-None-Match: " + request.known + "\r\n";
+    if (!request.knownTag.empty()) words += "If-None-Match: " + request.knownTag + "\r\n";
     std::string control;
     const auto add = [&](const std::string& word) { control += (control.empty() ? "" : ", ") + word; };
     if (send.maxAge.count() > 0)
