--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -27,7 +27,7 @@
     std::int64_t part = 0;
     Micros deadline{};
     bool repeated = false;
-    std::string label;      // the client's id for the request
+    std::string traceId;    // the client's id for the request
     std::string className;  // as the client wrote it
     std::string key;        // idempotency key
     std::string knownTag;   // tag of the copy that the client holds
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -38,7 +38,7 @@
     ++openCount_;
     ++counters_.taken;
     if (Trace::on())
-        Trace::write("take", {{"request", state.request.label},
+        Trace::write("take", {{"request", state.request.traceId},
                               {"class", state.request.className},
                               {"left_us", std::to_string((state.request.deadline - now).count())}});
     execute(now, {decisions_.pick(now, state.request)});
@@ -51,7 +51,7 @@
     found->second.answer = nullptr;
     --openCount_;
     ++counters_.clientsGone;
-    if (Trace::on()) Trace::write("withdraw", {{"request", found->second.request.label}});
+    if (Trace::on()) Trace::write("withdraw", {{"request", found->second.request.traceId}});
     execute(now, decisions_.clientGone(now, id));
     forgetIfDone(id);
 }
@@ -63,7 +63,8 @@
         return;
     RequestState& state = found->second;
     const AnswerFacts answer{false, end.payload.unchanged, !state.request.knownTag.empty()};
-    if (end.outcome == Outcome::served && !checks_.require(mayAnswer(answer), "answer", state.request.label))
+    if (end.outcome == Outcome::served &&
+        !checks_.require(mayAnswer(answer), "answer", state.request.traceId))
         end.outcome = Outcome::error;
     if (end.outcome == Outcome::served && purged_ == PurgeDuringFetch::refetch &&
         decisions_.purgedSince(state.request, state.send.pickedAt))
@@ -113,7 +114,7 @@
     const RequestState& state = found->second;
     const Denial denial = denialOf(now, state, state.send);
     if (denial != Denial::none && Trace::on())
-        Trace::write("hold_back", {{"request", state.request.label},
+        Trace::write("hold_back", {{"request", state.request.traceId},
                                    {"attempt", std::to_string(attempt)},
                                    {"why", nameOf(denial)}});
     return checks_.allows(denial);
@@ -168,10 +169,10 @@
     const bool mayHave = state.attemptInFlight || state.earlier.has_value();
     const bool refused =
         decision.kind == DecisionKind::refuse &&
-        checks_.require(mayRefuse(state.classSettings, mayHave), "refusal", state.request.label);
+        checks_.require(mayRefuse(state.classSettings, mayHave), "refusal", state.request.traceId);
     ++counters_.gaveUp[static_cast<std::size_t>(decision.why)];
     if (Trace::on())
-        Trace::write("give_up", {{"request", state.request.label},
+        Trace::write("give_up", {{"request", state.request.traceId},
                                  {"word", refused ? "refused" : "failed"},
                                  {"why", nameOf(decision.why)}});
     Reply reply;
@@ -185,7 +186,7 @@
 std::vector<Decision> RequestDispatcher::startAttempt(Micros now, RequestState& state, Decision&& send) {
     const Denial denial = state.attemptInFlight ? Denial::attemptInFlight : denialOf(now, state, send);
     if (denial == Denial::attemptInFlight) {
-        checks_.require(denial, "send", state.request.label);
+        checks_.require(denial, "send", state.request.traceId);
         return {};
     }
     state.sentTo = localityOf(send.host);
@@ -198,10 +199,10 @@
     if (state.send.timeout.count() > 0) until = std::min(until, now + state.send.timeout);
     timeouts_.emplace(until, state.request.id, state.send.attempt);
     ++counters_.sent;
-    if (!checks_.require(denial, "send", state.request.label))
+    if (!checks_.require(denial, "send", state.request.traceId))
         return endAttempt(now, state, {.outcome = Outcome::notSent});
     if (Trace::on())
-        Trace::write("send", {{"request", state.request.label},
+        Trace::write("send", {{"request", state.request.traceId},
                               {"attempt", std::to_string(state.send.attempt)},
                               {"host", state.send.host},
                               {"source", state.send.source}});
@@ -214,7 +215,7 @@
     state.lastOutcome = report.outcome;
     if (mayHaveRun(report.outcome) && !state.earlier) state.earlier = EarlierRun{state.sentAt, state.sentTo};
     if (Trace::on())
-        Trace::write("end", {{"request", state.request.label},
+        Trace::write("end", {{"request", state.request.traceId},
                              {"attempt", std::to_string(state.send.attempt)},
                              {"outcome", nameOf(report.outcome)},
                              {"took_us", std::to_string((now - state.sentAt).count())}});
@@ -230,7 +231,7 @@
 }
 
 void RequestDispatcher::finish(RequestState& state, Reply&& reply) {
-    if (!checks_.require(mayAnswer({.answered = state.answered}), "answer", state.request.label)) return;
+    if (!checks_.require(mayAnswer({.answered = state.answered}), "answer", state.request.traceId)) return;
     state.answered = true;
     --openCount_;
     using Kind = Reply::Kind;
--- a/src/platform/call_validation.hpp
+++ b/src/platform/call_validation.hpp
@@ -38,7 +38,7 @@
     const auto hex = [](const std::string& text, std::size_t size) {
         return text.empty() || isHex(text, size);
     };
-    return isHex(request.label, 16) && isHex(request.object, 16) && hex(request.knownTag, 16) &&
+    return isHex(request.traceId, 16) && isHex(request.object, 16) && hex(request.knownTag, 16) &&
            hex(request.key, 32) && within("patience", 1, kMaxPatienceMs) && within("block", 0, kMaxBlock) &&
            within("family", 0, kMaxFamily) && within("redo", 1, 1) && request.body.size() <= kMaxBodyBytes;
 }
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -94,7 +94,7 @@
         const auto open = std::move(open_);
         open_.clear();
         for (const auto& [tag, call] : open) {
-            owner_.openLabels_.erase(call.label);
+            owner_.openTraceIds_.erase(call.traceId);
             owner_.requests_.clientGone(owner_.loop_.now(), call.id);
         }
         input_.clear();
@@ -104,7 +104,7 @@
 private:
     struct Call {
         RequestId id = 0;
-        std::string label;
+        std::string traceId;
         Micros takenAt{};
     };
 
@@ -285,7 +285,7 @@
         core::Request request;
         const auto& classes = owner_.words_.classes;
         const auto known = classes.find(words[2]);
-        request.label = fields.text("trace");
+        request.traceId = fields.text("trace");
         request.object = fields.text("entity");
         request.repeated = fields.text("redo") == "1";
         request.key = fields.text("nonce");
@@ -293,7 +293,7 @@
         if (words.size() > 4) request.body = std::move(words[4]);
         // A second request under an open id would look like a second attempt in flight to the stores.
         if (known == classes.end() || !isValidCall(fields, request) ||
-            owner_.openLabels_.count(request.label) > 0) {
+            owner_.openTraceIds_.count(request.traceId) > 0) {
             ++owner_.counters_.unusable;
             sendAnswer(tag, "ERR", "-", {});
             countUselessMessage();
@@ -314,11 +314,12 @@
         const Micros wait = patience ? Micros{std::chrono::milliseconds{*patience}}
                                      : std::chrono::duration_cast<Micros>(giveUp);
         request.deadline = arrivedAt + std::max(Micros{1ms}, wait - kAnswerTransitTime);
-        open_[tag] = {request.id, request.label, now};
+        open_[tag] = {request.id, request.traceId, now};
         if (Trace::on())
             Trace::write(
-                "call", {{"client", std::to_string(traceNumber_)}, {"tag", tag}, {"request", request.label}});
-        owner_.openLabels_.insert(request.label);
+                "call",
+                {{"client", std::to_string(traceNumber_)}, {"tag", tag}, {"request", request.traceId}});
+        owner_.openTraceIds_.insert(request.traceId);
         owner_.requests_.submit(now, std::move(request), [this, tag](RequestId, Reply&& reply) {
             completeCall(tag, std::move(reply));
         });
@@ -351,7 +352,7 @@
     void release(const std::string& tag) {
         const auto found = open_.find(tag);
         if (found == open_.end()) return;
-        owner_.openLabels_.erase(found->second.label);
+        owner_.openTraceIds_.erase(found->second.traceId);
         open_.erase(found);
     }
 
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -97,7 +97,7 @@
     std::unique_ptr<net::Listener> listener_;
     net::FormerListener formerListener_;
     std::unordered_map<Client*, std::shared_ptr<Client>> clients_;
-    std::unordered_set<std::string> openLabels_;  // of the open requests
+    std::unordered_set<std::string> openTraceIds_;  // of the open requests
     Counters counters_;
 };
 
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -28,7 +28,7 @@
 constexpr std::size_t kMaxConnectionsPerStore = 6;
 // Consecutive answers that match no attempt in flight; abandoned attempts cause fewer.
 constexpr int kMaxUnmatchedAnswers = 1000;
-constexpr std::size_t kAnsweredLabelsKept = 64;  // to recognise duplicate answers
+constexpr std::size_t kAnsweredTraceIdsKept = 64;  // to recognise duplicate answers
 constexpr std::size_t kMaxAnswerBytes = 240'000;
 constexpr int kMaxReassignments = 2;
 
@@ -66,10 +66,10 @@
     Micros waitingSince() const { return std::max(lastByteAt_, waitingSince_); }
     bool hasPendingAnswers() const { return !inFlight_.empty(); }
     std::size_t load() const { return inFlight_.size() + queue_.size(); }
-    bool hasSeen(const std::string& label) const {
-        return inFlight_.count(label) > 0 || abandoned_.count(label) > 0 ||
-               std::find(answeredLabels_.begin(), answeredLabels_.end(), fingerprint(label)) !=
-                   answeredLabels_.end();
+    bool hasSeen(const std::string& traceId) const {
+        return inFlight_.count(traceId) > 0 || abandoned_.count(traceId) > 0 ||
+               std::find(answeredTraceIds_.begin(), answeredTraceIds_.end(), fingerprint(traceId)) !=
+                   answeredTraceIds_.end();
     }
 
     void enqueue(QueuedAttempt queued) {
@@ -122,7 +122,7 @@
         stream_.close();
         const auto self = shared_from_this();
         bool ignoreForHealth = healthReport == HealthReport::none;
-        for (const auto& [label, sent] : inFlight_)
+        for (const auto& [traceId, sent] : inFlight_)
             reportOutcome(sent.request, sent.attempt, whenWritten, std::exchange(ignoreForHealth, true));
         inFlight_.clear();
         const auto unsent = std::exchange(queue_, {});
@@ -276,8 +276,8 @@
         owner_.silenceTimeout_.learn(owner_.loop_.now() - std::max(lastAnswerAt_, waitingSince_));
         lastAnswerAt_ = owner_.loop_.now();
         // A duplicate answer would be taken for the answer to a later attempt of the same request.
-        if (answeredLabels_.size() < kAnsweredLabelsKept) answeredLabels_.push_back(0);
-        answeredLabels_[nextAnswered_++ % kAnsweredLabelsKept] = fingerprint(words[0]);
+        if (answeredTraceIds_.size() < kAnsweredTraceIdsKept) answeredTraceIds_.push_back(0);
+        answeredTraceIds_[nextAnswered_++ % kAnsweredTraceIdsKept] = fingerprint(words[0]);
         inFlight_.erase(found);
         owner_.reportResult(std::move(end));
         startIdleTimer();
@@ -313,17 +313,18 @@
             const core::Request& request = *next.request;
             std::string words;
             const std::string fields = pullFields(request, next.send, remainingTime(next));
-            net::appendResp(words, {"PULL", request.label, fields, request.body});
+            net::appendResp(words, {"PULL", request.traceId, fields, request.body});
             // There is no room for its first byte: it stays queued and is checked again before it is sent.
             if (!stream_.writeIfRoom(std::move(words))) return;
             if (inFlight_.empty()) waitingSince_ = now;
             if (!silenceTimer_) armSilenceTimer(owner_.silenceTimeout_.value());
-            inFlight_[request.label] = {next.send.request,
-                                        next.send.attempt,
-                                        now,
-                                        request.knownTag,
-                                        owner_.copyAgeCheck_.oldestAllowedMs(now, next.send),
-                                        owner_.repeatable_.at(static_cast<std::size_t>(request.classIndex))};
+            inFlight_[request.traceId] = {
+                next.send.request,
+                next.send.attempt,
+                now,
+                request.knownTag,
+                owner_.copyAgeCheck_.oldestAllowedMs(now, next.send),
+                owner_.repeatable_.at(static_cast<std::size_t>(request.classIndex))};
             queue_.pop_front();
         }
     }
@@ -341,13 +342,13 @@
     }
 
     // Answers to abandoned attempts arrive within seconds or not at all.
-    void rememberAbandoned(const std::string& label) {
+    void rememberAbandoned(const std::string& traceId) {
         constexpr std::size_t kAbandonedBeforeCleanup = 256;
         constexpr Micros kLateAnswerWindow = 10s;
         const Micros now = owner_.loop_.now();
         if (abandoned_.size() >= kAbandonedBeforeCleanup)
             std::erase_if(abandoned_, [&](const auto& g) { return now - g.second > kLateAnswerWindow; });
-        abandoned_[label] = now;
+        abandoned_[traceId] = now;
     }
 
     void reportOutcome(RequestId request, int attempt, Outcome outcome, bool ignoreForHealth = false) {
@@ -390,8 +391,8 @@
     std::deque<QueuedAttempt> queue_;
     std::unordered_map<std::string, Sent> inFlight_;
     std::unordered_map<std::string, Micros>
-        abandoned_;                              // label -> time of abandonment; answers may still arrive
-    std::vector<std::uint64_t> answeredLabels_;  // fingerprints of the last ones
+        abandoned_;                                // label -> time of abandonment; answers may still arrive
+    std::vector<std::uint64_t> answeredTraceIds_;  // fingerprints of the last ones
     std::size_t nextAnswered_ = 0;
     int unmatchedAnswers_ = 0, pendingEchoes_ = 0;
     net::Loop::TimerKey timer_{};
@@ -505,7 +506,7 @@
 }
 
 std::shared_ptr<StoreConnections::Connection> StoreConnections::connectionFor(const std::string& host,
-                                                                              const std::string& label) {
+                                                                              const std::string& traceId) {
     const auto known = stores_.find(host);
     if (known == stores_.end()) throw settings::Malformed("is not listed");
     Store& store = known->second;
@@ -516,7 +517,7 @@
         // Two attempts of one id must not share a connection: a late answer to the first would be taken for
         // that to the second.
         if (!connection->acceptsAttempts() || connection->load() >= maxAttemptsPerConnection_ ||
-            connection->hasSeen(label))
+            connection->hasSeen(traceId))
             continue;
         auto& place = connection->silenceDuration() > silenceTimeout_.value() ? silent : best;
         if (!place || connection->load() < place->load()) place = connection;
@@ -564,7 +565,7 @@
     end.attempt = send.attempt;
     end.outcome = Outcome::noConnection;
     try {
-        if (const auto connection = connectionFor(send.host, queued.request->label)) {
+        if (const auto connection = connectionFor(send.host, queued.request->traceId)) {
             place->second.connection = connection;
             return connection->enqueue(std::move(queued));
         }
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -62,7 +62,7 @@
     };
 
     // Null if no descriptor is left. Throws settings::Malformed if the host cannot be reached at all.
-    std::shared_ptr<Connection> connectionFor(const std::string& host, const std::string& label);
+    std::shared_ptr<Connection> connectionFor(const std::string& host, const std::string& traceId);
     void dispatch(QueuedAttempt queued);
     void closeStuck(Store& store);
     void noteAnswered(const std::string& host, core::Micros writtenAt);
