--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -25,7 +25,7 @@
       router_(vocabulary_.settings, seed),
       unixClockOffset_(unixClockOffset) {
     router_.start(routerTime(now), actions_);
-    collect(now);
+    convertActions(now);
 }
 
 void DecisionFacade::reconfigure(settings::Vocabulary vocabulary) {
@@ -114,7 +114,7 @@
         list.entries.push_back(std::move(entry));
     }
     router_.handle(routerTime(now), list, actions_);
-    collect(now);
+    convertActions(now);
 }
 
 void DecisionFacade::applyPurge(Micros now, const settings::BusEvent& event) {
@@ -127,7 +127,7 @@
     received.purgeUnixMs = std::max(received.purgeUnixMs, event.purgedMs);
     forgetOldPurges(now);
     router_.handle(routerTime(now), purge, actions_);
-    collect(now);
+    convertActions(now);
 }
 
 // No attempt outlives its request, so every decision still in force was made with older purges known. The
@@ -152,7 +152,7 @@
              std::max(object->second.purgeUnixMs, group->second.purgeUnixMs)}};
 }
 
-void DecisionFacade::limitByPurge(Micros now, const Request& request, Decision& send) const {
+void DecisionFacade::applyPurgeLimit(Micros now, const Request& request, Decision& send) const {
     const auto purge = lastPurgeOf(request);
     if (!purge) return;
     constexpr Micros kRounding{1000};
@@ -165,18 +165,18 @@
 }
 
 Decision DecisionFacade::pick(Micros now, const Request& request) {
-    lotuslead::Request asked;
-    asked.id = request.id;
-    asked.classIndex = request.classIndex;
-    asked.object = request.object.empty() ? 0 : fingerprint(request.object);
-    asked.group = request.group;
-    asked.part = request.part;
-    asked.deadline = routerTime(request.deadline);
-    asked.repeated = request.repeated;
-    asked.write = vocabulary_.settings.classes[static_cast<std::size_t>(request.classIndex)].neverKept;
+    lotuslead::Request event;
+    event.id = request.id;
+    event.classIndex = request.classIndex;
+    event.object = request.object.empty() ? 0 : fingerprint(request.object);
+    event.group = request.group;
+    event.part = request.part;
+    event.deadline = routerTime(request.deadline);
+    event.repeated = request.repeated;
+    event.write = vocabulary_.settings.classes[static_cast<std::size_t>(request.classIndex)].neverKept;
     attempts_[request.id] = 0;
-    router_.handle(routerTime(now), asked, actions_);
-    for (Decision& decision : collect(now))
+    router_.handle(routerTime(now), event, actions_);
+    for (Decision& decision : convertActions(now))
         if (decision.kind != DecisionKind::cancel) return decision;
     Decision none;
     none.request = request.id;
@@ -198,13 +198,13 @@
     ended.over = report.outcome == Outcome::served || report.servedLocally;
     if (ended.over) attempts_.erase(report.request);
     router_.handle(routerTime(now), ended, actions_);
-    return collect(now);
+    return convertActions(now);
 }
 
 std::vector<Decision> DecisionFacade::clientGone(Micros now, RequestId request) {
     attempts_.erase(request);
     router_.handleClientGone(routerTime(now), request, actions_);
-    return collect(now);
+    return convertActions(now);
 }
 
 std::vector<Decision> DecisionFacade::tick(Micros now) {
@@ -213,7 +213,7 @@
         timers_.erase(timers_.begin());
         router_.handleTimer(routerTime(now), timer, actions_);
     }
-    return collect(now);
+    return convertActions(now);
 }
 
 Micros DecisionFacade::nextTick() const { return timers_.empty() ? Micros::max() : timers_.begin()->first; }
@@ -228,9 +228,9 @@
     return found == hosts_.end() ? ListedHost{} : found->second;
 }
 
-std::vector<Decision> DecisionFacade::collect(Micros now) {
+std::vector<Decision> DecisionFacade::convertActions(Micros now) {
     std::vector<Decision> decisions;
-    const auto take = [&](const auto& action) {
+    const auto convert = [&](const auto& action) {
         using Kind = std::decay_t<decltype(action)>;
         Decision decision;
         if constexpr (std::is_same_v<Kind, Send>) {
@@ -272,7 +272,7 @@
         }
         decisions.push_back(std::move(decision));
     };
-    for (const Action& action : actions_) std::visit(take, action);
+    for (const Action& action : actions_) std::visit(convert, action);
     actions_.clear();
     return decisions;
 }
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -102,7 +102,7 @@
     Micros nextTick() const;  // Micros::max(): no timer is pending
 
     // Adds what a send must know about purges.
-    void limitByPurge(Micros now, const Request& request, Decision& send) const;
+    void applyPurgeLimit(Micros now, const Request& request, Decision& send) const;
     // Whether a purge of the object or its group was received at or after this time.
     bool purgedSince(const Request& request, Micros when) const;
     // What the host list says about a host.
@@ -127,7 +127,7 @@
     // Empty if none is remembered.
     std::optional<ReceivedPurge> lastPurgeOf(const Request& request) const;
     Time routerTime(Micros now) const { return now + kRouterClockOffset; }
-    std::vector<Decision> collect(Micros now);
+    std::vector<Decision> convertActions(Micros now);
     void forgetOldPurges(Micros now);
     Settings settingsForAllProcesses() const;
     Time hostStartTime(Micros now, const settings::ListedStore& store, const ListedHost& before,
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -191,7 +191,7 @@
     }
     state.sentTo = localityOf(send.host);
     state.send = std::move(send);
-    decisions_.limitByPurge(now, state.request, state.send);
+    decisions_.applyPurgeLimit(now, state.request, state.send);
     state.sentAt = now;
     state.attemptInFlight = true;
     // Never beyond the deadline, when the final answer is due.
