--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -223,7 +223,7 @@
     return purge && purge->receivedAt >= when;
 }
 
-DecisionFacade::ListedHost DecisionFacade::hostOf(const std::string& name) const {
+DecisionFacade::ListedHost DecisionFacade::findHost(const std::string& name) const {
     const auto found = hosts_.find(name);
     return found == hosts_.end() ? ListedHost{} : found->second;
 }
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -113,7 +113,7 @@
         std::int64_t sinceMs = 0;  // start time, by the list's clock
         Time startedAt{};          // start time, by our clock
     };
-    ListedHost hostOf(const std::string& name) const;
+    ListedHost findHost(const std::string& name) const;
 
     // Converts to Unix time, by the wall clock as it was at the start.
     std::int64_t unixMsOf(Micros when) const;
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -125,8 +125,8 @@
     facts.answered = state.answered;
     facts.now = now;
     facts.deadline = state.request.deadline;
-    facts.host = decisions_.hostOf(send.host).readiness;
-    if (!send.source.empty()) facts.source = decisions_.hostOf(send.source).readiness;
+    facts.host = decisions_.findHost(send.host).readiness;
+    if (!send.source.empty()) facts.source = decisions_.findHost(send.source).readiness;
     // A decision takes into account every purge received before it, including those of the same turn.
     facts.purgedSincePick = now > send.pickedAt && decisions_.purgedSince(state.request, send.pickedAt);
     facts.to = localityOf(send.host);
@@ -134,7 +134,7 @@
 }
 
 Locality RequestDispatcher::localityOf(const std::string& host) const {
-    const DecisionFacade::ListedHost listed = decisions_.hostOf(host);
+    const DecisionFacade::ListedHost listed = decisions_.findHost(host);
     return {listed.zone, listed.cell};
 }
 
