--- a/src/core/rules.cpp
+++ b/src/core/rules.cpp
@@ -74,7 +74,7 @@
 
 bool RuleChecks::allows(Denial denial) {
     if (denial == Denial::none) return true;
-    ++heldBack_[static_cast<std::size_t>(denial)];
+    ++denials_[static_cast<std::size_t>(denial)];
     return false;
 }
 
--- a/src/core/rules.hpp
+++ b/src/core/rules.hpp
@@ -112,10 +112,10 @@
     bool require(Denial denial, const char* step, const std::string& subject);
 
     std::uint64_t violations() const { return violations_; }
-    const Counts& heldBack() const { return heldBack_; }
+    const Counts& denials() const { return denials_; }
 
 private:
-    Counts heldBack_{};
+    Counts denials_{};
     std::uint64_t violations_ = 0;
 };
 
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -79,9 +79,9 @@
         gaveUp.emplace_back(nameOf(static_cast<GiveUp>(i)), r.gaveUp[i]);
     printCounterLine(name, "gave_up", gaveUp);
     std::vector<CounterValue> rules{{"violations", requests.checks().violations()}};
-    const RuleChecks::Counts& heldBack = requests.checks().heldBack();
-    for (std::size_t i = 0; i < heldBack.size(); ++i)
-        if (heldBack[i] > 0) rules.emplace_back(nameOf(static_cast<Denial>(i)), heldBack[i]);
+    const RuleChecks::Counts& denials = requests.checks().denials();
+    for (std::size_t i = 0; i < denials.size(); ++i)
+        if (denials[i] > 0) rules.emplace_back(nameOf(static_cast<Denial>(i)), denials[i]);
     printCounterLine(name, "rules", rules);
 }
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -110,7 +110,7 @@
     EXPECT_EQ(checks.violations(), 0U);
     EXPECT_FALSE(checks.require(Denial::mayRunTwice, "send", "a"));
     EXPECT_EQ(checks.violations(), 1U);
-    EXPECT_EQ(checks.heldBack()[static_cast<std::size_t>(Denial::hostNotReady)], 1U);
+    EXPECT_EQ(checks.denials()[static_cast<std::size_t>(Denial::hostNotReady)], 1U);
     EXPECT_STREQ(nameOf(Denial::notReady), "not_prepared");
 }
 
