--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -7,15 +7,15 @@
 namespace lotuslead::core {
 
 const char* nameOf(Outcome outcome) {
-    constexpr std::array<const char*, kOutcomes> names{"served",    "error",         "not_taken",
-                                                       "timed_out", "no_connection", "broken",
-                                                       "cancelled", "not_sent",      "no_copy"};
+    constexpr std::array<const char*, kOutcomeCount> names{"served",    "error",         "not_taken",
+                                                           "timed_out", "no_connection", "broken",
+                                                           "cancelled", "not_sent",      "no_copy"};
     return names[static_cast<std::size_t>(outcome)];
 }
 
 const char* nameOf(GiveUp why) {
-    constexpr std::array<const char*, kGiveUps> names{"no_time", "most_attempts", "no_route", "no_allowance",
-                                                      "cancelled"};
+    constexpr std::array<const char*, kGiveUpCount> names{"no_time", "most_attempts", "no_route",
+                                                          "no_allowance", "cancelled"};
     return names[static_cast<std::size_t>(why)];
 }
 
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -53,8 +53,8 @@
     virtual bool cancel(Micros now, RequestId request, int attempt) = 0;
 };
 
-inline constexpr std::size_t kOutcomes = 9;
-inline constexpr std::size_t kGiveUps = 5;
+inline constexpr std::size_t kOutcomeCount = 9;
+inline constexpr std::size_t kGiveUpCount = 5;
 const char* nameOf(Outcome outcome);
 const char* nameOf(GiveUp why);
 
@@ -63,8 +63,9 @@
                   deadlineExceeded = 0;
     std::uint64_t servedLocally = 0;  // from a local copy
     std::uint64_t sent = 0, cancelled = 0;
-    std::array<std::uint64_t, kOutcomes> outcomes{};  // indexed by Outcome
-    std::array<std::uint64_t, kGiveUps> gaveUp{};  // refused or failed without an answer, indexed by GiveUp
+    std::array<std::uint64_t, kOutcomeCount> outcomes{};  // indexed by Outcome
+    std::array<std::uint64_t, kGiveUpCount>
+        gaveUp{};  // refused or failed without an answer, indexed by GiveUp
 };
 
 class RequestDispatcher {
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -71,11 +71,11 @@
                       {"own", r.servedLocally},
                       {"open", requests.openCount()}});
     std::vector<CounterValue> attempts{{"sent", r.sent}};
-    for (std::size_t i = 0; i < kOutcomes; ++i)
+    for (std::size_t i = 0; i < kOutcomeCount; ++i)
         attempts.emplace_back(nameOf(static_cast<Outcome>(i)), r.outcomes[i]);
     printCounterLine(name, "attempts", attempts);
     std::vector<CounterValue> gaveUp;
-    for (std::size_t i = 0; i < kGiveUps; ++i)
+    for (std::size_t i = 0; i < kGiveUpCount; ++i)
         gaveUp.emplace_back(nameOf(static_cast<GiveUp>(i)), r.gaveUp[i]);
     printCounterLine(name, "gave_up", gaveUp);
     std::vector<CounterValue> rules{{"violations", requests.checks().violations()}};
