--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -49,7 +49,7 @@
     // No answer is owed, all answers have been handed to the kernel, and all input has been read. Accepts the
     // connections that are still in the backlog.
     bool settled();
-    std::size_t clients() const { return clients_.size(); }
+    std::size_t clientCount() const { return clients_.size(); }
     std::uint16_t port() const { return listener_->port(); }
     const Counters& counters() const { return counters_; }
     net::Listener::Counters listenerCounters() const {
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -36,7 +36,7 @@
                             {"reset", f.reset},
                             {"accept_failures", front_.listenerCounters().failures},
                             {"closed_unread", front_.listenerCounters().closedUnread},
-                            {"clients", front_.clients()}});
+                            {"clients", front_.clientCount()}});
     core::printCounterLine(name, "stores",
                            {{"connects", s.connects},
                             {"connect_failures", s.connectFailures},
@@ -50,7 +50,7 @@
                             {"late_answers", s.lateAnswers},
                             {"held_back", s.heldBack},
                             {"no_descriptor", s.noDescriptor},
-                            {"connections", transport_.connections()},
+                            {"connections", transport_.connectionCount()},
                             {"known", transport_.storeCount()}});
 }
 
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -523,7 +523,7 @@
         if (!place || connection->load() < place->load()) place = connection;
     }
     if (best) return best;
-    const bool full = connections() >= maxConnections_;
+    const bool full = connectionCount() >= maxConnections_;
     if (silent && (full || store.connections.size() >= kMaxConnectionsPerStore)) return silent;
     if (full) return nullptr;
     best = std::make_shared<Connection>(*this, host, settings::readEndpoint(store.address, "address"));
@@ -598,7 +598,7 @@
     });
 }
 
-std::size_t StoreConnections::connections() const {
+std::size_t StoreConnections::connectionCount() const {
     std::size_t count = 0;
     for (const auto& [name, store] : stores_) count += store.connections.size();
     return count;
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -40,7 +40,7 @@
     bool cancel(core::Micros now, RequestId request, int attempt) override;
 
     const Counters& counters() const { return counters_; }
-    std::size_t connections() const;
+    std::size_t connectionCount() const;
     std::size_t storeCount() const { return stores_.size(); }
 
 private:
