--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -283,7 +283,7 @@
         }
         const Fields fields(words.size() > 3 ? std::string_view(words[3]) : std::string_view{});
         core::Request request;
-        const auto& classes = owner_.words_.classes;
+        const auto& classes = owner_.vocabulary_.classes;
         const auto known = classes.find(words[2]);
         request.traceId = fields.text("trace");
         request.object = fields.text("entity");
@@ -310,7 +310,8 @@
         request.part = fields.whole("block").value_or(0);
         const Micros now = owner_.loop_.now();
         const auto patience = fields.whole("patience");
-        const auto giveUp = owner_.words_.settings.classes[static_cast<std::size_t>(known->second)].giveUp;
+        const auto giveUp =
+            owner_.vocabulary_.settings.classes[static_cast<std::size_t>(known->second)].giveUp;
         const Micros wait = patience ? Micros{std::chrono::milliseconds{*patience}}
                                      : std::chrono::duration_cast<Micros>(giveUp);
         request.deadline = arrivedAt + std::max(Micros{1ms}, wait - kAnswerTransitTime);
@@ -417,7 +418,7 @@
     }
 
     Front& owner_;
-    std::uint64_t traceNumber_ = ++owner_.lastClient_;
+    std::uint64_t traceNumber_ = ++owner_.lastClientNumber_;
     ClientMessages input_;
     std::unordered_map<std::string, Call> open_;  // by tag
     std::size_t countedBytes_ = 0;
@@ -434,7 +435,7 @@
 Front::Front(net::Loop& loop, core::RequestDispatcher& requests, const settings::Configuration& configuration)
     : loop_(loop),
       requests_(requests),
-      words_(configuration.words),
+      vocabulary_(configuration.words),
       address_(configuration.listen),
       formerListener_(loop) {
     limits_ = configuration.limits;
@@ -576,7 +577,7 @@
 }
 
 std::string Front::noMemoryFields() const {
-    const Settings& s = words_.settings;
+    const Settings& s = vocabulary_.settings;
     const Micros most = std::chrono::duration_cast<Micros>(s.maxRetryHint);
     return retryAfterFields(s.retryHints ? std::min(kNoMemoryRetryAfter, most) : Micros{0});
 }
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -75,7 +75,7 @@
 
     net::Loop& loop_;
     core::RequestDispatcher& requests_;
-    const settings::Vocabulary& words_;
+    const settings::Vocabulary& vocabulary_;
     settings::Endpoint address_;
     settings::Limits limits_;
     int processes_ = 1;
@@ -93,7 +93,7 @@
     std::optional<net::Loop::TimerKey> drainSweepTimer_;
     core::Micros openedAt_{};
     RequestId nextId_ = 1;
-    std::uint64_t lastClient_ = 0;
+    std::uint64_t lastClientNumber_ = 0;
     std::unique_ptr<net::Listener> listener_;
     net::FormerListener formerListener_;
     std::unordered_map<Client*, std::shared_ptr<Client>> clients_;
