--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -43,7 +43,7 @@
 
     bool idle() const { return open_.empty() && input_.empty() && stream_.unsent() == 0; }
     // Idle and used before, with no further call received, read or unread.
-    bool resting() const {
+    bool idleAfterUse() const {
         return idle() && hasSentMessage_ && !refusesMore_ && !input_.midMessage() && stream_.quiet();
     }
     bool saidNothing() const { return !hasSentMessage_ && input_.empty() && stream_.quiet(); }
@@ -59,9 +59,9 @@
         return closing_ || (hasSentMessage_ ? !inPartialMessage() || still >= kPartialMessageShutdownGrace
                                             : still >= kSilentGrace);
     }
-    void failOpenRequests() {
-        failOpen();
-        endIfAnswered();
+    void failAndClose() {
+        failOpenCalls();
+        closeIfAnswered();
         updateFlowControl();
     }
     core::CloseFacts closeFacts() const {
@@ -72,10 +72,10 @@
     // Closes the connection for a drain if nothing is open, unread or still on its way to the client, so that
     // the client sees the close before its next request. `since`: when refusals began. `last`: clients that
     // were refused something have their older open requests failed.
-    void endForDrain(std::optional<Micros> since, bool last) {
+    void closeForDrain(std::optional<Micros> since, bool last) {
         if (closing_ || !stream_.allTaken()) return;
         const Micros now = owner_.loop_.now();
-        if (last && since && lastCallAt_ >= *since) failOpen();
+        if (last && since && lastCallAt_ >= *since) failOpenCalls();
         if (closing_ || !open_.empty() || !input_.empty() || !stream_.quiet()) return;
         if (input_.midMessage() && !last) return;
         if (!hasSentMessage_ && now - connectedAt_ < kDrainSilentGrace) return;
@@ -83,7 +83,7 @@
         if (!owner_.requests_.checks().allows(core::mayClose(closeFacts()))) return;
         ++owner_.counters_.drained;
         refusesMore_ = true;
-        endIfAnswered();
+        closeIfAnswered();
     }
 
     void abortConnection() {
@@ -155,7 +155,7 @@
         }
         if (stream_.closed() || closing_) return;
         if (!fits || (input_.malformed() && !input_.hasMessage())) return closeMalformed();
-        endIfAnswered();
+        closeIfAnswered();
         updateMessageTimer();
         updateFlowControl();
     }
@@ -169,8 +169,8 @@
         ++owner_.counters_.malformed;
         refusesMore_ = true;
         input_.clear();
-        failOpen();
-        endIfAnswered();
+        failOpenCalls();
+        closeIfAnswered();
     }
     // New calls are refused and open ones keep their answers; then the connection closes. Input is read until
     // then: an unread request would be lost.
@@ -179,7 +179,7 @@
         const Micros until = connectedAt_ + kFirstMessageTimeout - owner_.loop_.now();
         armMessageTimer(std::max(until, Micros{kCloseLinger}));
     }
-    void failOpen() {
+    void failOpenCalls() {
         while (!open_.empty()) {
             const auto [tag, call] = *open_.begin();
             release(tag);
@@ -187,7 +187,7 @@
             sendAnswer(tag, "ERR", "-", {});
         }
     }
-    void endIfAnswered() {
+    void closeIfAnswered() {
         if (!refusesMore_ || !open_.empty() || !input_.empty() || std::exchange(closing_, true)) return;
         if (Trace::on()) Trace::write("client_close", {{"client", std::to_string(traceNumber_)}});
         cancelMessageTimer();
@@ -224,15 +224,15 @@
             messageTimer_.reset();
             if (refusesMore_) {
                 input_.clear();
-                failOpen();
-                return endIfAnswered();
+                failOpenCalls();
+                return closeIfAnswered();
             }
             if (!input_.empty() || backlogged())
                 return armMessageTimer(kMessageTimeout);  // input waits for us, not for the client
             ++(hasSentMessage_ ? owner_.counters_.halfMessages : owner_.counters_.silent);
             refusesMore_ = true;
-            failOpen();
-            endIfAnswered();
+            failOpenCalls();
+            closeIfAnswered();
         });
     }
     void cancelMessageTimer() {
@@ -378,7 +378,7 @@
         }
         // Stores answer so to what they cannot use, such as unknown ids.
         if (reply.lastOutcome == Outcome::error) countUselessMessage();
-        endIfAnswered();
+        closeIfAnswered();
     }
 
     // The body is passed on without a copy.
@@ -512,7 +512,7 @@
     const bool last = loop_.now() - *drainingSince_ >= kDrainFailAfter;
     std::vector<std::shared_ptr<Client>> snapshot;  // closing removes from clients_
     for (const auto& [key, client] : clients_) snapshot.push_back(client);
-    for (const auto& client : snapshot) client->endForDrain(refusing, last);
+    for (const auto& client : snapshot) client->closeForDrain(refusing, last);
     drainSweepTimer_ = loop_.after(kDrainSweepInterval, [this] {
         drainSweepTimer_.reset();
         sweepForDrain();
@@ -539,23 +539,23 @@
 // client that still needs it connects again), then a new one. Connections that have not sent a request yet
 // may hold at most half of the places; otherwise many of them could push out the others.
 bool Front::evictClient() {
-    Client *silent = nullptr, *partial = nullptr, *resting = nullptr;
+    Client *silent = nullptr, *partial = nullptr, *idle = nullptr;
     std::size_t unusedCount = 0;
     for (const auto& [key, client] : clients_) {
         if (client->unused()) ++unusedCount;
-        Client*& place = !client->unused() ? resting : client->inPartialMessage() ? partial : silent;
+        Client*& place = !client->unused() ? idle : client->inPartialMessage() ? partial : silent;
         const bool older = !place || client->lastUsed() < place->lastUsed();
-        if (older && (client->unused() ? client->saidNothing() : client->resting())) place = client.get();
+        if (older && (client->unused() ? client->saidNothing() : client->idleAfterUse()))
+            place = client.get();
     }
     if (!silent || (silent->recentlyActive() && partial && partial->lastUsed() < silent->lastUsed()))
         silent = partial;
-    const bool silentFirst =
-        silent && (!resting || !silent->recentlyActive() || 2 * unusedCount >= maxClients_);
-    Client* victim = silentFirst ? silent : resting;
+    const bool silentFirst = silent && (!idle || !silent->recentlyActive() || 2 * unusedCount >= maxClients_);
+    Client* victim = silentFirst ? silent : idle;
     if (!victim) return false;
     // A request may have arrived since the choice; then the next candidate is tried.
     if (!requests_.checks().allows(core::mayClose(victim->closeFacts()))) return evictClient();
-    ++(victim == resting            ? counters_.closedIdle
+    ++(victim == idle               ? counters_.closedIdle
        : victim->inPartialMessage() ? counters_.halfMessages
                                     : counters_.silent);
     victim->abortConnection();
@@ -590,7 +590,7 @@
     failingRequests_ = true;
     std::vector<std::shared_ptr<Client>> snapshot;  // closing removes from clients_
     for (const auto& [key, client] : clients_) snapshot.push_back(client);
-    for (const auto& client : snapshot) client->failOpenRequests();
+    for (const auto& client : snapshot) client->failAndClose();
 }
 
 bool Front::settled() {
