--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -16,22 +16,24 @@
 
 namespace lotuslead::platform {
 
-inline const settings::Configuration& baseOf(const settings::Configuration& c) { return c; }
-inline const settings::Configuration& baseOf(const settings::RepositoryConfiguration& c) { return c.base; }
+inline const settings::Configuration& baseConfiguration(const settings::Configuration& c) { return c; }
+inline const settings::Configuration& baseConfiguration(const settings::RepositoryConfiguration& c) {
+    return c.base;
+}
 // Makes `fresh` a continuation of the configuration before it: classes keep their indexes.
-inline void continueFrom(const settings::Configuration& before, settings::Configuration& fresh) {
-    fresh.words = settings::continued(before.words, fresh.words);
+inline void continueFrom(const settings::Configuration& before, settings::Configuration& updated) {
+    updated.words = settings::continued(before.words, updated.words);
 }
 inline void continueFrom(const settings::RepositoryConfiguration& before,
-                         settings::RepositoryConfiguration& fresh) {
-    continueFrom(before.base, fresh.base);
-    for (settings::Route& route : fresh.routes)
-        route.classIndex = fresh.base.words.classes.at(route.className);
+                         settings::RepositoryConfiguration& updated) {
+    continueFrom(before.base, updated.base);
+    for (settings::Route& route : updated.routes)
+        route.classIndex = updated.base.words.classes.at(route.className);
 }
 
 // Distinguishes keys of copies further: parts of another size are different parts.
-inline std::uint64_t formOf(const settings::Configuration&) { return 0; }
-inline std::uint64_t formOf(const settings::RepositoryConfiguration& c) { return c.partBytes; }
+inline std::uint64_t keyFormOf(const settings::Configuration&) { return 0; }
+inline std::uint64_t keyFormOf(const settings::RepositoryConfiguration& c) { return c.partBytes; }
 
 template <class Configuration, class Front, class Transport>
 class FrontService : public core::Service, private net::Handler {
@@ -48,16 +50,16 @@
         if (diskSettings_) openTier();
     }
     void prepare() override {
-        busReader_.applyBatch(settings::readBatch(baseOf(configuration_).known));
+        busReader_.applyBatch(settings::readBatch(baseConfiguration(configuration_).known));
         busReader_.setDrainGrace(drainGrace());
-        busReader_.setEndpoints(baseOf(configuration_).bus);
+        busReader_.setEndpoints(baseConfiguration(configuration_).bus);
     }
     bool prepared() const override {
         return busReader_.caughtUp() && (!tier_ || tier_->settled(tierTransport_.momentOf(loop_.now())));
     }
     bool catchingUp() const override { return busReader_.catchingUp(); }
     void open() override {
-        const settings::Configuration& base = baseOf(configuration_);
+        const settings::Configuration& base = baseConfiguration(configuration_);
         front_.open();
         isOpen_ = true;
         std::fprintf(stderr, "%s: %s on %s:%u\n", base.name.c_str(), listenLabel_, base.listen.host.c_str(),
@@ -65,21 +67,22 @@
     }
     // Everything that can fail comes first; after that the new configuration applies as a whole.
     bool reload(bool mayTryAgain) override {
-        const std::string name = baseOf(configuration_).name;
+        const std::string name = baseConfiguration(configuration_).name;
         try {
-            Configuration fresh = source_();
+            Configuration updated = source_();
             const auto freshDisk = diskSource_ ? diskSource_() : std::nullopt;
-            settings::requireContinued(baseOf(configuration_).paths, baseOf(fresh).paths);
-            const settings::BusBatch known = settings::readBatch(baseOf(fresh).known);
-            continueFrom(configuration_, fresh);
-            front_.reconfigure(fresh);
-            transport_.reconfigure(fresh);
-            decisions_.reconfigure(baseOf(fresh).words);
-            configuration_ = std::move(fresh);
+            settings::requireContinued(baseConfiguration(configuration_).paths,
+                                       baseConfiguration(updated).paths);
+            const settings::BusBatch known = settings::readBatch(baseConfiguration(updated).known);
+            continueFrom(configuration_, updated);
+            front_.reconfigure(updated);
+            transport_.reconfigure(updated);
+            decisions_.reconfigure(baseConfiguration(updated).words);
+            configuration_ = std::move(updated);
             reloadTier(freshDisk);
             busReader_.setDrainGrace(drainGrace());
             busReader_.applyBatch(known);  // skips events already received from the bus
-            busReader_.setEndpoints(baseOf(configuration_).bus);
+            busReader_.setEndpoints(baseConfiguration(configuration_).bus);
             std::fprintf(stderr, "%s: configuration read again\n", name.c_str());
         } catch (const std::system_error& problem) {
             if (mayTryAgain && net::isShortage(problem.code().value())) return false;
@@ -118,13 +121,13 @@
     std::size_t openRequests() const override { return requests_.openCount(); }
     bool settled() override { return requests_.openCount() == 0 && front_.settled(); }
     core::Micros longestRequestTimeout() const override {
-        return core::longestClientTimeout(baseOf(configuration_).words.settings);
+        return core::longestClientTimeout(baseConfiguration(configuration_).words.settings);
     }
     std::optional<settings::Endpoint> operatorAddress() const override {
-        return baseOf(configuration_).operatorDoor;
+        return baseConfiguration(configuration_).operatorDoor;
     }
     void printCounters() const override {
-        const std::string& name = baseOf(configuration_).name;
+        const std::string& name = baseConfiguration(configuration_).name;
         core::printRequestCounters(name, requests_);
         printOwnCounters(name);
         if (tier_) printTierCounters(name);
@@ -145,8 +148,8 @@
           configuration_(source_()),
           listenLabel_(listenLabel),
           transport_(loop_, configuration_),
-          decisions_(baseOf(configuration_).words, baseOf(configuration_).seed, loop_.now(),
-                     core::unixClockOffset()),
+          decisions_(baseConfiguration(configuration_).words, baseConfiguration(configuration_).seed,
+                     loop_.now(), core::unixClockOffset()),
           tierTransport_(transport_, core::unixClockOffset(), std::move(form)),
           requests_(decisions_, tierTransport_, purged),
           front_(loop_, requests_, configuration_),
@@ -158,8 +161,8 @@
              [this](core::AttemptResult end) { tierTransport_.ended(loop_.now(), std::move(end)); }});
         tierTransport_.listen(
             [this](core::AttemptResult end) { requests_.attemptEnded(loop_.now(), std::move(end)); });
-        tierTransport_.reconfigure(&baseOf(configuration_).words.settings.classes, formOf(configuration_),
-                                   pacer());
+        tierTransport_.reconfigure(&baseConfiguration(configuration_).words.settings.classes,
+                                   keyFormOf(configuration_), pacer());
         busReader_.setObserver({[this](std::int64_t from, std::int64_t last,
                                        const std::vector<std::int64_t>& numbers, bool complete) {
                                     if (tier_)
@@ -182,7 +185,8 @@
 
 private:
     core::Micros drainGrace() const {
-        return std::chrono::duration_cast<core::Micros>(baseOf(configuration_).words.settings.drainGrace);
+        return std::chrono::duration_cast<core::Micros>(
+            baseConfiguration(configuration_).words.settings.drainGrace);
     }
     void applyEvent(const settings::BusEvent& event) {
         if (!event.isList) {
@@ -207,14 +211,16 @@
             tier_->purgeObject(event.purgedObject, atMs);
     }
 
-    disk::Pacer pacer() const { return {baseOf(configuration_).flowBytes, baseOf(configuration_).linkBytes}; }
+    disk::Pacer pacer() const {
+        return {baseConfiguration(configuration_).flowBytes, baseConfiguration(configuration_).linkBytes};
+    }
     void openTier() {
-        const bool bus = !baseOf(configuration_).bus.empty();
+        const bool bus = !baseConfiguration(configuration_).bus.empty();
         tier_ = std::make_unique<disk::Tier>(
             fileCalls_, disk::tierRules(*diskSettings_, bus),
             disk::Tier::Users{[this](const std::string& line) {
-                                  std::fprintf(stderr, "%s: %s\n", baseOf(configuration_).name.c_str(),
-                                               line.c_str());
+                                  std::fprintf(stderr, "%s: %s\n",
+                                               baseConfiguration(configuration_).name.c_str(), line.c_str());
                               },
                               [this](std::int64_t position) { busReader_.rewindTo(position); },
                               tierTransport_.form().version});
@@ -229,19 +235,19 @@
         tier_->close();
     }
     // Limits apply at once; the settings that the folder was opened with stay for the life of the process.
-    void reloadTier(const std::optional<settings::DiskSettings>& fresh) {
-        const auto& base = baseOf(configuration_);
-        tierTransport_.reconfigure(&base.words.settings.classes, formOf(configuration_), pacer());
-        if (!tier_ || !fresh) {
-            if (fresh || tier_)
+    void reloadTier(const std::optional<settings::DiskSettings>& updated) {
+        const auto& base = baseConfiguration(configuration_);
+        tierTransport_.reconfigure(&base.words.settings.classes, keyFormOf(configuration_), pacer());
+        if (!tier_ || !updated) {
+            if (updated || tier_)
                 std::fprintf(stderr, "%s: disk tier: it is switched on and off at a start only\n",
                              base.name.c_str());
             if (!tier_) return;
         }
-        if (fresh) {
-            diskSettings_->readWaitMs = fresh->readWaitMs;
-            diskSettings_->purgeSlackMs = fresh->purgeSlackMs;
-            diskSettings_->busSilenceMs = fresh->busSilenceMs;
+        if (updated) {
+            diskSettings_->readWaitMs = updated->readWaitMs;
+            diskSettings_->purgeSlackMs = updated->purgeSlackMs;
+            diskSettings_->busSilenceMs = updated->busSilenceMs;
         }
         tier_->reconfigure(disk::tierRules(*diskSettings_, !base.bus.empty()));
         tierTransport_.use(tier_.get(), *diskSettings_, pacer());
