--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -129,7 +129,7 @@
     void printCounters() const override {
         const std::string& name = baseConfiguration(configuration_).name;
         core::printRequestCounters(name, requests_);
-        printOwnCounters(name);
+        printFrontCounters(name);
         if (tier_) printTierCounters(name);
         const auto& b = busReader_.counters();
         core::printCounterLine(name, "bus",
@@ -171,7 +171,7 @@
                                 },
                                 [this] { return !tier_ || tier_->kept(); }});
     }
-    virtual void printOwnCounters(const std::string& name) const = 0;
+    virtual void printFrontCounters(const std::string& name) const = 0;
 
     net::Loop& loop_;
     Source source_;
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -14,7 +14,7 @@
     }
 }
 
-void Service::printOwnCounters(const std::string& name) const {
+void Service::printFrontCounters(const std::string& name) const {
     const auto& f = front_.counters();
     const auto& s = transport_.counters();
     core::printCounterLine(name, "front",
--- a/src/platform/service.hpp
+++ b/src/platform/service.hpp
@@ -13,7 +13,7 @@
     Service(net::Loop& loop, Source source, const std::string& listening);
 
 private:
-    void printOwnCounters(const std::string& name) const override;
+    void printFrontCounters(const std::string& name) const override;
 };
 
 }  // namespace lotuslead::platform
--- a/src/repository/service.cpp
+++ b/src/repository/service.cpp
@@ -36,7 +36,7 @@
                    core::RequestDispatcher::PurgeDuringFetch::refetch, {storable, versionOf, nullptr, true}) {
 }
 
-void Service::printOwnCounters(const std::string& name) const {
+void Service::printFrontCounters(const std::string& name) const {
     const auto& f = front_.counters();
     const auto& u = transport_.counters();
     core::printCounterLine(name, "repository",
--- a/src/repository/service.hpp
+++ b/src/repository/service.hpp
@@ -12,7 +12,7 @@
     Service(net::Loop& loop, Source source);
 
 private:
-    void printOwnCounters(const std::string& name) const override;
+    void printFrontCounters(const std::string& name) const override;
 };
 
 }  // namespace lotuslead::repository
