--- a/src/platform/client_messages.cpp
+++ b/src/platform/client_messages.cpp
@@ -31,7 +31,7 @@
         malformed_ = status == Status::malformed;
         if (status != Status::message) continue;
         messages_.push_back({parser_.take(), bytesArrivedAt_});
-        messageBytes_ += bytesOf(messages_.back().words);
+        messageBytes_ += totalBytes(messages_.back().words);
     }
     bytes_.erase(0, bytes_.size() - rest.size());
 }
@@ -63,7 +63,7 @@
 ClientMessages::Message ClientMessages::takeAt(std::size_t at) {
     Message message = std::move(messages_[at]);
     messages_.erase(messages_.begin() + static_cast<std::ptrdiff_t>(at));
-    messageBytes_ -= bytesOf(message.words);
+    messageBytes_ -= totalBytes(message.words);
     return message;
 }
 
