--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -114,7 +114,7 @@
     // opened and the store is not gone. The end of a connection counts once against the health of its store,
     // however many attempts it ends, and not at all if the connection was new or idle.
     enum class HealthReport { none, failure };
-    void fail(Outcome whenWritten, HealthReport healthReport, bool requeue = false) {
+    void fail(Outcome outcomeIfWritten, HealthReport healthReport, bool requeue = false) {
         if (std::exchange(ended_, true)) return;
         stopTimer();
         stop(stallTimer_);
@@ -123,7 +123,7 @@
         const auto self = shared_from_this();
         bool ignoreForHealth = healthReport == HealthReport::none;
         for (const auto& [traceId, sent] : inFlight_)
-            reportOutcome(sent.request, sent.attempt, whenWritten, std::exchange(ignoreForHealth, true));
+            reportOutcome(sent.request, sent.attempt, outcomeIfWritten, std::exchange(ignoreForHealth, true));
         inFlight_.clear();
         const auto unsent = std::exchange(queue_, {});
         owner_.loop_.retire(self);
@@ -133,8 +133,9 @@
                 ++owner_.counters_.movedOn;
                 auto shared = std::make_shared<QueuedAttempt>(w);
                 ++shared->reassignments;
-                const auto place = owner_.locations_.find(w.send.request);
-                if (place != owner_.locations_.end()) place->second.connection.reset();  // not written on any
+                const auto location = owner_.locations_.find(w.send.request);
+                if (location != owner_.locations_.end())
+                    location->second.connection.reset();  // not written on any
                 // Deferred within the turn: the connection may have ended in the middle of another send.
                 owner_.loop_.whenAllIsHeard(
                     [owner = &owner_, shared] { owner->dispatch(std::move(*shared)); });
@@ -519,8 +520,8 @@
         if (!connection->acceptsAttempts() || connection->load() >= maxAttemptsPerConnection_ ||
             connection->hasSeen(traceId))
             continue;
-        auto& place = connection->silenceDuration() > silenceTimeout_.value() ? silent : best;
-        if (!place || connection->load() < place->load()) place = connection;
+        auto& candidate = connection->silenceDuration() > silenceTimeout_.value() ? silent : best;
+        if (!candidate || connection->load() < candidate->load()) candidate = connection;
     }
     if (best) return best;
     const bool full = connectionCount() >= maxConnections_;
@@ -538,7 +539,7 @@
         if (!connection->hasPendingAnswers() ||
             connection->silenceDuration() < silenceTimeout_.value() + kStuckTimeout)
             continue;
-        if (store.answeredWrittenAt <= connection->waitingSince()) continue;
+        if (store.latestAnsweredWriteAt <= connection->waitingSince()) continue;
         ++counters_.stuck;
         connection->fail(Outcome::broken, Connection::HealthReport::none, true);
     }
@@ -547,7 +548,7 @@
 void StoreConnections::noteAnswered(const std::string& host, Micros writtenAt) {
     const auto found = stores_.find(host);
     if (found != stores_.end())
-        found->second.answeredWrittenAt = std::max(found->second.answeredWrittenAt, writtenAt);
+        found->second.latestAnsweredWriteAt = std::max(found->second.latestAnsweredWriteAt, writtenAt);
 }
 
 void StoreConnections::send(Micros, const core::Request& request, const core::Decision& send) {
@@ -557,16 +558,16 @@
 
 void StoreConnections::dispatch(QueuedAttempt queued) {
     const core::Decision& send = queued.send;
-    const auto place = locations_.find(send.request);
+    const auto location = locations_.find(send.request);
     // It was cancelled meanwhile; its request may be gone as well.
-    if (place == locations_.end() || place->second.attempt != send.attempt) return;
+    if (location == locations_.end() || location->second.attempt != send.attempt) return;
     AttemptResult end;
     end.request = send.request;
     end.attempt = send.attempt;
     end.outcome = Outcome::noConnection;
     try {
         if (const auto connection = connectionFor(send.host, queued.request->traceId)) {
-            place->second.connection = connection;
+            location->second.connection = connection;
             return connection->enqueue(std::move(queued));
         }
         ++counters_.noDescriptor;
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -48,7 +48,7 @@
     struct Store {
         std::string address;
         std::int64_t sinceMs = 0;
-        core::Micros answeredWrittenAt{};  // latest write time among the answered attempts
+        core::Micros latestAnsweredWriteAt{};  // latest write time among the answered attempts
         std::vector<std::shared_ptr<Connection>> connections;
     };
     struct QueuedAttempt {
