--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -56,38 +56,39 @@
     forgetIfDone(id);
 }
 
-void RequestDispatcher::attemptEnded(Micros now, AttemptResult end) {
-    const auto found = states_.find(end.request);
+void RequestDispatcher::attemptEnded(Micros now, AttemptResult result) {
+    const auto found = states_.find(result.request);
     // A late result of an attempt that was given up is dropped.
-    if (found == states_.end() || !found->second.attemptInFlight || found->second.send.attempt != end.attempt)
+    if (found == states_.end() || !found->second.attemptInFlight ||
+        found->second.send.attempt != result.attempt)
         return;
     RequestState& state = found->second;
-    const AnswerFacts answer{false, end.payload.unchanged, !state.request.knownTag.empty()};
-    if (end.outcome == Outcome::served &&
+    const AnswerFacts answer{false, result.payload.unchanged, !state.request.knownTag.empty()};
+    if (result.outcome == Outcome::served &&
         !checks_.require(mayAnswer(answer), "answer", state.request.traceId))
-        end.outcome = Outcome::error;
-    if (end.outcome == Outcome::served && purged_ == PurgeDuringFetch::refetch &&
+        result.outcome = Outcome::error;
+    if (result.outcome == Outcome::served && purged_ == PurgeDuringFetch::refetch &&
         decisions_.purgedSince(state.request, state.send.pickedAt))
-        end.outcome = Outcome::notSent;
+        result.outcome = Outcome::notSent;
     AttemptReport report;
-    report.outcome = end.outcome;
-    if (end.servedLocally && end.outcome == Outcome::served) {
+    report.outcome = result.outcome;
+    if (result.servedLocally && result.outcome == Outcome::served) {
         report.outcome = Outcome::notSent;  // not sent to its host
         report.servedLocally = true;
         ++counters_.servedLocally;
     }
-    report.note = end.note;
-    report.ignoreForHealth = end.ignoreForHealth;
-    report.bytes = end.payload.body.size();
-    report.unchanged = end.payload.unchanged;
-    if (end.outcome == Outcome::served && !state.answered) {
+    report.note = result.note;
+    report.ignoreForHealth = result.ignoreForHealth;
+    report.bytes = result.payload.body.size();
+    report.unchanged = result.payload.unchanged;
+    if (result.outcome == Outcome::served && !state.answered) {
         Reply reply;
         reply.kind = Reply::Kind::served;
-        reply.payload = std::move(end.payload);
+        reply.payload = std::move(result.payload);
         finish(state, std::move(reply));
     }
     execute(now, endAttempt(now, state, report));
-    forgetIfDone(end.request);
+    forgetIfDone(result.request);
 }
 
 void RequestDispatcher::runTimers(Micros now) {
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -82,7 +82,7 @@
 
     void submit(Micros now, Request request, AnswerCallback answer);
     void clientGone(Micros now, RequestId request);  // no answer is owed any more
-    void attemptEnded(Micros now, AttemptResult end);
+    void attemptEnded(Micros now, AttemptResult result);
     void runTimers(Micros now);  // handles due timeouts and timers
     Micros nextTimerAt() const;
 
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -158,9 +158,9 @@
             {[this](RequestId request, int attempt) {
                  return requests_.mayBegin(loop_.now(), request, attempt);
              },
-             [this](core::AttemptResult end) { tierTransport_.ended(loop_.now(), std::move(end)); }});
+             [this](core::AttemptResult result) { tierTransport_.ended(loop_.now(), std::move(result)); }});
         tierTransport_.listen(
-            [this](core::AttemptResult end) { requests_.attemptEnded(loop_.now(), std::move(end)); });
+            [this](core::AttemptResult result) { requests_.attemptEnded(loop_.now(), std::move(result)); });
         tierTransport_.reconfigure(&baseConfiguration(configuration_).words.settings.classes,
                                    keyFormOf(configuration_), pacer());
         busReader_.setObserver({[this](std::int64_t from, std::int64_t last,
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -254,24 +254,24 @@
         if (!outcome) return false;
         const Fields fields(words.size() > 2 ? std::string_view(words[2]) : std::string_view{});
         if (*outcome == Outcome::served && !isWellFormed(words, fields, found->second)) return false;
-        AttemptResult end;
-        end.request = found->second.request;
-        end.attempt = found->second.attempt;
-        end.outcome = *outcome;
-        end.note = noteOf(fields.text("remark"));
+        AttemptResult result;
+        result.request = found->second.request;
+        result.attempt = found->second.attempt;
+        result.outcome = *outcome;
+        result.note = noteOf(fields.text("remark"));
         if (const auto minted = fields.whole("minted"))
             owner_.copyAgeCheck_.learn(owner_.loop_.now(), *minted);
         if (*outcome == Outcome::served &&
             fields.whole("minted").value_or(found->second.oldestAllowedMs) < found->second.oldestAllowedMs) {
             // Served, it would be an answer from before a purge. An attempt that must not run twice did run.
             ++owner_.counters_.tooOld;
-            end.outcome = found->second.repeatable ? Outcome::noCopy : Outcome::error;
+            result.outcome = found->second.repeatable ? Outcome::noCopy : Outcome::error;
         }
-        if (end.outcome == Outcome::served) {
-            end.payload.unchanged = words[1] == "current";
-            end.payload.mintedMs = fields.whole("minted").value_or(0);
-            if (!fields.text("tag").empty()) end.payload.metadata.emplace_back("tag", fields.text("tag"));
-            if (words.size() > 3) end.payload.body = std::move(words[3]);
+        if (result.outcome == Outcome::served) {
+            result.payload.unchanged = words[1] == "current";
+            result.payload.mintedMs = fields.whole("minted").value_or(0);
+            if (!fields.text("tag").empty()) result.payload.metadata.emplace_back("tag", fields.text("tag"));
+            if (words.size() > 3) result.payload.body = std::move(words[3]);
         }
         owner_.noteAnswered(host_, found->second.writtenAt);
         owner_.silenceTimeout_.learn(owner_.loop_.now() - std::max(lastAnswerAt_, waitingSince_));
@@ -280,7 +280,7 @@
         if (answeredTraceIds_.size() < kAnsweredTraceIdsKept) answeredTraceIds_.push_back(0);
         answeredTraceIds_[nextAnswered_++ % kAnsweredTraceIdsKept] = fingerprint(words[0]);
         inFlight_.erase(found);
-        owner_.reportResult(std::move(end));
+        owner_.reportResult(std::move(result));
         startIdleTimer();
         return true;
     }
@@ -353,12 +353,12 @@
     }
 
     void reportOutcome(RequestId request, int attempt, Outcome outcome, bool ignoreForHealth = false) {
-        AttemptResult end;
-        end.ignoreForHealth = ignoreForHealth;
-        end.request = request;
-        end.attempt = attempt;
-        end.outcome = outcome;
-        owner_.reportResult(std::move(end));
+        AttemptResult result;
+        result.ignoreForHealth = ignoreForHealth;
+        result.request = request;
+        result.attempt = attempt;
+        result.outcome = outcome;
+        owner_.reportResult(std::move(result));
     }
 
     // Closes before the store's own idle timeout would: a PULL that crosses its close would count as broken.
@@ -561,21 +561,21 @@
     const auto location = locations_.find(send.request);
     // It was cancelled meanwhile; its request may be gone as well.
     if (location == locations_.end() || location->second.attempt != send.attempt) return;
-    AttemptResult end;
-    end.request = send.request;
-    end.attempt = send.attempt;
-    end.outcome = Outcome::noConnection;
+    AttemptResult result;
+    result.request = send.request;
+    result.attempt = send.attempt;
+    result.outcome = Outcome::noConnection;
     try {
         if (const auto connection = connectionFor(send.host, queued.request->traceId)) {
             location->second.connection = connection;
             return connection->enqueue(std::move(queued));
         }
         ++counters_.noDescriptor;
-        end.ignoreForHealth = true;  // this process has run out of connections, not the store
+        result.ignoreForHealth = true;  // this process has run out of connections, not the store
     } catch (const settings::Malformed& problem) {
         std::fprintf(stderr, "store %s: %s\n", send.host.c_str(), problem.what());
     }
-    reportResult(std::move(end));
+    reportResult(std::move(result));
 }
 
 bool StoreConnections::cancel(Micros, RequestId request, int attempt) {
@@ -587,10 +587,10 @@
                       : true;  // between two connections: not written on either
 }
 
-void StoreConnections::reportResult(AttemptResult end) {
+void StoreConnections::reportResult(AttemptResult result) {
     // Deferred within the turn: the caller may be in the middle of handling this very request. By then all
     // input of the turn is read, so a client's CANCEL is known before the request is sent again.
-    auto shared = std::make_shared<AttemptResult>(std::move(end));
+    auto shared = std::make_shared<AttemptResult>(std::move(result));
     loop_.whenAllIsHeard([this, shared] {
         const auto found = locations_.find(shared->request);
         if (found == locations_.end() || found->second.attempt != shared->attempt) return;
