--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -67,7 +67,7 @@
     if (result.outcome == Outcome::served &&
         !checks_.require(mayAnswer(answer), "answer", state.request.traceId))
         result.outcome = Outcome::error;
-    if (result.outcome == Outcome::served && purged_ == PurgeDuringFetch::refetch &&
+    if (result.outcome == Outcome::served && purgeDuringFetch_ == PurgeDuringFetch::refetch &&
         decisions_.purgedSince(state.request, state.send.pickedAt))
         result.outcome = Outcome::notSent;
     AttemptReport report;
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -77,8 +77,8 @@
     enum class PurgeDuringFetch { serve, refetch };
 
     RequestDispatcher(DecisionFacade& decisions, AttemptTransport& transport,
-                      PurgeDuringFetch purged = PurgeDuringFetch::serve)
-        : decisions_(decisions), transport_(transport), purged_(purged) {}
+                      PurgeDuringFetch purgeDuringFetch = PurgeDuringFetch::serve)
+        : decisions_(decisions), transport_(transport), purgeDuringFetch_(purgeDuringFetch) {}
 
     void submit(Micros now, Request request, AnswerCallback answer);
     void clientGone(Micros now, RequestId request);  // no answer is owed any more
@@ -120,7 +120,7 @@
 
     DecisionFacade& decisions_;
     AttemptTransport& transport_;
-    PurgeDuringFetch purged_;
+    PurgeDuringFetch purgeDuringFetch_;
     std::unordered_map<RequestId, RequestState> states_;
     std::set<std::tuple<Micros, RequestId, int>> timeouts_;
     std::size_t openCount_ = 0;
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -22,7 +22,7 @@
     virtual void open() = 0;  // starts to listen
     // Reads the configuration again. An unusable one is logged and changes nothing. Returns false if the
     // caller may retry: the file could not be read for lack of descriptors or memory.
-    virtual bool reload(bool mayTryAgain) = 0;
+    virtual bool reload(bool mayRetry) = 0;
     virtual void runTimers(Micros now) = 0;  // handles what is due
     virtual Micros nextTimerAt() const = 0;
     // Tells clients to go elsewhere, until undrain().
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -66,7 +66,7 @@
                      front_.port());
     }
     // Everything that can fail comes first; after that the new configuration applies as a whole.
-    bool reload(bool mayTryAgain) override {
+    bool reload(bool mayRetry) override {
         const std::string name = baseConfiguration(configuration_).name;
         try {
             Configuration updated = source_();
@@ -85,7 +85,7 @@
             busReader_.setEndpoints(baseConfiguration(configuration_).bus);
             std::fprintf(stderr, "%s: configuration read again\n", name.c_str());
         } catch (const std::system_error& problem) {
-            if (mayTryAgain && net::isShortage(problem.code().value())) return false;
+            if (mayRetry && net::isShortage(problem.code().value())) return false;
             std::fprintf(stderr, "%s: configuration not taken, the old one stays: %s\n", name.c_str(),
                          problem.what());
         } catch (const std::exception& problem) {
@@ -142,7 +142,7 @@
 
 protected:
     FrontService(net::Loop& loop, Source source, const char* listenLabel,
-                 core::RequestDispatcher::PurgeDuringFetch purged, disk::FrontForm form)
+                 core::RequestDispatcher::PurgeDuringFetch purgeDuringFetch, disk::FrontForm form)
         : loop_(loop),
           source_(std::move(source)),
           configuration_(source_()),
@@ -151,7 +151,7 @@
           decisions_(baseConfiguration(configuration_).words, baseConfiguration(configuration_).seed,
                      loop_.now(), core::unixClockOffset()),
           tierTransport_(transport_, core::unixClockOffset(), std::move(form)),
-          requests_(decisions_, tierTransport_, purged),
+          requests_(decisions_, tierTransport_, purgeDuringFetch),
           front_(loop_, requests_, configuration_),
           busReader_(loop_, [this](const settings::BusEvent& event) { applyEvent(event); }) {
         transport_.setCallbacks(
