--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -164,9 +164,9 @@
         tierTransport_.reconfigure(&baseConfiguration(configuration_).words.settings.classes,
                                    keyFormOf(configuration_), pacer());
         busReader_.setObserver({[this](std::int64_t from, std::int64_t last,
-                                       const std::vector<std::int64_t>& numbers, bool complete) {
+                                       const std::vector<std::int64_t>& offsets, bool complete) {
                                     if (tier_)
-                                        tier_->told(tierTransport_.momentOf(loop_.now()), from, last, numbers,
+                                        tier_->told(tierTransport_.momentOf(loop_.now()), from, last, offsets,
                                                     complete);
                                 },
                                 [this] { return !tier_ || tier_->kept(); }});
