--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -36,6 +36,7 @@
 
 enum class DecisionKind { send, refuse, fail, cancel };
 
+// One decision about a request. `kind` tells which of the fields apply.
 struct Decision {
     DecisionKind kind = DecisionKind::fail;
     RequestId request = 0;
@@ -59,6 +60,7 @@
     Micros pickedAt{};
 };
 
+// Outcome of an attempt, as the decision module needs it.
 struct AttemptReport {
     RequestId request = 0;
     int attempt = 0;
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -25,6 +25,7 @@
     std::int64_t mintedMs = 0;  // Unix milliseconds; the content is of this time or later; zero: not known
 };
 
+// Final answer to a request.
 struct Reply {
     enum class Kind { served, refused, failed } kind = Kind::failed;
     Micros retryAfter{};                 // for refused
@@ -33,6 +34,7 @@
     Payload payload;
 };
 
+// How an attempt ended, as the transport reports it.
 struct AttemptResult {
     RequestId request = 0;
     int attempt = 0;
@@ -64,10 +66,11 @@
     std::uint64_t servedLocally = 0;  // from a local copy
     std::uint64_t sent = 0, cancelled = 0;
     std::array<std::uint64_t, kOutcomeCount> outcomes{};  // indexed by Outcome
-    std::array<std::uint64_t, kGiveUpCount>
-        gaveUp{};  // refused or failed without an answer, indexed by GiveUp
+    // Refused or failed without an answer, indexed by GiveUp.
+    std::array<std::uint64_t, kGiveUpCount> gaveUp{};
 };
 
+// Executes the decisions for the open requests and answers each of them once.
 class RequestDispatcher {
 public:
     using AnswerCallback = std::function<void(RequestId, Reply&&)>;
--- a/src/platform/bus_reader.cpp
+++ b/src/platform/bus_reader.cpp
@@ -15,15 +15,15 @@
 // before that. If the settings give a drain time, a poll and its successor must fit into it.
 constexpr net::Micros kPollHold = 1s, kMinPollHold = 200ms;
 constexpr net::Micros kFirstPollHold = 1ms;  // a starting gateway admits no client before it is answered
-constexpr net::Micros kSilenceTimeout = 500ms,
-                      kMinSilenceTimeout = 150ms;  // beyond the hold time, or within an answer
+// Beyond the hold time, or within an answer.
+constexpr net::Micros kSilenceTimeout = 500ms, kMinSilenceTimeout = 150ms;
 constexpr net::Micros kAnswerTimeout = 5s;  // from its first byte to its last, at whatever rate it arrives
 constexpr net::Micros kConnectTimeout = 400ms;
 constexpr net::Micros kDurabilityTimeout = 200ms;  // for applied events to become durable
 constexpr net::Micros kDurabilityCheckInterval = 1ms;
 constexpr net::Micros kReconnectDelay = 50ms;  // from the second failure on, to avoid a busy loop
-constexpr net::HttpParser::Limits kHttpLimits{16 * 1024,
-                                              1024 * 1024};  // parsed, the body takes several times as much
+// Parsed, the body takes several times as much memory.
+constexpr net::HttpParser::Limits kHttpLimits{16 * 1024, 1024 * 1024};
 
 }  // namespace
 
--- a/src/platform/copy_age.hpp
+++ b/src/platform/copy_age.hpp
@@ -36,8 +36,8 @@
     static constexpr std::chrono::milliseconds kClockTolerance{50};
 
     core::Micros unixClockOffset_;
-    std::optional<core::Micros>
-        youngestCopyOffset_;  // lower bound of the offset of the clock that dates copies
+    // Lower bound of the offset of the clock that dates copies.
+    std::optional<core::Micros> youngestCopyOffset_;
 };
 
 }  // namespace lotuslead::platform
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -35,6 +35,7 @@
 inline std::uint64_t keyFormOf(const settings::Configuration&) { return 0; }
 inline std::uint64_t keyFormOf(const settings::RepositoryConfiguration& c) { return c.partBytes; }
 
+// One front with its transport, decisions, event bus reader and, if configured, disk tier.
 template <class Configuration, class Front, class Transport>
 class FrontService : public core::Service, private net::Handler {
 public:
--- a/src/platform/silence_timeout.hpp
+++ b/src/platform/silence_timeout.hpp
@@ -15,9 +15,10 @@
 class SilenceTimeout {
 public:
     using Micros = std::chrono::microseconds;
-    static constexpr Micros kMin{
-        300'000};  // a healthy store with many requests in flight is never silent this long
-    static constexpr Micros kMax{3'000'000};  // finds a dead connection however slow the answers are
+    // A healthy store with many requests in flight is never silent this long.
+    static constexpr Micros kMin{300'000};
+    // Finds a dead connection however slow the answers are.
+    static constexpr Micros kMax{3'000'000};
 
     // Where requests have shorter deadlines, a dead connection must be found sooner.
     void setUpperBound(Micros upperBound) { upperBound_ = std::clamp(upperBound, kMin, kMax); }
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -391,8 +391,8 @@
     net::RespParser parser_;
     std::deque<QueuedAttempt> queue_;
     std::unordered_map<std::string, Sent> inFlight_;
-    std::unordered_map<std::string, Micros>
-        abandoned_;                                // label -> time of abandonment; answers may still arrive
+    // Trace id and time of abandoned attempts, whose answers may still arrive.
+    std::unordered_map<std::string, Micros> abandoned_;
     std::vector<std::uint64_t> answeredTraceIds_;  // fingerprints of the last ones
     std::size_t nextAnswered_ = 0;
     int unmatchedAnswers_ = 0, pendingEchoes_ = 0;
