--- a/tests/held_up_test.cpp
+++ b/tests/held_up_test.cpp
@@ -43,7 +43,7 @@
     program.goOn();
     assert(client.readResp().size() > 1);
     const auto stopped = std::chrono::duration_cast<std::chrono::milliseconds>(kStopped).count();
-    std::fprintf(stderr, "%d of %d ms told after a stop of %lld ms\n", toldMs.load(), kPatienceMs,
+    std::fprintf(stderr, "PULL has max=%d of %d ms after a stop of %lld ms\n", toldMs.load(), kPatienceMs,
                  static_cast<long long>(stopped));
     assert(toldMs <= kPatienceMs - stopped + kSlackMs);
 }
@@ -96,7 +96,7 @@
         client.sendResp({"CHECK", "2", ""});
         passedOn += client.readResp().at(0) == "1" ? 1 : 0;
     }
-    std::fprintf(stderr, "%d of %d answers passed on after their CANCEL\n", passedOn, kCancelRounds);
+    std::fprintf(stderr, "%d of %d answers forwarded after their CANCEL\n", passedOn, kCancelRounds);
     assert(passedOn == 0);
 }
 
@@ -119,7 +119,7 @@
     program.goOn();
     for (int i = 0; i < kConnections; ++i) assert(get(client, "/elsewhere").status == 404);
     std::this_thread::sleep_for(kStopped);
-    std::fprintf(stderr, "%d of %d that had left were asked for\n", server.requests(path) - asked,
+    std::fprintf(stderr, "%d requests sent for %d departed clients\n", server.requests(path) - asked,
                  kConnections);
     assert(server.requests(path) == asked);
 }
@@ -144,7 +144,8 @@
     program.goOn();
     int answered = 0;
     for (const auto& client : clients) answered += client->readResp().size() > 1 ? 1 : 0;
-    std::fprintf(stderr, "%d of %d that waited at the old address answered\n", answered, kConnections);
+    std::fprintf(stderr, "%d of %d calls in the backlog of the old address answered\n", answered,
+                 kConnections);
     assert(answered == kConnections);
 }
 
