--- a/tests/held_up_test.cpp
+++ b/tests/held_up_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace lotuslead::testing;
 
-constexpr auto kStopped = 700ms;
+constexpr auto kStopTime = 700ms;
 constexpr int kPatienceMs = 2000;
 constexpr int kSlackMs = 150;
 constexpr int kConnections = 20;  // more than are accepted in one turn
@@ -27,10 +27,10 @@
 
 // The store must be given no more time than the client has left.
 void theDeadlineCountsFromTheArrivalOfTheCall() {
-    std::atomic<int> toldMs{0};
+    std::atomic<int> pullMaxMs{0};
     Fleet fleet;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
-        toldMs = std::atoi(valueOf(words[2], "max").c_str());
+        pullMaxMs = std::atoi(valueOf(words[2], "max").c_str());
         serving("bytes")(c, words);
     }));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
@@ -39,13 +39,13 @@
     assert(client.readResp().size() > 1);
     program.stop();
     callWithPatience(client, "2", kPatienceMs);
-    std::this_thread::sleep_for(kStopped);
+    std::this_thread::sleep_for(kStopTime);
     program.goOn();
     assert(client.readResp().size() > 1);
-    const auto stopped = std::chrono::duration_cast<std::chrono::milliseconds>(kStopped).count();
-    std::fprintf(stderr, "PULL has max=%d of %d ms after a stop of %lld ms\n", toldMs.load(), kPatienceMs,
+    const auto stopped = std::chrono::duration_cast<std::chrono::milliseconds>(kStopTime).count();
+    std::fprintf(stderr, "PULL has max=%d of %d ms after a stop of %lld ms\n", pullMaxMs.load(), kPatienceMs,
                  static_cast<long long>(stopped));
-    assert(toldMs <= kPatienceMs - stopped + kSlackMs);
+    assert(pullMaxMs <= kPatienceMs - stopped + kSlackMs);
 }
 
 // CALL and CANCEL have both arrived when the process resumes and reads a few bytes at a time.
@@ -64,7 +64,7 @@
     program.stop();
     callWithPatience(client, "2", kPatienceMs);
     client.sendResp({"CANCEL", "2"});
-    std::this_thread::sleep_for(kStopped);
+    std::this_thread::sleep_for(kStopTime);
     program.goOn();
     call(client, "3");
     assert((client.readResp() == std::vector<std::string>{"3", "SERVED", "-", "bytes"}));
@@ -82,7 +82,7 @@
         serving("bytes")(c, words);
     }));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
-    int passedOn = 0;
+    int forwarded = 0;
     for (int round = 1; round <= kCancelRounds; ++round) {
         Connection client(program.port());
         call(client, "1");
@@ -94,10 +94,10 @@
         std::this_thread::sleep_for(kDeliveryTime);
         program.goOn();
         client.sendResp({"CHECK", "2", ""});
-        passedOn += client.readResp().at(0) == "1" ? 1 : 0;
+        forwarded += client.readResp().at(0) == "1" ? 1 : 0;
     }
-    std::fprintf(stderr, "%d of %d answers forwarded after their CANCEL\n", passedOn, kCancelRounds);
-    assert(passedOn == 0);
+    std::fprintf(stderr, "%d of %d answers forwarded after their CANCEL\n", forwarded, kCancelRounds);
+    assert(forwarded == 0);
 }
 
 // A request and its client's close have both arrived at the repository front when the process resumes. Nobody
@@ -115,10 +115,10 @@
         Connection leaver(program.port());
         ask(leaver, path);
     }
-    std::this_thread::sleep_for(kStopped);
+    std::this_thread::sleep_for(kStopTime);
     program.goOn();
     for (int i = 0; i < kConnections; ++i) assert(get(client, "/elsewhere").status == 404);
-    std::this_thread::sleep_for(kStopped);
+    std::this_thread::sleep_for(kStopTime);
     std::fprintf(stderr, "%d requests sent for %d departed clients\n", server.requests(path) - asked,
                  kConnections);
     assert(server.requests(path) == asked);
