--- a/tests/platform_clients_test.cpp
+++ b/tests/platform_clients_test.cpp
@@ -59,10 +59,10 @@
     Peer cache(store(serving(std::string(240'000, 'x'))));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
     const std::uint16_t port = program.port();
-    std::vector<std::unique_ptr<Connection>> lazy;
+    std::vector<std::unique_ptr<Connection>> nonReaders;
     for (int i = 0; i < 40; ++i) {
-        lazy.push_back(std::make_unique<Connection>(port, 4096));
-        for (int k = 1; k <= 32; ++k) call(*lazy.back(), std::to_string(k));  // 307 MB in all
+        nonReaders.push_back(std::make_unique<Connection>(port, 4096));
+        for (int k = 1; k <= 32; ++k) call(*nonReaders.back(), std::to_string(k));  // 307 MB in all
     }
     // Until no request is open: all are answered, into memory of the gateway or with a refusal.
     Connection client(port);
@@ -160,22 +160,22 @@
     json settings = configuration(fleet.with({wide}));
     settings["settings"]["weights"] = "nominal";
     Program program(settings);
-    Connection greedy(program.port()), fickle(program.port()), usual(program.port());
-    for (int i = 1; i <= 400; ++i) call(greedy, std::to_string(i));
+    Connection burstClient(program.port()), cancellingClient(program.port()), otherClient(program.port());
+    for (int i = 1; i <= 400; ++i) call(burstClient, std::to_string(i));
     for (int i = 1; i <= 400; ++i) {
-        call(fickle, std::to_string(i));
-        fickle.sendResp({"CANCEL", std::to_string(i)});
+        call(cancellingClient, std::to_string(i));
+        cancellingClient.sendResp({"CANCEL", std::to_string(i)});
     }
-    call(usual, "1", "", "page", "usual");
-    assert(usual.readResp()[3] == "here");
-    const auto answer = greedy.readResp();
+    call(otherClient, "1", "", "page", "usual");
+    assert(otherClient.readResp()[3] == "here");
+    const auto answer = burstClient.readResp();
     assert(answer[1] == "SHED" && !valueOf(answer[2], "pause").empty());
-    while (!fickle.readResp().empty()) {
+    while (!cancellingClient.readResp().empty()) {
     }  // closed, as is the greedy one once its open requests have ended
-    while (!greedy.readResp().empty()) {
+    while (!burstClient.readResp().empty()) {
     }
-    call(usual, "2", "", "page", "usual");
-    assert(usual.readResp()[3] == "here");
+    call(otherClient, "2", "", "page", "usual");
+    assert(otherClient.readResp()[3] == "here");
     program.signal(SIGTERM);
     assert(program.exitCode() == 0);
     assert(program.log().find("retired=2") != std::string::npos);
@@ -184,16 +184,17 @@
 void silentAndPartialConnectionsAreClosedAndIdleOnesKept() {
     Fleet fleet;
     Program program(configuration(fleet.with({})));
-    Connection rests(program.port()), silent(program.port()), half(program.port()), later(program.port());
-    for (Connection* c : {&rests, &later}) {
+    Connection idleClient(program.port()), silent(program.port()), partialClient(program.port()),
+        laterPartialClient(program.port());
+    for (Connection* c : {&idleClient, &laterPartialClient}) {
         c->sendResp({"CHECK", "1", ""});
         assert(c->readResp()[1] == "PASS");
     }
-    half.send("*3\r\n$5\r\nCHE");
-    later.send("*3\r\n$5\r\nCHE");
-    for (Connection* c : {&silent, &half, &later}) assert(c->closed());
-    rests.sendResp({"CHECK", "2", ""});
-    assert(rests.readResp()[1] == "PASS");
+    partialClient.send("*3\r\n$5\r\nCHE");
+    laterPartialClient.send("*3\r\n$5\r\nCHE");
+    for (Connection* c : {&silent, &partialClient, &laterPartialClient}) assert(c->closed());
+    idleClient.sendResp({"CHECK", "2", ""});
+    assert(idleClient.readResp()[1] == "PASS");
 }
 
 void silentConnectionsDoNotShutOutClients() {
@@ -207,9 +208,9 @@
     assert(asked.readResp()[1] == "PASS");
     std::vector<std::unique_ptr<Connection>> crowd;
     for (int i = 0; i < 60; ++i) crowd.push_back(std::make_unique<Connection>(port));
-    Connection usual(port);
-    usual.sendResp({"CHECK", "1", ""});
-    assert(usual.readResp()[1] == "PASS");
+    Connection otherClient(port);
+    otherClient.sendResp({"CHECK", "1", ""});
+    assert(otherClient.readResp()[1] == "PASS");
     asked.sendResp({"CHECK", "2", ""});
     assert(asked.readResp()[1] == "PASS");
 }
@@ -238,9 +239,9 @@
         std::this_thread::sleep_for(2200ms / (text.size() / 2));
         if (i % 16 == 0) comes(4);
         if (i % 32) continue;
-        Connection usual(port);
-        call(usual, "1");
-        assert(usual.readResp()[1] == "SERVED");
+        Connection otherClient(port);
+        call(otherClient, "1");
+        assert(otherClient.readResp()[1] == "SERVED");
     }
     assert((slow.readResp() == std::vector<std::string>{"7", "SERVED", "-", "served"}));
     for (const auto& c : crowd) assert(c->closed());
