--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -128,7 +128,7 @@
 constexpr std::int64_t kPurgedBeforeStartMs = 10'000;
 
 PullAfterPurge pullAfterPurge(const std::string& clockRule, bool beforeTheStart) {
-    PullAfterPurge seen;
+    PullAfterPurge pull;
     std::atomic<std::int64_t> freshMs{0}, pulledMs{0};
     Fleet fleet;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
@@ -152,21 +152,21 @@
     std::this_thread::sleep_for(1s);
     call(client, "1");
     const std::vector<std::string> answer = client.readResp();
-    seen.served = answer.size() > 3 && answer[3] == "new";
-    seen.freshMs = freshMs;
-    seen.elapsedMs = pulledMs - purgedMs;
+    pull.served = answer.size() > 3 && answer[3] == "new";
+    pull.freshMs = freshMs;
+    pull.elapsedMs = pulledMs - purgedMs;
     std::fprintf(stderr, "%s: fresh=%lld, purged %lld ms ago, %s\n", clockRule.c_str(),
-                 static_cast<long long>(seen.freshMs), static_cast<long long>(seen.elapsedMs),
-                 seen.served ? "served" : "not served");
-    return seen;
+                 static_cast<long long>(pull.freshMs), static_cast<long long>(pull.elapsedMs),
+                 pull.served ? "served" : "not served");
+    return pull;
 }
 
 void purgesHoldWithAWrongClock(bool beforeTheStart) {
     for (const char* clockRule :
          {"realtime=5", "realtime=3600", "realtime=-5", "realtime=-3600", "realtime=0"}) {
-        const PullAfterPurge seen = pullAfterPurge(clockRule, beforeTheStart);
-        assert(seen.freshMs > 0 && seen.freshMs <= seen.elapsedMs + 1);
-        assert(seen.served);
+        const PullAfterPurge pull = pullAfterPurge(clockRule, beforeTheStart);
+        assert(pull.freshMs > 0 && pull.freshMs <= pull.elapsedMs + 1);
+        assert(pull.served);
     }
 }
 // A class with a freshness lifetime: copies are a second old, a minute is allowed. By a clock one hour ahead
