--- a/tests/platform_clients_test.cpp
+++ b/tests/platform_clients_test.cpp
@@ -171,7 +171,7 @@
     const auto answer = burstClient.readResp();
     assert(answer[1] == "SHED" && !valueOf(answer[2], "pause").empty());
     while (!cancellingClient.readResp().empty()) {
-    }  // closed, as is the greedy one once its open requests have ended
+    }  // closed, as is burstClient once its requests have ended
     while (!burstClient.readResp().empty()) {
     }
     call(otherClient, "2", "", "page", "usual");
