--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Whatever a site allows, a request of the real gateway has one attempt out at a time.
+// Whatever the settings allow, a request of this gateway has at most one attempt in flight.
 settings::DecodedSettings withoutSecondCopies(settings::DecodedSettings vocabulary) {
     vocabulary.settings.mayHedge = false;
     return vocabulary;
@@ -25,7 +25,7 @@
       router_(vocabulary_.settings, seed),
       unixClockOffset_(unixClockOffset) {
     router_.start(routerTime(now), actions_);
-    collect(now);
+    convertActions(now);
 }
 
 void DecisionFacade::reconfigure(settings::DecodedSettings vocabulary) {
@@ -38,7 +38,7 @@
     router_.reconfigure(settingsForAllProcesses());
 }
 
-// To the module the processes of a gateway are so many routers.
+// To the decision module, each process of a gateway is a router of its own.
 Settings DecisionFacade::settingsForAllProcesses() const {
     Settings settings = vocabulary_.settings;
     settings.routers = std::max(1, settings.routers) * processes_;
@@ -60,7 +60,7 @@
     return {{"startedAt", known.startedAt.count()}, {"work", work}, {"objects", objects}, {"hosts", hosts}};
 }
 
-// Both read the same machine's monotonic clock.
+// Times need no conversion: predecessor and successor read the monotonic clock of the same machine.
 void DecisionFacade::importState(Micros now, const nlohmann::json& known) {
     LearnedState learnedState;
     const auto time = [](const nlohmann::json& value) { return Time{value.get<std::int64_t>()}; };
@@ -75,9 +75,10 @@
     router_.restore(routerTime(now), learnedState);
 }
 
-// The list's clock and ours may be far apart: ours is read once, at the start, and may have been stepped.
-// What it can't be is kept out: a start that is still to come, and one of long ago that is news now. Either
-// counts as a start of this moment, which is the stricter end.
+// The clock that dates the list and ours may be far apart: the offset is read once, at the start, and the
+// wall clock may have been stepped. Impossible starts are rejected: one in the future, and one long past that
+// has only now been reported. Either counts as a start at this moment, which leads to the stricter slow
+// start.
 Time DecisionFacade::hostStartTime(Micros now, const settings::ListedStore& store, const ListedHost& before,
                                    bool receivedLive) const {
     constexpr std::chrono::minutes kMaxReportDelay{1};
@@ -91,7 +92,7 @@
 void DecisionFacade::applyHostList(Micros now, const settings::BusEvent& event, bool receivedLive) {
     HostList list;
     list.whole = event.whole;
-    // A whole list names hosts that stay.
+    // A complete list names every host that stays; all others are gone.
     std::unordered_map<std::string, ListedHost> replaced;
     if (event.whole) replaced.swap(hosts_);
     const auto& before = event.whole ? replaced : hosts_;
@@ -106,7 +107,7 @@
         const auto known = before.find(store.name);
         entry.startedAt =
             hostStartTime(now, store, known == before.end() ? ListedHost{} : known->second, receivedLive);
-        // Nothing is kept of hosts that are gone: on a long day there is no end of them.
+        // No state is kept for hosts that are gone, or the table would grow without bound.
         if (store.readiness == Readiness::gone)
             hosts_.erase(store.name);
         else
@@ -114,7 +115,7 @@
         list.entries.push_back(std::move(entry));
     }
     router_.handle(routerTime(now), list, actions_);
-    collect(now);
+    convertActions(now);
 }
 
 void DecisionFacade::applyPurge(Micros now, const settings::BusEvent& event) {
@@ -127,11 +128,11 @@
     received.purgeUnixMs = std::max(received.purgeUnixMs, event.purgedMs);
     forgetOldPurges(now);
     router_.handle(routerTime(now), purge, actions_);
-    collect(now);
+    convertActions(now);
 }
 
-// No send waits longer than its request may, so older purges are known to every pick that still counts; and
-// the module has forgotten them.
+// No attempt outlives its request, so every decision still in force was made with older purges known. The
+// decision module has forgotten those purges too.
 void DecisionFacade::forgetOldPurges(Micros now) {
     constexpr std::chrono::minutes kPurgeRetention{2};
     const Micros kept = kPurgeRetention + 2 * duration_cast<Micros>(vocabulary_.settings.purgeSettleTime);
@@ -152,7 +153,7 @@
              std::max(object->second.purgeUnixMs, group->second.purgeUnixMs)}};
 }
 
-void DecisionFacade::limitByPurge(Micros now, const Request& request, Decision& send) const {
+void DecisionFacade::applyPurgeLimit(Micros now, const Request& request, Decision& send) const {
     const auto purge = lastPurgeOf(request);
     if (!purge) return;
     constexpr Micros kRounding{1000};
@@ -165,18 +166,18 @@
 }
 
 Decision DecisionFacade::pick(Micros now, const Request& request) {
-    lotuslead::Request asked;
-    asked.id = request.id;
-    asked.classIndex = request.classIndex;
-    asked.object = request.object.empty() ? 0 : fingerprint(request.object);
-    asked.group = request.group;
-    asked.part = request.part;
-    asked.deadline = routerTime(request.deadline);
-    asked.repeated = request.repeated;
-    asked.write = vocabulary_.settings.classes[static_cast<std::size_t>(request.classIndex)].uncacheable;
+    lotuslead::Request event;
+    event.id = request.id;
+    event.classIndex = request.classIndex;
+    event.object = request.object.empty() ? 0 : fingerprint(request.object);
+    event.group = request.group;
+    event.part = request.part;
+    event.deadline = routerTime(request.deadline);
+    event.repeated = request.repeated;
+    event.write = vocabulary_.settings.classes[static_cast<std::size_t>(request.classIndex)].uncacheable;
     attempts_[request.id] = 0;
-    router_.handle(routerTime(now), asked, actions_);
-    for (Decision& decision : collect(now))
+    router_.handle(routerTime(now), event, actions_);
+    for (Decision& decision : convertActions(now))
         if (decision.kind != DecisionKind::cancel) return decision;
     Decision none;
     none.request = request.id;
@@ -198,13 +199,13 @@
     ended.requestClosed = report.outcome == Outcome::served || report.servedLocally;
     if (ended.requestClosed) attempts_.erase(report.request);
     router_.handle(routerTime(now), ended, actions_);
-    return collect(now);
+    return convertActions(now);
 }
 
 std::vector<Decision> DecisionFacade::clientGone(Micros now, RequestId request) {
     attempts_.erase(request);
     router_.handleClientGone(routerTime(now), request, actions_);
-    return collect(now);
+    return convertActions(now);
 }
 
 std::vector<Decision> DecisionFacade::tick(Micros now) {
@@ -213,7 +214,7 @@
         timers_.erase(timers_.begin());
         router_.handleTimer(routerTime(now), timer, actions_);
     }
-    return collect(now);
+    return convertActions(now);
 }
 
 Micros DecisionFacade::nextTick() const { return timers_.empty() ? Micros::max() : timers_.begin()->first; }
@@ -223,14 +224,14 @@
     return purge && purge->receivedAt >= when;
 }
 
-DecisionFacade::ListedHost DecisionFacade::hostOf(const std::string& name) const {
+DecisionFacade::ListedHost DecisionFacade::findHost(const std::string& name) const {
     const auto found = hosts_.find(name);
     return found == hosts_.end() ? ListedHost{} : found->second;
 }
 
-std::vector<Decision> DecisionFacade::collect(Micros now) {
+std::vector<Decision> DecisionFacade::convertActions(Micros now) {
     std::vector<Decision> decisions;
-    const auto take = [&](const auto& action) {
+    const auto convert = [&](const auto& action) {
         using Kind = std::decay_t<decltype(action)>;
         Decision decision;
         if constexpr (std::is_same_v<Kind, Send>) {
@@ -242,7 +243,7 @@
             decision.keepRank = action.withoutSource ? 0 : action.keepRank;
             decision.localKeepRank = action.ownCopyRank;
             decision.maxAge = duration_cast<Micros>(action.maxCopyAge);
-            // Rounded down to nothing it would mean "any age".
+            // Must not be rounded down to zero, which means "any age".
             if (action.maxCopyAge.count() > 0 && decision.maxAge.count() == 0) decision.maxAge = Micros{1};
             decision.joinFill = action.coalesce;
             decision.onlyIfCached = action.sourceOnlyIfCached;
@@ -268,11 +269,11 @@
             timers_.emplace(now + duration_cast<Micros>(action.delay) + Micros{1}, action.timer);
             return;
         } else {
-            return;  // lists are pushed and nothing is probed on this deployment
+            return;  // lists are pushed and hosts are not probed here
         }
         decisions.push_back(std::move(decision));
     };
-    for (const Action& action : actions_) std::visit(take, action);
+    for (const Action& action : actions_) std::visit(convert, action);
     actions_.clear();
     return decisions;
 }
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -7,15 +7,15 @@
 namespace lotuslead::core {
 
 const char* nameOf(Outcome outcome) {
-    constexpr std::array<const char*, kOutcomes> names{"served",    "error",         "not_taken",
-                                                       "timed_out", "no_connection", "broken",
-                                                       "cancelled", "not_sent",      "no_copy"};
+    constexpr std::array<const char*, kOutcomeCount> names{"served",    "error",         "not_taken",
+                                                           "timed_out", "no_connection", "broken",
+                                                           "cancelled", "not_sent",      "no_copy"};
     return names[static_cast<std::size_t>(outcome)];
 }
 
 const char* nameOf(GiveUpReason why) {
-    constexpr std::array<const char*, kGiveUps> names{"no_time", "most_attempts", "no_route", "no_allowance",
-                                                      "cancelled"};
+    constexpr std::array<const char*, kGiveUpCount> names{"no_time", "most_attempts", "no_route",
+                                                          "no_allowance", "cancelled"};
     return names[static_cast<std::size_t>(why)];
 }
 
@@ -38,7 +38,7 @@
     ++openCount_;
     ++counters_.taken;
     if (Trace::on())
-        Trace::write("take", {{"request", state.request.label},
+        Trace::write("take", {{"request", state.request.traceId},
                               {"class", state.request.className},
                               {"left_us", std::to_string((state.request.deadline - now).count())}});
     execute(now, {decisions_.pick(now, state.request)});
@@ -51,47 +51,49 @@
     found->second.answer = nullptr;
     --openCount_;
     ++counters_.clientsGone;
-    if (Trace::on()) Trace::write("withdraw", {{"request", found->second.request.label}});
+    if (Trace::on()) Trace::write("withdraw", {{"request", found->second.request.traceId}});
     execute(now, decisions_.clientGone(now, id));
     forgetIfDone(id);
 }
 
-void RequestDispatcher::attemptEnded(Micros now, AttemptResult end) {
-    const auto found = states_.find(end.request);
-    // A late word on an attempt that was given up is nobody's any more.
-    if (found == states_.end() || !found->second.attemptInFlight || found->second.send.attempt != end.attempt)
+void RequestDispatcher::attemptEnded(Micros now, AttemptResult result) {
+    const auto found = states_.find(result.request);
+    // A late result of an attempt that was given up is dropped.
+    if (found == states_.end() || !found->second.attemptInFlight ||
+        found->second.send.attempt != result.attempt)
         return;
     RequestState& state = found->second;
-    const AnswerFacts answer{false, end.payload.unchanged, !state.request.known.empty()};
-    if (end.outcome == Outcome::served && !checks_.require(mayAnswer(answer), "answer", state.request.label))
-        end.outcome = Outcome::error;
-    if (end.outcome == Outcome::served && purged_ == PurgeDuringFetch::refetch &&
+    const AnswerFacts answer{false, result.payload.unchanged, !state.request.knownTag.empty()};
+    if (result.outcome == Outcome::served &&
+        !checks_.require(mayAnswer(answer), "answer", state.request.traceId))
+        result.outcome = Outcome::error;
+    if (result.outcome == Outcome::served && purgeDuringFetch_ == PurgeDuringFetch::refetch &&
         decisions_.purgedSince(state.request, state.send.pickedAt))
-        end.outcome = Outcome::notSent;
+        result.outcome = Outcome::notSent;
     AttemptReport report;
-    report.outcome = end.outcome;
-    if (end.servedLocally && end.outcome == Outcome::served) {
-        report.outcome = Outcome::notSent;  // to its host
+    report.outcome = result.outcome;
+    if (result.servedLocally && result.outcome == Outcome::served) {
+        report.outcome = Outcome::notSent;  // not sent to its host
         report.servedLocally = true;
         ++counters_.servedLocally;
     }
-    report.note = end.note;
-    report.ignoreForHealth = end.ignoreForHealth;
-    report.bytes = end.payload.body.size();
-    report.unchanged = end.payload.unchanged;
-    if (end.outcome == Outcome::served && !state.answered) {
+    report.note = result.note;
+    report.ignoreForHealth = result.ignoreForHealth;
+    report.bytes = result.payload.body.size();
+    report.unchanged = result.payload.unchanged;
+    if (result.outcome == Outcome::served && !state.answered) {
         Reply reply;
         reply.kind = Reply::Kind::served;
-        reply.payload = std::move(end.payload);
+        reply.payload = std::move(result.payload);
         finish(state, std::move(reply));
     }
     execute(now, endAttempt(now, state, report));
-    forgetIfDone(end.request);
+    forgetIfDone(result.request);
 }
 
 void RequestDispatcher::runTimers(Micros now) {
     execute(now, decisions_.tick(now));
-    // Machines that went silent never reset: only this clock ends their attempts.
+    // A machine that went silent never resets its connections: only this timeout ends the attempts there.
     while (!timeouts_.empty() && std::get<0>(*timeouts_.begin()) <= now) {
         const auto [at, id, attempt] = *timeouts_.begin();
         RequestState& state = states_.at(id);
@@ -113,7 +115,7 @@
     const RequestState& state = found->second;
     const Denial denial = denialOf(now, state, state.send);
     if (denial != Denial::none && Trace::on())
-        Trace::write("hold_back", {{"request", state.request.label},
+        Trace::write("hold_back", {{"request", state.request.traceId},
                                    {"attempt", std::to_string(attempt)},
                                    {"why", nameOf(denial)}});
     return checks_.allows(denial);
@@ -124,21 +126,21 @@
     facts.answered = state.answered;
     facts.now = now;
     facts.deadline = state.request.deadline;
-    facts.host = decisions_.hostOf(send.host).readiness;
-    if (!send.source.empty()) facts.source = decisions_.hostOf(send.source).readiness;
-    // A pick knows of all purges that were told before it, also in the same turn.
+    facts.host = decisions_.findHost(send.host).readiness;
+    if (!send.source.empty()) facts.source = decisions_.findHost(send.source).readiness;
+    // A decision takes into account every purge received before it, including those of the same turn.
     facts.purgedSincePick = now > send.pickedAt && decisions_.purgedSince(state.request, send.pickedAt);
     facts.to = localityOf(send.host);
     return maySend(state.classSettings, facts, state.earlier);
 }
 
 Locality RequestDispatcher::localityOf(const std::string& host) const {
-    const DecisionFacade::ListedHost listed = decisions_.hostOf(host);
+    const DecisionFacade::ListedHost listed = decisions_.findHost(host);
     return {listed.zone, listed.cell};
 }
 
 void RequestDispatcher::execute(Micros now, std::vector<Decision> decisions) {
-    // Each verdict may lead to further ones; they are taken in the order in which they came.
+    // Each decision may lead to further ones, which are executed in order of arrival.
     for (std::size_t i = 0; i < decisions.size(); ++i) {
         Decision decision = std::move(decisions[i]);
         const auto found = states_.find(decision.request);
@@ -168,10 +170,10 @@
     const bool mayHave = state.attemptInFlight || state.earlier.has_value();
     const bool refused =
         decision.kind == DecisionKind::refuse &&
-        checks_.require(mayRefuse(state.classSettings, mayHave), "refusal", state.request.label);
+        checks_.require(mayRefuse(state.classSettings, mayHave), "refusal", state.request.traceId);
     ++counters_.gaveUp[static_cast<std::size_t>(decision.why)];
     if (Trace::on())
-        Trace::write("give_up", {{"request", state.request.label},
+        Trace::write("give_up", {{"request", state.request.traceId},
                                  {"word", refused ? "refused" : "failed"},
                                  {"why", nameOf(decision.why)}});
     Reply reply;
@@ -185,23 +187,23 @@
 std::vector<Decision> RequestDispatcher::startAttempt(Micros now, RequestState& state, Decision&& send) {
     const Denial denial = state.attemptInFlight ? Denial::attemptInFlight : denialOf(now, state, send);
     if (denial == Denial::attemptInFlight) {
-        checks_.require(denial, "send", state.request.label);
+        checks_.require(denial, "send", state.request.traceId);
         return {};
     }
     state.sentTo = localityOf(send.host);
     state.send = std::move(send);
-    decisions_.limitByPurge(now, state.request, state.send);
+    decisions_.applyPurgeLimit(now, state.request, state.send);
     state.sentAt = now;
     state.attemptInFlight = true;
-    // Never past the deadline: the final answer is owed by then.
+    // Never beyond the deadline, when the final answer is due.
     Micros until = state.request.deadline;
     if (state.send.timeout.count() > 0) until = std::min(until, now + state.send.timeout);
     timeouts_.emplace(until, state.request.id, state.send.attempt);
     ++counters_.sent;
-    if (!checks_.require(denial, "send", state.request.label))
+    if (!checks_.require(denial, "send", state.request.traceId))
         return endAttempt(now, state, {.outcome = Outcome::notSent});
     if (Trace::on())
-        Trace::write("send", {{"request", state.request.label},
+        Trace::write("send", {{"request", state.request.traceId},
                               {"attempt", std::to_string(state.send.attempt)},
                               {"host", state.send.host},
                               {"source", state.send.source}});
@@ -214,7 +216,7 @@
     state.lastOutcome = report.outcome;
     if (mayHaveRun(report.outcome) && !state.earlier) state.earlier = EarlierRun{state.sentAt, state.sentTo};
     if (Trace::on())
-        Trace::write("end", {{"request", state.request.label},
+        Trace::write("end", {{"request", state.request.traceId},
                              {"attempt", std::to_string(state.send.attempt)},
                              {"outcome", nameOf(report.outcome)},
                              {"took_us", std::to_string((now - state.sentAt).count())}});
@@ -230,7 +232,7 @@
 }
 
 void RequestDispatcher::finish(RequestState& state, Reply&& reply) {
-    if (!checks_.require(mayAnswer({.answered = state.answered}), "answer", state.request.label)) return;
+    if (!checks_.require(mayAnswer({.answered = state.answered}), "answer", state.request.traceId)) return;
     state.answered = true;
     --openCount_;
     using Kind = Reply::Kind;
--- a/src/core/rules.cpp
+++ b/src/core/rules.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::uint64_t kMaxLoggedViolations = 100;  // in the log; all are counted
+constexpr std::uint64_t kMaxLoggedViolations = 100;  // logged; all are counted
 
 }  // namespace
 
@@ -45,7 +45,7 @@
 
 Denial mayRefuse(const ClassSettings& rules, bool mayHaveRun) {
     if (!mayHaveRun || rules.effect == Effect::safe) return Denial::none;
-    // Wherever the client's next try goes, its key is known there.
+    // The key is known wherever the next attempt of the client goes.
     const bool keyKnown =
         rules.effect == Effect::keyed && rules.deduplicationScope == DeduplicationScope::all;
     return keyKnown ? Denial::none : Denial::mayHaveTakenEffect;
@@ -77,7 +77,7 @@
 
 bool RuleChecks::allows(Denial denial) {
     if (denial == Denial::none) return true;
-    ++heldBack_[static_cast<std::size_t>(denial)];
+    ++denials_[static_cast<std::size_t>(denial)];
     return false;
 }
 
--- a/src/platform/call_validation.hpp
+++ b/src/platform/call_validation.hpp
@@ -1,4 +1,4 @@
-// What a CALL must look like before the decisions or a store see it.
+// Validates a CALL before it reaches the decision module or a store.
 #pragma once
 
 #include <algorithm>
@@ -12,12 +12,12 @@
 
 namespace lotuslead::platform {
 
-inline constexpr std::size_t kLargestBody = 48'000;
-inline constexpr std::int64_t kLongestPatienceMs = 600'000;
-inline constexpr std::int64_t kLastBlock = 1'000'000;
-inline constexpr std::int64_t kLastFamily = 255;
+inline constexpr std::size_t kMaxBodyBytes = 48'000;
+inline constexpr std::int64_t kMaxPatienceMs = 600'000;
+inline constexpr std::int64_t kMaxBlock = 1'000'000;
+inline constexpr std::int64_t kMaxFamily = 255;
 
-inline std::size_t bytesOf(const std::vector<std::string>& words) {
+inline std::size_t totalBytes(const std::vector<std::string>& words) {
     std::size_t bytes = 0;
     for (const std::string& word : words) bytes += word.size();
     return bytes;
@@ -28,9 +28,9 @@
            std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
-// What the stores are given is checked here, as far as a form can be checked: a store closes the connection
-// on what it can't read, whatever else is open there.
-inline bool usable(const Fields& fields, const core::Request& request) {
+// A store closes its connection on input that it cannot parse, whatever else is open there. So whatever is
+// passed on to stores is validated here.
+inline bool isValidCall(const Fields& fields, const core::Request& request) {
     const auto within = [&](std::string_view name, std::int64_t least, std::int64_t most) {
         const auto value = fields.whole(name);
         return fields.text(name).empty() || (value && *value >= least && *value <= most);
@@ -38,10 +38,9 @@
     const auto hex = [](const std::string& text, std::size_t size) {
         return text.empty() || isHex(text, size);
     };
-    return isHex(request.label, 16) && isHex(request.object, 16) && hex(request.known, 16) &&
-           hex(request.key, 32) && within("patience", 1, kLongestPatienceMs) &&
-           within("block", 0, kLastBlock) && within("family", 0, kLastFamily) && within("redo", 1, 1) &&
-           request.body.size() <= kLargestBody;
+    return isHex(request.traceId, 16) && isHex(request.object, 16) && hex(request.knownTag, 16) &&
+           hex(request.key, 32) && within("patience", 1, kMaxPatienceMs) && within("block", 0, kMaxBlock) &&
+           within("family", 0, kMaxFamily) && within("redo", 1, 1) && request.body.size() <= kMaxBodyBytes;
 }
 
 }  // namespace lotuslead::platform
--- a/src/platform/client_messages.cpp
+++ b/src/platform/client_messages.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t kMostMessages = 64;
-constexpr std::size_t kMostBytes = 64 * 1024;
+constexpr std::size_t kMaxMessages = 64;
+constexpr std::size_t kMaxMessageBytes = 64 * 1024;
 
 bool isCallOf(const std::vector<std::string>& words, const std::string& tag) {
     return words.size() > 2 && words[0] == "CALL" && words[1] == tag;
@@ -18,26 +18,27 @@
 }  // namespace
 
 void ClientMessages::append(std::string_view data, Micros arrivedAt) {
-    if (bytes_.empty()) bytesSince_ = arrivedAt;
+    if (bytes_.empty()) bytesArrivedAt_ = arrivedAt;
     bytes_.append(data);
 }
 
 void ClientMessages::parse() {
     using Status = net::RespParser::Status;
     std::string_view rest = bytes_;
-    while (!malformed_ && messages_.size() < kMostMessages && messageBytes_ < kMostBytes && !rest.empty()) {
+    while (!malformed_ && messages_.size() < kMaxMessages && messageBytes_ < kMaxMessageBytes &&
+           !rest.empty()) {
         const Status status = parser_.feed(rest);
         malformed_ = status == Status::malformed;
         if (status != Status::message) continue;
-        messages_.push_back({parser_.takeMessage(), bytesSince_});
-        messageBytes_ += bytesOf(messages_.back().words);
+        messages_.push_back({parser_.takeMessage(), bytesArrivedAt_});
+        messageBytes_ += totalBytes(messages_.back().words);
     }
     bytes_.erase(0, bytes_.size() - rest.size());
 }
 
-ClientMessages::TakenBack ClientMessages::takeBack(
+ClientMessages::Cancellations ClientMessages::extractCancellations(
     const std::function<bool(const std::string& tag)>& isOpen) {
-    TakenBack result;
+    Cancellations result;
     for (std::size_t at = 0; at < messages_.size(); ++at) {
         const std::vector<std::string>& words = messages_[at].words;
         if (words.size() < 2 || words[0] != "CANCEL" || !isTag(words[1])) continue;
@@ -46,7 +47,7 @@
         while (call < at && !isCallOf(messages_[call].words, tag)) ++call;
         const bool open = isOpen(tag);
         const bool held = call < at;
-        if (open == held) continue;  // in its turn
+        if (open == held) continue;  // it is handled in order
         takeAt(at--);
         if (open) {
             result.openTags.push_back(tag);
@@ -54,7 +55,7 @@
         }
         takeAt(call);
         --at;
-        ++result.heldCalls;
+        ++result.droppedCalls;
     }
     return result;
 }
@@ -62,7 +63,7 @@
 ClientMessages::Message ClientMessages::takeAt(std::size_t at) {
     Message message = std::move(messages_[at]);
     messages_.erase(messages_.begin() + static_cast<std::ptrdiff_t>(at));
-    messageBytes_ -= bytesOf(message.words);
+    messageBytes_ -= totalBytes(message.words);
     return message;
 }
 
--- a/src/platform/copy_age.hpp
+++ b/src/platform/copy_age.hpp
@@ -1,4 +1,4 @@
-// Judges the dates of copies: too old for what a store was asked for or not.
+// Decides whether a copy that a store returned is too old.
 #pragma once
 
 #include <algorithm>
@@ -10,32 +10,34 @@
 
 namespace lotuslead::platform {
 
-// A purge and a copy carry dates of other machines, which are compared as they are. Only where an age is to
-// be judged our own wall clock comes in. It may have been ahead when the process started, by which every copy
-// would look too old: the youngest copy seen bounds that.
-class CopyClock {
+// Dates of purges and copies both come from other machines and are compared directly. Our own wall clock is
+// used only to judge an age. It may have been ahead when the process started, which would make every copy
+// look too old; the youngest copy seen so far bounds that error.
+class CopyAgeCheck {
 public:
-    // `unixClockOffset`: what our wall clock showed beyond the monotonic one at the start.
-    explicit CopyClock(core::Micros unixClockOffset) : unixClockOffset_(unixClockOffset) {}
+    // `unixClockOffset`: our wall clock minus the monotonic clock, at the start.
+    explicit CopyAgeCheck(core::Micros unixClockOffset) : unixClockOffset_(unixClockOffset) {}
 
     void learn(core::Micros now, std::int64_t mintedMs) {
-        const core::Micros ahead = std::chrono::milliseconds{mintedMs} - now;
-        copiesAhead_ = std::max(ahead, copiesAhead_.value_or(ahead));
+        const core::Micros offset = std::chrono::milliseconds{mintedMs} - now;
+        youngestCopyOffset_ = std::max(offset, youngestCopyOffset_.value_or(offset));
     }
-    // A copy made before is too old; zero: none is.
-    std::int64_t leastMintedMs(core::Micros now, const core::Decision& send) const {
-        const std::int64_t byPurge = send.lastPurgeMs > 0 ? send.lastPurgeMs - kAsTold.count() : 0;
-        if (send.maxAge.count() <= 0 || send.maxAgeFromPurge || !copiesAhead_) return byPurge;
-        const core::Micros least = now + std::min(unixClockOffset_, *copiesAhead_) - send.maxAge - kAsTold;
-        return std::max(byPurge, least.count() / 1000);
+    // Copies made before this are too old; zero: none is.
+    std::int64_t oldestAllowedMs(core::Micros now, const core::Decision& send) const {
+        const std::int64_t fromPurge = send.lastPurgeMs > 0 ? send.lastPurgeMs - kClockTolerance.count() : 0;
+        if (send.maxAge.count() <= 0 || send.maxAgeFromPurge || !youngestCopyOffset_) return fromPurge;
+        const core::Micros oldestAllowed =
+            now + std::min(unixClockOffset_, *youngestCopyOffset_) - send.maxAge - kClockTolerance;
+        return std::max(fromPurge, oldestAllowed.count() / 1000);
     }
 
 private:
-    // An age is told in whole milliseconds, and clocks are read apart.
-    static constexpr std::chrono::milliseconds kAsTold{50};
+    // Ages are sent in whole milliseconds, and the clocks are read at different moments.
+    static constexpr std::chrono::milliseconds kClockTolerance{50};
 
     core::Micros unixClockOffset_;
-    std::optional<core::Micros> copiesAhead_;  // the clock that dates copies is ahead by that at least
+    // Lower bound of the offset of the clock that dates copies.
+    std::optional<core::Micros> youngestCopyOffset_;
 };
 
 }  // namespace lotuslead::platform
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-std::string pauseFields(Micros pause) {
+std::string retryAfterFields(Micros pause) {
     const auto ms = pause.count() / 1000;
     return ms > 0 ? "pause=" + std::to_string(ms) : "-";
 }
@@ -34,267 +34,275 @@
         : owner_(owner),
           connectedAt_(owner.loop_.now()),
           lastUsed_(connectedAt_),
-          lastByte_(connectedAt_),
+          lastByteAt_(connectedAt_),
           stream_(owner.loop_, std::move(fd), *this) {
         stream_.dropInputOnPeerClose();
-        watch(kFirstMessage);
+        armMessageTimer(kFirstMessageTimeout);
     }
-    ~Client() override { abandon(); }
+    ~Client() override { abortConnection(); }
 
     bool idle() const { return open_.empty() && input_.empty() && stream_.unsentBytes() == 0; }
-    // Idle, has been used, and nothing of a further call has come, read or unread.
-    bool resting() const {
-        return idle() && used_ && !retired_ && !input_.midMessage() && stream_.nothingUnread();
-    }
-    bool silent() const { return !used_ && input_.empty() && stream_.nothingUnread(); }
-    bool half() const { return input_.midMessage(); }
-    bool fresh() const { return !used_; }
-    bool young() const { return owner_.loop_.now() - lastUsed_ < (half() ? kStalledYoung : kSilentYoung); }
-    // The process may end: nothing of a request is here, and none is to be expected right now.
+    // Idle and used before, with no further call received, read or unread.
+    bool idleAfterUse() const {
+        return idle() && hasSentMessage_ && !refusesMore_ && !input_.midMessage() && stream_.nothingUnread();
+    }
+    bool saidNothing() const { return !hasSentMessage_ && input_.empty() && stream_.nothingUnread(); }
+    bool inPartialMessage() const { return input_.midMessage(); }
+    bool unused() const { return !hasSentMessage_; }
+    bool recentlyActive() const {
+        return owner_.loop_.now() - lastUsed_ < (inPartialMessage() ? kPartialMessageGrace : kSilentGrace);
+    }
+    // Whether the process may exit: nothing of a request is here, and none is expected right now.
     bool settled() const {
-        if (!idle() || (!ending_ && !stream_.nothingUnread())) return false;
-        const Micros still = owner_.loop_.now() - lastByte_;
-        return ending_ || (used_ ? !half() || still >= kHalfAtTheEnd : still >= kSilentYoung);
+        if (!idle() || (!closing_ && !stream_.nothingUnread())) return false;
+        const Micros still = owner_.loop_.now() - lastByteAt_;
+        return closing_ || (hasSentMessage_ ? !inPartialMessage() || still >= kPartialMessageShutdownGrace
+                                            : still >= kSilentGrace);
     }
-    void lastCall() {
-        failOpen();
-        endIfAnswered();
-        settle();
+    void failAndClose() {
+        failOpenCalls();
+        closeIfAnswered();
+        updateFlowControl();
     }
     core::CloseFacts closeFacts() const {
         return {open_.size(), !input_.empty() || !stream_.nothingUnread(), stream_.unsentBytes()};
     }
-    Micros lastUsed() const { return lastUsed_; }  // before its first message: when something last came
+    Micros lastUsed() const { return lastUsed_; }  // before its first message: time of the last input
 
-    // Clients are to go: an end where nothing is open, unread or still on its way to the client, which then
-    // sees it before it asks again. `since` is when refusals began, `last`: it is time for those that were
-    // refused something and have older requests open.
-    void endForDrain(std::optional<Micros> since, bool last) {
-        if (ending_ || !stream_.allAcknowledged()) return;
+    // Closes the connection for a drain if nothing is open, unread or still on its way to the client, so that
+    // the client sees the close before its next request. `since`: when refusals began. `last`: clients that
+    // were refused something have their older open requests failed.
+    void closeForDrain(std::optional<Micros> since, bool last) {
+        if (closing_ || !stream_.allAcknowledged()) return;
         const Micros now = owner_.loop_.now();
-        if (last && since && lastCall_ >= *since) failOpen();
-        if (ending_ || !open_.empty() || !input_.empty() || !stream_.nothingUnread()) return;
+        if (last && since && lastCallAt_ >= *since) failOpenCalls();
+        if (closing_ || !open_.empty() || !input_.empty() || !stream_.nothingUnread()) return;
         if (input_.midMessage() && !last) return;
-        if (!used_ && now - connectedAt_ < kSilentDrained) return;
-        // A request may have come since it was looked at.
+        if (!hasSentMessage_ && now - connectedAt_ < kDrainSilentGrace) return;
+        // A request may have arrived since the connection was checked.
         if (!owner_.requests_.checks().allows(core::mayClose(closeFacts()))) return;
         ++owner_.counters_.drained;
-        retired_ = true;
-        endIfAnswered();
+        refusesMore_ = true;
+        closeIfAnswered();
     }
 
-    void abandon() {
+    void abortConnection() {
         stream_.close();
-        stopWatch();
-        if (resume_) owner_.loop_.cancel(*resume_);
-        resume_.reset();
+        cancelMessageTimer();
+        if (resumeTimer_) owner_.loop_.cancel(*resumeTimer_);
+        resumeTimer_.reset();
         const auto open = std::move(open_);
         open_.clear();
         for (const auto& [tag, call] : open) {
-            owner_.labels_.erase(call.label);
+            owner_.openTraceIds_.erase(call.traceId);
             owner_.requests_.clientGone(owner_.loop_.now(), call.id);
         }
         input_.clear();
-        count(0);
+        updateHeldBytes(0);
     }
 
 private:
     struct Call {
         RequestId id = 0;
-        std::string label;
+        std::string traceId;
         Micros takenAt{};
     };
 
     // ----- input -----
 
     bool streamData(std::string_view data) override {
-        lastByte_ = owner_.loop_.now();
-        if (!used_) lastUsed_ = lastByte_;
-        input_.append(data, lastByte_ - waitedUnread());
-        takeWhenAllIsRead();
+        lastByteAt_ = owner_.loop_.now();
+        if (!hasSentMessage_) lastUsed_ = lastByteAt_;
+        input_.append(data, lastByteAt_ - waitedUnread());
+        handleMessagesOnceAllRead();
         return true;
     }
 
-    // A CANCEL may stand behind a call, in what this read has not brought yet.
-    void takeWhenAllIsRead() {
-        if (std::exchange(takePosted_, true)) return;
+    // A CANCEL may follow the call in input that this read has not delivered yet.
+    void handleMessagesOnceAllRead() {
+        if (std::exchange(handlingPosted_, true)) return;
         owner_.loop_.post([self = weak_from_this()] {
             const auto client = self.lock();
             if (!client) return;
-            client->takePosted_ = false;
-            client->takeMessages();
+            client->handlingPosted_ = false;
+            client->handleMessages();
         });
     }
 
-    // What comes in may have been sent while this process was held up, or before it listened.
+    // Input may have been sent while this process was delayed, or before it listened.
     Micros waitedUnread() const {
-        const bool fromBeforeTheStart = owner_.loop_.now() - owner_.openedAt_ < kJustOpened;
+        const bool fromBeforeTheStart = owner_.loop_.now() - owner_.openedAt_ < kStartupBacklogWindow;
         const bool mayBeOld =
             fromBeforeTheStart || owner_.loop_.recentlyStalled() || stream_.readBacklogged();
         if (!mayBeOld) return owner_.loop_.stallTime();
-        const Micros told = std::min(stream_.timeSinceLastReceive(), kLongestUnread);
-        return told.count() > 0 ? told : owner_.loop_.stallTime();
+        const Micros kernelWait = std::min(stream_.timeSinceLastReceive(), kMaxUnreadWait);
+        return kernelWait.count() > 0 ? kernelWait : owner_.loop_.stallTime();
     }
 
-    // A share of the turn for each client: a burst of one waits in its own connection, not in the others'
-    // way. So does what one sends that does not read its answers.
-    void takeMessages() {
-        if (stream_.closed() || ending_) return;
+    // Each client gets a bounded share of a turn: its burst waits in its own connection and does not delay
+    // others. So does the input of a client that does not read its answers.
+    void handleMessages() {
+        if (stream_.closed() || closing_) return;
         input_.parse();
-        const auto takenBack =
-            input_.takeBack([this](const std::string& tag) { return open_.count(tag) > 0; });
-        for (const std::string& tag : takenBack.openTags) takeBack(tag);
-        for (int i = 0; i < takenBack.heldCalls; ++i) strike();
+        const auto cancellations =
+            input_.extractCancellations([this](const std::string& tag) { return open_.count(tag) > 0; });
+        for (const std::string& tag : cancellations.openTags) cancelCall(tag);
+        for (int i = 0; i < cancellations.droppedCalls; ++i) countUselessMessage();
         bool fits = true;
-        for (int i = 0; i < kMessagesATurn && fits && input_.hasMessage() && !ending_ && !behind(); ++i) {
+        for (int i = 0; i < kMaxMessagesPerTurn && fits && input_.hasMessage() && !closing_ && !backlogged();
+             ++i) {
             ClientMessages::Message message = input_.takeFirst();
-            fits = take(std::move(message.words), message.arrivedAt);
+            fits = handleMessage(std::move(message.words), message.arrivedAt);
         }
-        if (stream_.closed() || ending_) return;
-        if (!fits || (input_.malformed() && !input_.hasMessage())) return spoilt();
-        endIfAnswered();
-        watchMessage();
-        settle();
+        if (stream_.closed() || closing_) return;
+        if (!fits || (input_.malformed() && !input_.hasMessage())) return closeMalformed();
+        closeIfAnswered();
+        updateMessageTimer();
+        updateFlowControl();
     }
 
-    bool behind() const { return stream_.unsentBytes() > owner_.clientBacklog() && !owner_.lastCall_; }
-    // What comes next can't be told apart any more. What was taken has its answer, and the client the time to
-    // read it.
-    void spoilt() {
+    bool backlogged() const {
+        return stream_.unsentBytes() > owner_.maxClientBacklog() && !owner_.failingRequests_;
+    }
+    // Further input cannot be parsed. Every accepted call gets its answer, and the client has time to read
+    // it.
+    void closeMalformed() {
         ++owner_.counters_.malformed;
-        retired_ = true;
+        refusesMore_ = true;
         input_.clear();
-        failOpen();
-        endIfAnswered();
+        failOpenCalls();
+        closeIfAnswered();
     }
-    // What still comes is refused, and what is open keeps its own answer; then the connection ends. It is
-    // read on until then: a request left unread would be lost.
-    void retire() {
-        if (std::exchange(retired_, true)) return;
-        const Micros until = connectedAt_ + kFirstMessage - owner_.loop_.now();
-        watch(std::max(until, Micros{kGentle}));
+    // New calls are refused and open ones keep their answers; then the connection closes. Input is read until
+    // then: an unread request would be lost.
+    void refuseMore() {
+        if (std::exchange(refusesMore_, true)) return;
+        const Micros until = connectedAt_ + kFirstMessageTimeout - owner_.loop_.now();
+        armMessageTimer(std::max(until, Micros{kCloseLinger}));
     }
-    void failOpen() {
+    void failOpenCalls() {
         while (!open_.empty()) {
             const auto [tag, call] = *open_.begin();
             release(tag);
             owner_.requests_.clientGone(owner_.loop_.now(), call.id);
-            answer(tag, "ERR", "-", {});
+            sendAnswer(tag, "ERR", "-", {});
         }
     }
-    void endIfAnswered() {
-        if (!retired_ || !open_.empty() || !input_.empty() || std::exchange(ending_, true)) return;
-        if (Trace::on()) Trace::write("client_close", {{"client", std::to_string(number_)}});
-        stopWatch();
-        stream_.closeLingering(kGentle);
+    void closeIfAnswered() {
+        if (!refusesMore_ || !open_.empty() || !input_.empty() || std::exchange(closing_, true)) return;
+        if (Trace::on()) Trace::write("client_close", {{"client", std::to_string(traceNumber_)}});
+        cancelMessageTimer();
+        stream_.closeLingering(kCloseLinger);
     }
-    // Useless messages in a row: nothing is gained by reading on.
-    void strike() {
-        if (++strikes_ < kMostStrikes || retired_) return;
+    // After a run of useless messages the connection is closed.
+    void countUselessMessage() {
+        if (++uselessMessages_ < kMaxUselessMessages || refusesMore_) return;
         ++owner_.counters_.retired;
-        retire();
+        refuseMore();
     }
 
-    void streamFlushed() override { settle(); }
+    void streamFlushed() override { updateFlowControl(); }
     void streamEnded(net::Stream::CloseReason why) override {
         ++(why == net::Stream::CloseReason::closedByPeer ? owner_.counters_.endedByClient
                                                          : owner_.counters_.reset);
         if (Trace::on())
             Trace::write("client_end",
-                         {{"client", std::to_string(number_)},
+                         {{"client", std::to_string(traceNumber_)},
                           {"why", why == net::Stream::CloseReason::closedByPeer ? "closed" : "reset"},
                           {"open", std::to_string(open_.size())}});
-        abandon();
+        abortConnection();
         owner_.forget(this);
     }
 
-    // ----- time limits -----
+    // ----- timeouts -----
 
-    void watchMessage() {
-        if (retired_ || !used_) return;
-        if (!input_.midMessage()) return stopWatch();
-        if (!watch_) watch(kHalfMessage);
+    void updateMessageTimer() {
+        if (refusesMore_ || !hasSentMessage_) return;
+        if (!input_.midMessage()) return cancelMessageTimer();
+        if (!messageTimer_) armMessageTimer(kMessageTimeout);
     }
-    void watch(Micros delay) {
-        stopWatch();
-        watch_ = owner_.loop_.after(delay, [this] {
-            watch_.reset();
-            if (retired_) {
+    void armMessageTimer(Micros delay) {
+        cancelMessageTimer();
+        messageTimer_ = owner_.loop_.after(delay, [this] {
+            messageTimer_.reset();
+            if (refusesMore_) {
                 input_.clear();
-                failOpen();
-                return endIfAnswered();
+                failOpenCalls();
+                return closeIfAnswered();
             }
-            if (!input_.empty() || behind()) return watch(kHalfMessage);  // it waits for us
-            ++(used_ ? owner_.counters_.halfMessages : owner_.counters_.silent);
-            retired_ = true;
-            failOpen();
-            endIfAnswered();
+            if (!input_.empty() || backlogged())
+                return armMessageTimer(kMessageTimeout);  // input waits for us, not for the client
+            ++(hasSentMessage_ ? owner_.counters_.halfMessages : owner_.counters_.silent);
+            refusesMore_ = true;
+            failOpenCalls();
+            closeIfAnswered();
         });
     }
-    void stopWatch() {
-        if (watch_) owner_.loop_.cancel(*watch_);
-        watch_.reset();
+    void cancelMessageTimer() {
+        if (messageTimer_) owner_.loop_.cancel(*messageTimer_);
+        messageTimer_.reset();
     }
 
     // ----- messages -----
 
-    bool take(std::vector<std::string> words, Micros arrivedAt) {
+    bool handleMessage(std::vector<std::string> words, Micros arrivedAt) {
         if (words.size() < 2 || !isTag(words[1])) return false;
-        const bool first = !std::exchange(used_, true);
-        if (first) stopWatch();
+        const bool first = !std::exchange(hasSentMessage_, true);
+        if (first) cancelMessageTimer();
         lastUsed_ = owner_.loop_.now();
-        if (words[0] == "CALL") return call(words, arrivedAt);
+        if (words[0] == "CALL") return handleCall(words, arrivedAt);
         if (words[0] == "CANCEL") {
-            takeBack(words[1]);
+            cancelCall(words[1]);
             return true;
         }
         if (words[0] != "CHECK") return false;
         ++owner_.counters_.checks;
-        answer(words[1], owner_.saysNo() ? "LEAVING" : "PASS", "-", {});
+        sendAnswer(words[1], owner_.reportsLeaving() ? "LEAVING" : "PASS", "-", {});
         return true;
     }
 
-    void takeBack(const std::string& tag) {
+    void cancelCall(const std::string& tag) {
         const auto found = open_.find(tag);
-        if (found == open_.end()) return;  // the answer was under way already
+        if (found == open_.end()) return;  // the answer is already on its way
         const Call call = found->second;
         release(tag);
         owner_.requests_.clientGone(owner_.loop_.now(), call.id);
-        if (owner_.loop_.now() - call.takenAt < kTakenBackAtOnce) strike();
+        if (owner_.loop_.now() - call.takenAt < kImmediateCancel) countUselessMessage();
     }
 
-    bool call(std::vector<std::string>& words, Micros arrivedAt) {
+    bool handleCall(std::vector<std::string>& words, Micros arrivedAt) {
         if (words.size() < 3) return false;
         const std::string tag = words[1];
         if (open_.count(tag) > 0) {
-            // An answer under this number would be the open request's, which has nothing to do with it.
+            // An answer under this tag would be taken for that of the open request, which is unrelated.
             ++owner_.counters_.unusable;
-            retire();
+            refuseMore();
             return true;
         }
-        lastCall_ = owner_.loop_.now();
+        lastCallAt_ = owner_.loop_.now();
         if (const auto denial = core::mayAdmit(admissionFacts()); denial != core::Denial::none) {
             refuse(tag, denial);
             return true;
         }
         const Fields fields(words.size() > 3 ? std::string_view(words[3]) : std::string_view{});
         core::Request request;
-        const auto& classes = owner_.words_.classes;
+        const auto& classes = owner_.vocabulary_.classes;
         const auto known = classes.find(words[2]);
-        request.label = fields.text("trace");
+        request.traceId = fields.text("trace");
         request.object = fields.text("entity");
         request.repeated = fields.text("redo") == "1";
         request.key = fields.text("nonce");
-        request.known = fields.text("cached");
+        request.knownTag = fields.text("cached");
         if (words.size() > 4) request.body = std::move(words[4]);
-        // A second request under an id that is open would be a second attempt out, to the stores.
-        if (known == classes.end() || !usable(fields, request) || owner_.labels_.count(request.label) > 0) {
+        // A second request under an open id would look like a second attempt in flight to the stores.
+        if (known == classes.end() || !isValidCall(fields, request) ||
+            owner_.openTraceIds_.count(request.traceId) > 0) {
             ++owner_.counters_.unusable;
-            answer(tag, "ERR", "-", {});
-            strike();
+            sendAnswer(tag, "ERR", "-", {});
+            countUselessMessage();
             return true;
         }
-        if (!owner_.roomForOne(counted_)) {
+        if (!owner_.hasRoomForCall(countedBytes_)) {
             refuse(tag, core::Denial::noMemory);
             return true;
         }
@@ -306,27 +314,29 @@
         const Micros now = owner_.loop_.now();
         const auto patience = fields.whole("patience");
         const auto giveUp =
-            owner_.words_.settings.classes[static_cast<std::size_t>(known->second)].clientTimeout;
+            owner_.vocabulary_.settings.classes[static_cast<std::size_t>(known->second)].clientTimeout;
         const Micros wait = patience ? Micros{std::chrono::milliseconds{*patience}}
                                      : std::chrono::duration_cast<Micros>(giveUp);
-        request.deadline = arrivedAt + std::max(Micros{1ms}, wait - kWayBack);
-        open_[tag] = {request.id, request.label, now};
+        request.deadline = arrivedAt + std::max(Micros{1ms}, wait - kAnswerTransitTime);
+        open_[tag] = {request.id, request.traceId, now};
         if (Trace::on())
-            Trace::write("call",
-                         {{"client", std::to_string(number_)}, {"tag", tag}, {"request", request.label}});
-        owner_.labels_.insert(request.label);
-        owner_.requests_.submit(now, std::move(request),
-                                [this, tag](RequestId, Reply&& reply) { finish(tag, std::move(reply)); });
+            Trace::write(
+                "call",
+                {{"client", std::to_string(traceNumber_)}, {"tag", tag}, {"request", request.traceId}});
+        owner_.openTraceIds_.insert(request.traceId);
+        owner_.requests_.submit(now, std::move(request), [this, tag](RequestId, Reply&& reply) {
+            completeCall(tag, std::move(reply));
+        });
         return true;
     }
 
     core::AdmissionFacts admissionFacts() const {
         core::AdmissionFacts facts;
-        facts.shuttingDown = owner_.lastCall_;
-        facts.draining = owner_.refuses();
-        facts.connectionClosing = retired_;
+        facts.shuttingDown = owner_.failingRequests_;
+        facts.draining = owner_.refusesCalls();
+        facts.connectionClosing = refusesMore_;
         facts.openOnConnection = open_.size();
-        facts.maxOnConnection = kOpenAConnection;
+        facts.maxOnConnection = kMaxOpenPerConnection;
         return facts;
     }
 
@@ -338,44 +348,45 @@
                                         : owner_.counters_.drainRefused);
         if (Trace::on())
             Trace::write("refuse",
-                         {{"client", std::to_string(number_)}, {"tag", tag}, {"why", nameOf(denial)}});
-        answer(tag, "SHED", owner_.noRoomFields(), {});
-        if (useless) strike();
+                         {{"client", std::to_string(traceNumber_)}, {"tag", tag}, {"why", nameOf(denial)}});
+        sendAnswer(tag, "SHED", owner_.noMemoryFields(), {});
+        if (useless) countUselessMessage();
     }
 
     void release(const std::string& tag) {
         const auto found = open_.find(tag);
         if (found == open_.end()) return;
-        owner_.labels_.erase(found->second.label);
+        owner_.openTraceIds_.erase(found->second.traceId);
         open_.erase(found);
     }
 
     // ----- answers -----
 
-    void finish(const std::string& tag, Reply&& reply) {
+    void completeCall(const std::string& tag, Reply&& reply) {
         release(tag);
         if (reply.kind == Reply::Kind::served) {
-            strikes_ = 0;
-            owner_.answer_.add(static_cast<double>(reply.payload.body.size()));
+            uselessMessages_ = 0;
+            owner_.answerBytes_.add(static_cast<double>(reply.payload.body.size()));
             if (reply.payload.unchanged) {
-                answer(tag, "SERVED", "keep=1", {});
-            } else if (owner_.unsent_ + reply.payload.body.size() > owner_.mostFor(counted_)) {
+                sendAnswer(tag, "SERVED", "keep=1", {});
+            } else if (owner_.heldBytes_ + reply.payload.body.size() > owner_.heldBytesLimit(countedBytes_)) {
                 ++owner_.counters_.dropped;
-                answer(tag, "ERR", "-", {});
+                sendAnswer(tag, "ERR", "-", {});
             } else
-                answer(tag, "SERVED", "-", std::move(reply.payload.body));
+                sendAnswer(tag, "SERVED", "-", std::move(reply.payload.body));
         } else if (reply.kind == Reply::Kind::refused) {
-            answer(tag, "SHED", pauseFields(reply.retryAfter), {});
+            sendAnswer(tag, "SHED", retryAfterFields(reply.retryAfter), {});
         } else {
-            answer(tag, "ERR", "-", {});
+            sendAnswer(tag, "ERR", "-", {});
         }
-        // Stores answer so what they can't use, such as ids that nobody knows.
-        if (reply.lastOutcome == Outcome::error) strike();
-        endIfAnswered();
+        // Stores answer so to what they cannot use, such as unknown ids.
+        if (reply.lastOutcome == Outcome::error) countUselessMessage();
+        closeIfAnswered();
     }
 
-    // A body goes out as it came in, without a copy.
-    void answer(const std::string& tag, std::string_view word, std::string_view fields, std::string body) {
+    // The body is passed on without a copy.
+    void sendAnswer(const std::string& tag, std::string_view word, std::string_view fields,
+                    std::string body) {
         std::string head;
         net::appendRespHead(head, {tag, word, fields}, body.size());
         constexpr std::size_t kSmall = 4096;
@@ -388,70 +399,70 @@
             stream_.write(std::move(head));
             stream_.write(std::move(body));
         }
-        settle();
+        updateFlowControl();
     }
 
-    // A client that does not read its answers gets no further ones until it does; it is read on as far as
-    // what it says can be held.
-    void settle() {
-        count(stream_.unsentBytes() + input_.heldBytes());
-        if (ending_ || stream_.closed()) return;
+    // A client that does not read its answers gets no further ones until it does; its input is read as long
+    // as there is room to hold it.
+    void updateFlowControl() {
+        updateHeldBytes(stream_.unsentBytes() + input_.heldBytes());
+        if (closing_ || stream_.closed()) return;
         stream_.pauseReading(!input_.hasRoom());
-        if (input_.empty() || behind() || resume_) return;
-        resume_ = owner_.loop_.after(Micros{1}, [this] {  // in the next turn
-            resume_.reset();
-            takeMessages();
+        if (input_.empty() || backlogged() || resumeTimer_) return;
+        resumeTimer_ = owner_.loop_.after(Micros{1}, [this] {  // in the next turn
+            resumeTimer_.reset();
+            handleMessages();
         });
     }
-    void count(std::size_t unsent) {
-        owner_.unsent_ += unsent;
-        owner_.unsent_ -= counted_;
-        counted_ = unsent;
+    void updateHeldBytes(std::size_t bytes) {
+        owner_.heldBytes_ += bytes;
+        owner_.heldBytes_ -= countedBytes_;
+        countedBytes_ = bytes;
     }
 
     Front& owner_;
-    std::uint64_t number_ = ++owner_.lastClient_;  // in the trace
+    std::uint64_t traceNumber_ = ++owner_.lastClientNumber_;
     ClientMessages input_;
     std::unordered_map<std::string, Call> open_;  // by tag
-    std::size_t counted_ = 0;
-    Micros connectedAt_, lastUsed_, lastByte_, lastCall_{};
-    std::optional<net::Loop::TimerKey> watch_, resume_;
-    int strikes_ = 0;
-    bool takePosted_ = false;
-    bool used_ = false;     // a whole message has come
-    bool retired_ = false;  // what still comes is refused
-    bool ending_ = false;   // nothing is owed any more
+    std::size_t countedBytes_ = 0;
+    Micros connectedAt_, lastUsed_, lastByteAt_, lastCallAt_{};
+    std::optional<net::Loop::TimerKey> messageTimer_, resumeTimer_;
+    int uselessMessages_ = 0;
+    bool handlingPosted_ = false;
+    bool hasSentMessage_ = false;  // at least one complete message has arrived
+    bool refusesMore_ = false;     // new calls are refused
+    bool closing_ = false;         // no answer is owed any more
     net::Stream stream_;
 };
 
 Front::Front(net::Loop& loop, core::RequestDispatcher& requests, const settings::Configuration& configuration)
     : loop_(loop),
       requests_(requests),
-      words_(configuration.decoded),
+      vocabulary_(configuration.decoded),
       address_(configuration.listen),
-      former_(loop) {
+      formerListener_(loop) {
     limits_ = configuration.limits;
-    takeLimits();
+    applyLimits();
 }
 
-void Front::takeLimits() {
+void Front::applyLimits() {
     const auto processes = static_cast<std::size_t>(processes_);
-    mostClients_ = static_cast<std::size_t>(limits_.sockets) / 3 / processes;  // the rest is for stores
+    maxClients_ = static_cast<std::size_t>(limits_.sockets) / 3 / processes;  // the rest is for stores
     const std::size_t all = static_cast<std::size_t>(limits_.memoryMb) * 1024 * 1024;
-    mostBytes_ = (all - std::min(all / 2, kProcessBytes * processes)) / processes * 3 / 4;
+    maxHeldBytes_ = (all - std::min(all / 2, kProcessBaseBytes * processes)) / processes * 3 / 4;
 }
 
 void Front::reconfigure(const settings::Configuration& configuration) {
     if (listener_ && !(configuration.listen == address_))
-        former_.replace(listener_, listenOn(configuration.listen));
+        formerListener_.replace(listener_, listenOn(configuration.listen));
     address_ = configuration.listen;
     limits_ = configuration.limits;
-    takeLimits();
+    applyLimits();
 }
 
 Front::~Front() {
     undrain();
-    for (const auto& [key, client] : clients_) client->abandon();
+    for (const auto& [key, client] : clients_) client->abortConnection();
 }
 
 void Front::open() {
@@ -472,52 +483,52 @@
 void Front::drain() {
     if (drainingSince_) return;
     drainingSince_ = loop_.now();
-    sweep();
+    sweepForDrain();
 }
 
-bool Front::saysNo() const { return leaving_ || (drainingSince_ && !yielding_); }
+bool Front::reportsLeaving() const { return leaving_ || (drainingSince_ && !successorServes_); }
 
 void Front::setProcessCount(int processes) {
     processes_ = processes;
-    takeLimits();
+    applyLimits();
 }
 
 void Front::leaveToSuccessor() {
     stopListening();
-    yielding_ = true;
+    successorServes_ = true;
     drain();
 }
 
 void Front::undrain() {
     drainingSince_.reset();
-    if (sweep_) loop_.cancel(*sweep_);
-    sweep_.reset();
+    if (drainSweepTimer_) loop_.cancel(*drainSweepTimer_);
+    drainSweepTimer_.reset();
 }
 
-bool Front::refuses() const {
-    return lastCall_ || (drainingSince_ && loop_.now() - *drainingSince_ >= kDrainRefuses);
+bool Front::refusesCalls() const {
+    return failingRequests_ || (drainingSince_ && loop_.now() - *drainingSince_ >= kDrainRefuseAfter);
 }
 
-void Front::sweep() {
+void Front::sweepForDrain() {
     std::optional<Micros> refusing;
-    if (refuses()) refusing = *drainingSince_ + kDrainRefuses;
-    const bool last = loop_.now() - *drainingSince_ >= kDrainEnds;
-    std::vector<std::shared_ptr<Client>> all;  // an end takes it from the table
-    for (const auto& [key, client] : clients_) all.push_back(client);
-    for (const auto& client : all) client->endForDrain(refusing, last);
-    sweep_ = loop_.after(kSweep, [this] {
-        sweep_.reset();
-        sweep();
+    if (refusesCalls()) refusing = *drainingSince_ + kDrainRefuseAfter;
+    const bool last = loop_.now() - *drainingSince_ >= kDrainFailAfter;
+    std::vector<std::shared_ptr<Client>> snapshot;  // closing removes from clients_
+    for (const auto& [key, client] : clients_) snapshot.push_back(client);
+    for (const auto& client : snapshot) client->closeForDrain(refusing, last);
+    drainSweepTimer_ = loop_.after(kDrainSweepInterval, [this] {
+        drainSweepTimer_.reset();
+        sweepForDrain();
     });
 }
 
 void Front::stopListening() {
     listener_.reset();
-    former_.close();
+    formerListener_.close();
 }
 
 void Front::accept(net::Descriptor fd) {
-    if (clients_.size() >= mostClients_ && !makeRoom()) {
+    if (clients_.size() >= maxClients_ && !evictClient()) {
         ++counters_.turnedAway;
         return;
     }
@@ -526,62 +537,68 @@
     clients_[client.get()] = client;
 }
 
-// Closed for a new one is, of those without an open request, first who has long said nothing since it
-// connected, then who has stopped within its first message, then who was used longest ago (a client that does
-// need it connects again), then who is merely new. Connections that have not yet asked for anything hold at
-// most half of the places, or a crowd of them would push the others out.
-bool Front::makeRoom() {
-    Client *mute = nullptr, *half = nullptr, *resting = nullptr;
-    std::size_t fresh = 0;
+// Picks a connection without an open request to close for a new one. First the one that has sent nothing for
+// longest since it connected, then one that stalled within its first message, then the least recently used (a
+// client that still needs it connects again), then a new one. Connections that have not sent a request yet
+// may hold at most half of the places; otherwise many of them could push out the others.
+bool Front::evictClient() {
+    Client *silent = nullptr, *partial = nullptr, *idle = nullptr;
+    std::size_t unusedCount = 0;
     for (const auto& [key, client] : clients_) {
-        if (client->fresh()) ++fresh;
-        Client*& place = !client->fresh() ? resting : client->half() ? half : mute;
+        if (client->unused()) ++unusedCount;
+        Client*& place = !client->unused() ? idle : client->inPartialMessage() ? partial : silent;
         const bool older = !place || client->lastUsed() < place->lastUsed();
-        if (older && (client->fresh() ? client->silent() : client->resting())) place = client.get();
-    }
-    if (!mute || (mute->young() && half && half->lastUsed() < mute->lastUsed())) mute = half;
-    const bool muteFirst = mute && (!resting || !mute->young() || 2 * fresh >= mostClients_);
-    Client* one = muteFirst ? mute : resting;
-    if (!one) return false;
-    // A request may have come since it was chosen: then it is no longer one of those, and the next is.
-    if (!requests_.checks().allows(core::mayClose(one->closeFacts()))) return makeRoom();
-    ++(one == resting ? counters_.closedIdle : one->half() ? counters_.halfMessages : counters_.silent);
-    one->abandon();
-    forget(one);
+        if (older && (client->unused() ? client->saidNothing() : client->idleAfterUse()))
+            place = client.get();
+    }
+    if (!silent || (silent->recentlyActive() && partial && partial->lastUsed() < silent->lastUsed()))
+        silent = partial;
+    const bool silentFirst = silent && (!idle || !silent->recentlyActive() || 2 * unusedCount >= maxClients_);
+    Client* victim = silentFirst ? silent : idle;
+    if (!victim) return false;
+    // A request may have arrived since the choice; then the next candidate is tried.
+    if (!requests_.checks().allows(core::mayClose(victim->closeFacts()))) return evictClient();
+    ++(victim == idle               ? counters_.closedIdle
+       : victim->inPartialMessage() ? counters_.halfMessages
+                                    : counters_.silent);
+    victim->abortConnection();
+    forget(victim);
     return true;
 }
 
-// What is held, and what the requests in hand may yet bring: as large as answers have been of late, and one
-// of them the largest there is. Who reads slowly leaves half of it to the others.
-bool Front::roomForOne(std::size_t backlog) const {
+// Estimates the bytes held now plus those that open requests may still bring: the recent mean size with a
+// margin, and one answer of the largest size. A slow reader may use only half of the limit.
+bool Front::hasRoomForCall(std::size_t backlog) const {
     const auto open = static_cast<double>(requests_.openCount() + 1);
-    const double coming =
-        open * answer_.mean + kSpreads * std::sqrt(open) * answer_.deviation + kLargestAnswer;
-    return coming + static_cast<double>(unsent_) <= static_cast<double>(mostFor(backlog));
+    const double coming = open * answerBytes_.mean +
+                          kAnswerSizeDeviations * std::sqrt(open) * answerBytes_.deviation + kMaxAnswerBytes;
+    return coming + static_cast<double>(heldBytes_) <= static_cast<double>(heldBytesLimit(backlog));
 }
 
-std::size_t Front::mostFor(std::size_t backlog) const {
-    return backlog > kSlow ? mostBytes_ / 2 : mostBytes_;
+std::size_t Front::heldBytesLimit(std::size_t backlog) const {
+    return backlog > kSlowReaderBytes ? maxHeldBytes_ / 2 : maxHeldBytes_;
 }
 
-std::string Front::noRoomFields() const {
-    const Settings& s = words_.settings;
+std::string Front::noMemoryFields() const {
+    const Settings& s = vocabulary_.settings;
     const Micros most = std::chrono::duration_cast<Micros>(s.maxRetryHint);
-    return pauseFields(s.retryHints ? std::min(kNoRoomPause, most) : Micros{0});
+    return retryAfterFields(s.retryHints ? std::min(kNoMemoryRetryAfter, most) : Micros{0});
 }
 
-std::size_t Front::clientBacklog() const { return std::min(kClientBacklog, mostBytes_ / kClientsShare); }
+std::size_t Front::maxClientBacklog() const {
+    return std::min(kMaxClientBacklogBytes, maxHeldBytes_ / kClientsAtFullBacklog);
+}
 
 void Front::failOpenRequests() {
-    lastCall_ = true;
-    std::vector<std::shared_ptr<Client>> all;  // an end takes it from the table
-    for (const auto& [key, client] : clients_) all.push_back(client);
-    for (const auto& client : all) client->lastCall();
+    failingRequests_ = true;
+    std::vector<std::shared_ptr<Client>> snapshot;  // closing removes from clients_
+    for (const auto& [key, client] : clients_) snapshot.push_back(client);
+    for (const auto& client : snapshot) client->failAndClose();
 }
 
 bool Front::settled() {
     if (listener_ && !listener_->acceptPending()) return false;
-    if (!former_.settled()) return false;
+    if (!formerListener_.settled()) return false;
     return std::all_of(clients_.begin(), clients_.end(),
                        [](const auto& entry) { return entry.second->settled(); });
 }
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -1,4 +1,4 @@
-// The platform's front: CALL, CANCEL and CHECK of clients, over RESP.
+// The platform's front: handles CALL, CANCEL and CHECK of clients over RESP.
 #pragma once
 
 #include <cstdint>
@@ -29,30 +29,30 @@
     Front(net::Loop& loop, core::RequestDispatcher& requests, const settings::Configuration& configuration);
     ~Front();
 
-    void open();  // starts to listen
+    void open();
     // Uses this listening socket from open() on.
     void inherit(net::Descriptor listening) { inherited_ = std::move(listening); }
-    void setProcessCount(int processes);  // of the limits
-    // Other limits, and perhaps another address; throws, with nothing changed, where that can't be listened
-    // on.
+    void setProcessCount(int processes);  // that share the limits
+    // Applies new limits and possibly a new address; throws without any change if that cannot be listened on.
     void reconfigure(const settings::Configuration& configuration);
     void stopListening();
-    void leave() { leaving_ = true; }  // tells checks so
-    // Checks are told so at once, and connections end when they are at rest; what still comes is served, and
-    // refused from kDrainRefuses on. The few connections that are then still there end before kDrainEnds.
+    void leave() { leaving_ = true; }  // reported by CHECK
+    // CHECK reports it at once, and connections close when they are idle; new calls are served, and refused
+    // from kDrainRefuseAfter on. The few connections that are left then are closed at kDrainFailAfter.
     void drain();
     void undrain();
-    // Another process listens on the same socket: this one stops, and ends its connections as in a drain,
-    // but says no to nobody.
+    // Another process listens on the same socket: this one stops listening and closes its connections as in a
+    // drain, but CHECK keeps passing.
     void leaveToSuccessor();
     bool hasNoClients() const { return clients_.empty(); }
-    void failOpenRequests();  // what is open is failed at once, what still comes refused
-    // Nothing is owed, all answers are with the kernel and all that has come is read; who waits is taken in.
+    void failOpenRequests();  // open calls are failed at once, new ones refused
+    // No answer is owed, all answers have been handed to the kernel, and all input has been read. Accepts the
+    // connections that are still in the backlog.
     bool settled();
-    std::size_t clients() const { return clients_.size(); }
+    std::size_t clientCount() const { return clients_.size(); }
     std::uint16_t port() const { return listener_->port(); }
     const Counters& counters() const { return counters_; }
-    net::Listener::Counters accepts() const {
+    net::Listener::Counters listenerCounters() const {
         return listener_ ? listener_->counters() : net::Listener::Counters{};
     }
 
@@ -60,43 +60,44 @@
     class Client;
 
     void accept(net::Descriptor fd);
-    bool makeRoom();
-    bool roomForOne(std::size_t backlog) const;
-    // Bytes that may be held with those for a client that has so many unread.
-    std::size_t mostFor(std::size_t backlog) const;
-    std::string noRoomFields() const;  // of a refusal here, as far as the settings allow a hint
+    bool evictClient();
+    bool hasRoomForCall(std::size_t backlog) const;
+    // Limit of the held bytes, for a client with this many unread bytes.
+    std::size_t heldBytesLimit(std::size_t backlog) const;
+    std::string noMemoryFields() const;  // fields of a refusal here, with a retry hint if allowed
     void forget(Client* client);
-    std::size_t clientBacklog() const;
-    void sweep();
-    bool refuses() const;
-    bool saysNo() const;
-    void takeLimits();
+    std::size_t maxClientBacklog() const;
+    void sweepForDrain();
+    bool refusesCalls() const;
+    bool reportsLeaving() const;
+    void applyLimits();
     std::unique_ptr<net::Listener> listenOn(const settings::Endpoint& address);
 
     net::Loop& loop_;
     core::RequestDispatcher& requests_;
-    const settings::DecodedSettings& words_;
+    const settings::DecodedSettings& vocabulary_;
     settings::Endpoint address_;
     settings::Limits limits_;
     int processes_ = 1;
     net::Descriptor inherited_;
-    std::size_t mostClients_ = 0;
-    std::size_t mostBytes_ = 0;
-    std::size_t unsent_ = 0;  // bytes of answers that clients have not yet read, and of calls not yet taken
-    // Bytes of the last fifty answers or so; before any, a quarter of the largest.
-    MovingAverage answer_{0.02, 0.02, 60'000};
+    std::size_t maxClients_ = 0;
+    std::size_t maxHeldBytes_ = 0;
+    // Answers that clients have not read yet, and calls not yet handled.
+    std::size_t heldBytes_ = 0;
+    // Sizes of about the last fifty answers; before the first one, a quarter of the maximum.
+    MovingAverage answerBytes_{0.02, 0.02, 60'000};
     bool leaving_ = false;
-    bool lastCall_ = false;
-    bool yielding_ = false;
+    bool failingRequests_ = false;
+    bool successorServes_ = false;
     std::optional<core::Micros> drainingSince_;
-    std::optional<net::Loop::TimerKey> sweep_;
+    std::optional<net::Loop::TimerKey> drainSweepTimer_;
     core::Micros openedAt_{};
     RequestId nextId_ = 1;
-    std::uint64_t lastClient_ = 0;
+    std::uint64_t lastClientNumber_ = 0;
     std::unique_ptr<net::Listener> listener_;
-    net::PreviousListener former_;
+    net::PreviousListener formerListener_;
     std::unordered_map<Client*, std::shared_ptr<Client>> clients_;
-    std::unordered_set<std::string> labels_;  // of the open requests
+    std::unordered_set<std::string> openTraceIds_;  // of the open requests
     Counters counters_;
 };
 
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -1,4 +1,5 @@
-// What stands behind either front: decisions, requests, a carrier to the hosts, and the event bus.
+// Joins the parts behind either front: decisions, requests, the transport to the hosts, the disk tier and the
+// event bus.
 #pragma once
 
 #include <algorithm>
@@ -15,73 +16,77 @@
 
 namespace lotuslead::platform {
 
-inline const settings::Configuration& baseOf(const settings::Configuration& c) { return c; }
-inline const settings::Configuration& baseOf(const settings::RepositoryConfiguration& c) { return c.base; }
-// What follows a configuration at the same instance: classes keep their places.
-inline void continueFrom(const settings::Configuration& before, settings::Configuration& fresh) {
-    fresh.decoded = settings::mergeReloaded(before.decoded, fresh.decoded);
+inline const settings::Configuration& baseConfiguration(const settings::Configuration& c) { return c; }
+inline const settings::Configuration& baseConfiguration(const settings::RepositoryConfiguration& c) {
+    return c.base;
+}
+// Makes `fresh` a continuation of the configuration before it: classes keep their indexes.
+inline void continueFrom(const settings::Configuration& before, settings::Configuration& updated) {
+    updated.decoded = settings::mergeReloaded(before.decoded, updated.decoded);
 }
 inline void continueFrom(const settings::RepositoryConfiguration& before,
-                         settings::RepositoryConfiguration& fresh) {
-    continueFrom(before.base, fresh.base);
-    for (settings::Route& route : fresh.routes)
-        route.classIndex = fresh.base.decoded.classes.at(route.className);
+                         settings::RepositoryConfiguration& updated) {
+    continueFrom(before.base, updated.base);
+    for (settings::Route& route : updated.routes)
+        route.classIndex = updated.base.decoded.classes.at(route.className);
 }
 
-// What else a copy's key must agree in: parts of another size are other parts.
-inline std::uint64_t formOf(const settings::Configuration&) { return 0; }
-inline std::uint64_t formOf(const settings::RepositoryConfiguration& c) { return c.partBytes; }
+// Distinguishes keys of copies further: parts of another size are different parts.
+inline std::uint64_t keyFormOf(const settings::Configuration&) { return 0; }
+inline std::uint64_t keyFormOf(const settings::RepositoryConfiguration& c) { return c.partBytes; }
 
+// One front with its transport, decisions, event bus reader and, if configured, disk tier.
 template <class Configuration, class Front, class Transport>
 class FrontService : public core::Service, private net::Handler {
 public:
     using Source = std::function<Configuration()>;  // throws settings::Malformed
-    // None: no tier.
+    // Empty: there is no disk tier.
     using DiskSource = std::function<std::optional<settings::DiskSettings>()>;
 
     ~FrontService() override { closeTier(); }
 
     void useDisk(DiskSource source) {
         diskSource_ = std::move(source);
-        disk_ = diskSource_();
-        if (disk_) openTier();
+        diskSettings_ = diskSource_();
+        if (diskSettings_) openTier();
     }
     void prepare() override {
-        bus_.take(settings::readBatch(baseOf(configuration_).known));
-        bus_.obeyWithin(drainGrace());
-        bus_.moveTo(baseOf(configuration_).bus);
+        busReader_.applyBatch(settings::readBatch(baseConfiguration(configuration_).known));
+        busReader_.setDrainGrace(drainGrace());
+        busReader_.setEndpoints(baseConfiguration(configuration_).bus);
     }
     bool prepared() const override {
-        return bus_.caughtUp() && (!tier_ || tier_->settled(before_.momentOf(loop_.now())));
+        return busReader_.caughtUp() && (!tier_ || tier_->settled(tierTransport_.momentOf(loop_.now())));
     }
-    bool catchingUp() const override { return bus_.catchingUp(); }
+    bool catchingUp() const override { return busReader_.catchingUp(); }
     void open() override {
-        const settings::Configuration& base = baseOf(configuration_);
+        const settings::Configuration& base = baseConfiguration(configuration_);
         front_.open();
         isOpen_ = true;
-        std::fprintf(stderr, "%s: %s on %s:%u\n", base.name.c_str(), opened_, base.listen.host.c_str(),
+        std::fprintf(stderr, "%s: %s on %s:%u\n", base.name.c_str(), listenLabel_, base.listen.host.c_str(),
                      front_.port());
     }
-    // All that can fail comes first; from there on the new file applies whole.
-    bool reload(bool mayTryAgain) override {
-        const std::string name = baseOf(configuration_).name;
+    // Everything that can fail comes first; after that the new configuration applies as a whole.
+    bool reload(bool mayRetry) override {
+        const std::string name = baseConfiguration(configuration_).name;
         try {
-            Configuration fresh = source_();
+            Configuration updated = source_();
             const auto freshDisk = diskSource_ ? diskSource_() : std::nullopt;
-            settings::requireSameFields(baseOf(configuration_).paths, baseOf(fresh).paths);
-            const settings::BusBatch known = settings::readBatch(baseOf(fresh).known);
-            continueFrom(configuration_, fresh);
-            front_.reconfigure(fresh);
-            transport_.reconfigure(fresh);
-            decisions_.reconfigure(baseOf(fresh).decoded);
-            configuration_ = std::move(fresh);
+            settings::requireSameFields(baseConfiguration(configuration_).paths,
+                                        baseConfiguration(updated).paths);
+            const settings::BusBatch known = settings::readBatch(baseConfiguration(updated).known);
+            continueFrom(configuration_, updated);
+            front_.reconfigure(updated);
+            transport_.reconfigure(updated);
+            decisions_.reconfigure(baseConfiguration(updated).decoded);
+            configuration_ = std::move(updated);
             reloadTier(freshDisk);
-            bus_.obeyWithin(drainGrace());
-            bus_.take(known);  // events that came by the event bus already are not applied again
-            bus_.moveTo(baseOf(configuration_).bus);
+            busReader_.setDrainGrace(drainGrace());
+            busReader_.applyBatch(known);  // skips events already received from the bus
+            busReader_.setEndpoints(baseConfiguration(configuration_).bus);
             std::fprintf(stderr, "%s: configuration read again\n", name.c_str());
         } catch (const std::system_error& problem) {
-            if (mayTryAgain && net::isResourceShortage(problem.code().value())) return false;
+            if (mayRetry && net::isResourceShortage(problem.code().value())) return false;
             std::fprintf(stderr, "%s: configuration not taken, the old one stays: %s\n", name.c_str(),
                          problem.what());
         } catch (const std::exception& problem) {
@@ -91,11 +96,11 @@
         return true;
     }
     void runTimers(core::Micros now) override {
-        before_.turn(now);
+        tierTransport_.turn(now);
         requests_.runTimers(now);
     }
     core::Micros nextTimerAt() const override {
-        return std::min(requests_.nextTimerAt(), before_.nextTurn());
+        return std::min(requests_.nextTimerAt(), tierTransport_.nextTurn());
     }
     void drain() override { front_.drain(); }
     void undrain() override { front_.undrain(); }
@@ -104,7 +109,7 @@
         front_.leaveToSuccessor();
         if (tier_) tier_->close();  // the successor waits for the folder
     }
-    const char* stateKey() const override { return opened_; }
+    const char* stateKey() const override { return listenLabel_; }
     nlohmann::json exportState() override { return decisions_.exportState(loop_.now()); }
     void importState(const nlohmann::json& known) override { decisions_.importState(loop_.now(), known); }
     bool hasNoClients() const override { return front_.hasNoClients(); }
@@ -117,85 +122,90 @@
     std::size_t openRequests() const override { return requests_.openCount(); }
     bool settled() override { return requests_.openCount() == 0 && front_.settled(); }
     core::Micros longestRequestTimeout() const override {
-        return core::longestClientTimeout(baseOf(configuration_).decoded.settings);
+        return core::longestClientTimeout(baseConfiguration(configuration_).decoded.settings);
     }
     std::optional<settings::Endpoint> operatorAddress() const override {
-        return baseOf(configuration_).operatorAddress;
+        return baseConfiguration(configuration_).operatorAddress;
     }
     void printCounters() const override {
-        const std::string& name = baseOf(configuration_).name;
+        const std::string& name = baseConfiguration(configuration_).name;
         core::printRequestCounters(name, requests_);
-        printOwnCounters(name);
+        printFrontCounters(name);
         if (tier_) printTierCounters(name);
-        const auto& b = bus_.counters();
+        const auto& b = busReader_.counters();
         core::printCounterLine(name, "bus",
                                {{"polls", b.polls},
-                                {"moves", b.moves},
+                                {"moves", b.endpointSwitches},
                                 {"bytes", b.bytes},
                                 {"events", b.events},
                                 {"reconnects", b.reconnects}});
     }
 
 protected:
-    FrontService(net::Loop& loop, Source source, const char* opened,
-                 core::RequestDispatcher::PurgeDuringFetch purged, disk::FrontForm form)
+    FrontService(net::Loop& loop, Source source, const char* listenLabel,
+                 core::RequestDispatcher::PurgeDuringFetch purgeDuringFetch, disk::FrontForm form)
         : loop_(loop),
           source_(std::move(source)),
           configuration_(source_()),
-          opened_(opened),
+          listenLabel_(listenLabel),
           transport_(loop_, configuration_),
-          decisions_(baseOf(configuration_).decoded, baseOf(configuration_).seed, loop_.now(),
-                     core::unixClockOffset()),
-          before_(transport_, core::unixClockOffset(), std::move(form)),
-          requests_(decisions_, before_, purged),
+          decisions_(baseConfiguration(configuration_).decoded, baseConfiguration(configuration_).seed,
+                     loop_.now(), core::unixClockOffset()),
+          tierTransport_(transport_, core::unixClockOffset(), std::move(form)),
+          requests_(decisions_, tierTransport_, purgeDuringFetch),
           front_(loop_, requests_, configuration_),
-          bus_(loop_, [this](const settings::BusEvent& event) { apply(event); }) {
-        transport_.listen({[this](RequestId request, int attempt) {
-                               return requests_.mayBegin(loop_.now(), request, attempt);
-                           },
-                           [this](core::AttemptResult end) { before_.ended(loop_.now(), std::move(end)); }});
-        before_.listen(
-            [this](core::AttemptResult end) { requests_.attemptEnded(loop_.now(), std::move(end)); });
-        before_.reconfigure(&baseOf(configuration_).decoded.settings.classes, formOf(configuration_),
-                            pacer());
-        bus_.listen({[this](std::int64_t from, std::int64_t last, const std::vector<std::int64_t>& numbers,
-                            bool complete) {
-                         if (tier_) tier_->told(before_.momentOf(loop_.now()), from, last, numbers, complete);
-                     },
-                     [this] { return !tier_ || tier_->kept(); }});
+          busReader_(loop_, [this](const settings::BusEvent& event) { applyEvent(event); }) {
+        transport_.setCallbacks(
+            {[this](RequestId request, int attempt) {
+                 return requests_.mayBegin(loop_.now(), request, attempt);
+             },
+             [this](core::AttemptResult result) { tierTransport_.ended(loop_.now(), std::move(result)); }});
+        tierTransport_.listen(
+            [this](core::AttemptResult result) { requests_.attemptEnded(loop_.now(), std::move(result)); });
+        tierTransport_.reconfigure(&baseConfiguration(configuration_).decoded.settings.classes,
+                                   keyFormOf(configuration_), pacer());
+        busReader_.setObserver({[this](std::int64_t from, std::int64_t last,
+                                       const std::vector<std::int64_t>& offsets, bool complete) {
+                                    if (tier_)
+                                        tier_->told(tierTransport_.momentOf(loop_.now()), from, last, offsets,
+                                                    complete);
+                                },
+                                [this] { return !tier_ || tier_->kept(); }});
     }
-    virtual void printOwnCounters(const std::string& name) const = 0;
+    virtual void printFrontCounters(const std::string& name) const = 0;
 
     net::Loop& loop_;
     Source source_;
     Configuration configuration_;
-    const char* opened_;
+    const char* listenLabel_;
     Transport transport_;
     core::DecisionFacade decisions_;
-    disk::Before before_;
+    disk::Before tierTransport_;
     core::RequestDispatcher requests_;
     Front front_;
 
 private:
     core::Micros drainGrace() const {
-        return std::chrono::duration_cast<core::Micros>(baseOf(configuration_).decoded.settings.drainGrace);
+        return std::chrono::duration_cast<core::Micros>(
+            baseConfiguration(configuration_).decoded.settings.drainGrace);
     }
-    void apply(const settings::BusEvent& event) {
+    void applyEvent(const settings::BusEvent& event) {
         if (!event.isStoreList) {
             if (tier_) purgeTier(event);
             return decisions_.applyPurge(loop_.now(), event);
         }
-        // First the decisions: attempts that end with a host's connections are then not sent to it again.
-        decisions_.applyHostList(loop_.now(), event, isOpen_ && bus_.caughtUp());
+        // Decisions first: an attempt that ends with a host's connections is then not sent to that host
+        // again.
+        decisions_.applyHostList(loop_.now(), event, isOpen_ && busReader_.caughtUp());
         transport_.applyHostList(event);
     }
 
     // ----- the disk tier -----
 
-    // Copies that carry our own date are compared with our own date of the purge, if that is the later one.
+    // Copies that we date ourselves are compared with our own time of the purge, if that is the later one.
     void purgeTier(const settings::BusEvent& event) {
         std::int64_t atMs = event.purgedMs;
-        if (before_.form().datedHere) atMs = std::max(atMs, decisions_.unixMsOf(loop_.now()));
+        if (tierTransport_.form().datedHere) atMs = std::max(atMs, decisions_.unixMsOf(loop_.now()));
         if (event.purgedObject.empty())
             tier_->purgeGroup(event.purgedGroup, atMs);
         else
@@ -203,59 +213,61 @@
     }
 
     disk::Pacer pacer() const {
-        return {baseOf(configuration_).flowBytesPerSecond, baseOf(configuration_).linkBytesPerSecond};
+        return {baseConfiguration(configuration_).flowBytesPerSecond,
+                baseConfiguration(configuration_).linkBytesPerSecond};
     }
     void openTier() {
-        const bool bus = !baseOf(configuration_).bus.empty();
+        const bool bus = !baseConfiguration(configuration_).bus.empty();
         tier_ = std::make_unique<disk::Tier>(
-            fileCalls_, disk::tierRules(*disk_, bus),
-            disk::Tier::Users{
-                [this](const std::string& line) {
-                    std::fprintf(stderr, "%s: %s\n", baseOf(configuration_).name.c_str(), line.c_str());
-                },
-                [this](std::int64_t position) { bus_.goBack(position); }, before_.form().version});
-        tierId_ = loop_.add(tier_->wakeDescriptor(), EPOLLIN, *this);
-        before_.use(tier_.get(), *disk_, pacer());
-        tryTierAgain();
+            fileCalls_, disk::tierRules(*diskSettings_, bus),
+            disk::Tier::Users{[this](const std::string& line) {
+                                  std::fprintf(stderr, "%s: %s\n",
+                                               baseConfiguration(configuration_).name.c_str(), line.c_str());
+                              },
+                              [this](std::int64_t position) { busReader_.rewindTo(position); },
+                              tierTransport_.form().version});
+        tierHandlerId_ = loop_.add(tier_->wakeDescriptor(), EPOLLIN, *this);
+        tierTransport_.use(tier_.get(), *diskSettings_, pacer());
+        scheduleTierRetry();
     }
     void closeTier() {
         if (tierTimer_) loop_.cancel(*tierTimer_);
         if (!tier_) return;
-        loop_.remove(tierId_, tier_->wakeDescriptor());
+        loop_.remove(tierHandlerId_, tier_->wakeDescriptor());
         tier_->close();
     }
-    // Limits hold at once; what the folder was opened with holds for the life of the process.
-    void reloadTier(const std::optional<settings::DiskSettings>& fresh) {
-        const auto& base = baseOf(configuration_);
-        before_.reconfigure(&base.decoded.settings.classes, formOf(configuration_), pacer());
-        if (!tier_ || !fresh) {
-            if (fresh || tier_)
+    // Limits apply at once; the settings that the folder was opened with stay for the life of the process.
+    void reloadTier(const std::optional<settings::DiskSettings>& updated) {
+        const auto& base = baseConfiguration(configuration_);
+        tierTransport_.reconfigure(&base.decoded.settings.classes, keyFormOf(configuration_), pacer());
+        if (!tier_ || !updated) {
+            if (updated || tier_)
                 std::fprintf(stderr, "%s: disk tier: it is switched on and off at a start only\n",
                              base.name.c_str());
             if (!tier_) return;
         }
-        if (fresh) {
-            disk_->readWaitMs = fresh->readWaitMs;
-            disk_->purgeSlackMs = fresh->purgeSlackMs;
-            disk_->busSilenceMs = fresh->busSilenceMs;
+        if (updated) {
+            diskSettings_->readWaitMs = updated->readWaitMs;
+            diskSettings_->purgeSlackMs = updated->purgeSlackMs;
+            diskSettings_->busSilenceMs = updated->busSilenceMs;
         }
-        tier_->reconfigure(disk::tierRules(*disk_, !base.bus.empty()));
-        before_.use(tier_.get(), *disk_, pacer());
+        tier_->reconfigure(disk::tierRules(*diskSettings_, !base.bus.empty()));
+        tierTransport_.use(tier_.get(), *diskSettings_, pacer());
     }
-    void tryTierAgain() {
+    void scheduleTierRetry() {
         tierTimer_ = loop_.after(std::chrono::seconds{1}, [this] {
             tier_->tryAgain();
-            tryTierAgain();
+            scheduleTierRetry();
         });
     }
     std::uint32_t ready(std::uint32_t) override {
-        before_.turn(loop_.now());
+        tierTransport_.turn(loop_.now());
         return 0;
     }
     void printTierCounters(const std::string& name) const {
         const auto& t = tier_->counters();
         const auto& s = tier_->shelf().counters();
-        const auto& b = before_.counters();
+        const auto& b = tierTransport_.counters();
         core::printCounterLine(name, "disk",
                                {{"asked", b.asked},
                                 {"hits", t.hits},
@@ -294,12 +306,12 @@
     }
 
     bool isOpen_ = false;
-    BusReader bus_;
+    BusReader busReader_;
     DiskSource diskSource_;
-    std::optional<settings::DiskSettings> disk_;
+    std::optional<settings::DiskSettings> diskSettings_;
     disk::FileCalls fileCalls_;
     std::unique_ptr<disk::Tier> tier_;
-    net::Loop::HandlerId tierId_ = 0;
+    net::Loop::HandlerId tierHandlerId_ = 0;
     std::optional<net::Loop::TimerKey> tierTimer_;
 };
 
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -14,7 +14,7 @@
     }
 }
 
-void Service::printOwnCounters(const std::string& name) const {
+void Service::printFrontCounters(const std::string& name) const {
     const auto& f = front_.counters();
     const auto& s = transport_.counters();
     core::printCounterLine(name, "front",
@@ -34,9 +34,9 @@
                             {"drain_refused", f.drainRefused},
                             {"ended_by_client", f.endedByClient},
                             {"reset", f.reset},
-                            {"accept_failures", front_.accepts().failures},
-                            {"closed_unread", front_.accepts().closedUnread},
-                            {"clients", front_.clients()}});
+                            {"accept_failures", front_.listenerCounters().failures},
+                            {"closed_unread", front_.listenerCounters().closedUnread},
+                            {"clients", front_.clientCount()}});
     core::printCounterLine(name, "stores",
                            {{"connects", s.connects},
                             {"connect_failures", s.connectFailures},
@@ -50,8 +50,8 @@
                             {"late_answers", s.lateAnswers},
                             {"held_back", s.heldBack},
                             {"no_descriptor", s.noDescriptor},
-                            {"connections", transport_.connections()},
-                            {"known", transport_.known()}});
+                            {"connections", transport_.connectionCount()},
+                            {"known", transport_.storeCount()}});
 }
 
 }  // namespace lotuslead::platform
--- a/src/platform/silence_timeout.hpp
+++ b/src/platform/silence_timeout.hpp
@@ -1,4 +1,4 @@
-// How long a connection with requests out may say nothing before that is a sign of anything.
+// How long a connection with requests in flight may be silent before it is suspected dead.
 #pragma once
 
 #include <algorithm>
@@ -8,31 +8,34 @@
 
 namespace lotuslead::platform {
 
-// Learned from the silences that ended in an answer, as RFC 6298 learns a retransmission time-out: their mean
-// and four times their mean deviation. With much traffic answers follow one another and the limit stays at
-// its least; with one request out at a time a silence lasts as long as the answer takes, and is no sign.
-class SilenceLimit {
+// Learned from silences that ended in an answer, as RFC 6298 learns a retransmission timeout: mean plus four
+// times the mean deviation. Under heavy traffic answers follow one another and the timeout stays at its
+// minimum; with one request at a time each silence lasts as long as the answer takes and is no sign of
+// failure.
+class SilenceTimeout {
 public:
     using Micros = std::chrono::microseconds;
-    static constexpr Micros kLeast{300'000};   // what a store under way with many requests never reaches
-    static constexpr Micros kMost{3'000'000};  // however slow answers are, a dead connection is found by then
+    // A healthy store with many requests in flight is never silent this long.
+    static constexpr Micros kMin{300'000};
+    // Finds a dead connection however slow the answers are.
+    static constexpr Micros kMax{3'000'000};
 
-    // Where requests may not wait so long, a dead connection must be found sooner.
-    void bound(Micros most) { most_ = std::clamp(most, kLeast, kMost); }
+    // Where requests have shorter deadlines, a dead connection must be found sooner.
+    void setUpperBound(Micros upperBound) { upperBound_ = std::clamp(upperBound, kMin, kMax); }
     void learn(Micros silence) {
-        const auto seen = static_cast<double>(std::clamp(silence, Micros{0}, kMost).count());
-        if (known_.mean > 0) return known_.add(seen);
-        known_.mean = seen;
-        known_.deviation = seen / 2;
+        const auto observed = static_cast<double>(std::clamp(silence, Micros{0}, kMax).count());
+        if (silences_.mean > 0) return silences_.add(observed);
+        silences_.mean = observed;
+        silences_.deviation = observed / 2;
     }
-    Micros limit() const {
-        const double micros = known_.mean + 4 * known_.deviation;
-        return std::clamp(Micros{static_cast<Micros::rep>(micros)}, kLeast, most_);
+    Micros value() const {
+        const double micros = silences_.mean + 4 * silences_.deviation;
+        return std::clamp(Micros{static_cast<Micros::rep>(micros)}, kMin, upperBound_);
     }
 
 private:
-    Micros most_ = kMost;
-    MovingAverage known_{1.0 / 8, 1.0 / 4};
+    Micros upperBound_ = kMax;
+    MovingAverage silences_{1.0 / 8, 1.0 / 4};
 };
 
 }  // namespace lotuslead::platform
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -16,101 +16,105 @@
 
 namespace {
 
-constexpr Micros kConnectTimeout = 400ms;  // where the settings tell none
-constexpr Micros kIdleClose = 30s;
-constexpr std::size_t kStreams = 100;
-constexpr Micros kEchoWait = 200ms;  // an ECHO is answered beside the queue, if the connection still carries
-// Past the limit of silence: those out are given up, if others that were sent later were answered.
-constexpr Micros kStuck = 500ms;
-constexpr Micros kStalled = 300ms;     // within an answer: answers come whole, or not at all
-constexpr Micros kLongAnswer = 3s;     // at most, from an answer's first byte to its last
-constexpr std::size_t kMostLinks = 6;  // to one store
-constexpr int kMostStrays =
-    1000;  // answers in a row to nothing that is out; all that was given up brings fewer
-constexpr std::size_t kLastAnswered = 64;  // whose second copies a connection knows
-constexpr std::size_t kLargestAnswer = 240'000;
-constexpr int kMostMoves = 2;
+constexpr Micros kDefaultConnectTimeout = 400ms;  // if the settings give none
+constexpr Micros kDefaultIdleTimeout = 30s;
+constexpr std::size_t kDefaultAttemptsPerConnection = 100;
+// A store answers ECHO out of order, so a working connection carries it within this time.
+constexpr Micros kEchoTimeout = 200ms;
+// Beyond the silence timeout: attempts in flight are given up if the store has answered later ones elsewhere.
+constexpr Micros kStuckTimeout = 500ms;
+constexpr Micros kStalledAnswerTimeout = 300ms;  // within an answer: stores send answers whole
+constexpr Micros kMaxAnswerTime = 3s;            // from an answer's first byte to its last
+constexpr std::size_t kMaxConnectionsPerStore = 6;
+// Consecutive answers that match no attempt in flight; abandoned attempts cause fewer.
+constexpr int kMaxUnmatchedAnswers = 1000;
+constexpr std::size_t kAnsweredTraceIdsKept = 64;  // to recognise duplicate answers
+constexpr std::size_t kMaxAnswerBytes = 240'000;
+constexpr int kMaxReassignments = 2;
 
 }  // namespace
 
-// One connection. A PULL is put into words only when its first byte can go out at once: until then it can be
-// taken back, and what has changed since it was picked is looked at again.
-class Stores::Link : public net::Stream::Observer, public std::enable_shared_from_this<Link> {
+// One connection. A PULL is encoded only when its first byte can be sent at once: until then it can be
+// cancelled, and it is checked again for changes since the decision.
+class StoreConnections::Connection : public net::Stream::Observer,
+                                     public std::enable_shared_from_this<Connection> {
 public:
-    Link(Stores& owner, std::string host, const settings::Endpoint& to)
+    Connection(StoreConnections& owner, std::string host, const settings::Endpoint& to)
         : owner_(owner),
           host_(std::move(host)),
-          lastByte_(owner.loop_.now()),
+          lastByteAt_(owner.loop_.now()),
           stream_(owner.loop_, to, *this) {
         ++owner_.counters_.connects;
         timer_ = owner_.loop_.after(owner_.connectTimeout_, [this] {
-            timed_ = false;
-            fail(Outcome::noConnection, HealthReport::one);
+            timerArmed_ = false;
+            fail(Outcome::noConnection, HealthReport::failure);
         });
-        timed_ = true;
+        timerArmed_ = true;
     }
-    ~Link() override {
+    ~Connection() override {
         stopTimer();
         stop(stallTimer_);
         stop(silenceTimer_);
     }
 
-    bool usable() const { return !ended_ && !shunned_; }
-    // It came up at or after this moment.
+    bool acceptsAttempts() const { return !ended_ && !noNewAttempts_; }
+    // Whether the connection opened at or after this moment.
     bool openedSince(Micros moment) const { return openedAt_ && *openedAt_ >= moment; }
-    Micros silentFor() const {
-        return out_.empty() ? Micros{0} : owner_.loop_.now() - std::max(lastByte_, waitsSince_);
+    Micros silenceDuration() const {
+        return inFlight_.empty() ? Micros{0} : owner_.loop_.now() - std::max(lastByteAt_, waitingSince_);
     }
-    Micros waitsSince() const { return std::max(lastByte_, waitsSince_); }
-    bool waitsForAnswers() const { return !out_.empty(); }
-    std::size_t load() const { return out_.size() + waiting_.size(); }
-    bool knows(const std::string& label) const {
-        return out_.count(label) > 0 || given_.count(label) > 0 ||
-               std::find(answered_.begin(), answered_.end(), fingerprint(label)) != answered_.end();
+    Micros waitingSince() const { return std::max(lastByteAt_, waitingSince_); }
+    bool hasPendingAnswers() const { return !inFlight_.empty(); }
+    std::size_t load() const { return inFlight_.size() + queue_.size(); }
+    bool hasSeen(const std::string& traceId) const {
+        return inFlight_.count(traceId) > 0 || abandoned_.count(traceId) > 0 ||
+               std::find(answeredTraceIds_.begin(), answeredTraceIds_.end(), fingerprint(traceId)) !=
+                   answeredTraceIds_.end();
     }
 
-    void pull(Waiting waiting) {
+    void enqueue(QueuedAttempt queued) {
         stopIdleTimer();
-        waiting_.push_back(std::move(waiting));
+        queue_.push_back(std::move(queued));
         flush();
     }
 
-    // True: no byte of it was written.
-    bool kill(RequestId request, int attempt) {
-        const auto queued = std::find_if(waiting_.begin(), waiting_.end(), [&](const Waiting& w) {
+    // Returns true if no byte of it was written.
+    bool cancelAttempt(RequestId request, int attempt) {
+        const auto queued = std::find_if(queue_.begin(), queue_.end(), [&](const QueuedAttempt& w) {
             return w.send.request == request && w.send.attempt == attempt;
         });
-        if (queued != waiting_.end()) {
-            waiting_.erase(queued);
-            restIfIdle();
+        if (queued != queue_.end()) {
+            queue_.erase(queued);
+            startIdleTimer();
             return true;
         }
         const auto self = shared_from_this();
-        for (auto it = out_.begin(); it != out_.end(); ++it) {
+        for (auto it = inFlight_.begin(); it != inFlight_.end(); ++it) {
             if (it->second.request != request || it->second.attempt != attempt) continue;
             std::string words;
             net::appendResp(words, {"KILL", it->first});
-            remember(it->first);
-            if (owner_.loop_.now() - std::max(lastByte_, it->second.writtenAt) > owner_.silence_.limit())
-                shunned_ = true;
-            out_.erase(it);
+            rememberAbandoned(it->first);
+            if (owner_.loop_.now() - std::max(lastByteAt_, it->second.writtenAt) >
+                owner_.silenceTimeout_.value())
+                noNewAttempts_ = true;
+            inFlight_.erase(it);
             stream_.write(std::move(words));
-            // A store that takes no bytes would be told behind the request itself, which may by then be out
-            // at another one: a close gives up all that is open here.
+            // If the store accepts no bytes, KILL would queue behind the request itself, which may by then be
+            // in flight elsewhere. Closing the connection cancels everything on it.
             if (stream_.unsentBytes() > 0)
                 fail(Outcome::broken, HealthReport::none, true);
             else
-                restIfIdle();
+                startIdleTimer();
             return false;
         }
         return false;
     }
 
-    // What was written may have run. What was not goes by another connection, if this one did come up and the
-    // store is not gone. The end of one connection is one word on its store, however many attempts it ends,
-    // and none where the connection was new or at rest.
-    enum class HealthReport { none, one };
-    void fail(Outcome whenWritten, HealthReport healthReport, bool moveOn = false) {
+    // Attempts that were written may have run. The others are requeued to another connection if this one had
+    // opened and the store is not gone. The end of a connection counts once against the health of its store,
+    // however many attempts it ends, and not at all if the connection was new or idle.
+    enum class HealthReport { none, failure };
+    void fail(Outcome outcomeIfWritten, HealthReport healthReport, bool requeue = false) {
         if (std::exchange(ended_, true)) return;
         stopTimer();
         stop(stallTimer_);
@@ -118,24 +122,25 @@
         stream_.close();
         const auto self = shared_from_this();
         bool ignoreForHealth = healthReport == HealthReport::none;
-        for (const auto& [label, sent] : out_)
-            report(sent.request, sent.attempt, whenWritten, std::exchange(ignoreForHealth, true));
-        out_.clear();
-        const auto waiting = std::exchange(waiting_, {});
+        for (const auto& [traceId, sent] : inFlight_)
+            reportOutcome(sent.request, sent.attempt, outcomeIfWritten, std::exchange(ignoreForHealth, true));
+        inFlight_.clear();
+        const auto unsent = std::exchange(queue_, {});
         owner_.loop_.destroyAfterTurn(self);
-        owner_.drop(host_, this);
-        for (const Waiting& w : waiting) {
-            if (moveOn && w.moves < kMostMoves) {
+        owner_.removeConnection(host_, this);
+        for (const QueuedAttempt& w : unsent) {
+            if (requeue && w.reassignments < kMaxReassignments) {
                 ++owner_.counters_.movedOn;
-                auto shared = std::make_shared<Waiting>(w);
-                ++shared->moves;
-                const auto place = owner_.places_.find(w.send.request);
-                if (place != owner_.places_.end()) place->second.link.reset();  // not written on any
-                // Later in the turn: the end may have come in the middle of another's send.
-                owner_.loop_.atEndOfTurn([owner = &owner_, shared] { owner->carry(std::move(*shared)); });
+                auto shared = std::make_shared<QueuedAttempt>(w);
+                ++shared->reassignments;
+                const auto location = owner_.locations_.find(w.send.request);
+                if (location != owner_.locations_.end())
+                    location->second.connection.reset();  // not written on any
+                // Deferred within the turn: the connection may have ended in the middle of another send.
+                owner_.loop_.atEndOfTurn([owner = &owner_, shared] { owner->dispatch(std::move(*shared)); });
             } else {
-                report(w.send.request, w.send.attempt, Outcome::noConnection,
-                       std::exchange(ignoreForHealth, true));
+                reportOutcome(w.send.request, w.send.attempt, Outcome::noConnection,
+                              std::exchange(ignoreForHealth, true));
             }
         }
     }
@@ -145,23 +150,23 @@
         RequestId request;
         int attempt;
         Micros writtenAt;
-        std::string known;           // the tag of the client's copy, if it was named
-        std::int64_t leastMintedMs;  // a copy made before is too old; Unix time
+        std::string knownTag;          // tag of the client's copy, if it named one
+        std::int64_t oldestAllowedMs;  // Unix time; copies made before are too old
         bool repeatable;
     };
 
     void streamOpened() override {
         openedAt_ = owner_.loop_.now();
         stopTimer();
-        flushWhatWaited();
-        restIfIdle();
+        flushOnceInputRead();
+        startIdleTimer();
     }
-    void streamFlushed() override { flushWhatWaited(); }
-    // Its client may have left in this very turn.
-    void flushWhatWaited() {
-        if (waiting_.empty()) return;
+    void streamFlushed() override { flushOnceInputRead(); }
+    // The client may have left in this very turn.
+    void flushOnceInputRead() {
+        if (queue_.empty()) return;
         owner_.loop_.atEndOfTurn([self = weak_from_this()] {
-            if (const auto link = self.lock()) link->flush();
+            if (const auto connection = self.lock()) connection->flush();
         });
     }
     void streamEnded(net::Stream::CloseReason why) override {
@@ -171,22 +176,24 @@
             ++owner_.counters_.malformed;
             std::fprintf(stderr, "store %s: malformed answer, connection closed\n", host_.c_str());
         }
-        if (why == End::reset || (why == End::closedByPeer && !out_.empty())) ++owner_.counters_.resets;
-        if (why == End::connectFailed) return fail(Outcome::noConnection, HealthReport::one);
+        if (why == End::reset || (why == End::closedByPeer && !inFlight_.empty())) ++owner_.counters_.resets;
+        if (why == End::connectFailed) return fail(Outcome::noConnection, HealthReport::failure);
         if (why == End::localShortage) return fail(Outcome::noConnection, HealthReport::none);
-        fail(Outcome::broken, heard_ ? HealthReport::one : HealthReport::none, true);
+        fail(Outcome::broken, hasReceived_ ? HealthReport::failure : HealthReport::none, true);
     }
     bool streamData(std::string_view data) override {
-        lastByte_ = owner_.loop_.now();
-        heard_ = true;
-        const bool fits = takeMessages(data);
+        lastByteAt_ = owner_.loop_.now();
+        hasReceived_ = true;
+        const bool fits = handleMessages(data);
         stop(stallTimer_);
         if (!fits || ended_ || !parser_.midMessage()) {
-            half_.reset();
+            answerBegunAt_.reset();
             return fits;
         }
-        if (!half_) half_ = lastByte_;
-        const Micros wait = std::min(kStalled, std::max(Micros{0}, *half_ + owner_.longAnswer_ - lastByte_));
+        if (!answerBegunAt_) answerBegunAt_ = lastByteAt_;
+        const Micros wait =
+            std::min(kStalledAnswerTimeout,
+                     std::max(Micros{0}, *answerBegunAt_ + owner_.maxAnswerTime_ - lastByteAt_));
         stallTimer_ = owner_.loop_.after(wait, [this] {
             stallTimer_.reset();
             ++owner_.counters_.stalled;
@@ -195,167 +202,172 @@
         return true;
     }
 
-    // A machine that is gone or cut off never resets its connections, and an answer that never comes can hold
-    // back all that was sent behind it. So a connection that says nothing while answers are due is asked for
-    // an echo.
-    void watchSilence(Micros wait) {
+    // A machine that is gone or cut off never resets its connections, and an answer that never arrives can
+    // hold back everything sent after it. So a connection that is silent while answers are due is probed with
+    // ECHO.
+    void armSilenceTimer(Micros wait) {
         silenceTimer_ = owner_.loop_.after(wait, [this] {
             silenceTimer_.reset();
-            if (out_.empty()) return;
-            const Micros left = owner_.silence_.limit() - silentFor();
-            if (left.count() > 0) return watchSilence(left);
-            if (echoAt_ > waitsSince()) {
+            if (inFlight_.empty()) return;
+            const Micros left = owner_.silenceTimeout_.value() - silenceDuration();
+            if (left.count() > 0) return armSilenceTimer(left);
+            if (echoSentAt_ > waitingSince()) {
                 ++owner_.counters_.stuck;
-                return fail(Outcome::broken, HealthReport::one, true);
+                return fail(Outcome::broken, HealthReport::failure, true);
             }
-            if (!owner_.mayProbe_) return watchSilence(owner_.silence_.limit());
+            if (!owner_.mayProbe_) return armSilenceTimer(owner_.silenceTimeout_.value());
             ++owner_.counters_.echoes;
-            ++echoesDue_;
-            echoAt_ = owner_.loop_.now();
+            ++pendingEchoes_;
+            echoSentAt_ = owner_.loop_.now();
             std::string words;
-            net::appendResp(words, {"ECHO", std::to_string(++owner_.lastEcho_)});
+            net::appendResp(words, {"ECHO", std::to_string(++owner_.lastEchoNumber_)});
             stream_.write(std::move(words));
-            watchSilence(kEchoWait);
+            armSilenceTimer(kEchoTimeout);
         });
     }
-    bool takeMessages(std::string_view data) {
+    bool handleMessages(std::string_view data) {
         while (!data.empty()) {
             const auto status = parser_.feed(data);
             if (status == net::RespParser::Status::malformed) return false;
-            if (status == net::RespParser::Status::message && !take(parser_.takeMessage())) return false;
+            if (status == net::RespParser::Status::message && !handleAnswer(parser_.takeMessage()))
+                return false;
         }
         return true;
     }
 
-    bool take(std::vector<std::string> words) {
+    bool handleAnswer(std::vector<std::string> words) {
         if (words.size() < 2 || words.size() > 4) return false;
         const auto outcome = outcomeOf(words[1]);
-        const auto found = out_.find(words[0]);
-        if (found == out_.end()) {  // an echo, or of an attempt given up, whose end was on its way already
-            if (echoesDue_ > 0 && (words[1] == "yes" || words[1] == "no")) {
-                --echoesDue_;
+        const auto found = inFlight_.find(words[0]);
+        // Not in flight: an ECHO reply, or the answer to an abandoned attempt that was already on its
+        // way.
+        if (found == inFlight_.end()) {
+            if (pendingEchoes_ > 0 && (words[1] == "yes" || words[1] == "no")) {
+                --pendingEchoes_;
                 return true;
             }
-            given_.erase(words[0]);
+            abandoned_.erase(words[0]);
             ++owner_.counters_.lateAnswers;
-            return ++strays_ <= kMostStrays;
+            return ++unmatchedAnswers_ <= kMaxUnmatchedAnswers;
         }
-        strays_ = 0;
+        unmatchedAnswers_ = 0;
         if (!outcome) return false;
         const Fields fields(words.size() > 2 ? std::string_view(words[2]) : std::string_view{});
-        if (*outcome == Outcome::served && !whole(words, fields, found->second)) return false;
-        AttemptResult end;
-        end.request = found->second.request;
-        end.attempt = found->second.attempt;
-        end.outcome = *outcome;
-        end.note = noteOf(fields.text("remark"));
-        if (const auto minted = fields.whole("minted")) owner_.copyClock_.learn(owner_.loop_.now(), *minted);
+        if (*outcome == Outcome::served && !isWellFormed(words, fields, found->second)) return false;
+        AttemptResult result;
+        result.request = found->second.request;
+        result.attempt = found->second.attempt;
+        result.outcome = *outcome;
+        result.note = noteOf(fields.text("remark"));
+        if (const auto minted = fields.whole("minted"))
+            owner_.copyAgeCheck_.learn(owner_.loop_.now(), *minted);
         if (*outcome == Outcome::served &&
-            fields.whole("minted").value_or(found->second.leastMintedMs) < found->second.leastMintedMs) {
-            // Passed on, it would be an answer from before a purge. What is not to run twice did run.
+            fields.whole("minted").value_or(found->second.oldestAllowedMs) < found->second.oldestAllowedMs) {
+            // Served, it would be an answer from before a purge. An attempt that must not run twice did run.
             ++owner_.counters_.tooOld;
-            end.outcome = found->second.repeatable ? Outcome::noCopy : Outcome::error;
+            result.outcome = found->second.repeatable ? Outcome::noCopy : Outcome::error;
         }
-        if (end.outcome == Outcome::served) {
-            end.payload.unchanged = words[1] == "current";
-            end.payload.mintedMs = fields.whole("minted").value_or(0);
-            if (!fields.text("tag").empty()) end.payload.metadata.emplace_back("tag", fields.text("tag"));
-            if (words.size() > 3) end.payload.body = std::move(words[3]);
+        if (result.outcome == Outcome::served) {
+            result.payload.unchanged = words[1] == "current";
+            result.payload.mintedMs = fields.whole("minted").value_or(0);
+            if (!fields.text("tag").empty()) result.payload.metadata.emplace_back("tag", fields.text("tag"));
+            if (words.size() > 3) result.payload.body = std::move(words[3]);
         }
-        owner_.answered(host_, found->second.writtenAt);
-        owner_.silence_.learn(owner_.loop_.now() - std::max(lastAnswer_, waitsSince_));
-        lastAnswer_ = owner_.loop_.now();
-        // A second copy would pass for the answer to a further attempt of the same request.
-        if (answered_.size() < kLastAnswered) answered_.push_back(0);
-        answered_[nextAnswered_++ % kLastAnswered] = fingerprint(words[0]);
-        out_.erase(found);
-        owner_.tell(std::move(end));
-        restIfIdle();
+        owner_.noteAnswered(host_, found->second.writtenAt);
+        owner_.silenceTimeout_.learn(owner_.loop_.now() - std::max(lastAnswerAt_, waitingSince_));
+        lastAnswerAt_ = owner_.loop_.now();
+        // A duplicate answer would be taken for the answer to a later attempt of the same request.
+        if (answeredTraceIds_.size() < kAnsweredTraceIdsKept) answeredTraceIds_.push_back(0);
+        answeredTraceIds_[nextAnswered_++ % kAnsweredTraceIdsKept] = fingerprint(words[0]);
+        inFlight_.erase(found);
+        owner_.reportResult(std::move(result));
+        startIdleTimer();
         return true;
     }
 
-    // Looked at before it is passed on: what has lost its bytes or its age on the way is no answer.
-    static bool whole(const std::vector<std::string>& words, const Fields& fields, const Sent& sent) {
-        if (words.size() < 4 || words[3].size() > kLargestAnswer) return false;
-        if (words[1] == "current" && (sent.known.empty() || !words[3].empty())) return false;
+    // Validates an answer before it is passed on: one whose body or date was damaged is no answer.
+    static bool isWellFormed(const std::vector<std::string>& words, const Fields& fields, const Sent& sent) {
+        if (words.size() < 4 || words[3].size() > kMaxAnswerBytes) return false;
+        if (words[1] == "current" && (sent.knownTag.empty() || !words[3].empty())) return false;
         const std::string_view tag = fields.text("tag"), minted = fields.text("minted");
-        // It names the client's copy, or it does not say that this one holds.
-        if (words[1] == "current" && tag != sent.known) return false;
+        // It must name the client's copy, or it does not confirm that one.
+        if (words[1] == "current" && tag != sent.knownTag) return false;
         return (tag.empty() || isHex(tag, 16)) &&
                (minted.empty() || fields.whole("minted").value_or(-1) >= 0);
     }
 
     void flush() {
         if (owner_.loop_.turnOverran()) return flushNextTurn();
-        while (stream_.opened() && !waiting_.empty() && stream_.unsentBytes() == 0) {
-            // The store has closed, and that has not been handled yet: what is written now would be lost, and
-            // count as perhaps run.
+        while (stream_.opened() && !queue_.empty() && stream_.unsentBytes() == 0) {
+            // The store has closed, which is not handled yet: a request written now would be lost, yet count
+            // as possibly run.
             if (stream_.peerHasClosed()) return stream_.readNextTurn();
-            const Waiting& next = waiting_.front();
+            const QueuedAttempt& next = queue_.front();
             const Micros now = owner_.loop_.now();
             const Micros waited = now - next.send.pickedAt;
             if (waited.count() > 0 && !owner_.callbacks_.mayBegin(next.send.request, next.send.attempt)) {
                 ++owner_.counters_.heldBack;
-                report(next.send.request, next.send.attempt, Outcome::notSent);
-                waiting_.pop_front();
+                reportOutcome(next.send.request, next.send.attempt, Outcome::notSent);
+                queue_.pop_front();
                 continue;
             }
             const core::Request& request = *next.request;
             std::string words;
-            const std::string fields = fieldsOf(request, next.send, leftOf(next));
-            net::appendResp(words, {"PULL", request.label, fields, request.body});
-            // No room for its first byte: it waits on, and is looked at again before it goes.
+            const std::string fields = pullFields(request, next.send, remainingTime(next));
+            net::appendResp(words, {"PULL", request.traceId, fields, request.body});
+            // There is no room for its first byte: it stays queued and is checked again before it is sent.
             if (!stream_.tryWrite(std::move(words))) return;
-            if (out_.empty()) waitsSince_ = now;
-            if (!silenceTimer_) watchSilence(owner_.silence_.limit());
-            out_[request.label] = {next.send.request,
-                                   next.send.attempt,
-                                   now,
-                                   request.known,
-                                   owner_.copyClock_.leastMintedMs(now, next.send),
-                                   owner_.repeatable_.at(static_cast<std::size_t>(request.classIndex))};
-            waiting_.pop_front();
+            if (inFlight_.empty()) waitingSince_ = now;
+            if (!silenceTimer_) armSilenceTimer(owner_.silenceTimeout_.value());
+            inFlight_[request.traceId] = {
+                next.send.request,
+                next.send.attempt,
+                now,
+                request.knownTag,
+                owner_.copyAgeCheck_.oldestAllowedMs(now, next.send),
+                owner_.repeatable_.at(static_cast<std::size_t>(request.classIndex))};
+            queue_.pop_front();
         }
     }
 
     void flushNextTurn() {
         owner_.loop_.after(Micros{1}, [self = weak_from_this()] {
-            if (const auto link = self.lock()) link->flush();
+            if (const auto connection = self.lock()) connection->flush();
         });
     }
 
-    // What its client still waits, by the clock itself: the turn may be long by now.
-    Micros leftOf(const Waiting& waiting) const {
+    // Time left to the client, by the current clock: much of the turn may have passed.
+    Micros remainingTime(const QueuedAttempt& queued) const {
         const Micros now = net::Loop::clock();
-        return std::min(waiting.request->deadline - now, waiting.send.pickedAt + waiting.send.timeout - now);
+        return std::min(queued.request->deadline - now, queued.send.pickedAt + queued.send.timeout - now);
     }
 
-    // Most are never heard of again: an answer that is to come at all comes within seconds.
-    void remember(const std::string& label) {
-        constexpr std::size_t kMany = 256;
-        constexpr Micros kLate = 10s;
+    // Answers to abandoned attempts arrive within seconds or not at all.
+    void rememberAbandoned(const std::string& traceId) {
+        constexpr std::size_t kAbandonedBeforeCleanup = 256;
+        constexpr Micros kLateAnswerWindow = 10s;
         const Micros now = owner_.loop_.now();
-        if (given_.size() >= kMany)
-            std::erase_if(given_, [&](const auto& g) { return now - g.second > kLate; });
-        given_[label] = now;
+        if (abandoned_.size() >= kAbandonedBeforeCleanup)
+            std::erase_if(abandoned_, [&](const auto& g) { return now - g.second > kLateAnswerWindow; });
+        abandoned_[traceId] = now;
     }
 
-    void report(RequestId request, int attempt, Outcome outcome, bool ignoreForHealth = false) {
-        AttemptResult end;
-        end.ignoreForHealth = ignoreForHealth;
-        end.request = request;
-        end.attempt = attempt;
-        end.outcome = outcome;
-        owner_.tell(std::move(end));
+    void reportOutcome(RequestId request, int attempt, Outcome outcome, bool ignoreForHealth = false) {
+        AttemptResult result;
+        result.ignoreForHealth = ignoreForHealth;
+        result.request = request;
+        result.attempt = attempt;
+        result.outcome = outcome;
+        owner_.reportResult(std::move(result));
     }
 
-    // Closed before the store would: a PULL that crosses its close would count as broken.
-    void restIfIdle() {
-        if (ended_ || !stream_.opened() || load() > 0 || timed_) return;
-        timed_ = true;
-        const Micros wait = shunned_ ? Micros{0} : owner_.idleClose_;
+    // Closes before the store's own idle timeout would: a PULL that crosses its close would count as broken.
+    void startIdleTimer() {
+        if (ended_ || !stream_.opened() || load() > 0 || timerArmed_) return;
+        timerArmed_ = true;
+        const Micros wait = noNewAttempts_ ? Micros{0} : owner_.idleTimeout_;
         timer_ = owner_.loop_.after(wait, [this] {
-            timed_ = false;
+            timerArmed_ = false;
             fail(Outcome::broken, HealthReport::none, true);
         });
     }
@@ -367,73 +379,75 @@
         if (stream_.opened()) stopTimer();
     }
     void stopTimer() {
-        if (std::exchange(timed_, false)) owner_.loop_.cancel(timer_);
+        if (std::exchange(timerArmed_, false)) owner_.loop_.cancel(timer_);
     }
 
-    Stores& owner_;
+    StoreConnections& owner_;
     std::string host_;
-    Micros lastByte_, lastAnswer_{};
+    Micros lastByteAt_, lastAnswerAt_{};
     std::optional<Micros> openedAt_;
-    Micros waitsSince_{};  // for any answer
-    bool heard_ = false;   // anything at all
+    Micros waitingSince_{};     // for any answer
+    bool hasReceived_ = false;  // any byte
     net::RespParser parser_;
-    std::deque<Waiting> waiting_;
-    std::unordered_map<std::string, Sent> out_;
-    std::unordered_map<std::string, Micros> given_;  // given up, and when; their answers may still come
-    std::vector<std::uint64_t> answered_;            // fingerprints of the last ones
+    std::deque<QueuedAttempt> queue_;
+    std::unordered_map<std::string, Sent> inFlight_;
+    // Trace id and time of abandoned attempts, whose answers may still arrive.
+    std::unordered_map<std::string, Micros> abandoned_;
+    std::vector<std::uint64_t> answeredTraceIds_;  // fingerprints of the last ones
     std::size_t nextAnswered_ = 0;
-    int strays_ = 0, echoesDue_ = 0;
+    int unmatchedAnswers_ = 0, pendingEchoes_ = 0;
     net::Loop::TimerKey timer_{};
     std::optional<net::Loop::TimerKey> stallTimer_, silenceTimer_;
-    std::optional<Micros> half_;  // when the first byte of the answer in hand came
-    Micros echoAt_{};             // when one was last asked for
-    bool timed_ = false;
+    std::optional<Micros> answerBegunAt_;  // first byte of the answer being received
+    Micros echoSentAt_{};                  // last ECHO
+    bool timerArmed_ = false;
     bool ended_ = false;
-    bool shunned_ = false;  // silent too long: no new attempt goes here
+    bool noNewAttempts_ = false;  // silent for too long: gets no new attempts
     net::Stream stream_;
 };
 
-Stores::Stores(net::Loop& loop, const settings::Configuration& configuration)
-    : loop_(loop), unixClockOffset_(core::unixClockOffset()), copyClock_(unixClockOffset_) {
+StoreConnections::StoreConnections(net::Loop& loop, const settings::Configuration& configuration)
+    : loop_(loop), unixClockOffset_(core::unixClockOffset()), copyAgeCheck_(unixClockOffset_) {
     reconfigure(configuration);
 }
 
-void Stores::reconfigure(const settings::Configuration& configuration) {
+void StoreConnections::reconfigure(const settings::Configuration& configuration) {
     const settings::DecodedSettings& words = configuration.decoded;
-    connectTimeout_ = kConnectTimeout;
-    idleClose_ = kIdleClose;
-    streams_ = kStreams;
+    connectTimeout_ = kDefaultConnectTimeout;
+    idleTimeout_ = kDefaultIdleTimeout;
+    maxAttemptsPerConnection_ = kDefaultAttemptsPerConnection;
     if (words.connectTimeout.count() > 0)
         connectTimeout_ = std::chrono::duration_cast<Micros>(words.connectTimeout);
     if (words.idleTimeout.count() > 0)
-        idleClose_ = std::chrono::duration_cast<Micros>(words.idleTimeout) * 9 / 10;
-    sockets_ = static_cast<std::size_t>(configuration.limits.sockets);
+        idleTimeout_ = std::chrono::duration_cast<Micros>(words.idleTimeout) * 9 / 10;
+    socketLimit_ = static_cast<std::size_t>(configuration.limits.sockets);
     setProcessCount(processes_);
     const Micros longest = core::longestClientTimeout(words.settings);
-    silence_.bound(longest / 2);
-    longAnswer_ = std::min(kLongAnswer, longest / 2);
+    silenceTimeout_.setUpperBound(longest / 2);
+    maxAnswerTime_ = std::min(kMaxAnswerTime, longest / 2);
     repeatable_.clear();
     for (const ClassSettings& c : words.settings.classes) repeatable_.push_back(c.effect == Effect::safe);
     mayProbe_ = words.settings.mayProbe;
-    if (words.streamsPerConnection > 0) streams_ = static_cast<std::size_t>(words.streamsPerConnection);
+    if (words.streamsPerConnection > 0)
+        maxAttemptsPerConnection_ = static_cast<std::size_t>(words.streamsPerConnection);
 }
 
-// What is left beside the clients' third, less what the process needs for itself and for operators.
-void Stores::setProcessCount(int processes) {
+// What remains beside the third for clients, less what the process needs for itself and for operators.
+void StoreConnections::setProcessCount(int processes) {
     processes_ = processes;
-    const std::size_t rest = sockets_ - sockets_ / 3;
+    const std::size_t rest = socketLimit_ - socketLimit_ / 3;
     const std::size_t own = std::min<std::size_t>(64, rest / 4);
-    mostConnections_ = std::max<std::size_t>(8, (rest - own) / static_cast<std::size_t>(processes));
+    maxConnections_ = std::max<std::size_t>(8, (rest - own) / static_cast<std::size_t>(processes));
 }
 
-Stores::~Stores() = default;
+StoreConnections::~StoreConnections() = default;
 
-void Stores::applyHostList(const settings::BusEvent& event) {
+void StoreConnections::applyHostList(const settings::BusEvent& event) {
     if (event.whole) {
         for (auto& [name, store] : stores_) {
             const bool kept = std::any_of(event.stores.begin(), event.stores.end(),
                                           [&](const settings::ListedStore& s) { return s.name == name; });
-            if (!kept) dropAll(store);
+            if (!kept) closeAll(store);
         }
         std::erase_if(stores_, [&](const auto& entry) {
             return std::none_of(event.stores.begin(), event.stores.end(),
@@ -441,30 +455,30 @@
         });
     }
     for (const settings::ListedStore& listed : event.stores) {
-        if (listed.readiness == Readiness::gone) {  // it leaves nothing behind
+        if (listed.readiness == Readiness::gone) {  // no state is kept
             const auto found = stores_.find(listed.name);
             if (found == stores_.end()) continue;
-            dropAll(found->second);
+            closeAll(found->second);
             stores_.erase(found);
             continue;
         }
         Store& store = stores_[listed.name];
-        // A restart has ended whatever the old process held; and an address may have a new owner.
+        // A restart has ended all connections of the old process, and an address may have a new owner.
         const bool restarted = listed.sinceMs > store.sinceMs && !store.address.empty();
         const bool moved = !listed.address.empty() && listed.address != store.address;
         if (moved)
-            dropAll(store);
+            closeAll(store);
         else if (restarted)
-            dropBefore(store, std::chrono::milliseconds{listed.sinceMs} - unixClockOffset_);
-        if (moved) forsake(listed.address, event);
+            closeOpenedBefore(store, std::chrono::milliseconds{listed.sinceMs} - unixClockOffset_);
+        if (moved) clearReusedAddress(listed.address, event);
         if (!listed.address.empty()) store.address = listed.address;
         store.sinceMs = listed.sinceMs;
     }
 }
 
-// Whoever had this address before has gone, though that is still to be told: what is its own by name must not
-// reach the new one, which may be cold.
-void Stores::forsake(const std::string& address, const settings::BusEvent& event) {
+// The previous owner of this address is gone, though the list does not say so yet: requests meant for it must
+// not reach the new owner, which may be cold.
+void StoreConnections::clearReusedAddress(const std::string& address, const settings::BusEvent& event) {
     for (auto& [name, store] : stores_) {
         const bool listed = std::any_of(event.stores.begin(), event.stores.end(),
                                         [&, &key = name](const auto& s) { return s.name == key; });
@@ -472,113 +486,122 @@
     }
 }
 
-void Stores::dropAll(Store& store) {
-    const auto links = store.links;
-    for (const auto& link : links) link->fail(Outcome::broken, Link::HealthReport::none);
+void StoreConnections::closeAll(Store& store) {
+    const auto connections = store.connections;
+    for (const auto& connection : connections)
+        connection->fail(Outcome::broken, Connection::HealthReport::none);
 }
 
-// Lists come late: a connection may be the new process's already.
-void Stores::dropBefore(Store& store, Micros restart) {
-    const auto links = store.links;
-    for (const auto& link : links)
-        if (!link->openedSince(restart)) link->fail(Outcome::broken, Link::HealthReport::none, true);
+// Lists arrive late: a connection may already belong to the new process.
+void StoreConnections::closeOpenedBefore(Store& store, Micros restart) {
+    const auto connections = store.connections;
+    for (const auto& connection : connections)
+        if (!connection->openedSince(restart))
+            connection->fail(Outcome::broken, Connection::HealthReport::none, true);
 }
 
-void Stores::drop(const std::string& host, Link* link) {
+void StoreConnections::removeConnection(const std::string& host, Connection* connection) {
     const auto found = stores_.find(host);
     if (found == stores_.end()) return;
-    std::erase_if(found->second.links, [&](const auto& held) { return held.get() == link; });
+    std::erase_if(found->second.connections, [&](const auto& held) { return held.get() == connection; });
 }
 
-std::shared_ptr<Stores::Link> Stores::linkFor(const std::string& host, const std::string& label) {
+std::shared_ptr<StoreConnections::Connection> StoreConnections::connectionFor(const std::string& host,
+                                                                              const std::string& traceId) {
     const auto known = stores_.find(host);
     if (known == stores_.end()) throw settings::DecodeError("is not listed");
     Store& store = known->second;
     if (store.address.empty()) throw settings::DecodeError("has no address");
-    retireStuck(store);
-    std::shared_ptr<Link> best, silent;
-    for (const auto& link : store.links) {
-        // Two attempts of one id on one connection: a late answer to the first would pass for the second's.
-        if (!link->usable() || link->load() >= streams_ || link->knows(label)) continue;
-        auto& place = link->silentFor() > silence_.limit() ? silent : best;
-        if (!place || link->load() < place->load()) place = link;
+    closeStuck(store);
+    std::shared_ptr<Connection> best, silent;
+    for (const auto& connection : store.connections) {
+        // Two attempts of one id must not share a connection: a late answer to the first would be taken for
+        // that to the second.
+        if (!connection->acceptsAttempts() || connection->load() >= maxAttemptsPerConnection_ ||
+            connection->hasSeen(traceId))
+            continue;
+        auto& candidate = connection->silenceDuration() > silenceTimeout_.value() ? silent : best;
+        if (!candidate || connection->load() < candidate->load()) candidate = connection;
     }
     if (best) return best;
-    const bool full = connections() >= mostConnections_;
-    if (silent && (full || store.links.size() >= kMostLinks)) return silent;
+    const bool full = connectionCount() >= maxConnections_;
+    if (silent && (full || store.connections.size() >= kMaxConnectionsPerStore)) return silent;
     if (full) return nullptr;
-    best = std::make_shared<Link>(*this, host, settings::readEndpoint(store.address, "address"));
-    store.links.push_back(best);
+    best = std::make_shared<Connection>(*this, host, settings::readEndpoint(store.address, "address"));
+    store.connections.push_back(best);
     return best;
 }
 
-// Its store goes on answering elsewhere what was sent later: an answer has stopped this connection for good.
-void Stores::retireStuck(Store& store) {
-    const auto links = store.links;
-    for (const auto& link : links) {
-        if (!link->waitsForAnswers() || link->silentFor() < silence_.limit() + kStuck) continue;
-        if (store.answeredWrittenAt <= link->waitsSince()) continue;
+// The store answers later requests on other connections: this one is blocked by an answer for good.
+void StoreConnections::closeStuck(Store& store) {
+    const auto connections = store.connections;
+    for (const auto& connection : connections) {
+        if (!connection->hasPendingAnswers() ||
+            connection->silenceDuration() < silenceTimeout_.value() + kStuckTimeout)
+            continue;
+        if (store.latestAnsweredWriteAt <= connection->waitingSince()) continue;
         ++counters_.stuck;
-        link->fail(Outcome::broken, Link::HealthReport::none, true);
+        connection->fail(Outcome::broken, Connection::HealthReport::none, true);
     }
 }
 
-void Stores::answered(const std::string& host, Micros writtenAt) {
+void StoreConnections::noteAnswered(const std::string& host, Micros writtenAt) {
     const auto found = stores_.find(host);
     if (found != stores_.end())
-        found->second.answeredWrittenAt = std::max(found->second.answeredWrittenAt, writtenAt);
+        found->second.latestAnsweredWriteAt = std::max(found->second.latestAnsweredWriteAt, writtenAt);
 }
 
-void Stores::send(Micros, const core::Request& request, const core::Decision& send) {
-    places_[request.id] = {{}, send.attempt};
-    carry({&request, send});
+void StoreConnections::send(Micros, const core::Request& request, const core::Decision& send) {
+    locations_[request.id] = {{}, send.attempt};
+    dispatch({&request, send});
 }
 
-void Stores::carry(Waiting waiting) {
-    const core::Decision& send = waiting.send;
-    const auto place = places_.find(send.request);
-    // Taken back meanwhile; its request may be gone, too.
-    if (place == places_.end() || place->second.attempt != send.attempt) return;
-    AttemptResult end;
-    end.request = send.request;
-    end.attempt = send.attempt;
-    end.outcome = Outcome::noConnection;
+void StoreConnections::dispatch(QueuedAttempt queued) {
+    const core::Decision& send = queued.send;
+    const auto location = locations_.find(send.request);
+    // It was cancelled meanwhile; its request may be gone as well.
+    if (location == locations_.end() || location->second.attempt != send.attempt) return;
+    AttemptResult result;
+    result.request = send.request;
+    result.attempt = send.attempt;
+    result.outcome = Outcome::noConnection;
     try {
-        if (const auto link = linkFor(send.host, waiting.request->label)) {
-            place->second.link = link;
-            return link->pull(std::move(waiting));
+        if (const auto connection = connectionFor(send.host, queued.request->traceId)) {
+            location->second.connection = connection;
+            return connection->enqueue(std::move(queued));
         }
         ++counters_.noDescriptor;
-        end.ignoreForHealth = true;  // it is this process that has too many connections
+        result.ignoreForHealth = true;  // this process has run out of connections, not the store
     } catch (const settings::DecodeError& problem) {
         std::fprintf(stderr, "store %s: %s\n", send.host.c_str(), problem.what());
     }
-    tell(std::move(end));
+    reportResult(std::move(result));
 }
 
-bool Stores::cancel(Micros, RequestId request, int attempt) {
-    const auto found = places_.find(request);
-    if (found == places_.end() || found->second.attempt != attempt) return false;
-    const auto link = found->second.link.lock();
-    places_.erase(found);
-    return link ? link->kill(request, attempt) : true;  // between two connections: not written on either
+bool StoreConnections::cancel(Micros, RequestId request, int attempt) {
+    const auto found = locations_.find(request);
+    if (found == locations_.end() || found->second.attempt != attempt) return false;
+    const auto connection = found->second.connection.lock();
+    locations_.erase(found);
+    return connection ? connection->cancelAttempt(request, attempt)
+                      : true;  // between two connections: not written on either
 }
 
-void Stores::tell(AttemptResult end) {
-    // Later in the turn: the caller may be in the middle of the very request that this is about. And what its
-    // client has said by then is known before the request is sent on.
-    auto shared = std::make_shared<AttemptResult>(std::move(end));
+void StoreConnections::reportResult(AttemptResult result) {
+    // Deferred within the turn: the caller may be in the middle of handling this very request. By then all
+    // input of the turn is read, so a client's CANCEL is known before the request is sent again.
+    auto shared = std::make_shared<AttemptResult>(std::move(result));
     loop_.atEndOfTurn([this, shared] {
-        const auto found = places_.find(shared->request);
-        if (found == places_.end() || found->second.attempt != shared->attempt) return;
-        places_.erase(found);
+        const auto found = locations_.find(shared->request);
+        if (found == locations_.end() || found->second.attempt != shared->attempt) return;
+        locations_.erase(found);
         callbacks_.ended(std::move(*shared));
     });
 }
 
-std::size_t Stores::connections() const {
+std::size_t StoreConnections::connectionCount() const {
     std::size_t count = 0;
-    for (const auto& [name, store] : stores_) count += store.links.size();
+    for (const auto& [name, store] : stores_) count += store.connections.size();
     return count;
 }
 
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -1,4 +1,4 @@
-// Carries attempts to stores, parents and the origin: PULL and KILL over connections that are kept.
+// Sends attempts to stores, parents and the origin: PULL and KILL over persistent connections.
 #pragma once
 
 #include <deque>
@@ -17,10 +17,10 @@
 
 namespace lotuslead::platform {
 
-class Stores : public core::AttemptTransport {
+class StoreConnections : public core::AttemptTransport {
 public:
     struct Callbacks {
-        std::function<bool(RequestId, int)> mayBegin;  // may this attempt still be begun?
+        std::function<bool(RequestId, int)> mayBegin;  // may this attempt still be started?
         std::function<void(core::AttemptResult)> ended;
     };
     struct Counters {
@@ -28,68 +28,68 @@
                       stuck = 0, movedOn = 0, tooOld = 0, lateAnswers = 0, heldBack = 0, noDescriptor = 0;
     };
 
-    Stores(net::Loop& loop, const settings::Configuration& configuration);
-    ~Stores() override;
+    StoreConnections(net::Loop& loop, const settings::Configuration& configuration);
+    ~StoreConnections() override;
 
-    void listen(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
+    void setCallbacks(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
     void applyHostList(const settings::BusEvent& event);
     void reconfigure(const settings::Configuration& configuration);
-    void setProcessCount(int processes);  // of the descriptors
+    void setProcessCount(int processes);  // that share the descriptors
 
     void send(core::Micros now, const core::Request& request, const core::Decision& send) override;
     bool cancel(core::Micros now, RequestId request, int attempt) override;
 
     const Counters& counters() const { return counters_; }
-    std::size_t connections() const;
-    std::size_t known() const { return stores_.size(); }
+    std::size_t connectionCount() const;
+    std::size_t storeCount() const { return stores_.size(); }
 
 private:
-    class Link;
+    class Connection;
     struct Store {
         std::string address;
         std::int64_t sinceMs = 0;
-        core::Micros answeredWrittenAt{};  // when the latest written of the answered attempts was written
-        std::vector<std::shared_ptr<Link>> links;
+        core::Micros latestAnsweredWriteAt{};  // latest write time among the answered attempts
+        std::vector<std::shared_ptr<Connection>> connections;
     };
-    struct Waiting {
-        const core::Request* request;  // lives at least as long as the attempt is out
+    struct QueuedAttempt {
+        const core::Request* request;  // outlives the attempt
         core::Decision send;
-        int moves = 0;  // to other connections
+        int reassignments = 0;  // to other connections
     };
-    struct Place {
-        std::weak_ptr<Link> link;
+    struct AttemptLocation {
+        std::weak_ptr<Connection> connection;
         int attempt = 0;
     };
 
-    // None: no descriptor is left for one. Throws settings::Malformed where the host can't be reached at all.
-    std::shared_ptr<Link> linkFor(const std::string& host, const std::string& label);
-    void carry(Waiting waiting);
-    void retireStuck(Store& store);
-    void answered(const std::string& host, core::Micros writtenAt);
-    void tell(core::AttemptResult end);
-    void forsake(const std::string& address, const settings::BusEvent& event);
-    void drop(const std::string& host, Link* link);
-    void dropAll(Store& store);
-    void dropBefore(Store& store, core::Micros restart);
+    // Null if no descriptor is left. Throws settings::Malformed if the host cannot be reached at all.
+    std::shared_ptr<Connection> connectionFor(const std::string& host, const std::string& traceId);
+    void dispatch(QueuedAttempt queued);
+    void closeStuck(Store& store);
+    void noteAnswered(const std::string& host, core::Micros writtenAt);
+    void reportResult(core::AttemptResult result);
+    void clearReusedAddress(const std::string& address, const settings::BusEvent& event);
+    void removeConnection(const std::string& host, Connection* connection);
+    void closeAll(Store& store);
+    void closeOpenedBefore(Store& store, core::Micros restart);
 
     net::Loop& loop_;
     core::Micros unixClockOffset_;
-    CopyClock copyClock_;
-    core::Micros connectTimeout_{}, idleClose_{};
-    std::size_t streams_ = 0;
-    core::Micros longAnswer_{};     // from an answer's first byte to its last, however steadily it comes
-    std::vector<bool> repeatable_;  // by class: what has run may run again
-    std::size_t sockets_ = 0, mostConnections_ = 0;
+    CopyAgeCheck copyAgeCheck_;
+    core::Micros connectTimeout_{}, idleTimeout_{};
+    std::size_t maxAttemptsPerConnection_ = 0;
+    core::Micros maxAnswerTime_{};  // from an answer's first byte to its last
+    std::vector<bool> repeatable_;  // by class: an attempt that ran may run again
+    std::size_t socketLimit_ = 0, maxConnections_ = 0;
     int processes_ = 1;
     bool mayProbe_ = false;
-    // With attempts out and not a byte for longer: the machine may be gone without a word, or an answer has
-    // stopped the connection. It is asked for an echo, and new attempts go by another one.
-    SilenceLimit silence_;
-    std::uint64_t lastEcho_ = 0;
+    // With attempts in flight and no byte for longer than this, the machine may be gone or an answer may
+    // block the connection: it is probed with ECHO, and new attempts use another connection.
+    SilenceTimeout silenceTimeout_;
+    std::uint64_t lastEchoNumber_ = 0;
     Callbacks callbacks_;
     Counters counters_;
     std::unordered_map<std::string, Store> stores_;
-    std::unordered_map<RequestId, Place> places_;  // of the attempts that are out
+    std::unordered_map<RequestId, AttemptLocation> locations_;  // of the attempts in flight
 };
 
 }  // namespace lotuslead::platform
--- a/src/platform/store_protocol.hpp
+++ b/src/platform/store_protocol.hpp
@@ -1,4 +1,4 @@
-// What is said to the stores and by them, in the platform's words.
+// Translates between the decisions and the words of the store protocol.
 #pragma once
 
 #include <algorithm>
@@ -40,7 +40,7 @@
     return std::nullopt;
 }
 
-inline std::string fieldsOf(const core::Request& request, const core::Decision& send, core::Micros left) {
+inline std::string pullFields(const core::Request& request, const core::Decision& send, core::Micros left) {
     const auto ms = [](core::Micros t) { return static_cast<std::int64_t>(t.count() / 1000); };
     FieldWriter fields;
     fields.add("profile", request.className);
@@ -50,17 +50,17 @@
     if (!request.key.empty()) fields.add("replay", request.key);
     if (!send.source.empty()) fields.add("via", send.source);
     if (send.keepRank > 0) fields.add("tier", send.keepRank);
-    // Rounded down, so that a copy from before a purge never passes; 0 would mean "any age".
+    // Rounded down, so that no copy from before a purge passes; 0 would mean "any age".
     if (send.maxAge.count() > 0) fields.add("fresh", std::max<std::int64_t>(1, ms(send.maxAge)));
-    std::string how;
+    std::string options;
     const auto option = [&](bool on, const char* word) {
-        if (on) how += (how.empty() ? "" : "+") + std::string(word);
+        if (on) options += (options.empty() ? "" : "+") + std::string(word);
     };
     option(send.joinFill, "share");
     option(send.onlyIfCached, "peek");
     option(send.staleWhileRevalidate, "swr");
-    if (!how.empty()) fields.add("opts", how);
-    if (!request.known.empty()) fields.add("known", request.known);
+    if (!options.empty()) fields.add("opts", options);
+    if (!request.knownTag.empty()) fields.add("known", request.knownTag);
     return std::string(fields.text());
 }
 
--- a/tests/catch_up_test.cpp
+++ b/tests/catch_up_test.cpp
@@ -1,5 +1,5 @@
-// The event bus tells much in pages: a gateway that starts is not ready before the last of them, and loses
-// and repeats nothing where a page is broken off.
+// The event bus sends long histories in pages: a starting gateway is not ready before the last page, and
+// loses and repeats no event when a page is truncated.
 #include "scenarios.hpp"
 
 namespace {
@@ -7,13 +7,13 @@
 using namespace lotuslead::testing;
 
 constexpr int kPageEvents = 10;
-constexpr auto kPageTakes = 250ms;
+constexpr auto kPageDelay = 250ms;
 
-// Tells its events page by page, and with each how many there are.
+// Serves its events page by page, each with the number of the last event.
 class PagedBus {
 public:
-    // With `breaksOff`, every second answer ends in the middle, with its connection.
-    explicit PagedBus(std::vector<json> events, bool breaksOff = false) : breaksOff_(breaksOff) {
+    // With `truncates`, every second answer ends in the middle and the connection closes.
+    explicit PagedBus(std::vector<json> events, bool truncates = false) : truncates_(truncates) {
         for (json& event : events) {
             event["offset"] = ++last_;
             events_.push_back(std::move(event));
@@ -26,7 +26,7 @@
     void serve(Connection& c) {
         for (std::string head; !(head = c.readHead()).empty();) {
             const int from = std::atoi(head.c_str() + head.find("from=") + 5);
-            std::this_thread::sleep_for(kPageTakes);
+            std::this_thread::sleep_for(kPageDelay);
             json batch = json::array();
             int reached = from;
             for (const json& event : events_) {
@@ -37,7 +37,7 @@
             const std::string body = json{{"offset", reached}, {"last", last_}, {"batch", batch}}.dump();
             std::string answer =
                 "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-            if (breaksOff_ && ++answers_ % 2 == 0) {
+            if (truncates_ && ++answers_ % 2 == 0) {
                 c.send(answer.substr(0, answer.size() / 2));
                 return c.shut();
             }
@@ -46,8 +46,8 @@
     }
 
     std::vector<json> events_;
-    int last_ = 1;  // the first event is the list under `known`
-    bool breaksOff_;
+    int last_ = 1;  // event 1 is the list under `known`
+    bool truncates_;
     std::atomic<int> answers_{0};
     Peer peer_{[this](Connection& c) { serve(c); }};
 };
@@ -59,8 +59,8 @@
     return events;
 }
 
-// Ten pages take longer than a gateway waits for an event bus that says nothing. What the last page tells, a
-// store, is known to the first request.
+// Ten pages take longer than a gateway waits for a silent event bus. The last page adds a store, which must
+// be known to the first request.
 void aStartingGatewayIsNotReadyBeforeTheLastPage() {
     Fleet fleet;
     Peer cache(store(serving("from the last page")));
@@ -80,7 +80,7 @@
         assert(Clock::now() - begin < std::chrono::seconds(kPatience));
     }
     assert(refused > 0);
-    assert(Clock::now() - begin >= 10 * kPageTakes);
+    assert(Clock::now() - begin >= 10 * kPageDelay);
     assert(operate(door, "GET /ready") == 200);
     Connection client(program.port());
     call(client, "1");
@@ -88,18 +88,18 @@
     assert(program.log().find("opens without all") == std::string::npos);
 }
 
-void aPageThatIsBrokenOffIsAskedForAgainFromWhereItBegan() {
+void aTruncatedPageIsRequestedAgainFromItsStart() {
     Fleet fleet;
     PagedBus bus(purges(kPageEvents * 6), true);
     json settings = configuration(fleet.with({}));
     settings["bus"] = bus.address();
     Program program(settings);
     program.port();
-    program.awaitCounters(" events=" + std::to_string(bus.last()) + " ");  // each once, the list included
+    program.awaitCounters(" events=" + std::to_string(bus.last()) + " ");  // each once, including the list
 }
 
-// A bus that always has more and never tells it is asked now and then, not in a busy loop.
-void aPageThatLeadsNowhereIsNotAskedForWithoutPause() {
+// A bus that always announces more events but sends none is polled at intervals, not in a busy loop.
+void anEmptyPageIsNotPolledInABusyLoop() {
     std::atomic<int> polls{0};
     Peer bus([&](Connection& c) {
         while (!c.readHead().empty()) {
@@ -112,17 +112,17 @@
     json settings = configuration(fleet.with({}));
     settings["bus"] = bus.address();
     Program program(settings);
-    program.port();  // it has never been told anything: as with a bus that says nothing
+    program.port();  // it has received no event, so it starts as with a silent bus
     std::this_thread::sleep_for(500ms);
     assert(polls > 2 && polls < 100);
 }
 
-constexpr Story kStories[] = {
+constexpr Scenario kScenarios[] = {
     {"last-page", aStartingGatewayIsNotReadyBeforeTheLastPage},
-    {"nowhere", aPageThatLeadsNowhereIsNotAskedForWithoutPause},
-    {"broken-off", aPageThatIsBrokenOffIsAskedForAgainFromWhereItBegan},
+    {"nowhere", anEmptyPageIsNotPolledInABusyLoop},
+    {"broken-off", aTruncatedPageIsRequestedAgainFromItsStart},
 };
 
 }  // namespace
 
-int main(int count, char** words) { playStories(kStories, count, words); }
+int main(int count, char** names) { runScenarios(kScenarios, count, names); }
--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -1,12 +1,12 @@
-// A wall clock that was wrong when the process started: slow start is kept to, and ends; no copy passes that
-// is older than a purge.
+// The wall clock is wrong when the process starts. Slow start must still be applied and must end, and no copy
+// from before a purge may be served.
 //
-// The gateway reads once at its start how far the wall clock is from the monotonic one, and takes a purge's
-// age out of the date that another machine gave it. With a clock that is an hour ahead a purge of one second
-// ago was an hour old: the PULL said `fresh=3601001` where 1001 is the most, and any store copy of the last
-// hour would do. A purge that is heard counts as made then, the latest that it can
-// have been, whatever the clocks say. The same clock judged `minted`: with a purge's age right and the
-// clock wrong, good copies passed for too old.
+// The gateway reads the offset between its wall clock and the monotonic clock once, at the start. When it
+// derived the age of a purge from the date that another machine had given it, a clock one hour ahead turned a
+// purge of one second ago into one of an hour ago: the PULL said `fresh=3601001` where 1001 is the maximum,
+// and any copy of the last hour was accepted. So a purge counts as made when it is received, the latest
+// possible time, whatever the clocks say. The same wrong clock also judged `minted`: with the correct age of
+// the purge, good copies were rejected as too old.
 #include "faults.hpp"
 #include "scenarios.hpp"
 
@@ -16,10 +16,10 @@
 
 constexpr int kCalls = 160;
 constexpr int kObjectBytes = 20'000;
-constexpr double kLinkKbPerS = 4000;  // of a store: 200 calls a second at full pace
+constexpr double kLinkKbPerS = 4000;  // of a store: 200 calls a second at full rate
 constexpr int kWeight = 4;
-// At first 1.5 x a tenth of that: 30 calls in a second, and 2 x root of 30 and 2 more.
-constexpr int kBudget = 43;
+// Initially 1.5 times a tenth of that: 30 calls in a second, plus 2 times the root of 30, plus 2.
+constexpr int kSlowStartBudget = 43;
 constexpr std::int64_t kHourMs = 3'600'000;
 
 std::int64_t unixMs() {
@@ -27,15 +27,15 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
-json listed(json store, std::int64_t sinceMs) {
+json listedSince(json store, std::int64_t sinceMs) {
     store["weight"] = kWeight;
     store["since_ms"] = sinceMs;
     return store;
 }
 
-json slowStart(const std::vector<json>& hosts, long long warmMs) {
+json slowStartConfiguration(const std::vector<json>& hosts, long long warmMs) {
     json all = configuration(hosts);
-    all["flow_bytes_per_s"] = kLinkKbPerS / kWeight * 1000;  // as sizes are told on the sockets
+    all["flow_bytes_per_s"] = kLinkKbPerS / kWeight * 1000;  // in the units of the socket protocol
     json& settings = all["settings"];
     settings["weights"] = "nominal";
     settings["extra"]["flowKbPerS"] = kLinkKbPerS / kWeight;
@@ -47,16 +47,16 @@
     return all;
 }
 
-void callForMany(Connection& client, int first) {
+void callManyObjects(Connection& client, int first) {
     char entity[17];
     for (int i = 0; i < kCalls; ++i) {
         std::snprintf(entity, sizeof entity, "%016x", 0x5000 + first + i);
-        callFor(client, first + i, entity);
+        callForObject(client, first + i, entity);
         assert(!client.readResp().empty());
     }
 }
 
-// The store started just now. By a clock that is an hour ahead that is an hour ago.
+// The store has just started. By a clock one hour ahead, that was an hour ago.
 void aClockThatIsAheadDoesNotWarmAColdStore() {
     Mark cold;
     Fleet fleet;
@@ -66,19 +66,19 @@
         serving(body)(c, words);
     }));
     Bus bus;
-    json settings = slowStart(fleet.with({listed(host("cache-1", warm.address()), 0)}), 20'000);
+    json settings =
+        slowStartConfiguration(fleet.with({listedSince(host("cache-1", warm.address()), 0)}), 20'000);
     settings["bus"] = bus.address();
     Program program(settings, "LB_CONFIG", 1024, faultVariables("realtime=3600"));
     Connection client(program.port());
-    callForMany(client, 1);
-    bus.tell(topology({listed(host("cache-2", fresh.address()), unixMs())}));
-    callForMany(client, 1 + kCalls);
-    std::fprintf(stderr, "%d calls at the cold store, %d allowed\n", cold.count(), kBudget);
-    assert(cold.count() <= kBudget);
+    callManyObjects(client, 1);
+    bus.tell(topology({listedSince(host("cache-2", fresh.address()), unixMs())}));
+    callManyObjects(client, 1 + kCalls);
+    std::fprintf(stderr, "%d calls at the cold store, %d allowed\n", cold.count(), kSlowStartBudget);
+    assert(cold.count() <= kSlowStartBudget);
 }
 
-// The same store in the list that the process starts with. Nothing else that it is told then contradicts the
-// clock.
+// The same store in the list that the process starts with. No later event contradicts the clock.
 void aClockThatIsAheadDoesNotWarmAColdStoreOfTheFirstList() {
     Mark cold;
     Fleet fleet;
@@ -88,17 +88,18 @@
         cold.raise();
         serving(body)(c, words);
     }));
-    const json settings = slowStart(fleet.with({listed(host("cache-1", warm.address()), 0),
-                                                listed(host("cache-2", fresh.address()), unixMs())}),
-                                    20'000);
+    const json settings =
+        slowStartConfiguration(fleet.with({listedSince(host("cache-1", warm.address()), 0),
+                                           listedSince(host("cache-2", fresh.address()), unixMs())}),
+                               20'000);
     Program program(settings, "LB_CONFIG", 1024, faultVariables("realtime=3600"));
     Connection client(program.port());
-    callForMany(client, 1);
-    std::fprintf(stderr, "%d calls at the cold store, %d allowed\n", cold.count(), kBudget);
-    assert(cold.count() <= kBudget);
+    callManyObjects(client, 1);
+    std::fprintf(stderr, "%d calls at the cold store, %d allowed\n", cold.count(), kSlowStartBudget);
+    assert(cold.count() <= kSlowStartBudget);
 }
 
-// The only store started a minute ago. By a clock that is an hour behind that is in an hour.
+// The only store started a minute ago. By a clock one hour behind, that is an hour in the future.
 void aClockThatIsBehindDoesNotKeepAStoreCold() {
     Fleet fleet;
     std::atomic<int> pulls{0};
@@ -107,27 +108,27 @@
         ++pulls;
         serving(body)(c, words);
     }));
-    const json settings =
-        slowStart(fleet.with({listed(host("cache-1", cache.address()), unixMs() - kHourMs / 60)}), 1000);
+    const json settings = slowStartConfiguration(
+        fleet.with({listedSince(host("cache-1", cache.address()), unixMs() - kHourMs / 60)}), 1000);
     Program program(settings, "LB_CONFIG", 1024, faultVariables("realtime=-3600"));
     Connection client(program.port());
     std::this_thread::sleep_for(1500ms);
-    callForMany(client, 1);
+    callManyObjects(client, 1);
     std::fprintf(stderr, "%d of %d calls at the store\n", pulls.load(), kCalls);
     assert(pulls >= kCalls / 2);
 }
 
-// What the store is asked for one second after a purge, with a copy made after it.
-struct AskedAfterAPurge {
-    std::int64_t freshMs = 0;    // told to the store
+// The PULL that a store receives one second after a purge; its copy was made after the purge.
+struct PullAfterPurge {
+    std::int64_t freshMs = 0;    // sent to the store
     std::int64_t elapsedMs = 0;  // since the purge was made
     bool served = false;
 };
 
 constexpr std::int64_t kPurgedBeforeStartMs = 10'000;
 
-AskedAfterAPurge askAfterAPurge(const std::string& clockRule, bool beforeTheStart) {
-    AskedAfterAPurge seen;
+PullAfterPurge pullAfterPurge(const std::string& clockRule, bool beforeTheStart) {
+    PullAfterPurge pull;
     std::atomic<std::int64_t> freshMs{0}, pulledMs{0};
     Fleet fleet;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
@@ -151,26 +152,26 @@
     std::this_thread::sleep_for(1s);
     call(client, "1");
     const std::vector<std::string> answer = client.readResp();
-    seen.served = answer.size() > 3 && answer[3] == "new";
-    seen.freshMs = freshMs;
-    seen.elapsedMs = pulledMs - purgedMs;
+    pull.served = answer.size() > 3 && answer[3] == "new";
+    pull.freshMs = freshMs;
+    pull.elapsedMs = pulledMs - purgedMs;
     std::fprintf(stderr, "%s: fresh=%lld, purged %lld ms ago, %s\n", clockRule.c_str(),
-                 static_cast<long long>(seen.freshMs), static_cast<long long>(seen.elapsedMs),
-                 seen.served ? "served" : "not served");
-    return seen;
+                 static_cast<long long>(pull.freshMs), static_cast<long long>(pull.elapsedMs),
+                 pull.served ? "served" : "not served");
+    return pull;
 }
 
 void purgesHoldWithAWrongClock(bool beforeTheStart) {
     for (const char* clockRule :
          {"realtime=5", "realtime=3600", "realtime=-5", "realtime=-3600", "realtime=0"}) {
-        const AskedAfterAPurge seen = askAfterAPurge(clockRule, beforeTheStart);
-        assert(seen.freshMs > 0 && seen.freshMs <= seen.elapsedMs + 1);
-        assert(seen.served);
+        const PullAfterPurge pull = pullAfterPurge(clockRule, beforeTheStart);
+        assert(pull.freshMs > 0 && pull.freshMs <= pull.elapsedMs + 1);
+        assert(pull.served);
     }
 }
-// A class with a fresh time: copies are a second old, a minute is allowed. By a clock that is an hour ahead
-// they were an hour old, and passed for too old: 0 of 10 calls served. The youngest copy seen tells how far
-// that clock can be.
+// A class with a freshness lifetime: copies are a second old, a minute is allowed. By a clock one hour ahead
+// they were an hour old and were rejected as too old: 0 of 10 calls served. The youngest copy seen bounds the
+// error of that clock.
 void copiesAreServedWithAWrongClock() {
     constexpr int kCallsEach = 10;
     constexpr std::int64_t kMinute = 60'000'000'000;
@@ -202,8 +203,8 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-    const Story stories[] = {
+int main(int count, char** names) {
+    const Scenario scenarios[] = {
         {"ahead", aClockThatIsAheadDoesNotWarmAColdStore},
         {"first-list-ahead", aClockThatIsAheadDoesNotWarmAColdStoreOfTheFirstList},
         {"behind", aClockThatIsBehindDoesNotKeepAStoreCold},
@@ -211,6 +212,6 @@
         {"purge-heard", aPurgeThatIsHeardHolds},
         {"purge-before-start", aPurgeFromBeforeTheStartHolds},
     };
-    playStories(stories, count, words);
+    runScenarios(scenarios, count, names);
     return 0;
 }
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,4 +1,5 @@
-// What comes in one turn, in whatever order the gateway looks at it, and answers that say what they may not.
+// Events that arrive in the same turn, in any order in which the gateway may handle them, and answers with
+// invalid content.
 #include <sys/stat.h>
 
 #include "scenarios.hpp"
@@ -7,8 +8,8 @@
 
 using namespace lotuslead::testing;
 
-// One has left before the connection came up and one after; the gateway sees all three at once.
-void whoLeavesAsTheConnectionComesUpIsNotSentOn() {
+// One client leaves before the connection opens and one after; the gateway sees all three events at once.
+void aCallCancelledAsTheConnectionOpensIsNotSent() {
     Fleet fleet;
     LateStore late;
     Program program(configuration(fleet.with({host("cache-1", late.peer.address())})));
@@ -20,16 +21,16 @@
     program.stop();
     before.sendResp({"CANCEL", "1"});
     late.start();
-    late.ups.await(2);
+    late.connects.await(2);
     after.sendResp({"CANCEL", "1"});
     program.goOn();
     assert(stays.readResp().at(3) == "late store");
-    settle(program.port());
+    waitUntilHandled(program.port());
     assert(late.pulls.count() == 1);
 }
 
-// As that, where the store refuses just then and the call would be sent again.
-void whoLeavesAsItsStoreRefusesIsNotSentOn() {
+// As above, but the store refuses at that moment and the call would be retried.
+void aCallCancelledAsTheStoreRefusesIsNotRetried() {
     Fleet fleet;
     Mark pulled, refuse, refused;
     Peer first(store([&](Connection& c, const std::vector<std::string>& words) {
@@ -54,8 +55,8 @@
     program.awaitCounters("attempts sent=2 ");
 }
 
-// The call is there before the event bus tells of the drain, or after it: it is all one turn.
-void aDrainIsKnownToTheCallsThatComeWithIt() {
+// The call arrives before or after the event bus announces the drain, within the same turn.
+void aDrainAppliesToCallsInTheSameTurn() {
     for (const bool drainFirst : {true, false}) {
         Fleet fleet;
         Bus bus;
@@ -77,8 +78,8 @@
     }
 }
 
-// The store's last answer and its close are both unread when the next calls are there, before and after.
-void aCloseBehindAnAnswerIsSeen() {
+// The store's last answer and its close are both unread when further calls arrive, before and after them.
+void aCloseBehindAnAnswerIsNoticed() {
     Fleet fleet;
     Mark pulled, go, closed;
     std::atomic<int> connections{0};
@@ -96,7 +97,7 @@
         }
     });
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
-    category(settings, 2)["effect"] = "single_shot";
+    classSettings(settings, 2)["effect"] = "single_shot";
     settings["settings"]["allowed"]["mostTries"] = 1;
     Program program(settings);
     Connection one(program.port()), before(program.port()), after(program.port());
@@ -115,8 +116,8 @@
     for (Connection* c : {&one, &before, &after}) assert(c->readResp().at(1) == "SERVED");
 }
 
-// The new one is told before the end of the old one, whose address it has.
-void aStoreAtAnothersAddressIsSentNothingMeantForThat() {
+// The new store is announced before the removal of the old one, whose address it has.
+void aStoreAtAReusedAddressGetsNoRequestsOfItsPredecessor() {
     Fleet fleet;
     Mark pulled;
     Bus bus;
@@ -127,7 +128,7 @@
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
     settings["bus"] = bus.address();
     Program program(settings);
-    json fresh = host("cache-2", cache.address(), "small", "draining");  // nothing is its own
+    json fresh = host("cache-2", cache.address(), "small", "draining");  // no object is assigned to it
     bus.tell(topology({fresh}));
     Connection client(program.port());
     call(client, "1");
@@ -138,13 +139,13 @@
     assert(pulled.count() == 1);
 }
 
-// The settings in force at SIGTERM count, or later ones that leave less time.
-void aFileReadAgainWhileItLeavesGivesNoMoreTime() {
+// The settings in force at SIGTERM apply, or later ones that leave less time.
+void aReloadDuringShutdownDoesNotExtendIt() {
     Fleet fleet;
     Mark pulled;
     Peer cache(store([&](Connection&, const std::vector<std::string>&) { pulled.raise(); }));
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
-    limitAll(settings, 1500);
+    setRequestTimeouts(settings, 1500);
     Program program(settings);
     Connection client(program.port());
     call(client, "1");
@@ -152,20 +153,20 @@
     const auto begin = Clock::now();
     program.signal(SIGTERM);
     program.awaitLog("leaving, 1 requests open");
-    limitAll(settings, 9000);
+    setRequestTimeouts(settings, 9000);
     program.rewrite(settings.dump());
     program.signal(SIGHUP);
     program.awaitLog("configuration read again");
     assert(client.readResp().at(0) == "1");
     program.awaitLog("lotuslead: stopped, 0 requests open");
-    assert(Clock::now() - begin < 2200ms + kSlowMachine);
+    assert(Clock::now() - begin < 2200ms + kSlowMachineAllowance);
     assert(program.exitCode() == 0);
 }
 
-void aClientsCopyIsCalledCurrentOnlyIfItIsTheOneNamed() {
+void aCopyIsCurrentOnlyIfTheAnswerNamesItsTag() {
     for (const std::string fields : {"tag=4be0c1927d55a6f4,minted=1764576000000", "minted=1764576000000"}) {
         Fleet fleet;
-        SpoiltOnce stores([fields](Connection& c, const std::vector<std::string>& words) {
+        FirstAnswerBad stores([fields](Connection& c, const std::vector<std::string>& words) {
             c.sendResp({words[1], "current", fields, ""});
         });
         Program program(stores.settings(fleet));
@@ -175,8 +176,8 @@
     }
 }
 
-// Each answer leads to the next poll. Those that come unasked do not, and who does not read them is left.
-void answersOfTheEventBusToNothingLeadToNoPolls() {
+// Each answer triggers the next poll. Unsolicited answers do not, and a bus that sends them is disconnected.
+void unsolicitedBusAnswersTriggerNoPolls() {
     const std::string body = R"({"offset":1,"batch":[]})";
     const std::string answer =
         "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -197,8 +198,8 @@
     assert(polls <= 1);
 }
 
-// The process is held for a second between the first look at its clock and the Unix clock's, by its own file.
-void aStartThatIsHeldUpMovesNoPurge() {
+// Reading its own configuration delays the process for a second between its first readings of the two clocks.
+void aDelayedStartDoesNotShiftPurgeTimes() {
     const std::string pipe = "/tmp/lotuslead-held-" + std::to_string(::getpid());
     const int made = ::mkfifo(pipe.c_str(), 0600);
     assert(made == 0);
@@ -229,21 +230,21 @@
     call(client, "1");
     pulled.await(1);
     std::remove(pipe.c_str());
-    assert(late <= 1);  // a copy from before the purge will not do
+    assert(late <= 1);  // no copy from before the purge is accepted
 }
 
-constexpr Story kStories[] = {
-    {"up-and-left", whoLeavesAsTheConnectionComesUpIsNotSentOn},
-    {"refused-and-left", whoLeavesAsItsStoreRefusesIsNotSentOn},
-    {"drained-with-calls", aDrainIsKnownToTheCallsThatComeWithIt},
-    {"answer-and-close", aCloseBehindAnAnswerIsSeen},
-    {"other-tag", aClientsCopyIsCalledCurrentOnlyIfItIsTheOneNamed},
-    {"address", aStoreAtAnothersAddressIsSentNothingMeantForThat},
-    {"reload-leaving", aFileReadAgainWhileItLeavesGivesNoMoreTime},
-    {"held-start", aStartThatIsHeldUpMovesNoPurge},
-    {"bus-unasked", answersOfTheEventBusToNothingLeadToNoPolls},
+constexpr Scenario kScenarios[] = {
+    {"up-and-left", aCallCancelledAsTheConnectionOpensIsNotSent},
+    {"refused-and-left", aCallCancelledAsTheStoreRefusesIsNotRetried},
+    {"drained-with-calls", aDrainAppliesToCallsInTheSameTurn},
+    {"answer-and-close", aCloseBehindAnAnswerIsNoticed},
+    {"other-tag", aCopyIsCurrentOnlyIfTheAnswerNamesItsTag},
+    {"address", aStoreAtAReusedAddressGetsNoRequestsOfItsPredecessor},
+    {"reload-leaving", aReloadDuringShutdownDoesNotExtendIt},
+    {"held-start", aDelayedStartDoesNotShiftPurgeTimes},
+    {"bus-unasked", unsolicitedBusAnswersTriggerNoPolls},
 };
 
 }  // namespace
 
-int main(int count, char** words) { playStories(kStories, count, words); }
+int main(int count, char** names) { runScenarios(kScenarios, count, names); }
--- a/tests/departed_clients_test.cpp
+++ b/tests/departed_clients_test.cpp
@@ -1,5 +1,5 @@
-// A client that closes its connection or cancels is gone: from 0.1 s on no attempt is begun for it, neither a
-// first nor a further one, at either front.
+// A client that closes its connection or cancels has left: from 0.1 s on neither front starts an attempt for
+// it, first or further.
 #include "repository_server.hpp"
 #include "scenarios.hpp"
 
@@ -7,16 +7,16 @@
 
 using namespace lotuslead::testing;
 
-constexpr auto kDepartureNoticed = 100ms;
+constexpr auto kDepartureDetectedWithin = 100ms;
 
 enum class Departure { close, halfClose, reset, cancel };
 constexpr Departure kDepartures[] = {Departure::close, Departure::halfClose, Departure::reset,
                                      Departure::cancel};
 
-// A client of the platform's front with one request open, which it can leave in any way.
-class LeavingClient {
+// A client of the platform's front with one open request, which can leave in any of these ways.
+class DepartingClient {
 public:
-    explicit LeavingClient(std::uint16_t port) : connection_(std::make_unique<Connection>(port)) {}
+    explicit DepartingClient(std::uint16_t port) : connection_(std::make_unique<Connection>(port)) {}
     void call(const std::string& more = "", const std::string& kind = "page") {
         lotuslead::testing::call(*connection_, "1", more, kind);
     }
@@ -42,26 +42,27 @@
     std::unique_ptr<Connection> connection_;
 };
 
-// How a store ends what it holds, so that the request could go to the next store.
-enum class StoreEnd { refused, error, nothing, reset };
-constexpr StoreEnd kStoreEnds[] = {StoreEnd::refused, StoreEnd::error, StoreEnd::nothing, StoreEnd::reset};
+// How a store fails a request so that it could be sent to the next store.
+enum class StoreFailure { refused, error, nothing, reset };
+constexpr StoreFailure kFailures[] = {StoreFailure::refused, StoreFailure::error, StoreFailure::nothing,
+                                      StoreFailure::reset};
 
-const char* wordFor(StoreEnd end) {
-    return end == StoreEnd::refused ? "refused" : end == StoreEnd::error ? "error" : "nothing";
+const char* answerFor(StoreFailure end) {
+    return end == StoreFailure::refused ? "refused" : end == StoreFailure::error ? "error" : "nothing";
 }
 
-// The first store holds the request until its client has been gone for 0.1 s and ends it then: no other store
-// may see it, whether or not the settings let the gateway cancel at the store.
-void noFurtherAttemptFollowsADeparture(bool mayCancel, Departure departure, StoreEnd end) {
+// The first store holds the request until its client has been gone for 0.1 s and then fails it: no other
+// store may receive it, whether or not the settings allow the gateway to cancel at the store.
+void noFurtherAttemptFollowsADeparture(bool mayCancel, Departure departure, StoreFailure end) {
     Mark pulled, mayEnd, ended;
     const auto holding = store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
         mayEnd.await(1);
-        if (end == StoreEnd::reset) {
+        if (end == StoreFailure::reset) {
             c.reset();
             c.shut();
         } else {
-            c.sendResp({words[1], wordFor(end), "-", ""});
+            c.sendResp({words[1], answerFor(end), "-", ""});
         }
         ended.raise();
     });
@@ -72,30 +73,30 @@
     settings["settings"]["allowed"]["mayCancel"] = mayCancel;
     settings["settings"]["extra"]["direct"] = true;
     Program program(settings);
-    LeavingClient client(program.port());
+    DepartingClient client(program.port());
     client.call();
     pulled.await(1);
     client.leave(departure);
-    std::this_thread::sleep_for(kDepartureNoticed);
+    std::this_thread::sleep_for(kDepartureDetectedWithin);
     mayEnd.raise();
     ended.await(1);
     program.awaitCounters(" open=0\n");
-    settle(program.port());
+    waitUntilHandled(program.port());
     assert(pulled.count() == 1);
 }
 
-// The first attempt waits for a connection that comes up after the client has gone.
+// The first attempt waits for a connection that opens after the client has left.
 void noFirstAttemptFollowsADeparture(bool mayCancel, Departure departure) {
     Fleet fleet;
     LateStore late;
     json settings = configuration(fleet.with({host("cache-1", late.peer.address())}));
     settings["settings"]["allowed"]["mayCancel"] = mayCancel;
     Program program(settings);
-    LeavingClient client(program.port());
+    DepartingClient client(program.port());
     client.call();
     program.awaitCounters("attempts sent=1 ");
     client.leave(departure);
-    std::this_thread::sleep_for(kDepartureNoticed);
+    std::this_thread::sleep_for(kDepartureDetectedWithin);
     late.start();
     Connection stays(program.port());
     call(stays, "1");
@@ -103,8 +104,8 @@
     assert(late.pulls.count() == 1);
 }
 
-// The repository front: each server breaks off what it holds once the client has been gone for 0.1 s. A
-// client that stays has its request sent on to another server.
+// Repository front: each server breaks off its answer once the client has been gone for 0.1 s. For a client
+// that stays, the request is sent to another server.
 void noFurtherFetchFollowsADeparture(const std::string& path, bool stays) {
     Mark held, mayEnd;
     const auto breakingOff = [&](Connection& c) {
@@ -123,16 +124,16 @@
     ask(*client, path);
     held.await(1);
     if (!stays) client.reset();
-    std::this_thread::sleep_for(kDepartureNoticed);
+    std::this_thread::sleep_for(kDepartureDetectedWithin);
     mayEnd.raise();
     if (stays) return held.await(2);
     program.awaitCounters(" open=0\n");
-    Connection next(program.port());  // a round trip: what would have been sent on has been sent
+    Connection next(program.port());  // a round trip: any further attempt has been sent by now
     assert(get(next, "/nowhere").status == 404);
     assert(held.count() == 1);
 }
 
-// A file is fetched part by part: none is asked for once its client has gone.
+// A file is fetched part by part; no part is requested once the client has left.
 void noFurtherPartFollowsADeparture() {
     std::atomic<int> fetches{0};
     const auto count = [&](const std::string&, const std::string&) { ++fetches; };
@@ -143,7 +144,7 @@
         ask(client, "/files/tool.bin");
         assert(!client.readHead().empty());
     }
-    std::this_thread::sleep_for(kDepartureNoticed);
+    std::this_thread::sleep_for(kDepartureDetectedWithin);
     program.awaitCounters(" open=0\n");
     const int atDeparture = fetches;
     std::this_thread::sleep_for(300ms);
@@ -158,7 +159,7 @@
 void departuresBeforeAFurtherAttempt() {
     for (const bool mayCancel : {true, false})
         for (const Departure departure : kDepartures)
-            for (const StoreEnd end : kStoreEnds)
+            for (const StoreFailure end : kFailures)
                 noFurtherAttemptFollowsADeparture(mayCancel, departure, end);
 }
 
@@ -169,7 +170,7 @@
     noFurtherPartFollowsADeparture();
 }
 
-constexpr Story kStories[] = {
+constexpr Scenario kScenarios[] = {
     {"first-attempt", departuresBeforeTheFirstAttempt},
     {"further-attempt", departuresBeforeAFurtherAttempt},
     {"repository", departuresAtTheRepositoryFront},
@@ -177,4 +178,4 @@
 
 }  // namespace
 
-int main(int count, char** words) { playStories(kStories, count, words); }
+int main(int count, char** names) { runScenarios(kScenarios, count, names); }
--- a/tests/faults/fault_injection.cpp
+++ b/tests/faults/fault_injection.cpp
@@ -1,15 +1,15 @@
-// A library for LD_PRELOAD that makes system calls of one process fail now and then, as Linux documents it.
+// Library for LD_PRELOAD that makes system calls of one process fail, in ways that Linux documents.
 //
 // LOTUSLEAD_FAULTS holds rules, separated by ';':
 //
-//     CALL=ERROR:EVERY[:FIRST[:COUNT]]   each EVERY-th call, from the FIRST-th on, COUNT times at most, fails
-//     CALL=short:BYTES                   no call moves more than so many bytes
-//     realtime=SECONDS                   the wall clock is off by so much; the monotonic clock is not
+//     CALL=ERROR:EVERY[:FIRST[:COUNT]]   each EVERY-th call, from the FIRST-th on, fails, at most COUNT times
+//     CALL=short:BYTES                   no call transfers more than BYTES bytes
+//     realtime=SECONDS                   offset of the wall clock; the monotonic clock is not changed
 //
-// EVERY may be negative: then the first call of each -EVERY fails, which includes the very first one.
-// LOTUSLEAD_FAULTS_SWITCH may name a file: its first byte is '1' while the rules are in force, and the text
-// behind it, a number of seconds, is added to the wall clock. Without the variable they always are. From byte
-// kSwitchMask on it may have a byte for each rule, in their order: '0' leaves that one out.
+// If EVERY is negative, the first call of each -EVERY fails, including the very first one.
+// LOTUSLEAD_FAULTS_SWITCH may name a file: its first byte is '1' while the rules are active, and the text
+// behind it, a number of seconds, is added to the wall clock. Without the variable the rules are always
+// active. From byte kSwitchMask on the file may have a byte for each rule, in order: '0' disables that rule.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <poll.h>
@@ -41,11 +41,11 @@
 
 struct Rule {
     char call[24] = {};
-    int error = 0;  // zero: calls are cut short
+    int error = 0;  // zero: calls transfer at most `bytes`
     long every = 1;
     long first = 1;         // number of the first call that may fail
-    long count = LONG_MAX;  // failures at most
-    std::size_t bytes = 0;  // with error zero
+    long count = LONG_MAX;  // maximum number of failures
+    std::size_t bytes = 0;  // only if error is zero
     std::atomic<long> calls{0}, failures{0};
 };
 
@@ -85,12 +85,12 @@
         return faults;
     }
 
-    // Sets errno and returns true where this call is to fail.
+    // If this call must fail, sets errno and returns true.
     bool fails(const char* call) {
         if (!inForce()) return false;
         for (std::size_t i = 0; i < count_; ++i) {
             Rule& rule = rules_[i];
-            if (rule.error == 0 || std::strcmp(rule.call, call) != 0 || leftOut(i)) continue;
+            if (rule.error == 0 || std::strcmp(rule.call, call) != 0 || isMasked(i)) continue;
             const long number = ++rule.calls;
             if (number < rule.first || rule.failures >= rule.count) continue;
             const long every = std::labs(rule.every);
@@ -103,7 +103,7 @@
         return false;
     }
 
-    std::size_t bounded(const char* call, std::size_t bytes) {
+    std::size_t limitBytes(const char* call, std::size_t bytes) {
         if (!inForce()) return bytes;
         for (std::size_t i = 0; i < count_; ++i)
             if (rules_[i].error == 0 && std::strcmp(rules_[i].call, call) == 0)
@@ -111,7 +111,7 @@
         return bytes;
     }
 
-    bool bounds(const char* call) { return bounded(call, SIZE_MAX) != SIZE_MAX; }
+    bool limitsBytes(const char* call) { return limitBytes(call, SIZE_MAX) != SIZE_MAX; }
 
     double clockOffset() const {
         return switch_ ? realtime_ + std::atof(const_cast<const char*>(switch_) + 1) : realtime_;
@@ -122,7 +122,7 @@
         if (const char* text = std::getenv("LOTUSLEAD_FAULTS")) read(text);
         const char* path = std::getenv("LOTUSLEAD_FAULTS_SWITCH");
         if (!path) return;
-        // Not by open(), which asks for this object.
+        // Not by open(), whose wrapper uses this object.
         const int fd = static_cast<int>(::syscall(SYS_openat, AT_FDCWD, path, O_RDONLY | O_CLOEXEC));
         if (fd < 0) return;
         void* page = ::mmap(nullptr, kSwitchBytes, PROT_READ, MAP_SHARED, fd, 0);
@@ -132,7 +132,7 @@
 
     bool inForce() const { return count_ > 0 && (!switch_ || switch_[0] == '1'); }
 
-    bool leftOut(std::size_t rule) const { return switch_ && switch_[kSwitchMask + rule] == '0'; }
+    bool isMasked(std::size_t rule) const { return switch_ && switch_[kSwitchMask + rule] == '0'; }
 
     void read(const char* text) {
         while (*text != '\0') {
@@ -171,7 +171,7 @@
         if (rule.every == 0) reject(text);
     }
 
-    // A rule that nobody understands would make a test pass for nothing.
+    // A rule that is not understood would let a test pass without its fault.
     [[noreturn]] static void reject(const char* what) {
         std::fprintf(stderr, "fault injection: cannot use '%s'\n", what);
         std::_Exit(99);
@@ -200,8 +200,8 @@
     if (at.tv_nsec < 0) at.tv_sec -= 1, at.tv_nsec += kNanos;
 }
 
-// Of the pieces only so many bytes, at least one.
-ssize_t sendPart(int fd, const msghdr* message, int flags, std::size_t bytes) {
+// Sends only the first bytes of the pieces, at least one.
+ssize_t sendPrefix(int fd, const msghdr* message, int flags, std::size_t bytes) {
     char part[256];
     std::size_t filled = 0;
     for (std::size_t i = 0; i < message->msg_iovlen && filled < bytes; ++i) {
@@ -246,20 +246,20 @@
 ssize_t send(int fd, const void* bytes, std::size_t size, int flags) {
     static const auto real = next<decltype(send)>("send");
     if (fails("send")) return -1;
-    return real(fd, bytes, Faults::instance().bounded("send", size), flags);
+    return real(fd, bytes, Faults::instance().limitBytes("send", size), flags);
 }
 
 ssize_t sendmsg(int fd, const msghdr* message, int flags) {
     static const auto real = next<decltype(sendmsg)>("sendmsg");
     if (fails("send")) return -1;
-    if (!Faults::instance().bounds("send")) return real(fd, message, flags);
-    return sendPart(fd, message, flags, Faults::instance().bounded("send", 256));
+    if (!Faults::instance().limitsBytes("send")) return real(fd, message, flags);
+    return sendPrefix(fd, message, flags, Faults::instance().limitBytes("send", 256));
 }
 
 ssize_t recv(int fd, void* bytes, std::size_t size, int flags) {
     static const auto real = next<decltype(recv)>("recv");
     if (fails(flags & MSG_PEEK ? "peek" : "recv")) return -1;
-    return real(fd, bytes, flags & MSG_PEEK ? size : Faults::instance().bounded("recv", size), flags);
+    return real(fd, bytes, flags & MSG_PEEK ? size : Faults::instance().limitBytes("recv", size), flags);
 }
 
 ssize_t read(int fd, void* bytes, std::size_t size) {
@@ -270,18 +270,18 @@
 ssize_t write(int fd, const void* bytes, std::size_t size) {
     static const auto real = next<decltype(write)>("write");
     if (fails("write")) return -1;
-    return real(fd, bytes, fd > STDERR_FILENO ? Faults::instance().bounded("write", size) : size);
+    return real(fd, bytes, fd > STDERR_FILENO ? Faults::instance().limitBytes("write", size) : size);
 }
 
 ssize_t pread64(int fd, void* bytes, std::size_t size, off64_t at) {
     static const auto real = next<decltype(pread64)>("pread64");
-    return fails("pread") ? -1 : real(fd, bytes, Faults::instance().bounded("pread", size), at);
+    return fails("pread") ? -1 : real(fd, bytes, Faults::instance().limitBytes("pread", size), at);
 }
 ssize_t pread(int fd, void* bytes, std::size_t size, off_t at) { return pread64(fd, bytes, size, at); }
 
 ssize_t pwrite64(int fd, const void* bytes, std::size_t size, off64_t at) {
     static const auto real = next<decltype(pwrite64)>("pwrite64");
-    return fails("pwrite") ? -1 : real(fd, bytes, Faults::instance().bounded("pwrite", size), at);
+    return fails("pwrite") ? -1 : real(fd, bytes, Faults::instance().limitBytes("pwrite", size), at);
 }
 ssize_t pwrite(int fd, const void* bytes, std::size_t size, off_t at) {
     return pwrite64(fd, bytes, size, at);
@@ -324,7 +324,7 @@
     return fails("unlink") ? -1 : real(path);
 }
 
-// The system call; the rule "open" is for the C library's streams.
+// The system call; the rule "open" applies to the streams of the C library.
 int open64(const char* path, int flags, ...) {
     static const auto real = next<int(const char*, int, ...)>("open64");
     va_list arguments;
