--- a/tests/held_up_test.cpp
+++ b/tests/held_up_test.cpp
@@ -1,5 +1,5 @@
-// What waited unread: while the process was stopped, while bytes came few at a time, at an address that
-// moved.
+// Input that waited unread: while the process was stopped, while bytes arrived few at a time, at an address
+// that moved.
 #include "faults.hpp"
 #include "repository_server.hpp"
 #include "scenarios.hpp"
@@ -8,12 +8,12 @@
 
 using namespace lotuslead::testing;
 
-constexpr auto kStopped = 700ms;
+constexpr auto kStopTime = 700ms;
 constexpr int kPatienceMs = 2000;
 constexpr int kSlackMs = 150;
-constexpr int kWaiting = 20;  // more than are accepted in one turn
+constexpr int kConnections = 20;  // more than are accepted in one turn
 constexpr int kCancelRounds = 20;
-constexpr auto kBothThere = 30ms;  // on loopback
+constexpr auto kDeliveryTime = 30ms;  // on loopback
 
 void callWithPatience(Connection& client, const std::string& tag, int patienceMs) {
     static int count = 0x2000000;
@@ -25,12 +25,12 @@
                      ""});
 }
 
-// The store is told no more time than the client has left.
-void theDeadlineCountsFromWhenTheCallCame() {
-    std::atomic<int> toldMs{0};
+// The store must be given no more time than the client has left.
+void theDeadlineCountsFromTheArrivalOfTheCall() {
+    std::atomic<int> pullMaxMs{0};
     Fleet fleet;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
-        toldMs = std::atoi(valueOf(words[2], "max").c_str());
+        pullMaxMs = std::atoi(valueOf(words[2], "max").c_str());
         serving("bytes")(c, words);
     }));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
@@ -39,17 +39,17 @@
     assert(client.readResp().size() > 1);
     program.stop();
     callWithPatience(client, "2", kPatienceMs);
-    std::this_thread::sleep_for(kStopped);
+    std::this_thread::sleep_for(kStopTime);
     program.goOn();
     assert(client.readResp().size() > 1);
-    const auto stopped = std::chrono::duration_cast<std::chrono::milliseconds>(kStopped).count();
-    std::fprintf(stderr, "%d of %d ms told after a stop of %lld ms\n", toldMs.load(), kPatienceMs,
+    const auto stopped = std::chrono::duration_cast<std::chrono::milliseconds>(kStopTime).count();
+    std::fprintf(stderr, "PULL has max=%d of %d ms after a stop of %lld ms\n", pullMaxMs.load(), kPatienceMs,
                  static_cast<long long>(stopped));
-    assert(toldMs <= kPatienceMs - stopped + kSlackMs);
+    assert(pullMaxMs <= kPatienceMs - stopped + kSlackMs);
 }
 
-// CALL and CANCEL are both there when the process reads on, a few bytes at a time.
-void aCallIsNotBegunBeforeItsCancelIsRead() {
+// CALL and CANCEL have both arrived when the process resumes and reads a few bytes at a time.
+void aCallIsNotSentBeforeItsCancelIsRead() {
     std::atomic<int> pulls{0};
     Fleet fleet;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
@@ -64,16 +64,16 @@
     program.stop();
     callWithPatience(client, "2", kPatienceMs);
     client.sendResp({"CANCEL", "2"});
-    std::this_thread::sleep_for(kStopped);
+    std::this_thread::sleep_for(kStopTime);
     program.goOn();
     call(client, "3");
     assert((client.readResp() == std::vector<std::string>{"3", "SERVED", "-", "bytes"}));
     assert(pulls == 2);
 }
 
-// The process stands still; a client takes its call back, and after that the store answers. When the process
-// goes on both are there, and the CANCEL came first.
-void anAnswerThatCameAfterTheCancelIsNotPassedOn() {
+// While the process is stopped a client cancels its call, and after that the store answers. When the process
+// resumes both have arrived, the CANCEL first.
+void anAnswerAfterTheCancelIsNotForwarded() {
     Mark pulled, may;
     Fleet fleet;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
@@ -82,28 +82,28 @@
         serving("bytes")(c, words);
     }));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
-    int passedOn = 0;
+    int forwarded = 0;
     for (int round = 1; round <= kCancelRounds; ++round) {
         Connection client(program.port());
         call(client, "1");
         pulled.await(round);
         program.stop();
         client.sendResp({"CANCEL", "1"});
-        std::this_thread::sleep_for(kBothThere);
+        std::this_thread::sleep_for(kDeliveryTime);
         may.raise();
-        std::this_thread::sleep_for(kBothThere);
+        std::this_thread::sleep_for(kDeliveryTime);
         program.goOn();
         client.sendResp({"CHECK", "2", ""});
-        passedOn += client.readResp().at(0) == "1" ? 1 : 0;
+        forwarded += client.readResp().at(0) == "1" ? 1 : 0;
     }
-    std::fprintf(stderr, "%d of %d answers passed on after their CANCEL\n", passedOn, kCancelRounds);
-    assert(passedOn == 0);
+    std::fprintf(stderr, "%d of %d answers forwarded after their CANCEL\n", forwarded, kCancelRounds);
+    assert(forwarded == 0);
 }
 
-// At the repository front a request and its client's end are both there when the process goes on. Nobody
-// wants the answer: no server is asked. It used to be begun and given up in one turn, by when its first byte
-// was out.
-void aRepositoryClientThatHasLeftIsNotAskedFor() {
+// A request and its client's close have both arrived at the repository front when the process resumes. Nobody
+// wants the answer, so no server may be asked. The request was once started and cancelled within one turn,
+// when its first byte had already been sent.
+void nothingIsFetchedForADepartedRepositoryClient() {
     const std::string path = "/index/plugins.json";
     Repository server(100'000);
     Program program(repository(server, server), "LB_REPOSITORY");
@@ -111,20 +111,21 @@
     assert(get(client, path).status == 200);
     const int asked = server.requests(path);
     program.stop();
-    for (int i = 0; i < kWaiting; ++i) {
+    for (int i = 0; i < kConnections; ++i) {
         Connection leaver(program.port());
         ask(leaver, path);
     }
-    std::this_thread::sleep_for(kStopped);
+    std::this_thread::sleep_for(kStopTime);
     program.goOn();
-    for (int i = 0; i < kWaiting; ++i) assert(get(client, "/elsewhere").status == 404);
-    std::this_thread::sleep_for(kStopped);
-    std::fprintf(stderr, "%d of %d that had left were asked for\n", server.requests(path) - asked, kWaiting);
+    for (int i = 0; i < kConnections; ++i) assert(get(client, "/elsewhere").status == 404);
+    std::this_thread::sleep_for(kStopTime);
+    std::fprintf(stderr, "%d requests sent for %d departed clients\n", server.requests(path) - asked,
+                 kConnections);
     assert(server.requests(path) == asked);
 }
 
-// Connections that wait at the old address, with their calls, when SIGHUP moves it.
-void whatWaitsAtAMovedAddressIsAnswered() {
+// Connections with calls wait in the backlog of the old address when SIGHUP moves it.
+void callsInTheBacklogOfTheOldAddressAreAnswered() {
     Fleet fleet;
     Peer cache(store(serving("bytes")));
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
@@ -133,7 +134,7 @@
     const std::uint16_t port = program.port();
     program.stop();
     std::vector<std::unique_ptr<Connection>> clients;
-    for (int i = 0; i < kWaiting; ++i) {
+    for (int i = 0; i < kConnections; ++i) {
         clients.push_back(std::make_unique<Connection>(port));
         call(*clients.back(), "1");
     }
@@ -143,20 +144,21 @@
     program.goOn();
     int answered = 0;
     for (const auto& client : clients) answered += client->readResp().size() > 1 ? 1 : 0;
-    std::fprintf(stderr, "%d of %d that waited at the old address answered\n", answered, kWaiting);
-    assert(answered == kWaiting);
+    std::fprintf(stderr, "%d of %d calls in the backlog of the old address answered\n", answered,
+                 kConnections);
+    assert(answered == kConnections);
 }
 
 }  // namespace
 
-int main(int count, char** words) {
-    const Story stories[] = {
-        {"deadline", theDeadlineCountsFromWhenTheCallCame},
-        {"cancel", aCallIsNotBegunBeforeItsCancelIsRead},
-        {"answer-with-cancel", anAnswerThatCameAfterTheCancelIsNotPassedOn},
-        {"repository-departed", aRepositoryClientThatHasLeftIsNotAskedFor},
-        {"moved-address", whatWaitsAtAMovedAddressIsAnswered},
+int main(int count, char** names) {
+    const Scenario scenarios[] = {
+        {"deadline", theDeadlineCountsFromTheArrivalOfTheCall},
+        {"cancel", aCallIsNotSentBeforeItsCancelIsRead},
+        {"answer-with-cancel", anAnswerAfterTheCancelIsNotForwarded},
+        {"repository-departed", nothingIsFetchedForADepartedRepositoryClient},
+        {"moved-address", callsInTheBacklogOfTheOldAddressAreAnswered},
     };
-    playStories(stories, count, words);
+    runScenarios(scenarios, count, names);
     return 0;
 }
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -1,4 +1,4 @@
-// Moments that are rare in service, each forced: what comes between two lines of the gateway's own.
+// Race conditions that are rare in service, each forced: events that arrive between two steps of the gateway.
 #include <sys/stat.h>
 
 #include "scenarios.hpp"
@@ -7,39 +7,39 @@
 
 using namespace lotuslead::testing;
 
-// ----- the end of the process -----
+// ----- shutdown -----
 
-void whatIsOpenIsAnsweredBeforeSigkillMayCome() {
-    // The longest deadline, counted as 3 s where it is longer, and 0.7 s more.
+void openRequestsAreAnsweredBeforeSigkill() {
+    // The longest deadline, counted as at most 3 s, plus 0.7 s.
     for (const auto& [longest, kill] : {std::pair{1500, 2200ms}, std::pair{9000, 3700ms}}) {
         Fleet fleet;
         Mark pulled;
         Peer cache(store([&](Connection&, const std::vector<std::string>&) { pulled.raise(); }));
         json settings = configuration(fleet.with({host("cache-1", cache.address())}));
-        limitAll(settings, longest);
+        setRequestTimeouts(settings, longest);
         settings["settings"]["allowed"]["mostTries"] = 1;
         Program program(settings);
         Connection client(program.port()), keyed(program.port());
         call(client, "1");
-        call(keyed, "1", kKey, "checkout");
+        call(keyed, "1", kKeyField, "checkout");
         pulled.await(2);
         const auto begin = Clock::now();
         program.signal(SIGTERM);
         assert(client.readResp().at(0) == "1");
         const auto answer = keyed.readResp();
         assert(answer.at(0) == "1" && answer[1] != "SERVED");
-        assert(client.closed());  // one answer
+        assert(client.closed());  // exactly one answer
         program.awaitLog("lotuslead: stopped, 0 requests open");
-        assert(Clock::now() - begin < kill + kSlowMachine);
+        assert(Clock::now() - begin < kill + kSlowMachineAllowance);
         assert(program.exitCode() == 0);
     }
 }
 
-// The crowd connects and asks while the process stands still, until it might already end.
-void whoWaitsAtTheDoorIsServedBeforeTheEnd() {
+// The clients connect and send calls while the process is stopped, until shortly before it would exit.
+void connectionsInTheBacklogAreServedBeforeExit() {
     Fleet fleet;
     Peer cache(store(serving("in the end")));
-    Program program(withRoomFor(host("cache-1", cache.address()), fleet));
+    Program program(withAmpleCapacity(host("cache-1", cache.address()), fleet));
     const std::uint16_t port = program.port();
     program.signal(SIGTERM);
     program.awaitLog("leaving, 0 requests open");
@@ -49,19 +49,19 @@
         crowd.push_back(std::make_unique<Connection>(port));
         call(*crowd.back(), "1");
     }
-    std::this_thread::sleep_for(800ms);  // the time for which connections still come
+    std::this_thread::sleep_for(800ms);  // connections still arrive for this long
     program.goOn();
     for (const auto& c : crowd)
         assert((c->readResp() == std::vector<std::string>{"1", "SERVED", "-", "in the end"}));
     assert(program.exitCode() == 0);
 }
 
-void aSignalBeforeThereIsAGatewayWaits() {
+void aSignalDuringStartupIsDeferred() {
     const std::string pipe = "/tmp/lotuslead-pipe-" + std::to_string(::getpid());
     const int made = ::mkfifo(pipe.c_str(), 0600);
     assert(made == 0);
     Program program(configuration({}), "LB_CONFIG", 1024, {{"LB_DISK", pipe}});
-    std::ofstream file(pipe);  // opens once the process reads it, which is before all else
+    std::ofstream file(pipe);  // opens once the process reads it, which is the first thing it does
     program.signal(SIGHUP);
     file << "{";
     file.close();
@@ -69,9 +69,9 @@
     std::remove(pipe.c_str());
 }
 
-// ----- clients that leave -----
+// ----- departing clients -----
 
-void whatWasTakenBackBeforeItWasReadIsNotSentOn() {
+void callsCancelledBeforeTheyAreReadAreNotForwarded() {
     Fleet fleet;
     Mark pulled;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
@@ -96,29 +96,29 @@
     call(stays, "3");
     program.goOn();
     assert(stays.readResp()[0] == "3");
-    settle(port);
+    waitUntilHandled(port);
     assert(pulled.count() == 2);
 }
 
-void aClientThatLeavesWithAnswersUnreadIsNoticed(bool closes) {
+void aDepartureWithUnreadAnswersIsDetected(bool closes) {
     Fleet fleet;
     LateStore late;
     Bus bus;
     Peer cache(store(serving(std::string(240'000, 'x'))));
     json lateHost = host("cache-2", late.peer.address()), wide = host("cache-1", cache.address());
-    wide["weight"] = 1000;  // nearly all objects are its own
+    wide["weight"] = 1000;  // gets nearly all objects
     json settings = configuration(fleet.with({lateHost}));
     settings["settings"]["weights"] = "nominal";
     settings["bus"] = bus.address();
     Program program(settings);
     const std::uint16_t port = program.port();
     Connection leaves(port, 4096), stays(port);
-    call(leaves, "1");  // waits for its connection
+    call(leaves, "1");  // waits for a connection to the store
     leaves.sendResp({"CHECK", "2", ""});
     assert(leaves.readResp()[0] == "2");
     bus.tell(topology({wide}));
     for (int i = 3; i < 30; ++i) call(leaves, std::to_string(i));
-    program.awaitCounters(" served=27 ");  // 6 MB, of which it reads nothing
+    program.awaitCounters(" served=27 ");  // 6 MB, none of which the client reads
     if (closes) {
         leaves.shutSending();
     } else {
@@ -134,7 +134,7 @@
     assert(late.pulls.count() == 1);
 }
 
-void whereCancelsAreBarredNothingIsSentForAClientThatLeft() {
+void withoutMayCancelNothingIsSentForADepartedClient() {
     Fleet fleet;
     LateStore late;
     json settings = configuration(fleet.with({host("cache-1", late.peer.address())}));
@@ -153,8 +153,8 @@
 
 // ----- connections to stores -----
 
-// The store's close and the next call are both there when the gateway looks.
-void anIdleConnectionThatWasJustClosedIsNotUsed() {
+// The store's close and the next call have both arrived when the gateway reads.
+void aJustClosedIdleConnectionIsNotReused() {
     Fleet fleet;
     Mark close, closed;
     std::atomic<int> connections{0};
@@ -178,15 +178,15 @@
             close.raise();
             closed.await(i - 1);
         }
-        call(client, "2", kKey, "checkout");
+        call(client, "2", kKeyField, "checkout");
         if (i > 1) program.goOn();
         assert((client.readResp() == std::vector<std::string>{"2", "SERVED", "-", "here"}));
     }
     close.raise();
 }
 
-// Behind the request itself the word to give it up would come too late: another store may have it by then.
-void aStoreThatTakesNoBytesIsLeftNotTold() {
+// Queued behind the request itself, KILL would arrive too late: another store may have the request by then.
+void aConnectionThatCannotTakeTheCancelIsClosed() {
     Fleet fleet;
     Mark read, ended;
     std::atomic<int> connections{0}, kills{0};
@@ -200,7 +200,7 @@
             if (words[0] == "KILL") ++kills;
         ended.raise();
     });
-    Program program(withRoomFor(host("cache-1", cache.address()), fleet));
+    Program program(withAmpleCapacity(host("cache-1", cache.address()), fleet));
     std::vector<std::unique_ptr<Connection>> clients;
     for (int i = 0; i < 3; ++i) {  // 4.6 MB, on one connection
         clients.push_back(std::make_unique<Connection>(program.port()));
@@ -215,7 +215,7 @@
     assert(kills == 0);
 }
 
-void aLateListEndsNoConnectionOfTheNewProcess() {
+void aLateHostListKeepsConnectionsOfTheRestartedStore() {
     for (const bool older : {false, true}) {
         Fleet fleet;
         Mark pulled, go;
@@ -226,13 +226,14 @@
         settings["bus"] = bus.address();
         Program program(settings);
         Connection client(program.port());
-        call(client, "1", kKey, "checkout");
+        call(client, "1", kKeyField, "checkout");
         pulled.await(1);
         const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
                              std::chrono::system_clock::now().time_since_epoch())
                              .count();
         json restarted = host("cache-1", cache.address());
-        restarted["since_ms"] = now + (older ? 1 : -60'000);  // the connection is older, or younger
+        restarted["since_ms"] =
+            now + (older ? 1 : -60'000);  // the connection is older or newer than the restart
         bus.tell(topology({restarted}));
         if (!older) go.raise();
         assert((client.readResp()[1] == "SERVED") == !older);
@@ -240,9 +241,9 @@
     }
 }
 
-// ----- what must not run twice -----
+// ----- requests that must not run twice -----
 
-void aRepeatThatHasWaitedTooLongIsNotSent() {
+void aRetryPastItsKeyWindowIsNotSent() {
     Fleet fleet;
     LateStore late;
     Mark pulled, go;
@@ -255,24 +256,24 @@
         c.shut();
     });
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
-    category(settings, 2)["window"] = 1'500'000'000;
+    classSettings(settings, 2)["window"] = 1'500'000'000;
     settings["bus"] = bus.address();
     Program program(settings);
     Connection client(program.port());
-    call(client, "1", kKey, "checkout");
+    call(client, "1", kKeyField, "checkout");
     pulled.await(1);
     const auto sent = Clock::now();
     bus.tell(topology({host("cache-2", late.peer.address())}));
     go.raise();
-    program.awaitCounters("attempts sent=2 ");  // within the window, but its connection is not up
+    program.awaitCounters("attempts sent=2 ");  // within the key window, but its connection is not open
     std::this_thread::sleep_until(sent + 1550ms);
     late.start();
     assert(client.readResp()[1] != "SERVED");
-    settle(program.port());
+    waitUntilHandled(program.port());
     assert(late.pulls.count() == 0);
 }
 
-void aSpoiltAnswerToAWriteIsNotTakenForAMiss() {
+void aTooOldAnswerToAWriteIsNotAMiss() {
     Fleet fleet;
     Mark pulled;
     Bus bus;
@@ -281,7 +282,7 @@
         serving("done, says an old date")(c, words);
     }));
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
-    category(settings, 2)["effect"] = "single_shot";
+    classSettings(settings, 2)["effect"] = "single_shot";
     settings["bus"] = bus.address();
     Program program(settings);
     Connection client(program.port());
@@ -289,51 +290,52 @@
         std::chrono::system_clock::now().time_since_epoch());
     bus.tell({{"ban", {{"tag", 3}, {"ts", now.count()}}}});
     call(client, "1", "", "checkout");
-    assert(client.readResp()[1] == "ERR");  // never 'refused', which says that it may be sent again
-    settle(program.port());
+    assert(client.readResp()[1] == "ERR");  // never a refusal, which would allow a retry
+    waitUntilHandled(program.port());
     assert(pulled.count() == 1);
 }
 
-// ----- times that the settings tell -----
+// ----- timeouts from the settings -----
 
-void anAnswerWithoutEndHoldsNothingUpForLongerThanRequestsLast() {
+void anEndlessAnswerIsCutOffWithinTheRequestTimeout() {
     Fleet fleet;
     std::atomic<bool> over{false};
-    SpoiltOnce stores([&](Connection& c, const std::vector<std::string>& words) {
+    FirstAnswerBad stores([&](Connection& c, const std::vector<std::string>& words) {
         c.send("*4\r\n$16\r\n" + words[1] + "\r\n$2\r\nok\r\n$1\r\n-\r\n$20000\r\n");
         for (int i = 0; i < 100 && !over; ++i, std::this_thread::sleep_for(50ms)) c.send("x");
     });
     json settings = stores.settings(fleet);
-    limitAll(settings, 1600);
+    setRequestTimeouts(settings, 1600);
     Program program(settings);
     Connection client(program.port());
     const auto begin = Clock::now();
-    call(client, "1", kKey, "checkout");
+    call(client, "1", kKeyField, "checkout");
     assert((client.readResp() == std::vector<std::string>{"1", "SERVED", "-", "whole"}));
     assert(Clock::now() - begin < 2s);
     over = true;
 }
 
-// Whole answers to nothing that was asked, or echoes: as long as they come, the connection looks alive.
-void answersToNothingEndTheirConnection(const char* word) {
+// Complete answers that match no attempt, or echoes: as long as they arrive, the connection looks alive.
+void unmatchedAnswersCloseTheConnection(const char* word) {
     Fleet fleet;
-    SpoiltOnce stores([word](Connection& c, const std::vector<std::string>&) {
+    FirstAnswerBad stores([word](Connection& c, const std::vector<std::string>&) {
         for (int i = 0; i < 1500; ++i) c.sendResp({"00000000000fffff", word, "minted=1", "stray"});
     });
     Program program(stores.settings(fleet));
     Connection client(program.port());
-    call(client, "1", kKey, "checkout");
+    call(client, "1", kKeyField, "checkout");
     assert((client.readResp() == std::vector<std::string>{"1", "SERVED", "-", "whole"}));
 }
 
-void aDeadWatchIsGivenUpWithinTheTimeForADrain() {
+void aSilentBusPollIsAbandonedWithinTheDrainGrace() {
     Fleet fleet;
     Mark asked, again;
     Clock::time_point silentSince{}, askedAgain{};
     Peer bus([&](Connection& c) {
         for (std::string head; !(head = c.readHead()).empty();) {
             asked.raise();
-            if (asked.count() == 2) {  // the first that is meant to wait: nothing comes, and no end
+            if (asked.count() ==
+                2) {  // the first poll that is held open: neither an answer nor a close follows
                 silentSince = Clock::now();
                 continue;
             }
@@ -351,50 +353,51 @@
     settings["bus"] = bus.address();
     Program program(settings);
     again.await(1);
-    assert(askedAgain - silentSince < 1s);  // 0.35 s, and a slow machine
+    assert(askedAgain - silentSince < 1s);  // 0.35 s, plus an allowance for slow machines
 }
 
-void aRefusalAtTheDoorKeepsToTheSettingsOnHints() {
+void aRefusalByTheFrontHonoursTheRetryHintSettings() {
     for (const bool hints : {true, false}) {
         Fleet fleet;
         Peer cache(store([](Connection&, const std::vector<std::string>&) {}));
-        json settings = withRoomFor(host("cache-1", cache.address()), fleet);
+        json settings = withAmpleCapacity(host("cache-1", cache.address()), fleet);
         settings["settings"]["allowed"]["retryAfter"] = hints;
         settings["settings"]["allowed"]["maxRetryAfter"] = 50'000'000;
         Program program(settings);
         Connection client(program.port());
-        for (int i = 1; i <= 33; ++i) call(client, std::to_string(i));  // one beyond the bound
+        for (int i = 1; i <= 33; ++i) call(client, std::to_string(i));  // one beyond the limit of 32
         const auto answer = client.readResp();
         assert(answer[0] == "33" && answer[1] == "SHED");
         assert(valueOf(answer[2], "pause") == (hints ? "50" : ""));
     }
 }
 
-// The largest tenth of a class against the class: quiet, and while a crowd that does not read holds memory.
-void theLargestAreAnsweredLikeTheRest() {
+// Compares the largest tenth of the objects of a class with the whole class: without load, and while clients
+// that do not read hold memory.
+void largeObjectsAreServedAsOftenAsTheRest() {
     for (const bool quiet : {true, false}) {
         Fleet fleet;
         Peer cache(store([](Connection& c, const std::vector<std::string>& words) {
             const bool large = valueOf(words[2], "thing").back() == '0';
             serving(std::string(large ? 240'000 : 12'000, 'x'))(c, words);
         }));
-        json settings = withRoomFor(host("cache-1", cache.address()), fleet);
+        json settings = withAmpleCapacity(host("cache-1", cache.address()), fleet);
         settings["limits"]["memory_mb"] = 24;
         Program program(settings);
         const std::uint16_t port = program.port();
         std::vector<std::unique_ptr<Connection>> crowd;
         for (int i = 0; i < (quiet ? 0 : 20); ++i) {
             crowd.push_back(std::make_unique<Connection>(port, 4096));
-            for (int k = 1; k <= 32; ++k) callFor(*crowd.back(), k, "7f3a9c21e0b4d650");
+            for (int k = 1; k <= 32; ++k) callForObject(*crowd.back(), k, "7f3a9c21e0b4d650");
         }
-        settle(port);
+        waitUntilHandled(port);
         program.awaitCounters(" open=0\n");
         int all = 0, served = 0, large = 0, largeServed = 0;
         Connection client(port);
         for (int i = 1; i <= 300; ++i) {
             char entity[17];
             std::snprintf(entity, sizeof entity, "%015x%d", i, i % 10);
-            callFor(client, i, entity);
+            callForObject(client, i, entity);
             const bool came = client.readResp()[1] == "SERVED";
             ++all;
             served += came;
@@ -407,27 +410,27 @@
     }
 }
 
-constexpr Story kStories[] = {
-    {"sigkill", whatIsOpenIsAnsweredBeforeSigkillMayCome},
-    {"door", whoWaitsAtTheDoorIsServedBeforeTheEnd},
-    {"early-signal", aSignalBeforeThereIsAGatewayWaits},
-    {"taken-back", whatWasTakenBackBeforeItWasReadIsNotSentOn},
-    {"unread-answers", [] { aClientThatLeavesWithAnswersUnreadIsNoticed(true); }},
-    {"unread-cancel", [] { aClientThatLeavesWithAnswersUnreadIsNoticed(false); }},
-    {"no-cancel", whereCancelsAreBarredNothingIsSentForAClientThatLeft},
-    {"just-closed", anIdleConnectionThatWasJustClosedIsNotUsed},
-    {"no-bytes", aStoreThatTakesNoBytesIsLeftNotTold},
-    {"late-list", aLateListEndsNoConnectionOfTheNewProcess},
-    {"late-repeat", aRepeatThatHasWaitedTooLongIsNotSent},
-    {"spoilt-write", aSpoiltAnswerToAWriteIsNotTakenForAMiss},
-    {"endless-answer", anAnswerWithoutEndHoldsNothingUpForLongerThanRequestsLast},
-    {"strays", [] { answersToNothingEndTheirConnection("ok"); }},
-    {"echoes", [] { answersToNothingEndTheirConnection("yes"); }},
-    {"dead-watch", aDeadWatchIsGivenUpWithinTheTimeForADrain},
-    {"largest", theLargestAreAnsweredLikeTheRest},
-    {"hints", aRefusalAtTheDoorKeepsToTheSettingsOnHints},
+constexpr Scenario kScenarios[] = {
+    {"sigkill", openRequestsAreAnsweredBeforeSigkill},
+    {"door", connectionsInTheBacklogAreServedBeforeExit},
+    {"early-signal", aSignalDuringStartupIsDeferred},
+    {"taken-back", callsCancelledBeforeTheyAreReadAreNotForwarded},
+    {"unread-answers", [] { aDepartureWithUnreadAnswersIsDetected(true); }},
+    {"unread-cancel", [] { aDepartureWithUnreadAnswersIsDetected(false); }},
+    {"no-cancel", withoutMayCancelNothingIsSentForADepartedClient},
+    {"just-closed", aJustClosedIdleConnectionIsNotReused},
+    {"no-bytes", aConnectionThatCannotTakeTheCancelIsClosed},
+    {"late-list", aLateHostListKeepsConnectionsOfTheRestartedStore},
+    {"late-repeat", aRetryPastItsKeyWindowIsNotSent},
+    {"spoilt-write", aTooOldAnswerToAWriteIsNotAMiss},
+    {"endless-answer", anEndlessAnswerIsCutOffWithinTheRequestTimeout},
+    {"strays", [] { unmatchedAnswersCloseTheConnection("ok"); }},
+    {"echoes", [] { unmatchedAnswersCloseTheConnection("yes"); }},
+    {"dead-watch", aSilentBusPollIsAbandonedWithinTheDrainGrace},
+    {"largest", largeObjectsAreServedAsOftenAsTheRest},
+    {"hints", aRefusalByTheFrontHonoursTheRetryHintSettings},
 };
 
 }  // namespace
 
-int main(int count, char** words) { playStories(kStories, count, words); }
+int main(int count, char** names) { runScenarios(kScenarios, count, names); }
--- a/tests/platform_clients_test.cpp
+++ b/tests/platform_clients_test.cpp
@@ -1,11 +1,11 @@
-// Bad, silent and crowding clients of the platform's front, and the limits on descriptors and memory.
+// Misbehaving, silent and numerous clients of the platform's front, and the limits on descriptors and memory.
 #include "loopback.hpp"
 
 namespace {
 
 using namespace lotuslead::testing;
 
-void descriptorsRunOutAndTheGatewayGoesOn() {
+void theGatewaySurvivesRunningOutOfDescriptors() {
     Fleet fleet;
     Peer cache(store(serving("still here")));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})), "LB_CONFIG", 24);
@@ -15,13 +15,13 @@
     assert(first.readResp()[1] == "SERVED");
     std::vector<std::unique_ptr<Connection>> crowd;
     for (int i = 0; i < 60; ++i) crowd.push_back(std::make_unique<Connection>(port));
-    int closed = 0;  // the last ones are beyond what the system lets it have
+    int closed = 0;  // the last ones exceed the process's descriptor limit
     for (int i = 40; i < 60; ++i) closed += crowd[static_cast<std::size_t>(i)]->closed() ? 1 : 0;
     assert(closed == 20);
     call(first, "2");
     assert(first.readResp()[1] == "SERVED");
     crowd.clear();
-    for (int i = 0; i < 5; ++i) {  // until it has seen those close
+    for (int i = 0; i < 5; ++i) {  // until it has noticed those closes
         Connection next(port);
         next.sendResp({"CHECK", "1", ""});
         const auto answer = next.readResp();
@@ -31,7 +31,7 @@
     assert(false);
 }
 
-void atAThirdOfTheDescriptorsAnIdleClientMakesRoom() {
+void idleClientsAreEvictedAtAThirdOfTheDescriptors() {
     Fleet fleet;
     json settings = configuration(fleet.with({}));
     settings["limits"]["sockets"] = 64;  // 21 of them for clients
@@ -49,9 +49,9 @@
 }
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr long kMostKb = 700'000;  // what is freed is held back for a while, to be checked
+constexpr long kMaxResidentKb = 700'000;  // freed memory is quarantined for a while, to be checked
 #else
-constexpr long kMostKb = 180'000;
+constexpr long kMaxResidentKb = 180'000;
 #endif
 
 void aClientThatDoesNotReadCostsLittleMemory() {
@@ -59,12 +59,12 @@
     Peer cache(store(serving(std::string(240'000, 'x'))));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
     const std::uint16_t port = program.port();
-    std::vector<std::unique_ptr<Connection>> lazy;
+    std::vector<std::unique_ptr<Connection>> nonReaders;
     for (int i = 0; i < 40; ++i) {
-        lazy.push_back(std::make_unique<Connection>(port, 4096));
-        for (int k = 1; k <= 32; ++k) call(*lazy.back(), std::to_string(k));  // 307 MB in all
+        nonReaders.push_back(std::make_unique<Connection>(port, 4096));
+        for (int k = 1; k <= 32; ++k) call(*nonReaders.back(), std::to_string(k));  // 307 MB in all
     }
-    // Until nothing is open any more: all is answered, into the gateway's memory or with a refusal.
+    // Until no request is open: all are answered, into memory of the gateway or with a refusal.
     Connection client(port);
     const std::string all = "requests taken=";
     for (int i = 1; i < kPatience * 20; ++i) {
@@ -72,7 +72,7 @@
         assert(client.readResp()[1] == "PASS");
         program.signal(SIGUSR1);
         std::this_thread::sleep_for(50ms);
-        assert(program.residentKb() < kMostKb);
+        assert(program.residentKb() < kMaxResidentKb);
         const std::string log = program.log();
         const std::size_t taken = log.rfind(all), open = log.rfind(" open=0\n");
         if (taken != std::string::npos && open != std::string::npos && open > taken &&
@@ -82,7 +82,7 @@
     assert(false);
 }
 
-void whatNoStoreCouldReadEndsAtTheEdge() {
+void invalidCallsAreRejectedByTheFront() {
     Fleet fleet;
     Mark pulled, go;
     Peer cache(store(servingWhenTold(pulled, go, "first")));
@@ -95,9 +95,9 @@
     client.sendResp({"CALL", "2", "page", whole + ",patience=8000", ""});
     const std::vector<std::string> bad = {
         "-",                   // no id
-        "trace=xyz" + object,  // one that is none
+        "trace=xyz" + object,  // an invalid id
         id,                    // no object
-        whole,                 // the id of the open request, of another object or not
+        whole,                 // the id of the open request, for the same object or another
         whole + "1",
         "trace=00000000000000a2,entity=" + kEntity + ",patience=soon",
         "trace=00000000000000a2,entity=" + kEntity + ",patience=-5",
@@ -119,7 +119,7 @@
     for (int i = 0; i < 2; ++i) assert(client.readResp()[1] == "SERVED");
 }
 
-void aSecondRequestUnderOneNumberLeavesTheFirstAlone() {
+void aDuplicateTagDoesNotAffectTheOpenRequest() {
     Fleet fleet;
     Mark pulled, go;
     Peer cache(store(servingWhenTold(pulled, go, "first")));
@@ -130,11 +130,11 @@
     pulled.await(1);
     go.raise();
     assert((client.readResp() == std::vector<std::string>{"1", "SERVED", "-", "first"}));
-    assert(client.closed());  // one answer, and no more is taken from it
+    assert(client.closed());  // one answer; nothing more is read from it
     assert(pulled.count() == 1);
 }
 
-void whatIsOpenOnASpoiltConnectionIsAnsweredBeforeTheClose() {
+void openCallsOfAMalformedConnectionAreAnsweredBeforeItCloses() {
     Fleet fleet;
     Mark pulled;
     Peer cache(store([&](Connection&, const std::vector<std::string>&) { pulled.raise(); }));
@@ -142,60 +142,62 @@
     for (const std::string noise : {"*1\r\n$-1\r\n", "*4\r\n$3000000000\r\n", "*999999999\r\n", "GET /"}) {
         Connection client(program.port());
         call(client, "1");
-        // Sent on without a stop: unread at the close, it would take back the answer.
+        // Sent without a pause: left unread at the close, it would reset the connection and discard the
+        // answer.
         client.send(noise + std::string(100'000, 'x'));
         assert((client.readResp() == std::vector<std::string>{"1", "ERR", "-", ""}));
         assert(client.closed());
     }
 }
 
-void aBurstOfOneClientIsItsOwnTrouble() {
+void aBurstOfOneClientDoesNotDelayOthers() {
     Fleet fleet;
     Peer cache(store([](Connection& c, const std::vector<std::string>& w) {
         if (w[3] == "usual") serving("here")(c, w);
     }));
     json wide = host("cache-1", cache.address());
-    wide["weight"] = 1000;  // its link holds all that comes
+    wide["weight"] = 1000;  // enough link capacity for all calls
     json settings = configuration(fleet.with({wide}));
     settings["settings"]["weights"] = "nominal";
     Program program(settings);
-    Connection greedy(program.port()), fickle(program.port()), usual(program.port());
-    for (int i = 1; i <= 400; ++i) call(greedy, std::to_string(i));
+    Connection burstClient(program.port()), cancellingClient(program.port()), otherClient(program.port());
+    for (int i = 1; i <= 400; ++i) call(burstClient, std::to_string(i));
     for (int i = 1; i <= 400; ++i) {
-        call(fickle, std::to_string(i));
-        fickle.sendResp({"CANCEL", std::to_string(i)});
+        call(cancellingClient, std::to_string(i));
+        cancellingClient.sendResp({"CANCEL", std::to_string(i)});
     }
-    call(usual, "1", "", "page", "usual");
-    assert(usual.readResp()[3] == "here");
-    const auto answer = greedy.readResp();
+    call(otherClient, "1", "", "page", "usual");
+    assert(otherClient.readResp()[3] == "here");
+    const auto answer = burstClient.readResp();
     assert(answer[1] == "SHED" && !valueOf(answer[2], "pause").empty());
-    while (!fickle.readResp().empty()) {
-    }  // closed, as is the greedy one once its open requests are over
-    while (!greedy.readResp().empty()) {
+    while (!cancellingClient.readResp().empty()) {
+    }  // closed, as is burstClient once its requests have ended
+    while (!burstClient.readResp().empty()) {
     }
-    call(usual, "2", "", "page", "usual");
-    assert(usual.readResp()[3] == "here");
+    call(otherClient, "2", "", "page", "usual");
+    assert(otherClient.readResp()[3] == "here");
     program.signal(SIGTERM);
     assert(program.exitCode() == 0);
     assert(program.log().find("retired=2") != std::string::npos);
 }
 
-void silenceAndHalfMessagesEndAndAClientAtRestStays() {
+void silentAndPartialConnectionsAreClosedAndIdleOnesKept() {
     Fleet fleet;
     Program program(configuration(fleet.with({})));
-    Connection rests(program.port()), silent(program.port()), half(program.port()), later(program.port());
-    for (Connection* c : {&rests, &later}) {
+    Connection idleClient(program.port()), silent(program.port()), partialClient(program.port()),
+        laterPartialClient(program.port());
+    for (Connection* c : {&idleClient, &laterPartialClient}) {
         c->sendResp({"CHECK", "1", ""});
         assert(c->readResp()[1] == "PASS");
     }
-    half.send("*3\r\n$5\r\nCHE");
-    later.send("*3\r\n$5\r\nCHE");
-    for (Connection* c : {&silent, &half, &later}) assert(c->closed());
-    rests.sendResp({"CHECK", "2", ""});
-    assert(rests.readResp()[1] == "PASS");
+    partialClient.send("*3\r\n$5\r\nCHE");
+    laterPartialClient.send("*3\r\n$5\r\nCHE");
+    for (Connection* c : {&silent, &partialClient, &laterPartialClient}) assert(c->closed());
+    idleClient.sendResp({"CHECK", "2", ""});
+    assert(idleClient.readResp()[1] == "PASS");
 }
 
-void aSilentCrowdKeepsNobodyOut() {
+void silentConnectionsDoNotShutOutClients() {
     Fleet fleet;
     json settings = configuration(fleet.with({}));
     settings["limits"]["sockets"] = 64;  // 21 of them for clients
@@ -206,14 +208,14 @@
     assert(asked.readResp()[1] == "PASS");
     std::vector<std::unique_ptr<Connection>> crowd;
     for (int i = 0; i < 60; ++i) crowd.push_back(std::make_unique<Connection>(port));
-    Connection usual(port);
-    usual.sendResp({"CHECK", "1", ""});
-    assert(usual.readResp()[1] == "PASS");
+    Connection otherClient(port);
+    otherClient.sendResp({"CHECK", "1", ""});
+    assert(otherClient.readResp()[1] == "PASS");
     asked.sendResp({"CHECK", "2", ""});
     assert(asked.readResp()[1] == "PASS");
 }
 
-void aHalfWrittenCrowdKeepsNobodyOutNorDoSmallLimits() {
+void partialMessagesDoNotShutOutClientsAtSmallLimits() {
     Fleet fleet;
     Peer cache(store(serving("served")));
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
@@ -228,7 +230,7 @@
         }
     };
     comes(40);
-    Connection slow(port);  // a call that takes over 2 s to write, while the crowd goes on
+    Connection slow(port);  // a call that takes over 2 s to send, while more clients connect
     std::string text = "*5\r\n$4\r\nCALL\r\n$1\r\n7\r\n$4\r\npage\r\n";
     const std::string fields = "trace=00000000000000b1,patience=8000,entity=" + kEntity;
     text += "$" + std::to_string(fields.size()) + "\r\n" + fields + "\r\n$0\r\n\r\n";
@@ -237,9 +239,9 @@
         std::this_thread::sleep_for(2200ms / (text.size() / 2));
         if (i % 16 == 0) comes(4);
         if (i % 32) continue;
-        Connection usual(port);
-        call(usual, "1");
-        assert(usual.readResp()[1] == "SERVED");
+        Connection otherClient(port);
+        call(otherClient, "1");
+        assert(otherClient.readResp()[1] == "SERVED");
     }
     assert((slow.readResp() == std::vector<std::string>{"7", "SERVED", "-", "served"}));
     for (const auto& c : crowd) assert(c->closed());
@@ -248,14 +250,14 @@
 }  // namespace
 
 int main() {
-    descriptorsRunOutAndTheGatewayGoesOn();
-    atAThirdOfTheDescriptorsAnIdleClientMakesRoom();
+    theGatewaySurvivesRunningOutOfDescriptors();
+    idleClientsAreEvictedAtAThirdOfTheDescriptors();
     aClientThatDoesNotReadCostsLittleMemory();
-    whatNoStoreCouldReadEndsAtTheEdge();
-    aSecondRequestUnderOneNumberLeavesTheFirstAlone();
-    whatIsOpenOnASpoiltConnectionIsAnsweredBeforeTheClose();
-    aBurstOfOneClientIsItsOwnTrouble();
-    silenceAndHalfMessagesEndAndAClientAtRestStays();
-    aSilentCrowdKeepsNobodyOut();
-    aHalfWrittenCrowdKeepsNobodyOutNorDoSmallLimits();
+    invalidCallsAreRejectedByTheFront();
+    aDuplicateTagDoesNotAffectTheOpenRequest();
+    openCallsOfAMalformedConnectionAreAnsweredBeforeItCloses();
+    aBurstOfOneClientDoesNotDelayOthers();
+    silentAndPartialConnectionsAreClosedAndIdleOnesKept();
+    silentConnectionsDoNotShutOutClients();
+    partialMessagesDoNotShutOutClientsAtSmallLimits();
 }
--- a/tests/refused_calls_test.cpp
+++ b/tests/refused_calls_test.cpp
@@ -1,4 +1,4 @@
-// A gateway of a large fleet where the system refuses what it can do without.
+// A gateway in a fleet of 300, where the system refuses optional system calls.
 #include <linux/filter.h>
 #include <linux/seccomp.h>
 #include <sys/syscall.h>
@@ -11,8 +11,8 @@
 
 using namespace lotuslead::testing;
 
-// From here on, for this thread and what it starts: no Unix socket, splice, sendfile or io_uring (ENOSYS).
-void refuseCalls() {
+// Denies Unix sockets, splice, sendfile and io_uring (ENOSYS) to this thread and all that it starts.
+void installSeccompFilter() {
     constexpr auto at = [](std::size_t offset) { return static_cast<std::uint32_t>(offset); };
     constexpr std::uint32_t refuse = SECCOMP_RET_ERRNO | ENOSYS;
     sock_filter filter[] = {
@@ -30,24 +30,25 @@
     assert(::prctl(PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) == 0);
     assert(::prctl(PR_SET_SECCOMP, SECCOMP_MODE_FILTER, &program, 0, 0) == 0);
     assert(::socket(AF_UNIX, SOCK_STREAM, 0) < 0 && errno == ENOSYS);
-    assert(::syscall(SYS_sendfile, -1, -1, nullptr, 1) < 0 && errno == ENOSYS);  // else EBADF
+    assert(::syscall(SYS_sendfile, -1, -1, nullptr, 1) < 0 && errno == ENOSYS);  // EBADF without the filter
 }
 
-// It starts, tells once what is off, serves, and a broken file at SIGHUP changes nothing.
-void aGatewayOfThreeHundredStartsWhereCallsAreRefused() {
+// The gateway starts, logs once what is disabled, serves, and keeps its configuration when SIGHUP brings a
+// broken file.
+void aLargeFleetGatewayServesWithoutTheRefusedCalls() {
     Fleet fleet;
     Peer cache(store(serving("bytes")));
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
     settings["settings"]["balancers"] = 300;
     std::thread refused([&] {
-        refuseCalls();
+        installSeccompFilter();
         Program program(settings, "LB_CONFIG", 1024, {{"TMPDIR", "/tmp"}});
         Connection client(program.port());
         call(client, "1");
         assert((client.readResp() == std::vector<std::string>{"1", "SERVED", "-", "bytes"}));
-        const std::string once = "lotuslead: no meeting place for a successor: Function not implemented\n";
+        const std::string warning = "lotuslead: no meeting place for a successor: Function not implemented\n";
         const std::string log = program.log();
-        assert(log.find(once) != std::string::npos && log.find(once) == log.rfind(once));
+        assert(log.find(warning) != std::string::npos && log.find(warning) == log.rfind(warning));
 
         json broken = settings;
         broken["settings"]["balancers"] = "many";
@@ -65,4 +66,4 @@
 
 }  // namespace
 
-int main() { aGatewayOfThreeHundredStartsWhereCallsAreRefused(); }
+int main() { aLargeFleetGatewayServesWithoutTheRefusedCalls(); }
--- a/tests/scenarios.hpp
+++ b/tests/scenarios.hpp
@@ -1,4 +1,4 @@
-// What the stories of rare moments share.
+// Helpers shared by the scenario tests.
 #pragma once
 
 #include <cstring>
@@ -9,32 +9,32 @@
 
 using Clock = std::chrono::steady_clock;
 
-// The program's clock begins when the signal reaches it; under the sanitizers its end takes longer than its
-// stop.
-constexpr auto kSlowMachine = 600ms;
-inline const std::string kKey = ",nonce=5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+// Allowance on time limits: the program's clock starts when the signal arrives, and under the sanitizers the
+// exit takes longer than the stop.
+constexpr auto kSlowMachineAllowance = 600ms;
+inline const std::string kKeyField = ",nonce=5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
-inline json& category(json& settings, std::size_t at) { return settings["settings"]["categories"][at]; }
-inline void limitAll(json& settings, long long ms) {
+inline json& classSettings(json& settings, std::size_t at) { return settings["settings"]["categories"][at]; }
+inline void setRequestTimeouts(json& settings, long long ms) {
     for (auto& one : settings["settings"]["categories"]) {
         one["hardLimit"] = ms * 1'000'000;
         one["aim"] = ms * 500'000;
     }
 }
 
-// Its link holds all that comes.
-inline json withRoomFor(json cache, const Fleet& fleet) {
+// The cache's link has enough capacity for all calls.
+inline json withAmpleCapacity(json cache, const Fleet& fleet) {
     cache["weight"] = 1000;
     json settings = configuration(fleet.with({cache}));
     settings["settings"]["weights"] = "nominal";
     return settings;
 }
 
-// A store whose connections do not come up before it is started.
+// A store whose connections do not open before start().
 struct LateStore {
     Peer peer{nullptr, 0};
     Connection filler{peer.port()};
-    Mark ups, pulls;  // the first that comes up is the filler
+    Mark connects, pulls;  // the first to connect is the filler
 
     void start() {
         const auto serve = store([this](Connection& c, const std::vector<std::string>& words) {
@@ -42,13 +42,13 @@
             serving("late store")(c, words);
         });
         peer.start([this, serve](Connection& c) {
-            ups.raise();
+            connects.raise();
             serve(c);
         });
     }
 };
 
-inline void callFor(Connection& client, int number, const std::string& entity) {
+inline void callForObject(Connection& client, int number, const std::string& entity) {
     char trace[17];
     static int count = 0x1000000;
     std::snprintf(trace, sizeof trace, "%016x", ++count);
@@ -56,8 +56,8 @@
                      "trace=" + std::string(trace) + ",patience=8000,entity=" + entity + ",block=0", ""});
 }
 
-// After a round trip of another client all that came before has been handled.
-inline void settle(std::uint16_t port) {
+// Once another client has completed a round trip, all earlier input has been handled.
+inline void waitUntilHandled(std::uint16_t port) {
     for (int i = 1; i <= 3; ++i) {
         Connection c(port);
         c.sendResp({"CHECK", "1", ""});
@@ -65,11 +65,11 @@
     }
 }
 
-// Two stores, of which the one that is asked first answers as told; all that follows is served.
-struct SpoiltOnce {
-    explicit SpoiltOnce(Answer spoilt)
-        : script_(store([this, spoilt](Connection& c, const std::vector<std::string>& words) {
-              ++pulls_ > 1 ? serving("whole")(c, words) : spoilt(c, words);
+// Two stores. The first request gets `firstAnswer`; all later ones are served.
+struct FirstAnswerBad {
+    explicit FirstAnswerBad(Answer firstAnswer)
+        : script_(store([this, firstAnswer](Connection& c, const std::vector<std::string>& words) {
+              ++pulls_ > 1 ? serving("whole")(c, words) : firstAnswer(c, words);
           })) {}
     json settings(const Fleet& fleet) const {
         return configuration(
@@ -82,18 +82,18 @@
     Peer first_{script_}, second_{script_};
 };
 
-struct Story {
+struct Scenario {
     const char* name;
-    void (*play)();
+    void (*run)();
 };
 
-// With names: those alone.
+// Runs the scenarios named by the arguments, or all of them.
 template <std::size_t N>
-void playStories(const Story (&stories)[N], int count, char** words) {
-    for (const Story& story : stories) {
+void runScenarios(const Scenario (&scenarios)[N], int count, char** names) {
+    for (const Scenario& scenario : scenarios) {
         bool wanted = count < 2;
-        for (int i = 1; i < count; ++i) wanted = wanted || std::strcmp(words[i], story.name) == 0;
-        if (wanted) story.play();
+        for (int i = 1; i < count; ++i) wanted = wanted || std::strcmp(names[i], scenario.name) == 0;
+        if (wanted) scenario.run();
     }
 }
 
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -1,5 +1,5 @@
-// Stories in which system calls of the gateway fail for a moment, in ways that Linux documents: nothing that
-// a client asked for is lost, and no signal.
+// System calls of the gateway fail for a moment, in ways that Linux documents: no request and no signal may
+// be lost.
 #include "faults.hpp"
 #include "scenarios.hpp"
 
@@ -9,10 +9,10 @@
 
 constexpr int kConnections = 12;
 constexpr int kCalls = 20;
-constexpr auto kAnswerWithin = 4s;
+constexpr auto kAnswerTimeout = 4s;
 constexpr std::size_t kLargeBody = 100'000;
 
-// One store that serves `body`, before it the program under these faults.
+// One store that serves `body`, and a gateway that runs under these fault rules.
 struct FaultyGateway {
     explicit FaultyGateway(const std::string& rules, const std::string& body = "bytes")
         : cache(store(serving(body))),
@@ -35,20 +35,20 @@
     int answered = 0;
     for (int i = 0; i < kConnections; ++i) {
         Connection client(port);
-        client.waitAtMost(kAnswerWithin);
+        client.waitAtMost(kAnswerTimeout);
         answered += served(client, "1") ? 1 : 0;
     }
     return answered;
 }
 
-// Each third accept fails once, and nobody else connects until the answer is there.
+// Every third accept fails once, and no other client connects until the answer has arrived.
 void acceptFailsOnce(const char* error) {
     FaultyGateway gateway("accept=" + std::string(error) + ":3");
     const int answered = servedOfOneRequestConnections(gateway.program.port());
     std::fprintf(stderr, "accept %s: %d of %d connections answered\n", error, answered, kConnections);
     assert(answered == kConnections);
 }
-void acceptFailsForAMoment() {
+void acceptFailsBriefly() {
     for (const char* error : {"ENOBUFS", "ENOMEM", "EPROTO", "ENETDOWN", "EHOSTUNREACH", "ECONNABORTED"})
         acceptFailsOnce(error);
 }
@@ -56,8 +56,8 @@
     for (const char* error : {"ENFILE", "EMFILE"}) acceptFailsOnce(error);
 }
 
-// The socket stays writable all the time, so there is no further edge to wait for.
-void sendTakesFewBytes() {
+// The socket stays writable throughout, so no further epoll edge will arrive.
+void sendsAreShort() {
     const std::string body(kLargeBody / 10, 'b');
     FaultyGateway gateway("send=short:7", body);
     Connection client(gateway.program.port());
@@ -68,13 +68,13 @@
     }
 }
 
-// No room in the system for a moment, on a socket that stays writable: clients get their answers, and stores
-// their requests.
+// The system is briefly out of buffer space on a socket that stays writable: clients still get their answers,
+// and stores their requests.
 void sendIsShortOfMemory() {
     for (const char* rule : {"send=ENOBUFS:2", "send=ENOMEM:-2"}) {
         FaultyGateway gateway(rule, std::string(kLargeBody, 'b'));
         Connection client(gateway.program.port());
-        client.waitAtMost(kAnswerWithin);
+        client.waitAtMost(kAnswerTimeout);
         for (int i = 1; i <= kCalls; ++i) assert(served(client, std::to_string(i)));
     }
 }
@@ -84,14 +84,14 @@
          {"recv=ENOMEM:3", "recv=ENOBUFS:-2", "recv=EINTR:2", "peek=EINTR:2", "peek=ENOMEM:2"}) {
         FaultyGateway gateway(rule);
         Connection client(gateway.program.port());
-        client.waitAtMost(kAnswerWithin);
+        client.waitAtMost(kAnswerTimeout);
         for (int i = 1; i <= kCalls; ++i) assert(served(client, std::to_string(i)));
     }
 }
 
-// send alone tells that a connection is broken; recv, on Linux, has nothing to say of it any more. The first
-// send goes to the store, the second to the client.
-void sendTellsOfABrokenConnection() {
+// Only send reports the broken connection; on Linux recv does not report it again. The first send goes to the
+// store, the second to the client.
+void sendReportsABrokenConnection() {
     for (const char* error : {"ETIMEDOUT", "EHOSTUNREACH", "EPIPE"}) {
         {
             Fleet fleet;
@@ -122,7 +122,7 @@
     assert(gateway.program.exitCode() == 0);
 }
 
-// Neither a client's connection nor a store's can be watched at first.
+// Neither a client's connection nor a store's can be registered with epoll at first.
 void epollIsShortOfMemory() {
     for (const char* rule : {"epoll_ctl=ENOMEM:2", "epoll_ctl=ENOSPC:-3"}) {
         FaultyGateway gateway(rule);
@@ -132,7 +132,7 @@
     }
 }
 
-void theStartIsShortOfEverything() {
+void theStartSurvivesShortages() {
     for (const char* rule : {"socket=ENFILE:1:1:3", "bind=EADDRINUSE:1:1:3", "bind=ENOMEM:1:1:3",
                              "listen=EADDRINUSE:1:1:3", "open=ENFILE:1:1:2", "epoll_ctl=ENOMEM:1:1:3"}) {
         FaultyGateway gateway(rule);
@@ -141,8 +141,8 @@
     }
 }
 
-// A file that can't be opened for a moment is no bad file: the new one holds soon.
-void aReloadIsShortOfDescriptors() {
+// A file that briefly cannot be opened is not an invalid file: the new configuration applies soon after.
+void aReloadIsRetriedWhenDescriptorsAreShort() {
     FaultSwitch faults;
     Fleet fleet;
     Peer cache(store(serving("bytes")));
@@ -155,8 +155,8 @@
     program.awaitLog("configuration read again");
 }
 
-// The machine's own shortage is no word on any store, and costs no request.
-void socketsAreShortForAMoment() {
+// A shortage on this machine does not count against any store's health, and costs no request.
+void socketsAreBrieflyShort() {
     for (const char* rule :
          {"socket=ENFILE:-2", "connect=EADDRNOTAVAIL:-2", "connect=ENETUNREACH:-2", "connect=EINTR:-2"}) {
         FaultyGateway gateway(rule);
@@ -168,15 +168,20 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-    const Story stories[] = {
-        {"accept-errors", acceptFailsForAMoment},     {"accept-descriptors", acceptShortOfDescriptors},
-        {"short-writes", sendTakesFewBytes},          {"send-memory", sendIsShortOfMemory},
-        {"receive-memory", receiveIsShortOfMemory},   {"send-broken", sendTellsOfABrokenConnection},
-        {"signals", signalsAreReadThoughInterrupted}, {"epoll-memory", epollIsShortOfMemory},
-        {"start", theStartIsShortOfEverything},       {"reload", aReloadIsShortOfDescriptors},
-        {"sockets", socketsAreShortForAMoment},
+int main(int count, char** names) {
+    const Scenario scenarios[] = {
+        {"accept-errors", acceptFailsBriefly},
+        {"accept-descriptors", acceptShortOfDescriptors},
+        {"short-writes", sendsAreShort},
+        {"send-memory", sendIsShortOfMemory},
+        {"receive-memory", receiveIsShortOfMemory},
+        {"send-broken", sendReportsABrokenConnection},
+        {"signals", signalsAreReadThoughInterrupted},
+        {"epoll-memory", epollIsShortOfMemory},
+        {"start", theStartSurvivesShortages},
+        {"reload", aReloadIsRetriedWhenDescriptorsAreShort},
+        {"sockets", socketsAreBrieflyShort},
     };
-    playStories(stories, count, words);
+    runScenarios(scenarios, count, names);
     return 0;
 }
