--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -209,7 +209,7 @@
     settings.fallMultiple = numberOr(rules, "fallMultiple", 0);
     settings.fallWindow = timeOr(rules, "fall");
 
-    readExtra(words, info, objectOrEmpty(info, "extra"));
+    readExtra(decoded, info, objectOrEmpty(info, "extra"));
     return decoded;
 }
 
