--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-constexpr int kMostInterruptions = 16;
-constexpr Micros kAtOnce{1000};  // a wait as short found something that had come before
+constexpr int kMaxInterruptedPolls = 16;
+constexpr Micros kImmediatePoll{1000};  // a wait as short found something that had come before
 // A process that was held up for longer within a wait sees it by the clock (heldUp).
-constexpr Micros kLongestWait{100'000};
-constexpr Micros kWatchAgain{2000};  // after the kernel was short of memory
+constexpr Micros kMaxPollTime{100'000};
+constexpr Micros kWatchRetryDelay{2000};  // after the kernel was short of memory
 
 }  // namespace
 
@@ -29,7 +29,7 @@
 
 Loop::HandlerId Loop::add(int fd, std::uint32_t events, Handler& handler, Priority priority) {
     const HandlerId id = nextId_++;
-    if (!watch(id, fd, events)) unwatched_[id] = {fd, events};
+    if (!watch(id, fd, events)) pendingWatches_[id] = {fd, events};
     handlers_[id] = {&handler, priority};
     return id;
 }
@@ -45,19 +45,19 @@
     throw std::system_error(errno, std::generic_category(), "epoll_ctl");
 }
 
-void Loop::watchTheUnwatched() {
-    std::erase_if(unwatched_, [this](const auto& entry) {
+void Loop::retryPendingWatches() {
+    std::erase_if(pendingWatches_, [this](const auto& entry) {
         return watch(entry.first, entry.second.fd, entry.second.events);
     });
 }
 
 void Loop::remove(HandlerId id, int fd) {
-    if (unwatched_.erase(id) == 0) ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
+    if (pendingWatches_.erase(id) == 0) ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
     handlers_.erase(id);
-    again_.erase(id);
+    nextTurn_.erase(id);
 }
 
-void Loop::callNextTurn(HandlerId id, std::uint32_t events) { again_[id] |= events; }
+void Loop::callNextTurn(HandlerId id, std::uint32_t events) { nextTurn_[id] |= events; }
 
 Loop::TimerKey Loop::after(Micros delay, std::function<void()> task) {
     const TimerKey key{now_ + delay, nextId_++};
@@ -78,69 +78,69 @@
     const auto found = handlers_.find(id);
     if (found == handlers_.end()) return;
     const std::uint32_t left = found->second.handler->ready(what);
-    if (left != 0 && handlers_.count(id) > 0) again_[id] |= left;
+    if (left != 0 && handlers_.count(id) > 0) nextTurn_[id] |= left;
     runPosted();
 }
 
 // A wait that was interrupted, as by a stop of the process, says nothing of what has come meanwhile: it is
 // asked for before anything else is done, since timers that are due would act on clients who have long left.
-int Loop::await(Events& events, int wait) {
+int Loop::pollEvents(Events& events, int wait) {
     const Micros entered = clock();
     const auto poll = [&](int millis) {
         return ::epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()), millis);
     };
     int count = poll(wait);
     const bool interrupted = count < 0;
-    for (int i = 0; i < kMostInterruptions && count < 0 && errno == EINTR; ++i) count = poll(0);
+    for (int i = 0; i < kMaxInterruptedPolls && count < 0 && errno == EINTR; ++i) count = poll(0);
     const Micros before = std::exchange(now_, clock());
     const Micros slept = now_ - entered;
     const Micros overslept = std::max(Micros{0}, slept - std::chrono::milliseconds{wait});
     // Also where the wait was not that short: on a busy machine one that found something takes a while, too.
     const Micros turn = entered - before;
-    const bool counts = slept < kAtOnce || turn > kLong;
-    const Micros held = std::max(counts ? turn : Micros{0}, interrupted ? slept : overslept);
-    std::rotate(heldUp_.begin(), heldUp_.begin() + 1, heldUp_.end());
-    heldUp_.back() = held;
-    if (held > kLong) heldUpAt_ = now_;
+    const bool counts = slept < kImmediatePoll || turn > kStallThreshold;
+    const Micros stall = std::max(counts ? turn : Micros{0}, interrupted ? slept : overslept);
+    std::rotate(recentStalls_.begin(), recentStalls_.begin() + 1, recentStalls_.end());
+    recentStalls_.back() = stall;
+    if (stall > kStallThreshold) lastStallAt_ = now_;
     return count;
 }
 
 void Loop::turn(Micros until) {
-    watchTheUnwatched();
-    if (!unwatched_.empty()) until = std::min(until, now_ + kWatchAgain);
+    retryPendingWatches();
+    if (!pendingWatches_.empty()) until = std::min(until, now_ + kWatchRetryDelay);
     if (!timers_.empty()) until = std::min(until, timers_.begin()->first.first);
-    const bool busy = !again_.empty() || !posted_.empty();
+    const bool busy = !nextTurn_.empty() || !posted_.empty();
     int wait = 0;
-    until = std::min(until, now_ + kLongestWait);
+    until = std::min(until, now_ + kMaxPollTime);
     if (!busy && until > now_) {
         // Rounded up: a turn that comes too early would only spin.
         wait = static_cast<int>(((until - now_).count() + 999) / 1000);
     }
-    handleInOrder(collectDue(wait));
+    handleInOrder(collectReady(wait));
     runTimers();
     runPosted();
     destroyedAfterTurn_.clear();
 }
 
 // All that is ready, so that the order holds among all of it and not only among the first.
-Loop::Due Loop::collectDue(int wait) {
-    Due due;
-    due.swap(again_);
+Loop::ReadyEvents Loop::collectReady(int wait) {
+    ReadyEvents ready;
+    ready.swap(nextTurn_);
     Events events;
     const int most = static_cast<int>(events.size());
-    int count = await(events, wait);
+    int count = pollEvents(events, wait);
     for (int waits = 1;; ++waits) {
         for (int i = 0; i < count; ++i)
-            due[events[static_cast<std::size_t>(i)].data.u64] |= events[static_cast<std::size_t>(i)].events;
-        if (count < most || waits == kMostWaitsATurn) return due;
+            ready[events[static_cast<std::size_t>(i)].data.u64] |= events[static_cast<std::size_t>(i)].events;
+        if (count < most || waits == kMaxPollsPerTurn) return ready;
         count = ::epoll_wait(epoll_.get(), events.data(), most, 0);
     }
 }
 
 // Handlers are looked up one by one: an earlier one may have removed a later one.
-void Loop::handleInOrder(const Due& due) {
-    std::array<std::vector<Due::value_type>, static_cast<std::size_t>(Priority::count_)> ordered;
-    for (const auto& event : due)
+void Loop::handleInOrder(const ReadyEvents& ready) {
+    std::array<std::vector<ReadyEvents::value_type>, static_cast<std::size_t>(Priority::count_)> ordered;
+    for (const auto& event : ready)
         if (const auto found = handlers_.find(event.first); found != handlers_.end())
             ordered[static_cast<std::size_t>(found->second.priority)].push_back(event);
     for (const auto& events : ordered)
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -43,12 +43,14 @@
     static Micros clock();
     // For so long what is read in this turn may have waited: the turn before was as long, or the process was
     // held up.
-    Micros stallTime() const { return std::accumulate(heldUp_.begin(), heldUp_.end(), Micros{0}); }
+    Micros stallTime() const {
+        return std::accumulate(recentStalls_.begin(), recentStalls_.end(), Micros{0});
+    }
     // The process was held up for long a moment ago: what is read now may have waited, too.
-    bool recentlyStalled() const { return now_ - heldUpAt_ < kOfLate; }
+    bool recentlyStalled() const { return now_ - lastStallAt_ < kRecentStallWindow; }
     // The turn has taken so long that what it has heard may be out of date: what begins anything waits for
     // the next one.
-    bool turnOverran() const { return clock() - now_ > kStale; }
+    bool turnOverran() const { return clock() - now_ > kMaxTurnTime; }
     // Timers wait for the next turn, since this one is stale: what they decide goes by what clients and
     // servers had said by now. Never in two turns in a row.
     bool timersDeferred() const { return timersDeferred_; }
@@ -68,7 +70,7 @@
     void turn(Micros until);
 
 private:
-    struct Unwatched {
+    struct PendingWatch {
         int fd = -1;
         std::uint32_t events = 0;
     };
@@ -79,30 +81,30 @@
     };
 
     using Events = std::array<epoll_event, 256>;
-    using Due = std::unordered_map<HandlerId, std::uint32_t>;
-    static constexpr int kMostWaitsATurn = 16;  // more events than that wait for the next turn
-    static constexpr Micros kStale{50'000};
-    static constexpr Micros kOfLate{250'000};
-    static constexpr Micros kLong{20'000};
-
-    int await(Events& events, int wait);
-    Due collectDue(int wait);
-    void handleInOrder(const Due& due);
+    using ReadyEvents = std::unordered_map<HandlerId, std::uint32_t>;
+    static constexpr int kMaxPollsPerTurn = 16;  // more events than that wait for the next turn
+    static constexpr Micros kMaxTurnTime{50'000};
+    static constexpr Micros kRecentStallWindow{250'000};
+    static constexpr Micros kStallThreshold{20'000};
+
+    int pollEvents(Events& events, int wait);
+    ReadyEvents collectReady(int wait);
+    void handleInOrder(const ReadyEvents& ready);
     void runTimers();
     bool watch(HandlerId id, int fd, std::uint32_t events);
-    void watchTheUnwatched();
+    void retryPendingWatches();
     void runPosted();
     void handle(HandlerId id, std::uint32_t what);
 
     Descriptor epoll_;
     Micros now_;
     // Of the last turns: a connection is accepted in one and read in the next.
-    std::array<Micros, 3> heldUp_{};
-    Micros heldUpAt_{-kOfLate};  // for longer than kLong
+    std::array<Micros, 3> recentStalls_{};
+    Micros lastStallAt_{-kRecentStallWindow};  // for longer than kStallThreshold
     std::uint64_t nextId_ = 1;
     std::unordered_map<HandlerId, Registered> handlers_;
-    std::map<HandlerId, Unwatched> unwatched_;  // those that the kernel had no memory for
-    Due again_;
+    std::map<HandlerId, PendingWatch> pendingWatches_;  // those that the kernel had no memory for
+    ReadyEvents nextTurn_;
     std::map<TimerKey, std::function<void()>> timers_;
     bool timersDeferred_ = false;
     std::vector<std::function<void()>> posted_;
