--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -22,16 +22,17 @@
 
 namespace {
 
-constexpr std::size_t kReadChunk = 64 * 1024;
-constexpr std::size_t kMostDropped = 256 * 1024;  // of what comes in after the end
-constexpr Micros kNotTaken = 3s;                  // then nobody reads what a connection that ends still has
-constexpr Micros kShortageWait = 2ms;             // of memory or descriptors: then the call is made again
-constexpr int kConnectTries = 6;                  // with growing waits, 30 ms in all
-constexpr std::size_t kBytesATurn = 4 * kReadChunk;  // then the others have their turn
-constexpr int kReadsATurn = 1024;                    // however short they are
-constexpr int kSendBuffer = 256 * 1024;  // else the kernel holds megabytes for each client that does not read
-
-void noDelay(int fd) {
+constexpr std::size_t kReadChunkBytes = 64 * 1024;
+constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;  // of what comes in after the end
+constexpr Micros kNoProgressTimeout = 3s;    // then nobody reads what a connection that ends still has
+constexpr Micros kShortageRetryDelay = 2ms;  // of memory or descriptors: then the call is made again
+constexpr int kMaxConnectAttempts = 6;       // with growing waits, 30 ms in all
+constexpr std::size_t kMaxBytesPerTurn = 4 * kReadChunkBytes;  // then the others have their turn
+constexpr int kMaxReadsPerTurn = 1024;                         // however short they are
+constexpr int kSendBufferBytes =
+    256 * 1024;  // else the kernel holds megabytes for each client that does not read
+
+void disableNagle(int fd) {
     const int on = 1;
     ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
@@ -40,8 +41,8 @@
 
 Stream::Stream(Loop& loop, Descriptor fd, Observer& observer, Priority priority)
     : loop_(loop), fd_(std::move(fd)), observer_(observer), state_(State::open) {
-    noDelay(fd_.get());
-    ::setsockopt(fd_.get(), SOL_SOCKET, SO_SNDBUF, &kSendBuffer, sizeof kSendBuffer);
+    disableNagle(fd_.get());
+    ::setsockopt(fd_.get(), SOL_SOCKET, SO_SNDBUF, &kSendBufferBytes, sizeof kSendBufferBytes);
     id_ = loop_.add(fd_.get(), EPOLLIN | EPOLLOUT | EPOLLRDHUP, *this, priority);
 }
 
@@ -60,7 +61,7 @@
     fd_.reset(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     int error = fd_ ? 0 : errno;
     if (fd_) {
-        noDelay(fd_.get());
+        disableNagle(fd_.get());
         error = connectOnce();
     }
     if (error == 0) {
@@ -68,9 +69,9 @@
         return;
     }
     fd_.reset();
-    if (!isLocalConnectFailure(error)) return endLater(CloseReason::connectFailed);
-    if (++connectTries_ >= kConnectTries) return endLater(CloseReason::localShortage);
-    retry_ = loop_.after(kShortageWait * connectTries_, [this] {
+    if (!isLocalConnectFailure(error)) return endNextTurn(CloseReason::connectFailed);
+    if (++connectAttempts_ >= kMaxConnectAttempts) return endNextTurn(CloseReason::localShortage);
+    retry_ = loop_.after(kShortageRetryDelay * connectAttempts_, [this] {
         retry_.reset();
         connect();
     });
@@ -85,7 +86,7 @@
     return result == 0 || errno == EINPROGRESS || errno == EALREADY || errno == EISCONN ? 0 : errno;
 }
 
-void Stream::endLater(CloseReason reason) {
+void Stream::endNextTurn(CloseReason reason) {
     retry_ = loop_.after(Micros{0}, [this, reason] {
         retry_.reset();
         end(reason);
@@ -97,7 +98,7 @@
 void Stream::close() {
     if (state_ == State::closed) return;
     state_ = State::closed;
-    if (gentle_) loop_.cancel(timer_);
+    if (lingering_) loop_.cancel(timer_);
     if (retry_) loop_.cancel(*retry_);
     retry_.reset();
     if (id_ != 0) loop_.remove(id_, fd_.get());
@@ -112,30 +113,31 @@
 }
 
 void Stream::closeLingering(Micros within) {
-    if (state_ != State::open || std::exchange(gentle_, true)) return;
-    gentleFor_ = within;
-    left_ = untaken();
-    takenAt_ = loop_.now();
-    timer_ = loop_.after(within, [this] { endGently(); });
+    if (state_ != State::open || std::exchange(lingering_, true)) return;
+    lingerTime_ = within;
+    unacknowledgedBytes_ = unacknowledgedBytes();
+    lastProgressAt_ = loop_.now();
+    timer_ = loop_.after(within, [this] { checkLinger(); });
     pauseReading(false);
     closeAfterWriting();
 }
 
 // However long a slow reader takes for what it was sent: its time begins when it has all, and ends early only
 // where it takes nothing any more.
-void Stream::endGently() {
-    const std::size_t left = untaken();
-    const bool moves = left < left_;
-    if (moves) takenAt_ = loop_.now();
-    if (left_ == 0 || (!moves && loop_.now() - takenAt_ > kNotTaken)) return end(CloseReason::closedByPeer);
-    left_ = left;
-    timer_ = loop_.after(gentleFor_, [this] { endGently(); });
+void Stream::checkLinger() {
+    const std::size_t remaining = unacknowledgedBytes();
+    const bool progressed = remaining < unacknowledgedBytes_;
+    if (progressed) lastProgressAt_ = loop_.now();
+    if (unacknowledgedBytes_ == 0 || (!progressed && loop_.now() - lastProgressAt_ > kNoProgressTimeout))
+        return end(CloseReason::closedByPeer);
+    unacknowledgedBytes_ = remaining;
+    timer_ = loop_.after(lingerTime_, [this] { checkLinger(); });
 }
 
 void Stream::allWritten() {
-    if (!gentle_) return end(CloseReason::closedByPeer);
+    if (!lingering_) return end(CloseReason::closedByPeer);
     // Once: each call makes an edge of its own, on which the next would follow, without a pause.
-    if (!std::exchange(shut_, true)) ::shutdown(fd_.get(), SHUT_WR);
+    if (!std::exchange(writeShutDown_, true)) ::shutdown(fd_.get(), SHUT_WR);
 }
 
 namespace {
@@ -151,10 +153,10 @@
 
 }  // namespace
 
-bool Stream::nothingUnread() const { return !broken_ && peek(fd_.get()) < 0 && wouldBlock(errno); }
+bool Stream::nothingUnread() const { return !sendBroken_ && peek(fd_.get()) < 0 && wouldBlock(errno); }
 
 bool Stream::peerHasClosed() const {
-    if (broken_) return true;
+    if (sendBroken_) return true;
     const ssize_t got = peek(fd_.get());
     if (got <= 0) return got == 0 || (!wouldBlock(errno) && !isResourceShortage(errno));
     // Its end may stand behind what is still to be read.
@@ -172,7 +174,7 @@
     return std::chrono::milliseconds{info.tcpi_last_data_recv};
 }
 
-std::size_t Stream::untaken() const {
+std::size_t Stream::unacknowledgedBytes() const {
     int unacknowledged = 0;
     if (::ioctl(fd_.get(), SIOCOUTQ, &unacknowledged) != 0) unacknowledged = 0;
     return unsentBytes_ + static_cast<std::size_t>(unacknowledged);
@@ -201,8 +203,8 @@
         return false;
     }
     if (static_cast<std::size_t>(sent) == bytes.size()) return true;
-    headSent_ = static_cast<std::size_t>(sent);
-    unsentBytes_ = bytes.size() - headSent_;
+    frontSentBytes_ = static_cast<std::size_t>(sent);
+    unsentBytes_ = bytes.size() - frontSentBytes_;
     queue_.push_back(std::move(bytes));
     flush();  // a short write is no word of a full buffer: the next edge may never come
     return true;
@@ -214,7 +216,7 @@
         std::array<iovec, kPieces> pieces{};
         std::size_t count = 0;
         for (; count < std::min(kPieces, queue_.size()); ++count) {
-            const std::size_t skip = count == 0 ? headSent_ : 0;
+            const std::size_t skip = count == 0 ? frontSentBytes_ : 0;
             pieces[count] = {queue_[count].data() + skip, queue_[count].size() - skip};
         }
         msghdr message{};
@@ -224,9 +226,9 @@
         if (sent < 0 && errno == EINTR) continue;
         if (sent < 0) return sendFailed(errno);
         unsentBytes_ -= static_cast<std::size_t>(sent);
-        headSent_ += static_cast<std::size_t>(sent);
-        while (!queue_.empty() && headSent_ >= queue_.front().size()) {
-            headSent_ -= queue_.front().size();
+        frontSentBytes_ += static_cast<std::size_t>(sent);
+        while (!queue_.empty() && frontSentBytes_ >= queue_.front().size()) {
+            frontSentBytes_ -= queue_.front().size();
             queue_.pop_front();
         }
     }
@@ -234,21 +236,21 @@
 
 void Stream::sendFailed(int error) {
     if (wouldBlock(error)) return;  // an edge tells when there is room
-    if (isResourceShortage(error)) return lookAgain(EPOLLOUT);
+    if (isResourceShortage(error)) return retryAfterShortage(EPOLLOUT);
     // Told in the next turn, never from within the caller's own write, and after what has come in before the
     // connection broke has been read. Reading may find nothing wrong: Linux tells an error once.
-    broken_ = true;
+    sendBroken_ = true;
     paused_ = false;
     loop_.callNextTurn(id_, EPOLLIN);
 }
 
 // A shortage passes without an edge.
-void Stream::lookAgain(std::uint32_t events) {
-    lookAgainFor_ |= events;
+void Stream::retryAfterShortage(std::uint32_t events) {
+    retryEvents_ |= events;
     if (retry_) return;
-    retry_ = loop_.after(kShortageWait, [this] {
+    retry_ = loop_.after(kShortageRetryDelay, [this] {
         retry_.reset();
-        loop_.callNextTurn(id_, std::exchange(lookAgainFor_, 0));
+        loop_.callNextTurn(id_, std::exchange(retryEvents_, 0));
     });
 }
 
@@ -276,9 +278,9 @@
         end(CloseReason::reset);
         return 0;
     }
-    if ((events & (EPOLLRDHUP | EPOLLHUP)) != 0) peerLeft_ = true;
+    if ((events & (EPOLLRDHUP | EPOLLHUP)) != 0) peerClosed_ = true;
     // What it asked for before it left is wanted by nobody: taken now, it would only be sent on.
-    if (peerLeft_ && dropWithPeer_ && !gentle_) {
+    if (peerClosed_ && dropInputOnPeerClose_ && !lingering_) {
         end(CloseReason::closedByPeer);
         return 0;
     }
@@ -291,30 +293,30 @@
                 observer_.streamFlushed();
         }
     }
-    if (state_ == State::open && (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP)) != 0) return readSome();
+    if (state_ == State::open && (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP)) != 0) return readAvailable();
     return 0;
 }
 
-std::uint32_t Stream::readSome() {
-    static thread_local std::array<char, kReadChunk> chunk;
+std::uint32_t Stream::readAvailable() {
+    static thread_local std::array<char, kReadChunkBytes> chunk;
     std::size_t all = 0;
-    for (int i = 0; i < kReadsATurn && all < kBytesATurn; ++i) {
+    for (int i = 0; i < kMaxReadsPerTurn && all < kMaxBytesPerTurn; ++i) {
         readable_ = true;
         if (paused_) {
             // Its end makes no further edge, and stands behind what is not read: it must not wait for that.
-            if (peerLeft_) end(CloseReason::closedByPeer);
+            if (peerClosed_) end(CloseReason::closedByPeer);
             return 0;
         }
         const ssize_t got = ::recv(fd_.get(), chunk.data(), chunk.size(), 0);
         if (got < 0 && errno == EINTR) continue;
         if (got < 0 && wouldBlock(errno)) {
             readable_ = false;
-            unreadSince_.reset();
-            if (broken_) end(CloseReason::reset);
+            backloggedSince_.reset();
+            if (sendBroken_) end(CloseReason::reset);
             return 0;
         }
         if (got < 0 && isResourceShortage(errno)) {
-            lookAgain(EPOLLIN);
+            retryAfterShortage(EPOLLIN);
             return 0;
         }
         if (got <= 0) {
@@ -322,9 +324,9 @@
             return 0;
         }
         all += static_cast<std::size_t>(got);
-        if (gentle_) {
-            dropped_ += static_cast<std::size_t>(got);
-            if (dropped_ <= kMostDropped) continue;
+        if (lingering_) {
+            discardedBytes_ += static_cast<std::size_t>(got);
+            if (discardedBytes_ <= kMaxDiscardedBytes) continue;
             end(CloseReason::closedByPeer);
             return 0;
         }
@@ -334,7 +336,7 @@
         }
         if (state_ == State::closed) return 0;
     }
-    if (!unreadSince_) unreadSince_ = loop_.now();
+    if (!backloggedSince_) backloggedSince_ = loop_.now();
     return EPOLLIN;
 }
 
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -58,12 +58,16 @@
     bool peerHasClosed() const;                                // its end has come, read or not
     void readNextTurn() { loop_.callNextTurn(id_, EPOLLIN); }  // in the next turn; its end, if it has come
     // Once the peer has left, what it sent before that is not read any more.
-    void dropInputOnPeerClose() { dropWithPeer_ = true; }
+    void dropInputOnPeerClose() { dropInputOnPeerClose_ = true; }
     // What has come in was more than a turn's share, for some turns now.
-    bool readBacklogged() const { return unreadSince_ && loop_.now() - *unreadSince_ > kLag; }
+    bool readBacklogged() const {
+        return backloggedSince_ && loop_.now() - *backloggedSince_ > kReadBacklogThreshold;
+    }
     // How long ago the last byte came in, read or not; zero where the system does not tell.
     Micros timeSinceLastReceive() const;
-    bool allAcknowledged() const { return untaken() == 0; }  // the peer's machine has all that was written
+    bool allAcknowledged() const {
+        return unacknowledgedBytes() == 0;
+    }  // the peer's machine has all that was written
 
     std::uint32_t ready(std::uint32_t events) override;
 
@@ -72,15 +76,15 @@
 
     void connect();
     int connectOnce();
-    void endLater(CloseReason reason);
+    void endNextTurn(CloseReason reason);
     void flush();
     void sendFailed(int error);
-    void lookAgain(std::uint32_t events);
+    void retryAfterShortage(std::uint32_t events);
     void end(CloseReason reason);
     void allWritten();
-    void endGently();
-    std::size_t untaken() const;  // of what was written, by the peer's machine
-    std::uint32_t readSome();
+    void checkLinger();
+    std::size_t unacknowledgedBytes() const;  // of what was written, by the peer's machine
+    std::uint32_t readAvailable();
 
     Loop& loop_;
     Descriptor fd_;
@@ -88,26 +92,26 @@
     State state_;
     Loop::HandlerId id_ = 0;
     std::deque<std::string> queue_;
-    std::size_t headSent_ = 0;
+    std::size_t frontSentBytes_ = 0;
     std::size_t unsentBytes_ = 0;
     bool paused_ = false;
-    bool readable_ = false;  // an edge came while paused
-    bool peerLeft_ = false;  // its end was seen behind what is still to be read
-    bool dropWithPeer_ = false;
+    bool readable_ = false;    // an edge came while paused
+    bool peerClosed_ = false;  // its end was seen behind what is still to be read
+    bool dropInputOnPeerClose_ = false;
     bool closing_ = false;
-    bool gentle_ = false;
-    bool shut_ = false;  // the peer has been told that nothing more comes
-    std::size_t dropped_ = 0;
-    std::size_t left_ = 0;  // untaken when last looked at
-    Micros gentleFor_{}, takenAt_{};
+    bool lingering_ = false;
+    bool writeShutDown_ = false;  // the peer has been told that nothing more comes
+    std::size_t discardedBytes_ = 0;
+    std::size_t unacknowledgedBytes_ = 0;  // untaken when last looked at
+    Micros lingerTime_{}, lastProgressAt_{};
     Loop::TimerKey timer_{};
-    static constexpr Micros kLag{10'000};
-    std::optional<Micros> unreadSince_;
-    bool broken_ = false;  // a send has failed for good; what came before is still read
+    static constexpr Micros kReadBacklogThreshold{10'000};
+    std::optional<Micros> backloggedSince_;
+    bool sendBroken_ = false;  // a send has failed for good; what came before is still read
     std::optional<Loop::TimerKey> retry_;
-    std::uint32_t lookAgainFor_ = 0;
+    std::uint32_t retryEvents_ = 0;
     sockaddr_in to_{};
-    int connectTries_ = 0;
+    int connectAttempts_ = 0;
     Priority priority_ = Priority::normal;
 };
 
