--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -20,14 +20,14 @@
 
 // Then those are read that have just come: where places are short, who has asked must be known before the
 // next ones come.
-constexpr int kAcceptsATurn = 8;
-constexpr Micros kAcceptAgain = 5ms;     // after a shortage
-constexpr Micros kShortForLong = 500ms;  // of descriptors: whoever waits is told by a close
-constexpr Micros kFormerAddress = 1s;    // after a move
+constexpr int kMaxAcceptsPerTurn = 8;
+constexpr Micros kAcceptRetryDelay = 5ms;           // after a shortage
+constexpr Micros kDescriptorShortageLimit = 500ms;  // of descriptors: whoever waits is told by a close
+constexpr Micros kPreviousAddressOpenFor = 1s;      // after a move
 constexpr int kBacklog = 1024;
 
 // accept(2): the connection has failed before it was taken; the next one is not concerned.
-bool concernsOneConnection(int error) {
+bool isPerConnectionError(int error) {
     switch (error) {
         case ECONNABORTED:
         case EPROTO:
@@ -82,14 +82,14 @@
     return Descriptor(fd);
 }
 
-Listener::Listener(Loop& loop, const settings::Endpoint& at, Accepted accepted, Priority priority)
-    : Listener(loop, listenOn(at), std::move(accepted), priority) {}
+Listener::Listener(Loop& loop, const settings::Endpoint& at, AcceptCallback onAccept, Priority priority)
+    : Listener(loop, listenOn(at), std::move(onAccept), priority) {}
 
-Listener::Listener(Loop& loop, Descriptor listening, Accepted accepted, Priority priority)
+Listener::Listener(Loop& loop, Descriptor listening, AcceptCallback onAccept, Priority priority)
     : loop_(loop),
       fd_(std::move(listening)),
-      spare_(::open("/dev/null", O_RDONLY | O_CLOEXEC)),
-      accepted_(std::move(accepted)),
+      reserveDescriptor_(::open("/dev/null", O_RDONLY | O_CLOEXEC)),
+      onAccept_(std::move(onAccept)),
       id_(loop_.add(fd_.get(), EPOLLIN, *this, priority)) {}
 
 Listener::~Listener() {
@@ -106,22 +106,22 @@
 
 std::uint32_t Listener::ready(std::uint32_t) {
     bool any = false;
-    for (int i = 0; i < kAcceptsATurn; ++i) {
+    for (int i = 0; i < kMaxAcceptsPerTurn; ++i) {
         Descriptor fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
         if (fd) {
             any = true;
-            shortSince_.reset();
-            accepted_(std::move(fd));
+            descriptorShortageSince_.reset();
+            onAccept_(std::move(fd));
             continue;
         }
         const int error = errno;
         if (wouldBlock(error)) {  // the edge is used up
-            shortSince_.reset();
+            descriptorShortageSince_.reset();
             return 0;
         }
         ++counters_.failures;
-        if (error == EINTR || concernsOneConnection(error)) continue;
-        return isDescriptorShortage(error) ? descriptorsAreShort() : retryLater();
+        if (error == EINTR || isPerConnectionError(error)) continue;
+        return isDescriptorShortage(error) ? handleDescriptorShortage() : retryLater();
     }
     // Where each call fails, at once would be a busy loop.
     return any ? EPOLLIN : retryLater();
@@ -130,37 +130,37 @@
 // What waits makes no further edge.
 std::uint32_t Listener::retryLater() {
     if (!retry_)
-        retry_ = loop_.after(kAcceptAgain, [this] {
+        retry_ = loop_.after(kAcceptRetryDelay, [this] {
             retry_.reset();
             loop_.callNextTurn(id_, EPOLLIN);
         });
     return 0;
 }
 
-std::uint32_t Listener::descriptorsAreShort() {
-    if (!shortSince_) shortSince_ = loop_.now();
-    if (loop_.now() - *shortSince_ >= kShortForLong) closeOneUnread();
+std::uint32_t Listener::handleDescriptorShortage() {
+    if (!descriptorShortageSince_) descriptorShortageSince_ = loop_.now();
+    if (loop_.now() - *descriptorShortageSince_ >= kDescriptorShortageLimit) closeOneUnread();
     return retryLater();
 }
 
 void Listener::closeOneUnread() {
-    spare_.reset();
+    reserveDescriptor_.reset();
     Descriptor surplus(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
     if (surplus) ++counters_.closedUnread;
     surplus.reset();
-    spare_.reset(::open("/dev/null", O_RDONLY | O_CLOEXEC));
+    reserveDescriptor_.reset(::open("/dev/null", O_RDONLY | O_CLOEXEC));
 }
 
 void PreviousListener::replace(std::unique_ptr<Listener>& current, std::unique_ptr<Listener> next) {
     close();  // of several moves in a row the last counts
     listener_ = std::exchange(current, std::move(next));
-    timer_ = loop_.after(kFormerAddress, [this] { closeOnceEmpty(); });
+    timer_ = loop_.after(kPreviousAddressOpenFor, [this] { closeOnceEmpty(); });
 }
 
 void PreviousListener::closeOnceEmpty() {
     timer_.reset();
     if (listener_->acceptPending()) return listener_.reset();
-    timer_ = loop_.after(kAcceptAgain, [this] { closeOnceEmpty(); });
+    timer_ = loop_.after(kAcceptRetryDelay, [this] { closeOnceEmpty(); });
 }
 
 void PreviousListener::close() {
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -23,17 +23,17 @@
 // be had for long is a connection taken and closed unread.
 class Listener : public Handler {
 public:
-    using Accepted = std::function<void(Descriptor)>;
+    using AcceptCallback = std::function<void(Descriptor)>;
     struct Counters {
         std::uint64_t failures = 0;      // accept calls that failed for anything but an empty queue
         std::uint64_t closedUnread = 0;  // connections closed since no descriptor was to be had
     };
 
-    Listener(Loop& loop, const settings::Endpoint& at, Accepted accepted,
+    Listener(Loop& loop, const settings::Endpoint& at, AcceptCallback onAccept,
              Priority priority = Priority::normal);
     // One that listens already. Other processes may share it: a connection that was there may be gone, and it
     // is only ever closed, never shut down.
-    Listener(Loop& loop, Descriptor listening, Accepted accepted, Priority priority = Priority::normal);
+    Listener(Loop& loop, Descriptor listening, AcceptCallback onAccept, Priority priority = Priority::normal);
     ~Listener() override;
 
     std::uint16_t port() const;
@@ -44,16 +44,16 @@
 
 private:
     std::uint32_t retryLater();
-    std::uint32_t descriptorsAreShort();
+    std::uint32_t handleDescriptorShortage();
     void closeOneUnread();
 
     Loop& loop_;
     Descriptor fd_;
-    Descriptor spare_;  // given up for a moment to accept and close when no descriptor is left
-    Accepted accepted_;
+    Descriptor reserveDescriptor_;  // given up for a moment to accept and close when no descriptor is left
+    AcceptCallback onAccept_;
     Loop::HandlerId id_ = 0;
     std::optional<Loop::TimerKey> retry_;
-    std::optional<Micros> shortSince_;  // of descriptors, without a success since
+    std::optional<Micros> descriptorShortageSince_;  // of descriptors, without a success since
     Counters counters_;
 };
 
