--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -56,7 +56,7 @@
 }
 
 HttpParser::Status HttpParser::feed(std::string_view& data) {
-    if (state_ == State::start && text_.empty()) {
+    if (state_ == State::start && pending_.empty()) {
         head_ = {};
         body_.clear();
         // A blank line before a request is let pass (RFC 9112, 2.2).
@@ -69,29 +69,30 @@
             case State::head: {
                 state_ = State::head;
                 // The end of the head may be split between two reads.
-                const std::size_t from = text_.size() > 3 ? text_.size() - 3 : 0;
-                const std::size_t room = limits_.head + 1 - std::min(limits_.head + 1, text_.size());
-                const std::size_t before = text_.size();
-                text_.append(data.substr(0, std::min(room, data.size())));
-                const std::size_t end = text_.find("\r\n\r\n", from);
-                if (end == std::string::npos || end + 4 > limits_.head) {
-                    if (text_.size() > limits_.head) return Status::headTooLarge;
+                const std::size_t from = pending_.size() > 3 ? pending_.size() - 3 : 0;
+                const std::size_t room =
+                    limits_.maxHeadBytes + 1 - std::min(limits_.maxHeadBytes + 1, pending_.size());
+                const std::size_t before = pending_.size();
+                pending_.append(data.substr(0, std::min(room, data.size())));
+                const std::size_t end = pending_.find("\r\n\r\n", from);
+                if (end == std::string::npos || end + 4 > limits_.maxHeadBytes) {
+                    if (pending_.size() > limits_.maxHeadBytes) return Status::headTooLarge;
                     data = {};
                     return Status::needMore;
                 }
                 data.remove_prefix(end + 4 - before);
-                text_.resize(end + 2);
-                const Status status = readHead();
+                pending_.resize(end + 2);
+                const Status status = parseHead();
                 if (status != Status::needMore) return status;
                 break;
             }
             case State::sized:
             case State::chunk: {
-                const std::size_t some = std::min(left_, data.size());
+                const std::size_t some = std::min(remainingBytes_, data.size());
                 body_.append(data.substr(0, some));
                 data.remove_prefix(some);
-                left_ -= some;
-                if (left_ > 0) break;
+                remainingBytes_ -= some;
+                if (remainingBytes_ > 0) break;
                 if (state_ == State::sized) {
                     state_ = State::start;
                     return Status::message;
@@ -100,7 +101,7 @@
                 break;
             }
             case State::untilClose:
-                if (body_.size() + data.size() > limits_.body) return Status::bodyTooLarge;
+                if (body_.size() + data.size() > limits_.maxBodyBytes) return Status::bodyTooLarge;
                 body_.append(data);
                 data = {};
                 break;
@@ -113,9 +114,9 @@
                     state_ = State::chunkSize;
                 } else if (state_ == State::chunkSize) {
                     const auto size = trimmed(std::string_view(line).substr(0, line.find(';')));
-                    if (!readLength(size, left_, 16)) return Status::malformed;
-                    if (left_ > limits_.body - body_.size()) return Status::bodyTooLarge;
-                    state_ = left_ > 0 ? State::chunk : State::trailer;
+                    if (!readLength(size, remainingBytes_, 16)) return Status::malformed;
+                    if (remainingBytes_ > limits_.maxBodyBytes - body_.size()) return Status::bodyTooLarge;
+                    state_ = remainingBytes_ > 0 ? State::chunk : State::trailer;
                 } else if (line.empty()) {  // the end of the trailers, which are dropped
                     state_ = State::start;
                     return Status::message;
@@ -129,18 +130,18 @@
 HttpParser::Status HttpParser::takeLine(std::string_view& data, std::string& line) {
     const std::size_t end = data.find('\n');
     const std::size_t upTo = end == std::string_view::npos ? data.size() : end + 1;
-    if (text_.size() + upTo > limits_.head) return Status::headTooLarge;
-    text_.append(data.substr(0, upTo));
+    if (pending_.size() + upTo > limits_.maxHeadBytes) return Status::headTooLarge;
+    pending_.append(data.substr(0, upTo));
     data.remove_prefix(upTo);
     if (end == std::string_view::npos) return Status::needMore;
-    if (text_.size() < 2 || text_[text_.size() - 2] != '\r') return Status::malformed;
-    line = text_.substr(0, text_.size() - 2);
-    text_.clear();
+    if (pending_.size() < 2 || pending_[pending_.size() - 2] != '\r') return Status::malformed;
+    line = pending_.substr(0, pending_.size() - 2);
+    pending_.clear();
     return Status::message;
 }
 
-HttpParser::Status HttpParser::readHead() {
-    std::string_view rest = text_;
+HttpParser::Status HttpParser::parseHead() {
+    std::string_view rest = pending_;
     bool first = true;
     while (!rest.empty()) {
         const std::size_t end = rest.find("\r\n");
@@ -148,7 +149,7 @@
         rest.remove_prefix(end + 2);
         if (hasControls(line)) return Status::malformed;
         if (std::exchange(first, false)) {
-            if (!startLine(line)) return Status::malformed;
+            if (!parseStartLine(line)) return Status::malformed;
             continue;
         }
         const std::size_t colon = line.find(':');
@@ -156,11 +157,11 @@
         head_.fields.emplace_back(lowerCase(line.substr(0, colon)),
                                   std::string(trimmed(line.substr(colon + 1))));
     }
-    text_.clear();
-    return frame();
+    pending_.clear();
+    return beginBody();
 }
 
-bool HttpParser::startLine(std::string_view line) {
+bool HttpParser::parseStartLine(std::string_view line) {
     const std::size_t first = line.find(' ');
     if (first == std::string_view::npos) return false;
     std::string_view version;
@@ -183,7 +184,7 @@
 }
 
 // How long the body is (RFC 9112, 6.3). What two readers could take differently is malformed.
-HttpParser::Status HttpParser::frame() {
+HttpParser::Status HttpParser::beginBody() {
     const std::string* coding = head_.field("transfer-encoding");
     const std::string* length = nullptr;
     for (const auto& [name, value] : head_.fields) {
@@ -194,17 +195,17 @@
     if (coding && (length || lowerCase(*coding) != "chunked")) return Status::malformed;
     const bool bare = kind_ == Kind::response &&
                       (noBody_ || head_.status < 200 || head_.status == 204 || head_.status == 304);
-    left_ = 0;
-    if (length && (!readLength(*length, left_, 10))) return Status::malformed;
-    if (bare) left_ = 0;
+    remainingBytes_ = 0;
+    if (length && (!readLength(*length, remainingBytes_, 10))) return Status::malformed;
+    if (bare) remainingBytes_ = 0;
     if (!bare && coding) {
         state_ = State::chunkSize;
     } else if (!bare && kind_ == Kind::response && !length) {
         state_ = State::untilClose;
-    } else if (left_ > limits_.body) {
+    } else if (remainingBytes_ > limits_.maxBodyBytes) {
         return Status::bodyTooLarge;
-    } else if (left_ > 0) {
-        body_.reserve(left_);
+    } else if (remainingBytes_ > 0) {
+        body_.reserve(remainingBytes_);
         state_ = State::sized;
     } else {
         state_ = State::start;
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -27,8 +27,8 @@
 public:
     enum class Kind { request, response };
     struct Limits {
-        std::size_t head = 16 * 1024;
-        std::size_t body = 1024 * 1024;
+        std::size_t maxHeadBytes = 16 * 1024;
+        std::size_t maxBodyBytes = 1024 * 1024;
     };
     enum class Status { needMore, message, malformed, headTooLarge, bodyTooLarge };
 
@@ -44,23 +44,23 @@
 
     const HttpHead& head() const { return head_; }
     std::string& body() { return body_; }
-    bool midMessage() const { return state_ != State::start || !text_.empty(); }
+    bool midMessage() const { return state_ != State::start || !pending_.empty(); }
 
 private:
     enum class State { start, head, sized, untilClose, chunkSize, chunk, chunkEnd, trailer };
 
-    Status readHead();
-    Status frame();
-    bool startLine(std::string_view line);
+    Status parseHead();
+    Status beginBody();
+    bool parseStartLine(std::string_view line);
     Status takeLine(std::string_view& data, std::string& line);
 
     Kind kind_;
     Limits limits_;
     State state_ = State::start;
-    std::string text_;  // of the head, or of the line in hand
+    std::string pending_;  // of the head, or of the line in hand
     HttpHead head_;
     std::string body_;
-    std::size_t left_ = 0;
+    std::size_t remainingBytes_ = 0;
     bool noBody_ = false;
 };
 
--- a/src/net/resp.cpp
+++ b/src/net/resp.cpp
@@ -21,17 +21,17 @@
 RespParser::Status RespParser::feed(std::string_view& data) {
     while (!data.empty()) {
         if (state_ == State::bytes) {
-            const std::size_t body = left_ > 2 ? std::min(left_ - 2, data.size()) : 0;
+            const std::size_t body = remainingBytes_ > 2 ? std::min(remainingBytes_ - 2, data.size()) : 0;
             if (body > 0) {
                 elements_.back().append(data.substr(0, body));
                 data.remove_prefix(body);
-                left_ -= body;
+                remainingBytes_ -= body;
                 continue;
             }
-            if (data.front() != (left_ == 2 ? '\r' : '\n')) return Status::malformed;
+            if (data.front() != (remainingBytes_ == 2 ? '\r' : '\n')) return Status::malformed;
             data.remove_prefix(1);
-            if (--left_ > 0) continue;
-            if (elements_.size() == awaited_) {
+            if (--remainingBytes_ > 0) continue;
+            if (elements_.size() == expectedElements_) {
                 state_ = State::start;
                 return Status::message;
             }
@@ -44,13 +44,13 @@
         line_.append(data.substr(0, upTo));
         data.remove_prefix(upTo);
         if (end == std::string_view::npos) return Status::needMore;
-        const Status status = takeHeader();
+        const Status status = parseHeader();
         if (status != Status::needMore) return status;
     }
     return Status::needMore;
 }
 
-RespParser::Status RespParser::takeHeader() {
+RespParser::Status RespParser::parseHeader() {
     const std::string line = std::exchange(line_, {});
     std::size_t number = 0;
     if (line.size() < 4 || line[line.size() - 2] != '\r') return Status::malformed;
@@ -58,18 +58,19 @@
     const auto read = std::from_chars(line.data() + 1, end, number);
     if (read.ec != std::errc{} || read.ptr != end) return Status::malformed;
     if (state_ == State::start) {
-        if (line[0] != '*' || number == 0 || number > limits_.elements) return Status::malformed;
+        if (line[0] != '*' || number == 0 || number > limits_.maxElements) return Status::malformed;
         elements_.clear();
-        awaited_ = number;
-        total_ = 0;
+        expectedElements_ = number;
+        arrayBytes_ = 0;
         state_ = State::length;
         return Status::needMore;
     }
-    total_ += number;
-    if (line[0] != '$' || number > limits_.bulk || total_ > limits_.total) return Status::malformed;
+    arrayBytes_ += number;
+    if (line[0] != '$' || number > limits_.maxStringBytes || arrayBytes_ > limits_.maxArrayBytes)
+        return Status::malformed;
     elements_.emplace_back();
     elements_.back().reserve(number);
-    left_ = number + 2;
+    remainingBytes_ = number + 2;
     state_ = State::bytes;
     return Status::needMore;
 }
--- a/src/net/resp.hpp
+++ b/src/net/resp.hpp
@@ -11,9 +11,9 @@
 class RespParser {
 public:
     struct Limits {
-        std::size_t elements = 8;
-        std::size_t bulk = 256 * 1024;   // bytes of one string
-        std::size_t total = 320 * 1024;  // bytes of one array
+        std::size_t maxElements = 8;
+        std::size_t maxStringBytes = 256 * 1024;  // bytes of one string
+        std::size_t maxArrayBytes = 320 * 1024;   // bytes of one array
     };
     enum class Status { needMore, message, malformed };
 
@@ -24,21 +24,21 @@
     Status feed(std::string_view& data);
     std::vector<std::string> takeMessage();
     // What the message in hand may hold in memory.
-    std::size_t bufferedBytes() const { return state_ == State::start ? 0 : total_; }
+    std::size_t bufferedBytes() const { return state_ == State::start ? 0 : arrayBytes_; }
     bool midMessage() const { return state_ != State::start || !line_.empty(); }
 
 private:
     enum class State { start, length, bytes };
 
-    Status takeHeader();
+    Status parseHeader();
 
     Limits limits_;
     State state_ = State::start;
     std::string line_;
     std::vector<std::string> elements_;
-    std::size_t awaited_ = 0;  // elements
-    std::size_t left_ = 0;     // bytes of the string in hand, with its line end
-    std::size_t total_ = 0;
+    std::size_t expectedElements_ = 0;  // elements
+    std::size_t remainingBytes_ = 0;    // bytes of the string in hand, with its line end
+    std::size_t arrayBytes_ = 0;
 };
 
 // Appends an array; the strings are copied.
