--- a/tests/agent_changes_test.cpp
+++ b/tests/agent_changes_test.cpp
@@ -68,7 +68,7 @@
         });
     }
     void awaitReady() const {
-        for (int i = 0; i < kPatience * 20; ++i, std::this_thread::sleep_for(50ms))
+        for (int i = 0; i < kWaitLimitSeconds * 20; ++i, std::this_thread::sleep_for(50ms))
             if (agents_.ctl("ready gate-1", 2) == "serving\n") return;
         std::abort();
     }
@@ -82,9 +82,9 @@
 void aChangeDuringAReplacementLeavesNoGap() {
     Agents agents;
     agents.awaitLeader();
-    Mark pulled, may;
+    EventCounter pulled, may;
     Fleet fleet;
-    Peer slow(store(servingWhenTold(pulled, may, "bytes")));
+    Peer slow(store(servingAfter(pulled, may, "bytes")));
     Instance gate(agents, fleet.with({host("cache-1", slow.address())}));
     gate.put(192);
     gate.awaitReady();
@@ -155,7 +155,7 @@
     for (int i = 1; i <= kPutsWithoutRoom; ++i) agents.ctl("put gate-0 1 " + big);
     std::this_thread::sleep_for(2s);
     faults.set(false);
-    for (int i = 0; i < kPatience; ++i, std::this_thread::sleep_for(1s))
+    for (int i = 0; i < kWaitLimitSeconds; ++i, std::this_thread::sleep_for(1s))
         if (agents.ctl("put gate-0 2 " + big) == "agreed\n") return;
     for (int id = 1; id <= 3; ++id) std::fprintf(stderr, "%s\n", agents.ctl("status", id).c_str());
     std::abort();
--- a/tests/agent_test.cpp
+++ b/tests/agent_test.cpp
@@ -65,7 +65,7 @@
     assert(agents.ctl("put gate-1 2 " + file) == "agreed\n");
     const auto says = [&](const std::string& command, const std::string& text) {
         std::string said;
-        for (int i = 0; i < kPatience * 20; ++i, std::this_thread::sleep_for(50ms))
+        for (int i = 0; i < kWaitLimitSeconds * 20; ++i, std::this_thread::sleep_for(50ms))
             if ((said = agents.ctl(command, 1)) == text) return;  // sent on to the agent that runs it
         std::fprintf(stderr, "%s: %s\n", command.c_str(), said.c_str());
         std::abort();
--- a/tests/agents.hpp
+++ b/tests/agents.hpp
@@ -84,7 +84,7 @@
     }
     // Until the agent's own log has this text.
     void awaitLog(int id, const std::string& text) const {
-        for (int i = 0; i < kPatience * 20; ++i, std::this_thread::sleep_for(50ms)) {
+        for (int i = 0; i < kWaitLimitSeconds * 20; ++i, std::this_thread::sleep_for(50ms)) {
             std::ifstream in(folder_ + "/" + std::to_string(id) + ".log");
             const std::string all{std::istreambuf_iterator<char>(in), {}};
             if (all.find(text) != std::string::npos) return;
@@ -103,7 +103,7 @@
     }
     // What is agreed and started comes soon, but not at once.
     void await(int id, const std::function<bool(const json&)>& holds) const {
-        for (int i = 0; i < kPatience * 20; ++i, std::this_thread::sleep_for(50ms)) {
+        for (int i = 0; i < kWaitLimitSeconds * 20; ++i, std::this_thread::sleep_for(50ms)) {
             const json now = status(id);
             if (now.is_object() && holds(now)) return;
         }
--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -58,7 +58,7 @@
 
 // The store started just now. By a clock that is an hour ahead that is an hour ago.
 void aClockThatIsAheadDoesNotWarmAColdStore() {
-    Mark cold;
+    EventCounter cold;
     Fleet fleet;
     const std::string body(kObjectBytes, 'b');
     Peer warm(store(serving(body))), fresh(store([&](Connection&c, const std::vector<std::string>&words) {
@@ -80,7 +80,7 @@
 // The same store in the list that the process starts with. Nothing else that it is told then contradicts the
 // clock.
 void aClockThatIsAheadDoesNotWarmAColdStoreOfTheFirstList() {
-    Mark cold;
+    EventCounter cold;
     Fleet fleet;
     const std::string body(kObjectBytes, 'b');
     Peer warm(store(serving(body)));
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -17,12 +17,12 @@
     call(after, "1");
     call(stays, "1");
     program.awaitCounters("attempts sent=3 ");
-    program.stop();
+    program.suspend();
     before.sendResp({"CANCEL", "1"});
     late.start();
     late.ups.await(2);
     after.sendResp({"CANCEL", "1"});
-    program.goOn();
+    program.resume();
     assert(stays.readResp().at(3) == "late store");
     settle(program.port());
     assert(late.pulls.count() == 1);
@@ -31,7 +31,7 @@
 // As that, where the store refuses just then and the call would be sent again.
 void whoLeavesAsItsStoreRefusesIsNotSentOn() {
     Fleet fleet;
-    Mark pulled, refuse, refused;
+    EventCounter pulled, refuse, refused;
     Peer first(store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
         refuse.await(1);
@@ -44,12 +44,12 @@
     pulled.await(1);
     call(after, "1");
     program.awaitCounters("attempts sent=2 ");
-    program.stop();
+    program.suspend();
     before.sendResp({"CANCEL", "1"});
     refuse.raise();
     refused.await(2);
     after.sendResp({"CANCEL", "1"});
-    program.goOn();
+    program.resume();
     program.awaitCounters(" gone=2 ");
     program.awaitCounters("attempts sent=2 ");
 }
@@ -66,13 +66,13 @@
         Connection client(program.port());
         call(client, "1");
         assert(client.readResp().at(3) == "drained");
-        program.stop();
+        program.suspend();
         if (!drainFirst) call(client, "2");
         bus.note(topology(
             {host("cache-1", drained.address(), "small", "draining"), host("cache-2", other.address())}));
-        bus.awaitSaid();
+        bus.awaitSent();
         if (drainFirst) call(client, "2");
-        program.goOn();
+        program.resume();
         assert(client.readResp().at(3) == "other");
     }
 }
@@ -80,7 +80,7 @@
 // The store's last answer and its close are both unread when the next calls are there, before and after.
 void aCloseBehindAnAnswerIsSeen() {
     Fleet fleet;
-    Mark pulled, go, closed;
+    EventCounter pulled, go, closed;
     std::atomic<int> connections{0};
     Peer cache([&](Connection& c) {
         const bool first = ++connections == 1;
@@ -106,19 +106,19 @@
         c->sendResp({"CHECK", "1", ""});
         assert(c->readResp().at(1) == "PASS");
     }
-    program.stop();
+    program.suspend();
     call(before, "2", "", "checkout");
     go.raise();
     closed.await(1);
     call(after, "2", "", "checkout");
-    program.goOn();
+    program.resume();
     for (Connection* c : {&one, &before, &after}) assert(c->readResp().at(1) == "SERVED");
 }
 
 // The new one is told before the end of the old one, whose address it has.
 void aStoreAtAnothersAddressIsSentNothingMeantForThat() {
     Fleet fleet;
-    Mark pulled;
+    EventCounter pulled;
     Bus bus;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
@@ -141,7 +141,7 @@
 // The settings in force at SIGTERM count, or later ones that leave less time.
 void aFileReadAgainWhileItLeavesGivesNoMoreTime() {
     Fleet fleet;
-    Mark pulled;
+    EventCounter pulled;
     Peer cache(store([&](Connection&, const std::vector<std::string>&) { pulled.raise(); }));
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
     limitAll(settings, 1500);
@@ -180,7 +180,7 @@
     const std::string body = R"({"offset":1,"batch":[]})";
     const std::string answer =
         "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-    Mark ended;
+    EventCounter ended;
     std::atomic<int> connections{0}, polls{0};
     Peer bus([&](Connection& c) {
         const bool first = ++connections == 1;
@@ -204,7 +204,7 @@
     assert(made == 0);
     Fleet fleet;
     Bus bus;
-    Mark pulled;
+    EventCounter pulled;
     std::int64_t purged = 0, late = 0;
     const auto unixMs = [] {
         const auto now = std::chrono::system_clock::now().time_since_epoch();
--- a/tests/departed_clients_test.cpp
+++ b/tests/departed_clients_test.cpp
@@ -53,7 +53,7 @@
 // The first store holds the request until its client has been gone for 0.1 s and ends it then: no other store
 // may see it, whether or not the settings let the gateway cancel at the store.
 void noFurtherAttemptFollowsADeparture(bool mayCancel, Departure departure, StoreEnd end) {
-    Mark pulled, mayEnd, ended;
+    EventCounter pulled, mayEnd, ended;
     const auto holding = store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
         mayEnd.await(1);
@@ -106,7 +106,7 @@
 // The repository front: each server breaks off what it holds once the client has been gone for 0.1 s. A
 // client that stays has its request sent on to another server.
 void noFurtherFetchFollowsADeparture(const std::string& path, bool stays) {
-    Mark held, mayEnd;
+    EventCounter held, mayEnd;
     const auto breakingOff = [&](Connection& c) {
         if (c.readHead().empty()) return;
         held.raise();
--- a/tests/fleet_operations_test.cpp
+++ b/tests/fleet_operations_test.cpp
@@ -100,7 +100,7 @@
 // connected to.
 void aCrowdOfIdleClientsLeavesRoomForBusAndStores() {
     Fleet fleet;
-    Mark pulled;
+    EventCounter pulled;
     Peer fresh(store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
         serving("fresh")(c, words);
@@ -194,7 +194,7 @@
 // Clients may write byte by byte; a request is taken with its last byte, and a CANCEL likewise.
 void requestsInPiecesAreTakenWhole() {
     Fleet fleet;
-    Mark pulled;
+    EventCounter pulled;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
         serving("whole")(c, words);
--- a/tests/held_up_test.cpp
+++ b/tests/held_up_test.cpp
@@ -37,10 +37,10 @@
     Connection client(program.port());
     call(client, "1");
     assert(client.readResp().size() > 1);
-    program.stop();
+    program.suspend();
     callWithPatience(client, "2", kPatienceMs);
     std::this_thread::sleep_for(kStopped);
-    program.goOn();
+    program.resume();
     assert(client.readResp().size() > 1);
     const auto stopped = std::chrono::duration_cast<std::chrono::milliseconds>(kStopped).count();
     std::fprintf(stderr, "%d of %d ms told after a stop of %lld ms\n", toldMs.load(), kPatienceMs,
@@ -61,11 +61,11 @@
     Connection client(program.port());
     call(client, "1");
     assert(client.readResp().size() > 1 && pulls == 1);
-    program.stop();
+    program.suspend();
     callWithPatience(client, "2", kPatienceMs);
     client.sendResp({"CANCEL", "2"});
     std::this_thread::sleep_for(kStopped);
-    program.goOn();
+    program.resume();
     call(client, "3");
     assert((client.readResp() == std::vector<std::string>{"3", "SERVED", "-", "bytes"}));
     assert(pulls == 2);
@@ -74,7 +74,7 @@
 // The process stands still; a client takes its call back, and after that the store answers. When the process
 // goes on both are there, and the CANCEL came first.
 void anAnswerThatCameAfterTheCancelIsNotPassedOn() {
-    Mark pulled, may;
+    EventCounter pulled, may;
     Fleet fleet;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
@@ -87,12 +87,12 @@
         Connection client(program.port());
         call(client, "1");
         pulled.await(round);
-        program.stop();
+        program.suspend();
         client.sendResp({"CANCEL", "1"});
         std::this_thread::sleep_for(kBothThere);
         may.raise();
         std::this_thread::sleep_for(kBothThere);
-        program.goOn();
+        program.resume();
         client.sendResp({"CHECK", "2", ""});
         passedOn += client.readResp().at(0) == "1" ? 1 : 0;
     }
@@ -110,13 +110,13 @@
     Connection client(program.port());
     assert(get(client, path).status == 200);
     const int asked = server.requests(path);
-    program.stop();
+    program.suspend();
     for (int i = 0; i < kWaiting; ++i) {
         Connection leaver(program.port());
         ask(leaver, path);
     }
     std::this_thread::sleep_for(kStopped);
-    program.goOn();
+    program.resume();
     for (int i = 0; i < kWaiting; ++i) assert(get(client, "/elsewhere").status == 404);
     std::this_thread::sleep_for(kStopped);
     std::fprintf(stderr, "%d of %d that had left were asked for\n", server.requests(path) - asked, kWaiting);
@@ -131,7 +131,7 @@
     settings["listen"] = "127.0.0.1:" + std::to_string(Peer(nullptr).port());
     Program program(settings);
     const std::uint16_t port = program.port();
-    program.stop();
+    program.suspend();
     std::vector<std::unique_ptr<Connection>> clients;
     for (int i = 0; i < kWaiting; ++i) {
         clients.push_back(std::make_unique<Connection>(port));
@@ -140,7 +140,7 @@
     settings["listen"] = "127.0.0.1:" + std::to_string(Peer(nullptr).port());
     program.rewrite(settings.dump());
     program.signal(SIGHUP);
-    program.goOn();
+    program.resume();
     int answered = 0;
     for (const auto& client : clients) answered += client->readResp().size() > 1 ? 1 : 0;
     std::fprintf(stderr, "%d of %d that waited at the old address answered\n", answered, kWaiting);
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -32,12 +32,12 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr int kPatience = 20;  // seconds
+constexpr int kWaitLimitSeconds = 20;  // seconds
 
 class Connection {
 public:
     explicit Connection(int fd) : fd_(fd) {
-        const timeval limit{kPatience, 0};
+        const timeval limit{kWaitLimitSeconds, 0};
         ::setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
         const int on = 1;  // what is sent is under way at once, whoever has not read what came before
         ::setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -177,7 +177,7 @@
 };
 
 // A counter that threads raise and the story waits for.
-class Mark {
+class EventCounter {
 public:
     void raise() {
         const std::lock_guard lock(mutex_);
@@ -187,7 +187,7 @@
     void await(int count) {
         std::unique_lock lock(mutex_);
         const bool came =
-            changed_.wait_for(lock, std::chrono::seconds(kPatience), [&] { return count_ >= count; });
+            changed_.wait_for(lock, std::chrono::seconds(kWaitLimitSeconds), [&] { return count_ >= count; });
         assert(came);
     }
     int count() {
@@ -205,8 +205,8 @@
 class Bus {
 public:
     // A curt one ends each connection after one answer.
-    explicit Bus(bool curt = false, int last = 1)
-        : last_(last), curt_(curt), peer_([this](Connection& c) { serve(c); }) {}
+    explicit Bus(bool closesAfterAnswer = false, int last = 1)
+        : last_(last), closesAfterAnswer_(closesAfterAnswer), peer_([this](Connection& c) { serve(c); }) {}
     ~Bus() {
         const std::lock_guard lock(mutex_);
         over_ = true;
@@ -217,15 +217,15 @@
         note(std::move(event));
         std::unique_lock lock(mutex_);
         const bool came =
-            changed_.wait_for(lock, std::chrono::seconds(kPatience), [&] { return asked_ >= last_; });
+            changed_.wait_for(lock, std::chrono::seconds(kWaitLimitSeconds), [&] { return asked_ >= last_; });
         assert(came);
     }
 
     // What was noted is with the gateway's machine, whether or not it has been read.
-    void awaitSaid() {
+    void awaitSent() {
         std::unique_lock lock(mutex_);
         const bool came =
-            changed_.wait_for(lock, std::chrono::seconds(kPatience), [&] { return said_ >= last_; });
+            changed_.wait_for(lock, std::chrono::seconds(kWaitLimitSeconds), [&] { return sent_ >= last_; });
         assert(came);
     }
     // Whether or not anybody asks.
@@ -255,9 +255,9 @@
                 if (event["offset"] > from) batch.push_back(event);
             const std::string body = json{{"offset", last_}, {"batch", batch}}.dump();
             c.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
-            said_ = last_;
+            sent_ = last_;
             changed_.notify_all();
-            if (curt_) return c.shut();
+            if (closesAfterAnswer_) return c.shut();
             if (over_) return;
         }
     }
@@ -266,9 +266,9 @@
     std::condition_variable changed_;
     std::vector<json> events_;
     int last_;  // the first event is the list under `known`
-    int asked_ = 0, said_ = 0;
+    int asked_ = 0, sent_ = 0;
     bool over_ = false;
-    bool curt_;
+    bool closesAfterAnswer_;
     Peer peer_;
 };
 
@@ -325,7 +325,7 @@
 }
 
 // One call at the operators' door; the status of its answer.
-inline int operate(std::uint16_t port, const std::string& call) {
+inline int callOperatorAddress(std::uint16_t port, const std::string& call) {
     Connection c(port);
     c.send(call + " HTTP/1.1\r\nHost: here\r\n\r\n");
     const std::string head = c.readHead();
@@ -370,9 +370,9 @@
         ::rmdir(folder_.c_str());
     }
     std::uint16_t port() { return portAfter(" on 127.0.0.1:"); }
-    std::uint16_t door() { return portAfter("operators at 127.0.0.1:"); }
+    std::uint16_t operatorPort() { return portAfter("operators at 127.0.0.1:"); }
     std::uint16_t portAfter(const std::string& words) {
-        for (int i = 0; i < kPatience * 100; ++i) {
+        for (int i = 0; i < kWaitLimitSeconds * 100; ++i) {
             const std::string text = log();
             const std::size_t at = text.find(words);
             if (at != std::string::npos && text.find('\n', at) != std::string::npos)
@@ -384,17 +384,17 @@
     }
     void signal(int number) { ::kill(pid_, number); }
     // Nothing of it runs until goOn(): what comes meanwhile is all there in its next turn.
-    void stop() {
+    void suspend() {
         ::kill(pid_, SIGSTOP);
         int status = 0;
         ::waitpid(pid_, &status, WUNTRACED);
         assert(WIFSTOPPED(status));
     }
-    void goOn() { ::kill(pid_, SIGCONT); }
+    void resume() { ::kill(pid_, SIGCONT); }
     // Prints its counters until they have this text.
     void awaitCounters(const std::string& text) {
         const std::size_t from = log().size();
-        for (int i = 0; i < kPatience * 100; ++i, std::this_thread::sleep_for(10ms)) {
+        for (int i = 0; i < kWaitLimitSeconds * 100; ++i, std::this_thread::sleep_for(10ms)) {
             signal(SIGUSR1);
             if (log().find(text, from) != std::string::npos) return;
         }
@@ -403,7 +403,7 @@
     }
     // Until the log has this text; returns the log.
     std::string awaitLog(const std::string& text, int times = 1) const {
-        for (int i = 0; i < kPatience * 200; ++i, std::this_thread::sleep_for(5ms)) {
+        for (int i = 0; i < kWaitLimitSeconds * 200; ++i, std::this_thread::sleep_for(5ms)) {
             std::string all = log();
             int count = 0;
             for (std::size_t at = 0; (at = all.find(text, at)) != std::string::npos; at += text.size())
@@ -470,7 +470,7 @@
     };
 }
 // Tells of each call, and answers none before it may.
-inline Answer servingWhenTold(Mark& pulled, Mark& may, const std::string& body) {
+inline Answer servingAfter(EventCounter& pulled, EventCounter& may, const std::string& body) {
     return [&pulled, &may, answer = serving(body)](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
         may.await(1);
--- a/tests/moments.hpp
+++ b/tests/moments.hpp
@@ -34,7 +34,7 @@
 struct LateStore {
     Peer peer{nullptr, 0};
     Connection filler{peer.port()};
-    Mark ups, pulls;  // the first that comes up is the filler
+    EventCounter ups, pulls;  // the first that comes up is the filler
 
     void start() {
         const auto serve = store([this](Connection& c, const std::vector<std::string>& words) {
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -13,7 +13,7 @@
     // The longest deadline, counted as 3 s where it is longer, and 0.7 s more.
     for (const auto& [longest, kill] : {std::pair{1500, 2200ms}, std::pair{9000, 3700ms}}) {
         Fleet fleet;
-        Mark pulled;
+        EventCounter pulled;
         Peer cache(store([&](Connection&, const std::vector<std::string>&) { pulled.raise(); }));
         json settings = configuration(fleet.with({host("cache-1", cache.address())}));
         limitAll(settings, longest);
@@ -43,14 +43,14 @@
     const std::uint16_t port = program.port();
     program.signal(SIGTERM);
     program.awaitLog("leaving, 0 requests open");
-    program.stop();
+    program.suspend();
     std::vector<std::unique_ptr<Connection>> crowd;
     for (int i = 0; i < 20; ++i) {
         crowd.push_back(std::make_unique<Connection>(port));
         call(*crowd.back(), "1");
     }
     std::this_thread::sleep_for(800ms);  // the time for which connections still come
-    program.goOn();
+    program.resume();
     for (const auto& c : crowd)
         assert((c->readResp() == std::vector<std::string>{"1", "SERVED", "-", "in the end"}));
     assert(program.exitCode() == 0);
@@ -73,7 +73,7 @@
 
 void whatWasTakenBackBeforeItWasReadIsNotSentOn() {
     Fleet fleet;
-    Mark pulled;
+    EventCounter pulled;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
         serving("here")(c, words);
@@ -85,7 +85,7 @@
     assert(stays.readResp()[1] == "PASS");
     call(stays, "1");
     assert(stays.readResp()[1] == "SERVED");  // the connection to the store is up
-    program.stop();
+    program.suspend();
     {
         Connection goes(port);
         call(goes, "1");
@@ -94,7 +94,7 @@
     call(stays, "2");
     stays.sendResp({"CANCEL", "2"});
     call(stays, "3");
-    program.goOn();
+    program.resume();
     assert(stays.readResp()[0] == "3");
     settle(port);
     assert(pulled.count() == 2);
@@ -156,7 +156,7 @@
 // The store's close and the next call are both there when the gateway looks.
 void anIdleConnectionThatWasJustClosedIsNotUsed() {
     Fleet fleet;
-    Mark close, closed;
+    EventCounter close, closed;
     std::atomic<int> connections{0};
     Peer cache([&](Connection& c) {
         const int here = ++connections;
@@ -174,12 +174,12 @@
         client.sendResp({"CHECK", "1", ""});
         assert(client.readResp()[1] == "PASS");
         if (i > 1) {
-            program.stop();
+            program.suspend();
             close.raise();
             closed.await(i - 1);
         }
         call(client, "2", kKey, "checkout");
-        if (i > 1) program.goOn();
+        if (i > 1) program.resume();
         assert((client.readResp() == std::vector<std::string>{"2", "SERVED", "-", "here"}));
     }
     close.raise();
@@ -188,7 +188,7 @@
 // Behind the request itself the word to give it up would come too late: another store may have it by then.
 void aStoreThatTakesNoBytesIsLeftNotTold() {
     Fleet fleet;
-    Mark read, ended;
+    EventCounter read, ended;
     std::atomic<int> connections{0}, kills{0};
     Peer cache(nullptr);
     const int room = 64 * 1024;
@@ -218,9 +218,9 @@
 void aLateListEndsNoConnectionOfTheNewProcess() {
     for (const bool older : {false, true}) {
         Fleet fleet;
-        Mark pulled, go;
+        EventCounter pulled, go;
         Bus bus;
-        Peer cache(store(servingWhenTold(pulled, go, "the new process")));
+        Peer cache(store(servingAfter(pulled, go, "the new process")));
         json settings = configuration(fleet.with({host("cache-1", cache.address())}));
         settings["settings"]["allowed"]["mostTries"] = 1;
         settings["bus"] = bus.address();
@@ -245,7 +245,7 @@
 void aRepeatThatHasWaitedTooLongIsNotSent() {
     Fleet fleet;
     LateStore late;
-    Mark pulled, go;
+    EventCounter pulled, go;
     Bus bus;
     Peer cache([&](Connection& c) {
         c.readResp();
@@ -274,7 +274,7 @@
 
 void aSpoiltAnswerToAWriteIsNotTakenForAMiss() {
     Fleet fleet;
-    Mark pulled;
+    EventCounter pulled;
     Bus bus;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
@@ -328,7 +328,7 @@
 
 void aDeadWatchIsGivenUpWithinTheTimeForADrain() {
     Fleet fleet;
-    Mark asked, again;
+    EventCounter asked, again;
     Clock::time_point silentSince{}, askedAgain{};
     Peer bus([&](Connection& c) {
         for (std::string head; !(head = c.readHead()).empty();) {
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -24,18 +24,18 @@
     json settings = withDoor(configuration(fleet.with({})));
     settings["limits"]["sockets"] = 64;  // 21 of them for clients
     Program program(settings);
-    const std::uint16_t port = program.port(), door = program.door();
+    const std::uint16_t port = program.port(), door = program.operatorPort();
     std::vector<std::unique_ptr<Connection>> crowd, idle;
     for (int i = 0; i < 40; ++i) crowd.push_back(std::make_unique<Connection>(port));
     for (int i = 0; i < 40; ++i) {
         idle.push_back(std::make_unique<Connection>(door));
         if (i % 2) idle.back()->send("GET /rea");
     }
-    for (int i = 0; i < 40; ++i) assert(operate(door, "GET /ready") == 200);
-    assert(operate(door, "GET /nothing") == 404);
-    assert(operate(door, "GET /drain") == 405);
-    assert(operate(door, "POST /ready") == 405);
-    assert(operate(door, "noise") == 400);
+    for (int i = 0; i < 40; ++i) assert(callOperatorAddress(door, "GET /ready") == 200);
+    assert(callOperatorAddress(door, "GET /nothing") == 404);
+    assert(callOperatorAddress(door, "GET /drain") == 405);
+    assert(callOperatorAddress(door, "POST /ready") == 405);
+    assert(callOperatorAddress(door, "noise") == 400);
     Connection pieces(door);
     for (const char c : std::string("POST /undrain HTTP/1.1\r\nHost: here\r\nContent-Length: 2\r\n\r\n{}"))
         pieces.send(std::string(1, c));
@@ -50,14 +50,14 @@
 
 void drainSendsClientsAwayAndUndrainTakesThemBack() {
     Fleet fleet;
-    Mark pulled;
+    EventCounter pulled;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
         if (words[3] != "slow") serving("served")(c, words);
     }));
     Program program(withDoor(configuration(fleet.with({host("cache-1", cache.address())}))), "LB_CONFIG",
                     1024, {{"LB_OPERATOR", "127.0.0.1:0"}});
-    const std::uint16_t port = program.port(), door = program.door();
+    const std::uint16_t port = program.port(), door = program.operatorPort();
     Connection rests(port), busy(port);
     call(rests, "1");
     assert(rests.readResp()[1] == "SERVED");
@@ -65,8 +65,8 @@
     pulled.await(2);
 
     const auto begin = std::chrono::steady_clock::now();
-    for (int i = 0; i < 2; ++i) assert(operate(door, "POST /drain") == 200);
-    assert(operate(door, "GET /ready") == 503);
+    for (int i = 0; i < 2; ++i) assert(callOperatorAddress(door, "POST /drain") == 200);
+    assert(callOperatorAddress(door, "GET /ready") == 503);
     assert(check(port) == "LEAVING");
     assert(rests.closed());
     // Late ones are served, on new connections and on those that stay open.
@@ -86,10 +86,10 @@
     assert(busy.readResp()[0] == "1");
     assert(busy.closed() && half.closed());
     assert(std::chrono::steady_clock::now() - begin < 4s);
-    assert(operate(door, "GET /ready") == 503);
+    assert(callOperatorAddress(door, "GET /ready") == 503);
 
-    for (int i = 0; i < 2; ++i) assert(operate(door, "POST /undrain") == 200);
-    assert(operate(door, "GET /ready") == 200);
+    for (int i = 0; i < 2; ++i) assert(callOperatorAddress(door, "POST /undrain") == 200);
+    assert(callOperatorAddress(door, "GET /ready") == 200);
     assert(check(port) == "PASS");
     Connection again(port);
     for (int i = 1; i <= 2; ++i) {
@@ -97,12 +97,12 @@
         assert(again.readResp()[1] == "SERVED");
     }
     // SIGTERM works in a drain, and has no way back.
-    assert(operate(door, "POST /drain") == 200);
+    assert(callOperatorAddress(door, "POST /drain") == 200);
     Connection open(port);
     call(open, "1");
     program.signal(SIGTERM);
     program.awaitLog("leaving");
-    assert(operate(door, "POST /undrain") == 409);
+    assert(callOperatorAddress(door, "POST /undrain") == 409);
     assert(open.readResp()[1] == "SERVED");
     assert(program.exitCode() == 0);
 }
@@ -117,7 +117,7 @@
     Program program(settings);
     Connection slow(program.port(), 4096);
     for (int i = 1; i <= 8; ++i) call(slow, std::to_string(i));
-    assert(operate(program.door(), "POST /drain") == 200);
+    assert(callOperatorAddress(program.operatorPort(), "POST /drain") == 200);
     for (int i = 1; i <= 8; ++i) {
         std::this_thread::sleep_for(200ms);
         const auto answer = slow.readResp();
@@ -172,7 +172,7 @@
 
 void anOpenRequestKeepsTheRulesItCameUnder() {
     Fleet fleet;
-    Mark pulled, go;
+    EventCounter pulled, go;
     const auto script = store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
         if (pulled.count() == 1) go.await(1);
@@ -226,7 +226,7 @@
 
 void aSuccessorTakesOverAndNothingEndsAtTheDoor() {
     Fleet fleet;
-    Mark pulled;
+    EventCounter pulled;
     std::string tier;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
         tier = valueOf(words[2], "tier");
@@ -266,7 +266,7 @@
     assert(older->exitCode() == 0);
     newer->awaitLog("1 processes are one gateway now");
     assert(older->log().find("taken=3 served=2") != std::string::npos);
-    assert(operate(newer->door(), "GET /ready") == 200);
+    assert(callOperatorAddress(newer->operatorPort(), "GET /ready") == 200);
     // And again.
     auto third = place.start(settings);
     third->awaitLog("serving on");
@@ -278,7 +278,7 @@
 void aStartNeedsNoPredecessorAndTakesNoClientBeforeTheBusHasAnswered() {
     Fleet fleet;
     Peer cache(store(serving("new")));
-    Mark asked, go;
+    EventCounter asked, go;
     std::atomic<int> polls{0};
     json later = topology({host("cache-1", cache.address())});
     later["offset"] = 2;
@@ -299,13 +299,13 @@
     settings["bus"] = bus.address();
     auto program = place.start(settings);
     asked.await(1);
-    const std::uint16_t door = program->door();
-    assert(operate(door, "GET /ready") == 503 && operate(door, "POST /drain") == 409);
+    const std::uint16_t door = program->operatorPort();
+    assert(callOperatorAddress(door, "GET /ready") == 503 && callOperatorAddress(door, "POST /drain") == 409);
     Connection waits(place.port());  // in the platform's socket
     call(waits, "1");
     go.raise();
     assert((waits.readResp() == std::vector<std::string>{"1", "SERVED", "-", "new"}));
-    assert(operate(door, "GET /ready") == 200);
+    assert(callOperatorAddress(door, "GET /ready") == 200);
     program->signal(SIGKILL);
     program->exitCode();
     auto next = place.start(configuration(fleet.with({host("cache-1", cache.address())})));
--- a/tests/platform_clients_test.cpp
+++ b/tests/platform_clients_test.cpp
@@ -67,7 +67,7 @@
     // Until nothing is open any more: all is answered, into the gateway's memory or with a refusal.
     Connection client(port);
     const std::string all = "requests taken=";
-    for (int i = 1; i < kPatience * 20; ++i) {
+    for (int i = 1; i < kWaitLimitSeconds * 20; ++i) {
         client.sendResp({"CHECK", std::to_string(i), ""});
         assert(client.readResp()[1] == "PASS");
         program.signal(SIGUSR1);
@@ -84,8 +84,8 @@
 
 void whatNoStoreCouldReadEndsAtTheEdge() {
     Fleet fleet;
-    Mark pulled, go;
-    Peer cache(store(servingWhenTold(pulled, go, "first")));
+    EventCounter pulled, go;
+    Peer cache(store(servingAfter(pulled, go, "first")));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
     Connection client(program.port());
     call(client, "1");
@@ -121,8 +121,8 @@
 
 void aSecondRequestUnderOneNumberLeavesTheFirstAlone() {
     Fleet fleet;
-    Mark pulled, go;
-    Peer cache(store(servingWhenTold(pulled, go, "first")));
+    EventCounter pulled, go;
+    Peer cache(store(servingAfter(pulled, go, "first")));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
     Connection client(program.port());
     call(client, "1");
@@ -136,7 +136,7 @@
 
 void whatIsOpenOnASpoiltConnectionIsAnsweredBeforeTheClose() {
     Fleet fleet;
-    Mark pulled;
+    EventCounter pulled;
     Peer cache(store([&](Connection&, const std::vector<std::string>&) { pulled.raise(); }));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
     for (const std::string noise : {"*1\r\n$-1\r\n", "*4\r\n$3000000000\r\n", "*999999999\r\n", "GET /"}) {
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -43,7 +43,7 @@
 
 void aSilentStoreIsGivenUpAndItsLateAnswerDropped() {
     Fleet fleet;
-    Mark silent, killed;
+    EventCounter silent, killed;
     const auto one = [&](Connection& c) {
         std::string id;
         for (std::vector<std::string> words; !(words = c.readResp()).empty();) {
@@ -77,7 +77,7 @@
 
 void aDrainTakesBackWhatWaitsForItsConnection() {
     Fleet fleet;
-    Mark pulls;
+    EventCounter pulls;
     Peer full(nullptr, 0);  // takes one connection, and no more until it is started
     Connection filler(full.port());
     Bus bus;
@@ -116,8 +116,8 @@
 
 void sigtermAnswersWhatWasTakenAndStillComes() {
     Fleet fleet;
-    Mark pulled, go;
-    Peer cache(store(servingWhenTold(pulled, go, "in time")));
+    EventCounter pulled, go;
+    Peer cache(store(servingAfter(pulled, go, "in time")));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
     Connection client(program.port());
     call(client, "1");
@@ -155,7 +155,7 @@
 
 void anAnswerThatStopsShortEndsItsConnection() {
     Fleet fleet;
-    Mark pulled;
+    EventCounter pulled;
     std::atomic<int> kills{0};
     const auto script = [&](Connection& c) {
         for (std::vector<std::string> words; !(words = c.readResp()).empty();) {
@@ -181,7 +181,7 @@
 
 void anAnswerThatNeverComesIsNotWaitedForBehind() {
     Fleet fleet;
-    Mark pulled;
+    EventCounter pulled;
     Peer cache([&](Connection& c) {
         const auto words = c.readResp();
         pulled.raise();
@@ -203,7 +203,7 @@
 void aSilentConnectionIsAskedForAnEcho() {
     for (const bool carries : {true, false}) {
         Fleet fleet;
-        Mark echoed;
+        EventCounter echoed;
         std::atomic<int> kills{0};
         Peer cache([&](Connection& c) {
             std::vector<std::string> pull;
@@ -419,8 +419,8 @@
 
 void sighupTakesANewFileWholeAndKeepsTheOldOneElse() {
     Fleet fleet;
-    Mark pulled, go;
-    Peer slow(store(servingWhenTold(pulled, go, "asked before")));
+    EventCounter pulled, go;
+    Peer slow(store(servingAfter(pulled, go, "asked before")));
     Peer cache(store(serving("new")));
     Bus before, after(false, 2);
     json settings = configuration(fleet.with({host("cache-1", slow.address())}));
--- a/tests/raft_cluster.hpp
+++ b/tests/raft_cluster.hpp
@@ -209,12 +209,12 @@
         return 0;
     }
     int awaitLeader() const {
-        for (int i = 0; i < kPatience * 50; ++i, std::this_thread::sleep_for(20ms))
+        for (int i = 0; i < kWaitLimitSeconds * 50; ++i, std::this_thread::sleep_for(20ms))
             if (const int id = leader()) return id;
         std::abort();
     }
     void await(int id, const std::function<bool(const json&)>& holds) const {
-        for (int i = 0; i < kPatience * 50; ++i, std::this_thread::sleep_for(20ms))
+        for (int i = 0; i < kWaitLimitSeconds * 50; ++i, std::this_thread::sleep_for(20ms))
             if (const json s = status(id); s.is_object() && holds(s)) return;
         std::fprintf(stderr, "agent %d: %s\n%s\n", id, status(id).dump().c_str(), log(id).c_str());
         std::abort();
--- a/tests/repository_test.cpp
+++ b/tests/repository_test.cpp
@@ -74,7 +74,7 @@
 
 // The server's close and the next request are both there when the gateway looks.
 void anIdleConnectionThatWasJustClosedIsNotUsed() {
-    Mark close, closed;
+    EventCounter close, closed;
     std::atomic<int> connections{0};
     Peer server([&](Connection& c) {
         const int here = ++connections;
@@ -94,12 +94,12 @@
         Connection client(port);
         assert(get(client, "/elsewhere").status == 404);
         if (i > 1) {
-            program.stop();
+            program.suspend();
             close.raise();
             closed.await(i - 1);
         }
         ask(client, "/index/plugins.json");
-        if (i > 1) program.goOn();
+        if (i > 1) program.resume();
         const Got got = read(client);
         assert(got.status == 200 && got.body == "here");
     }
@@ -109,7 +109,7 @@
 // What is open when the process must end is broken off or refused, and the client can tell.
 // What a server says unasked, as it may before it closes (RFC 9110, 15.5.9), is no answer to what comes next.
 void whatAServerSaysOfItselfIsNoAnswer() {
-    Mark say, said;
+    EventCounter say, said;
     std::atomic<int> connections{0};
     Peer server([&](Connection& c) {
         const bool first = ++connections == 1;
@@ -129,12 +129,12 @@
     Connection before(program.port()), after(program.port());
     for (Connection* c : {&before, &after}) assert(get(*c, "/elsewhere").status == 404);
     assert(get(before, "/index/plugins.json").status == 200);
-    program.stop();
+    program.suspend();
     ask(before, "/index/plugins.json");
     say.raise();
     said.await(1);
     ask(after, "/index/plugins.json");
-    program.goOn();
+    program.resume();
     assert(read(before).status == 200);
     assert(read(after).status == 200);
 }
@@ -160,7 +160,7 @@
 }
 
 void whatIsOpenIsEndedBeforeSigkillMayCome() {
-    Mark asked, go;
+    EventCounter asked, go;
     Repository server(4'000'000, [&](const std::string& path, const std::string& head) {
         if (path == "/files/tool.bin" && head.find("bytes=0-") != std::string::npos) return;
         asked.raise();
@@ -187,7 +187,7 @@
 
 // No index older than a purge once it was told, also while a large file is in transfer.
 void aPurgeMidFetchLeavesNoOldIndex() {
-    Mark fetching, inTransfer, purged;
+    EventCounter fetching, inTransfer, purged;
     Repository server(4'000'000, [&](const std::string& path, const std::string&) {
         if (path != "/index/plugins.json") return inTransfer.raise();
         fetching.raise();
@@ -224,7 +224,7 @@
 }
 
 void aDrainMidDownloadIsRefusedCleanly() {
-    Mark parts, drained;
+    EventCounter parts, drained;
     Repository box(4'000'000, [&](const std::string&, const std::string&) {
         parts.raise();
         if (parts.count() == 2) drained.await(1);
@@ -250,7 +250,7 @@
 }
 
 void aSilentServerEndsAtTheDeadline() {
-    Mark over;
+    EventCounter over;
     Repository server(10, [&](const std::string&, const std::string&) { over.await(1); });
     json settings = repository(server, server);
     for (json& category : settings["settings"]["categories"]) {
