--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -141,11 +141,11 @@
     explicit BusyZone(double transfers) : harness(settings(transfers)) {
         harness.usualList();
         harness.growUp();
-        for (const char* name : {"known", "a", "b", "c"}) harness.know(name, 0, 0);
-        harness.took = 2s;
+        for (const char* name : {"known", "a", "b", "c"}) harness.makeKnown(name, 0, 0);
+        harness.attemptTime = 2s;
         std::vector<RequestId> fills;
         for (const char* name : {"a", "b", "c"}) fills.push_back(harness.ask(name, 0, 0, 500, 10s));
-        harness.now += harness.took;
+        harness.now += harness.attemptTime;
         for (const RequestId id : fills) harness.end(id, 0, Outcome::served, Note::filled);
     }
     static Settings settings(double transfers) {
@@ -180,7 +180,7 @@
     BusyZone zone(5);
     EXPECT_FALSE(zone.fills("known"));
     const RequestId small = zone.harness.ask("known", 1, 0, 100, 10s);
-    zone.harness.took = 150ms;  // 0.1 s of sending, and the way
+    zone.harness.attemptTime = 150ms;  // 0.1 s of sending, and the way
     zone.harness.end(small, 0, Outcome::served, Note::filled);
     EXPECT_TRUE(zone.fills("known"));
     zone.harness.now += 500ms;
@@ -265,7 +265,7 @@
             h.list({Harness::host("c1", Role::cache, 1, kLink), Harness::host("c2", Role::cache, 1, kLink),
                     Harness::host("p1", Role::parent, 0, kLink), Harness::host("p2", Role::parent, 0, kLink),
                     Harness::host("o", Role::origin, 0, 1)});
-            h.took = fromSeconds(kMeanWork);
+            h.attemptTime = fromSeconds(kMeanWork);
             h.growUp(40);
             const Role other = start.role == Role::parent ? Role::cache : Role::parent;
             h.list({Harness::host(nameOf(start.role), start.role, start.role == Role::parent ? 0 : 1, kLink,
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -111,7 +111,7 @@
         e.outcome = outcome;
         e.over = outcome == Outcome::served;
         e.note = note;
-        e.elapsed = took;
+        e.elapsed = attemptTime;
         e.load.linkFill = linkFill;
         last.clear();
         router_.handle(now, e, last);
@@ -166,7 +166,7 @@
     }
 
     // Makes the object a known name.
-    void know(const std::string& object, std::int64_t part = 0, int classIndex = 1) {
+    void makeKnown(const std::string& object, std::int64_t part = 0, int classIndex = 1) {
         const RequestId id = ask(object, part, classIndex);
         end(id, 0, Outcome::served);
     }
@@ -174,7 +174,7 @@
     std::size_t places() const { return router_.places(); }
 
     Time now = 1000s;
-    Time took{};  // by the attempts that end
+    Time attemptTime{};  // by the attempts that end
     Actions last;
 
 private:
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -25,7 +25,7 @@
     Harness h;
     h.usualList();
     h.growUp();
-    h.know("a");
+    h.makeKnown("a");
     h.ask("a");
     const auto sent = h.one<Send>();
     ASSERT_TRUE(sent);
@@ -65,7 +65,7 @@
 TEST(Design, PartsSpreadOverCachesButShareOneParent) {
     Harness h;
     h.usualList();
-    h.know("film", 0, 0);
+    h.makeKnown("film", 0, 0);
     std::set<std::string> caches, parents;
     for (int part = 1; part < 40; ++part) {
         const RequestId id = h.ask("film", part, 0, 5);
@@ -83,7 +83,7 @@
 TEST(Design, OneViewerKeepsAtTheLowestRankUntilASecondShows) {
     Harness h;
     h.usualList();
-    h.know("film", 0, 0);
+    h.makeKnown("film", 0, 0);
     RequestId id = h.ask("film", 1, 0);
     EXPECT_EQ(h.one<Send>()->keepRank, 1);
     h.end(id, 0, Outcome::served);
@@ -94,10 +94,10 @@
 TEST(Design, WholeObjectsRankAbovePartsOfOne) {
     Harness h;
     h.usualList();
-    h.know("page", 0, 1);
+    h.makeKnown("page", 0, 1);
     h.ask("page", 0, 1);
     const int whole = h.one<Send>()->keepRank;
-    h.know("film", 0, 0);
+    h.makeKnown("film", 0, 0);
     h.ask("film", 0, 0);
     EXPECT_GT(whole, h.one<Send>()->keepRank);
 }
@@ -197,7 +197,7 @@
     Harness h;
     h.usualList();
     h.growUp();
-    h.know("a");
+    h.makeKnown("a");
     for (int i = 0; i < 40; ++i) {  // refused fetches: the origin's gate is tight from here on
         const RequestId id = h.ask("b" + std::to_string(i));
         for (int attempt = 0; !h.all<Send>().empty(); ++attempt) h.end(id, attempt, Outcome::notTaken);
@@ -305,7 +305,7 @@
     Harness h;
     h.usualList();
     h.list({Harness::cache("c1")}, true);
-    h.know("a", 0, 0);
+    h.makeKnown("a", 0, 0);
     int refused = 0;
     for (int i = 0; i < 60; ++i) {
         h.ask("a", 0, 0, 500);
@@ -320,7 +320,7 @@
 TEST(ColdParent, IsOnlyChargedForFills) {
     Harness h;
     h.usualList();
-    h.know("a");
+    h.makeKnown("a");
     h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20, h.now),
             Harness::host("o", Role::origin, 0, 1)});
     const RequestId id = h.ask("a");
@@ -338,7 +338,7 @@
     s.classes[1].staleFor = 10s;
     Harness h(s);
     h.usualList();
-    h.know("a");
+    h.makeKnown("a");
     const RequestId id = h.ask("a");
     EXPECT_EQ(h.one<Send>()->oldest, 8s);
     EXPECT_TRUE(h.one<Send>()->renew);
@@ -351,7 +351,7 @@
     Harness h;
     h.usualList();
     h.growUp();
-    h.know("a");
+    h.makeKnown("a");
     const RequestId id = h.ask("a");
     const auto first = h.one<Send>();
     ASSERT_TRUE(first);
@@ -365,7 +365,7 @@
 TEST(Failures, ACacheThatKeepsFailingIsLeftOut) {
     Harness h;
     h.usualList();
-    h.know("a");
+    h.makeKnown("a");
     RequestId id = h.ask("a");
     const std::string bad(h.one<Send>()->host);
     h.end(id, 0, Outcome::noConnection);
@@ -450,7 +450,7 @@
     h.usualList();
     h.growUp();
     for (int i = 0; i < 30; ++i) {
-        h.know("a");
+        h.makeKnown("a");
         const RequestId id = h.ask("a");
         h.end(id, 0, Outcome::served, Note::none, 30.0);
     }
@@ -468,7 +468,7 @@
     Harness h;
     h.usualList();
     h.growUp();
-    h.know("a");
+    h.makeKnown("a");
     const RequestId id = h.ask("a");
     h.end(id, 0, Outcome::served, Note::none, 30.0);
     h.now += 10s;
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -27,7 +27,7 @@
     Harness h;
     h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20)});
     h.growUp();
-    h.know("a");
+    h.makeKnown("a");
     std::vector<RequestId> ids;
     for (int i = 0; i < 5; ++i) ids.push_back(h.ask("a"));
     for (std::size_t i = 0; i < ids.size(); ++i) h.end(ids[i], 0, Outcome::broken, Note::none, {}, i > 0);
@@ -44,10 +44,10 @@
     Harness h(settings);
     h.usualList();
     h.growUp(60);
-    const auto askAndEnd = [&](const std::string& object, Time took) {
+    const auto askAndEnd = [&](const std::string& object, Time attemptTime) {
         const RequestId id = h.ask(object, 0, 1, 0);
-        h.now += took;
-        h.took = took;
+        h.now += attemptTime;
+        h.attemptTime = attemptTime;
         h.end(id, 0, Outcome::served, Note::filledByOrigin, {}, false, 300);  // 300 ms to send
         return id;
     };
@@ -71,7 +71,7 @@
         Harness h(settings);
         h.usualList();
         h.growUp();
-        h.know("a");
+        h.makeKnown("a");
         const RequestId slow = h.ask("a");
         const auto timers = h.all<SetTimer>();  // slow, then late
         ASSERT_EQ(timers.size(), 2u);
@@ -82,7 +82,7 @@
             h.now += 1ms;
             h.end(other, 0, Outcome::served, Note::hit);
             if (same) break;
-            h.know("b" + std::to_string(i + 1));
+            h.makeKnown("b" + std::to_string(i + 1));
         }
         h.now += timers[0].delay;
         h.fire(timers[0].timer);
@@ -252,7 +252,7 @@
 TEST(Drains, RetriesFollowTheListOfTheMoment) {
     Harness h;
     h.usualList();
-    h.know("a");
+    h.makeKnown("a");
     const RequestId id = h.ask("a");
     const auto first = h.one<Send>();
     ASSERT_TRUE(first);
@@ -297,7 +297,7 @@
     settings.direct = false;
     Harness h(settings);
     h.usualList();
-    h.took = 300ms;
+    h.attemptTime = 300ms;
     for (int i = 0; i < 300; ++i, h.now += 20ms)
         h.end(h.ask("warm" + std::to_string(i % 20), 0, 0, 0), 0, Outcome::served, Note::hit);
     h.list({Harness::cache("c1", h.now), Harness::cache("c2")}, false);
