--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -18,7 +18,7 @@
     Gateway(const Settings& settings, std::uint64_t seed) : harness_(settings, seed) {
         harness_.list({Harness::cache("c1"), Harness::cache("c2"), Harness::host("p1", Role::parent, 0, 20),
                        Harness::host("p2", Role::parent, 0, 20), Harness::host("o", Role::origin, 0, 1)});
-        harness_.growUp(100);
+        harness_.warmUpFilter(100);
         start_ = harness_.now;
     }
 
@@ -139,8 +139,8 @@
 // for two seconds, which ended late: the others are taken to have three, too, though here none is out.
 struct BusyZone {
     explicit BusyZone(double transfers) : harness(settings(transfers)) {
-        harness.usualList();
-        harness.growUp();
+        harness.listBasicFleet();
+        harness.warmUpFilter();
         for (const char* name : {"known", "a", "b", "c"}) harness.makeKnown(name, 0, 0);
         harness.attemptTime = 2s;
         std::vector<RequestId> fills;
@@ -211,7 +211,7 @@
     Settings settings = settingsFor(4);
     settings.weights = Weights::none;
     Harness h(settings);
-    h.usualList();
+    h.listBasicFleet();
     fillsFrom(h, "p1", 200, 200);  // the others show links of about 15 transfers
     h.list({Harness::host("p3", Role::parent, 0, 0, h.now)}, false);
     fillsFrom(h, "p3", 20, 5);
@@ -266,7 +266,7 @@
                     Harness::host("p1", Role::parent, 0, kLink), Harness::host("p2", Role::parent, 0, kLink),
                     Harness::host("o", Role::origin, 0, 1)});
             h.attemptTime = fromSeconds(kMeanWork);
-            h.growUp(40);
+            h.warmUpFilter(40);
             const Role other = start.role == Role::parent ? Role::cache : Role::parent;
             h.list({Harness::host(nameOf(start.role), start.role, start.role == Role::parent ? 0 : 1, kLink,
                                   h.now),
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -68,7 +68,7 @@
     }
 
     // Three caches of the own zone, two parents and the origin.
-    void usualList() {
+    void listBasicFleet() {
         list({cache("c1"), cache("c2"), cache("c3"), host("p1", Role::parent, 0, 20),
               host("p2", Role::parent, 0, 20), host("o", Role::origin, 0, 1)});
     }
@@ -157,7 +157,7 @@
     bool answered() const { return all<Refuse>().size() + all<Fail>().size() == 1; }
 
     // Names and time enough for the filter to count as grown up, each answered at once.
-    void growUp(int names = 600) {
+    void warmUpFilter(int names = 600) {
         for (int i = 0; i < names; ++i) {
             const RequestId id = ask("filler" + std::to_string(i));
             end(id, 0, Outcome::served);
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -11,8 +11,8 @@
 
 TEST(Design, UnknownNameGoesStraightToItsParent) {
     Harness h;
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     h.ask("new");
     const auto sent = h.one<Send>();
     ASSERT_TRUE(sent);
@@ -23,8 +23,8 @@
 
 TEST(Design, KnownNameGoesToACacheThatKeepsIt) {
     Harness h;
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     h.makeKnown("a");
     h.ask("a");
     const auto sent = h.one<Send>();
@@ -38,8 +38,8 @@
     Settings s = basicSettings();
     s.direct = false;
     Harness h(s);
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     h.ask("new");
     const auto sent = h.one<Send>();
     ASSERT_TRUE(sent);
@@ -51,7 +51,7 @@
     Settings s = basicSettings();
     s.classes[1].neverKept = true;
     Harness h(s);
-    h.usualList();
+    h.listBasicFleet();
     for (int i = 0; i < 3; ++i) {
         const RequestId id = h.ask("w");
         const auto sent = h.one<Send>();
@@ -64,7 +64,7 @@
 
 TEST(Design, PartsSpreadOverCachesButShareOneParent) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     h.makeKnown("film", 0, 0);
     std::set<std::string> caches, parents;
     for (int part = 1; part < 40; ++part) {
@@ -82,7 +82,7 @@
 
 TEST(Design, OneViewerKeepsAtTheLowestRankUntilASecondShows) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     h.makeKnown("film", 0, 0);
     RequestId id = h.ask("film", 1, 0);
     EXPECT_EQ(h.one<Send>()->keepRank, 1);
@@ -93,7 +93,7 @@
 
 TEST(Design, WholeObjectsRankAbovePartsOfOne) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     h.makeKnown("page", 0, 1);
     h.ask("page", 0, 1);
     const int whole = h.one<Send>()->keepRank;
@@ -104,7 +104,7 @@
 
 TEST(Design, HotObjectUsesTwoCaches) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     std::set<std::string> used;
     for (int i = 0; i < 60; ++i) {
         const RequestId id = h.ask("hot", 0, 1, 200);
@@ -118,8 +118,8 @@
 // A hot object's parts do not all fill from one parent.
 TEST(Design, HotObjectsPartsHaveParentsApart) {
     Harness h;
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     std::set<std::string> sources;
     for (int round = 0; round < 8; ++round) {
         for (int part = 0; part < 12; ++part) {
@@ -135,10 +135,10 @@
 
 TEST(Design, SameSeedSameChoiceAtEveryRouter) {
     Harness a(basicSettings(), 1), b(basicSettings(), 99);
-    a.usualList();
-    b.usualList();
-    a.growUp();
-    b.growUp();
+    a.listBasicFleet();
+    b.listBasicFleet();
+    a.warmUpFilter();
+    b.warmUpFilter();
     for (int i = 0; i < 50; ++i) {
         const std::string name = "n" + std::to_string(i);
         a.ask(name);
@@ -149,7 +149,7 @@
 
 TEST(YoungFilter, UnknownNameAsksItsCacheOnTheWayAndLeavesNoCopy) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     h.ask("new");
     const auto sent = h.one<Send>();
     ASSERT_TRUE(sent);
@@ -160,7 +160,7 @@
 // The exception once never ended, as no router met as many names as it asked for.
 TEST(YoungFilter, EndsSoonAfterTheStartHoweverFewTheNames) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     h.now += 15s;
     h.ask("new");
     EXPECT_TRUE(startsWith(h.one<Send>()->host, 'p'));
@@ -169,8 +169,8 @@
 // Origin or parent answering nothing, told or not: what is asked upward falls off, hits are still asked for.
 TEST(Gates, UpwardRequestsFallOffWhenNothingComesBack) {
     Harness h;
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     int upward = 0;
     int held = 0;
     for (int i = 0; i < 300; ++i) {
@@ -195,8 +195,8 @@
 // well: a fetch by another parent would leave the object with two.
 TEST(Gates, AFetchAfterNoCopyGoesToTheSameParent) {
     Harness h;
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     h.makeKnown("a");
     for (int i = 0; i < 40; ++i) {  // refused fetches: the origin's gate is tight from here on
         const RequestId id = h.ask("b" + std::to_string(i));
@@ -223,8 +223,8 @@
 // Answers that never come say little while others come in time: a lossy tier is not held back.
 TEST(Gates, LostAnswersAloneDoNotCloseThem) {
     Harness h;
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     int upward = 0;
     for (int i = 0; i < 200; ++i) {
         const RequestId id = h.ask("n" + std::to_string(i));
@@ -241,8 +241,8 @@
 // Prompt errors are their host's own: fetches are not short for it, so none is asked only for its copy.
 TEST(Gates, PromptErrorsDoNotCloseThem) {
     Harness h;
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     for (int i = 0; i < 60; ++i) {
         const RequestId id = h.ask("e" + std::to_string(i));
         h.end(id, 0, Outcome::error);
@@ -284,7 +284,7 @@
 TEST(Origin, AnswersInTimeEarnItMoreThanItsShare) {
     const auto served = [](Outcome outcome) {
         Harness h;
-        h.growUp(10);
+        h.warmUpFilter(10);
         h.list({Harness::cache("c1"), Harness::host("o", Role::origin, 0, 1)});
         int toOrigin = 0;
         for (int i = 0; i < 200; ++i) {
@@ -303,7 +303,7 @@
 // A cache over full gets nothing that can't be in time; an answer at full pace proves that it has room.
 TEST(HostGate, AFullCacheIsPassedBy) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     h.list({Harness::cache("c1")}, true);
     h.makeKnown("a", 0, 0);
     int refused = 0;
@@ -319,7 +319,7 @@
 // Hits are asked for apart while the parent is cold: they must not use up its budget.
 TEST(ColdParent, IsOnlyChargedForFills) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     h.makeKnown("a");
     h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20, h.now),
             Harness::host("o", Role::origin, 0, 1)});
@@ -337,7 +337,7 @@
     s.classes[1].freshFor = 8s;
     s.classes[1].staleFor = 10s;
     Harness h(s);
-    h.usualList();
+    h.listBasicFleet();
     h.makeKnown("a");
     const RequestId id = h.ask("a");
     EXPECT_EQ(h.one<Send>()->oldest, 8s);
@@ -349,8 +349,8 @@
 
 TEST(Failures, AnotherAttemptTakesAnotherRoute) {
     Harness h;
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     h.makeKnown("a");
     const RequestId id = h.ask("a");
     const auto first = h.one<Send>();
@@ -364,7 +364,7 @@
 
 TEST(Failures, ACacheThatKeepsFailingIsLeftOut) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     h.makeKnown("a");
     RequestId id = h.ask("a");
     const std::string bad(h.one<Send>()->host);
@@ -385,7 +385,7 @@
 // Half or all hosts look bad at once: trials go on, and service is back soon after they are.
 TEST(Failures, WhenAllHostsLookBadNoneIsShutOut) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     const auto play = [&](int requests, Outcome outcome) {
         int sends = 0;
         for (int i = 0; i < requests; ++i) {
@@ -409,7 +409,7 @@
 // A whole zone's caches lost without notice: the parents, which answer, take over.
 TEST(Failures, WhenAllCachesAreLostTheParentsTakeOver) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     h.now += 10s;
     int toCaches = 0;
     for (int i = 0; i < 200; ++i) {
@@ -428,7 +428,7 @@
 
 TEST(Failures, FurtherAttemptsAreAShareOfTheRequests) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     int sends = 0;
     constexpr int kRequests = 400;  // a tenth of them, and the first burst
     for (int i = 0; i < kRequests; ++i) {
@@ -447,8 +447,8 @@
 // A jam on the zone's link: what can't be in time over it is asked of the cache alone, and refused on a miss.
 TEST(FullLink, OnlyWhatTheCacheHoldsIsAskedFor) {
     Harness h;
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     for (int i = 0; i < 30; ++i) {
         h.makeKnown("a");
         const RequestId id = h.ask("a");
@@ -466,8 +466,8 @@
 
 TEST(FullLink, OldReportsAreForgotten) {
     Harness h;
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     h.makeKnown("a");
     const RequestId id = h.ask("a");
     h.end(id, 0, Outcome::served, Note::none, 30.0);
@@ -565,7 +565,7 @@
     Settings s = basicSettings();
     for (auto& c : s.classes) c.streamed = true;
     Harness h(s);
-    h.usualList();
+    h.listBasicFleet();
     const RequestId id = h.ask("a");
     const auto timers = h.all<SetTimer>();
     ASSERT_FALSE(timers.empty());
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -10,7 +10,7 @@
 
 TEST(LongDays, PlacesOfHostsThatAreGoneAreUsedAgain) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     for (int i = 0; i < 200; ++i) {
         auto old = Harness::cache("c" + std::to_string(i + 1));
         old.readiness = Readiness::gone;
@@ -26,7 +26,7 @@
 TEST(Health, TheEndOfOneConnectionIsOneWordOnItsHost) {
     Harness h;
     h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20)});
-    h.growUp();
+    h.warmUpFilter();
     h.makeKnown("a");
     std::vector<RequestId> ids;
     for (int i = 0; i < 5; ++i) ids.push_back(h.ask("a"));
@@ -42,8 +42,8 @@
     settings.weights = Weights::none;
     settings.classes[1].aim = 200ms;  // and twice the sending time; a quarter of it is the first guess
     Harness h(settings);
-    h.usualList();
-    h.growUp(60);
+    h.listBasicFleet();
+    h.warmUpFilter(60);
     const auto askAndEnd = [&](const std::string& object, Time attemptTime) {
         const RequestId id = h.ask(object, 0, 1, 0);
         h.now += attemptTime;
@@ -69,8 +69,8 @@
         Settings settings = basicSettings();
         settings.secondCopies = false;
         Harness h(settings);
-        h.usualList();
-        h.growUp();
+        h.listBasicFleet();
+        h.warmUpFilter();
         h.makeKnown("a");
         const RequestId slow = h.ask("a");
         const auto timers = h.all<SetTimer>();  // slow, then late
@@ -95,7 +95,7 @@
 
 TEST(Answers, ServedOnceNeedsNoOther) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     const RequestId id = h.ask("a");
     ASSERT_EQ(h.all<Send>().size(), 1u);
     h.end(id, 0, Outcome::served);
@@ -106,7 +106,7 @@
 
 TEST(Answers, TimeOutAtTheDeadlineIsAnsweredAtOnce) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     const RequestId id = h.ask("a");
     h.now += 3s;
     h.end(id, 0, Outcome::timedOut);
@@ -126,7 +126,7 @@
 
 TEST(Answers, EveryRequestEndsOnceWhateverFails) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     for (int round = 0; round < 200; ++round) {
         const RequestId id = h.ask("x" + std::to_string(round % 9));
         int answers = static_cast<int>(h.all<Refuse>().size() + h.all<Fail>().size());
@@ -144,7 +144,7 @@
 
 TEST(Answers, ClientThatLeftIsOwedNothing) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     const RequestId id = h.ask("a");
     h.clientGone(id);
     EXPECT_EQ(h.all<Cancel>().size(), 1u);
@@ -167,7 +167,7 @@
 
 TEST(Effects, UnsafeIsNotRepeatedNorRefusedAfterItMayHaveRun) {
     Harness h(withEffect(Effect::unsafe));
-    h.usualList();
+    h.listBasicFleet();
     const RequestId id = h.ask("a");
     h.end(id, 0, Outcome::error);
     EXPECT_TRUE(h.all<Send>().empty());
@@ -177,7 +177,7 @@
 
 TEST(Effects, UnsafeMayGoOnWhenItNeverRan) {
     Harness h(withEffect(Effect::unsafe));
-    h.usualList();
+    h.listBasicFleet();
     const RequestId id = h.ask("a");
     h.end(id, 0, Outcome::noConnection);
     EXPECT_EQ(h.all<Send>().size(), 1u);
@@ -185,7 +185,7 @@
 
 TEST(Effects, UnsafeIsNeverSentTwiceAtOnce) {
     Harness h(withEffect(Effect::unsafe));
-    h.usualList();
+    h.listBasicFleet();
     h.ask("a");
     const auto timers = h.all<SetTimer>();
     h.now += 1s;
@@ -197,8 +197,8 @@
 
 TEST(Effects, KeyedStaysInItsZoneAndWindow) {
     Harness h(withEffect(Effect::keyed, RepeatGroup::zone));
-    h.usualList();
-    h.growUp(3);
+    h.listBasicFleet();
+    h.warmUpFilter(3);
     const RequestId id = h.ask("a");
     const auto first = h.one<Send>();
     ASSERT_TRUE(first && startsWith(first->host, 'c'));
@@ -217,7 +217,7 @@
     Settings s = basicSettings();
     s.secondCopies = false;
     Harness h(s);
-    h.usualList();
+    h.listBasicFleet();
     const RequestId id = h.ask("a");
     const auto timers = h.all<SetTimer>();
     ASSERT_FALSE(timers.empty());
@@ -233,7 +233,7 @@
 
 TEST(Drains, NothingGoesToOrThroughADrainingHost) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     HostEntry draining = Harness::host("p1", Role::parent, 0, 20);
     draining.readiness = Readiness::draining;
     HostEntry gone = Harness::cache("c2");
@@ -251,7 +251,7 @@
 
 TEST(Drains, RetriesFollowTheListOfTheMoment) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     h.makeKnown("a");
     const RequestId id = h.ask("a");
     const auto first = h.one<Send>();
@@ -282,8 +282,8 @@
 
 TEST(ColdHosts, CacheGetsNoMoreThanItsBudget) {
     Harness h;
-    h.usualList();
-    h.growUp(600);
+    h.listBasicFleet();
+    h.warmUpFilter(600);
     h.list({Harness::cache("c1", h.now), Harness::host("p1", Role::parent, 0, 20),
             Harness::host("p2", Role::parent, 0, 20)});
     // 0.2 of 5 transfers times 4 over 1.5 s is 6 s of work for all routers of the zone.
@@ -296,7 +296,7 @@
     settings.weights = Weights::none;
     settings.direct = false;
     Harness h(settings);
-    h.usualList();
+    h.listBasicFleet();
     h.attemptTime = 300ms;
     for (int i = 0; i < 300; ++i, h.now += 20ms)
         h.end(h.ask("warm" + std::to_string(i % 20), 0, 0, 0), 0, Outcome::served, Note::hit);
@@ -314,8 +314,8 @@
 
 TEST(ColdHosts, ParentBudgetCountsFillsAndIsSharedByAllRouters) {
     Harness h;
-    h.usualList();
-    h.growUp(600);
+    h.listBasicFleet();
+    h.warmUpFilter(600);
     h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20, h.now)});
     // 0.1 of 20 transfers times 2 over 1.5 s is 6 s of work, half of it this router's.
     const double work = workSentTo(h, "p1", 1000, 1ms);
@@ -332,8 +332,8 @@
         Settings settings = basicSettings();
         settings.routers = kRouters;
         Harness h(settings, static_cast<std::uint64_t>(router) + 1);
-        h.usualList();
-        h.growUp(20);
+        h.listBasicFleet();
+        h.warmUpFilter(20);
         h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20, h.now)});
         for (int i = 0; i < 15; ++i) {
             const RequestId id = h.ask("cold" + std::to_string(i), 0, 1, 100);
@@ -352,7 +352,7 @@
 
 TEST(Purges, LimitTheAgeOfTheObjectOnly) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     h.purge("a", 7, 50ms);
     h.now += 200ms;
     h.ask("a");
@@ -372,7 +372,7 @@
     s.classes[1].freshFor = 8s;
     s.classes[1].staleFor = 10s;
     Harness h(s);
-    h.usualList();
+    h.listBasicFleet();
     h.purge("", 7, 0ms);
     h.ask("any", 0, 1, 50, 3s, 7);
     auto sent = h.one<Send>();
@@ -390,7 +390,7 @@
     s.classes[1].freshFor = 8s;
     s.classes[1].staleFor = 10s;
     Harness h(s);
-    h.usualList();
+    h.listBasicFleet();
     const RequestId id = h.ask("a");
     h.purge("a", 7, 10ms);
     h.now += 400ms;
