--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -1,4 +1,4 @@
-// IPv4 addresses as the socket calls take them.
+// Converts an Endpoint to the address structure of the socket calls.
 #pragma once
 
 #include <arpa/inet.h>
--- a/src/net/descriptor.hpp
+++ b/src/net/descriptor.hpp
@@ -1,4 +1,4 @@
-// A file descriptor that closes itself.
+// An owning file descriptor, closed by the destructor.
 #pragma once
 
 #include <unistd.h>
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -59,7 +59,7 @@
     if (state_ == State::start && pending_.empty()) {
         head_ = {};
         body_.clear();
-        // A blank line before a request is let pass (RFC 9112, 2.2).
+        // Empty lines before a request are skipped (RFC 9112, 2.2).
         while (kind_ == Kind::request && !data.empty() && (data.front() == '\r' || data.front() == '\n'))
             data.remove_prefix(1);
     }
@@ -117,7 +117,7 @@
                     if (!readLength(size, remainingBytes_, 16)) return Status::malformed;
                     if (remainingBytes_ > limits_.maxBodyBytes - body_.size()) return Status::bodyTooLarge;
                     state_ = remainingBytes_ > 0 ? State::chunk : State::trailer;
-                } else if (line.empty()) {  // the end of the trailers, which are dropped
+                } else if (line.empty()) {  // the end of the trailers, which are ignored
                     state_ = State::start;
                     return Status::message;
                 }
@@ -183,7 +183,8 @@
     return true;
 }
 
-// How long the body is (RFC 9112, 6.3). What two readers could take differently is malformed.
+// Determines the length of the body (RFC 9112, 6.3). Ambiguous framing is malformed, since two parsers could
+// read it differently (request smuggling).
 HttpParser::Status HttpParser::beginBody() {
     const std::string* coding = head_.field("transfer-encoding");
     const std::string* length = nullptr;
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages, read as the bytes come (RFC 9112): requests and responses, with limits.
+// An incremental parser for HTTP/1.1 requests and responses (RFC 9112), with limits on their size.
 #pragma once
 
 #include <cstddef>
@@ -19,7 +19,7 @@
     int minorVersion = 1;
     std::vector<std::pair<std::string, std::string>> fields;  // names in lower case
 
-    const std::string* field(std::string_view name) const;  // the first of that name
+    const std::string* field(std::string_view name) const;  // the first with that name, or null
     bool keepAlive() const;
 };
 
@@ -34,12 +34,12 @@
 
     HttpParser(Kind kind, Limits limits) : kind_(kind), limits_(limits) {}
 
-    // Takes from the front of `data` what belongs to the message in hand. After `message`, head() and body()
-    // hold it until the next call.
+    // Consumes from the front of `data` what belongs to the current message. After `message`, head() and
+    // body() hold it until the next call.
     Status feed(std::string_view& data);
-    // The peer closed: true if that ends a response whose length nothing else told.
+    // To be called when the peer has closed. True: this completes a response that is delimited by the close.
     bool endOfStream();
-    // The response in hand answers HEAD: it has no body whatever it says.
+    // For responses to HEAD, which have no body whatever their fields say.
     void expectNoBody(bool none) { noBody_ = none; }
 
     const HttpHead& head() const { return head_; }
@@ -57,7 +57,7 @@
     Kind kind_;
     Limits limits_;
     State state_ = State::start;
-    std::string pending_;  // of the head, or of the line in hand
+    std::string pending_;  // received part of the head or of the current line
     HttpHead head_;
     std::string body_;
     std::size_t remainingBytes_ = 0;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -19,7 +19,7 @@
           stream_(loop, to, *this) {
         stream_.write(std::move(requestText));
     }
-    void keepAlive(std::shared_ptr<PendingRequest> self) { self_ = std::move(self); }  // until its end
+    void keepAlive(std::shared_ptr<PendingRequest> self) { self_ = std::move(self); }  // until finish()
 
 private:
     bool streamData(std::string_view data) override {
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kLingerTime = 500ms;  // for the answer to be read before the close
+constexpr Micros kLingerTime = 500ms;  // for the peer to read the response
 constexpr std::size_t kMaxHeadBytes = std::size_t{16} * 1024;
 
 const char* reasonOf(int status) {
@@ -54,8 +54,8 @@
 
 private:
     bool streamData(std::string_view data) override {
-        if (responded_ && keepAlive_) finish();  // the caller was quicker than the end of the turn
-        // Who is to be answered may say nothing more, but what comes behind a last call is only dropped.
+        if (responded_ && keepAlive_) finish();  // the next request came in the turn of the response
+        // Data after a request ends a keep-alive connection as malformed; otherwise it is ignored.
         if (requestReceived_) return !keepAlive_;
         const auto status = parser_.feed(data);
         if (status == HttpParser::Status::needMore) return true;
@@ -86,7 +86,7 @@
             if (const auto connection = self.lock()) connection->finish();
         });
     }
-    // Not while the call is being read or answered: the parser is in use.
+    // Must not run while a request is being parsed or handled, since it replaces the parser.
     void finish() {
         if (!responded_) return;
         if (!keepAlive_) return stream_.closeLingering(kLingerTime);
@@ -106,7 +106,7 @@
     HttpServer& owner_;
     HttpParser parser_;
     bool requestReceived_ = false, responded_ = false;
-    bool keepAlive_ = false;  // a further call may follow the one in hand
+    bool keepAlive_ = false;  // another request may follow
     Loop::TimerKey timer_;
     Stream stream_;
 };
@@ -129,7 +129,7 @@
         if (idle == connections_.end())
             idle = std::find_if(connections_.begin(), connections_.end(),
                                 [](const auto& connection) { return connection->responded(); });
-        if (idle == connections_.end()) return;  // all are being answered
+        if (idle == connections_.end()) return;  // all have a request in progress
         const auto held = *idle;
         held->end();
     }
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,6 +1,5 @@
-// Serves HTTP/1.1: one call a connection, such as people's tools make, or call after call, as programs do
-// that ask all day. Callers are bounded in number and time, so that those who finish no call keep nobody else
-// out.
+// An HTTP/1.1 server with one request per connection, or several in sequence with keep-alive. Connections are
+// limited in number and in time, so that clients that never complete a request cannot block others.
 #pragma once
 
 #include <functional>
@@ -20,18 +19,16 @@
     struct Response {
         int status = 200;
         std::string body;
-        std::pair<std::string, std::string>
-            extraHeader;  // one further field of the head, where its name is given
+        std::pair<std::string, std::string> extraHeader;  // sent if its name is not empty
     };
     using SendResponse = std::function<void(Response)>;
     using RequestHandler =
         std::function<void(const HttpHead& head, const std::string& body, SendResponse sendResponse)>;
     struct Limits {
-        std::size_t maxConnections = 64;  // beyond it the one that has asked nothing for longest makes room
+        std::size_t maxConnections = 64;  // above it the oldest connection without a request is closed
         std::size_t maxBodyBytes = 1024 * 1024;
-        Micros requestTimeout =
-            std::chrono::seconds{15};  // from connecting, or the answer before, to the answer
-        bool keepAlive = false;        // whoever wants to may ask again on its connection
+        Micros requestTimeout = std::chrono::seconds{15};  // from connecting, or from the previous response
+        bool keepAlive = false;                            // allow further requests on a connection
     };
 
     HttpServer(Loop& loop, const settings::Endpoint& at, Limits limits, Priority priority,
@@ -49,7 +46,7 @@
     Limits limits_;
     Priority priority_;
     RequestHandler onRequest_;
-    std::list<std::shared_ptr<Connection>> connections_;  // by the time at which they connected
+    std::list<std::shared_ptr<Connection>> connections_;  // in order of connecting
     Listener listener_;
 };
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -18,15 +18,15 @@
 
 namespace {
 
-// Then those are read that have just come: where places are short, who has asked must be known before the
-// next ones come.
+// Then the new connections are read: when connections are limited, those with a request must be known before
+// further ones are accepted.
 constexpr int kMaxAcceptsPerTurn = 8;
-constexpr Micros kAcceptRetryDelay = 5ms;           // after a shortage
-constexpr Micros kDescriptorShortageLimit = 500ms;  // of descriptors: whoever waits is told by a close
-constexpr Micros kPreviousAddressOpenFor = 1s;      // after a move
+constexpr Micros kAcceptRetryDelay = 5ms;
+constexpr Micros kDescriptorShortageLimit = 500ms;  // then pending clients get a close
+constexpr Micros kPreviousAddressOpenFor = 1s;
 constexpr int kBacklog = 1024;
 
-// accept(2): the connection has failed before it was taken; the next one is not concerned.
+// Errors of accept(2) that concern one pending connection only; the next accept may succeed.
 bool isPerConnectionError(int error) {
     switch (error) {
         case ECONNABORTED:
@@ -76,7 +76,7 @@
     if (::getsockname(fd, reinterpret_cast<sockaddr*>(&is), &size) != 0 || is.sin_family != AF_INET ||
         is.sin_addr.s_addr != wanted.sin_addr.s_addr || (at.port != 0 && is.sin_port != wanted.sin_port))
         throw settings::DecodeError("descriptor " + number + " does not listen on the field 'listen'");
-    // Without blocking for all that share it: who loses a connection to another process must not wait.
+    // Non-blocking for all processes that share it: one that loses the race for a connection must not block.
     if (::fcntl(fd, F_SETFD, FD_CLOEXEC) != 0 || ::fcntl(fd, F_SETFL, O_NONBLOCK) != 0)
         throw settings::DecodeError("descriptor " + number + " cannot be set up");
     return Descriptor(fd);
@@ -115,7 +115,7 @@
             continue;
         }
         const int error = errno;
-        if (wouldBlock(error)) {  // the edge is used up
+        if (wouldBlock(error)) {  // the queue is empty
             descriptorShortageSince_.reset();
             return 0;
         }
@@ -123,11 +123,11 @@
         if (error == EINTR || isPerConnectionError(error)) continue;
         return isDescriptorShortage(error) ? handleDescriptorShortage() : retryLater();
     }
-    // Where each call fails, at once would be a busy loop.
+    // If every call failed, an immediate retry would be a busy loop.
     return any ? EPOLLIN : retryLater();
 }
 
-// What waits makes no further edge.
+// Pending connections trigger no further epoll edge, so a timer retries.
 std::uint32_t Listener::retryLater() {
     if (!retry_)
         retry_ = loop_.after(kAcceptRetryDelay, [this] {
@@ -152,7 +152,7 @@
 }
 
 void PreviousListener::replace(std::unique_ptr<Listener>& current, std::unique_ptr<Listener> next) {
-    close();  // of several moves in a row the last counts
+    close();  // only one previous address is kept
     listener_ = std::exchange(current, std::move(next));
     timer_ = loop_.after(kPreviousAddressOpenFor, [this] { closeOnceEmpty(); });
 }
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -1,4 +1,4 @@
-// A listening socket: accepts what waits, and goes on where the system is short of memory or descriptors.
+// A listening socket that keeps accepting through shortages of memory or descriptors.
 #pragma once
 
 #include <cstdint>
@@ -14,31 +14,31 @@
 
 Descriptor listenOn(const settings::Endpoint& at);  // throws std::system_error
 
-// A listening socket that was inherited; throws settings::Malformed, with the reason alone, where the
-// descriptor is not one or has another address (port 0 stands for any).
+// Adopts an inherited listening socket by its descriptor number. Throws settings::DecodeError, without the
+// name of a field, if it is not a listening socket or has another address (port 0 matches any port).
 Descriptor adoptListeningSocket(const std::string& number, const settings::Endpoint& at);
 
-// A connection that waits is owed an answer, so a failing accept is tried again: at once where Linux says
-// that the connection itself is gone, after a pause where something is short. Only where no descriptor is to
-// be had for long is a connection taken and closed unread.
+// Retries a failing accept, since a pending connection must get an answer: at once if that connection itself
+// failed, after a delay if a resource is short. After a long shortage of descriptors it accepts and closes
+// pending connections with a reserved descriptor.
 class Listener : public Handler {
 public:
     using AcceptCallback = std::function<void(Descriptor)>;
     struct Counters {
-        std::uint64_t failures = 0;      // accept calls that failed for anything but an empty queue
-        std::uint64_t closedUnread = 0;  // connections closed since no descriptor was to be had
+        std::uint64_t failures = 0;      // failed accept calls, apart from an empty queue
+        std::uint64_t closedUnread = 0;  // connections closed for lack of descriptors
     };
 
     Listener(Loop& loop, const settings::Endpoint& at, AcceptCallback onAccept,
              Priority priority = Priority::normal);
-    // One that listens already. Other processes may share it: a connection that was there may be gone, and it
-    // is only ever closed, never shut down.
+    // Takes a socket that listens already. Other processes may share it: they may accept a pending connection
+    // first, and the socket must only be closed, never shut down.
     Listener(Loop& loop, Descriptor listening, AcceptCallback onAccept, Priority priority = Priority::normal);
     ~Listener() override;
 
     std::uint16_t port() const;
     const Counters& counters() const { return counters_; }
-    // Takes in connections that wait; false: there may be more.
+    // Accepts pending connections; false if there may be more.
     bool acceptPending() { return ready(EPOLLIN) == 0 && !retry_; }
     std::uint32_t ready(std::uint32_t events) override;
 
@@ -49,22 +49,22 @@
 
     Loop& loop_;
     Descriptor fd_;
-    Descriptor reserveDescriptor_;  // given up for a moment to accept and close when no descriptor is left
+    Descriptor reserveDescriptor_;  // closed for a moment to accept a connection when none is left
     AcceptCallback onAccept_;
     Loop::HandlerId id_ = 0;
     std::optional<Loop::TimerKey> retry_;
-    std::optional<Micros> descriptorShortageSince_;  // of descriptors, without a success since
+    std::optional<Micros> descriptorShortageSince_;  // start of the current descriptor shortage
     Counters counters_;
 };
 
-// Where the address has moved: the socket at the old one goes on for a while, since whoever has connected
-// there, or is about to, is owed an answer.
+// Keeps the socket at the previous address open for a while after the address has changed, so that clients
+// that are just connecting there are still served.
 class PreviousListener {
 public:
     explicit PreviousListener(Loop& loop) : loop_(loop) {}
     ~PreviousListener() { close(); }
 
-    // `current` becomes `next`, and what it was is kept open.
+    // Sets `current` to `next` and keeps the replaced listener open.
     void replace(std::unique_ptr<Listener>& current, std::unique_ptr<Listener> next);
     void close();
     bool settled() { return !listener_ || listener_->acceptPending(); }
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr int kMaxInterruptedPolls = 16;
-constexpr Micros kImmediatePoll{1000};  // a wait as short found something that had come before
-// A process that was held up for longer within a wait sees it by the clock (heldUp).
+constexpr Micros kImmediatePoll{1000};  // a poll this short returned events that were already pending
+// A wait that lasts longer shows by the clock that the process was suspended (stallTime).
 constexpr Micros kMaxPollTime{100'000};
-constexpr Micros kWatchRetryDelay{2000};  // after the kernel was short of memory
+constexpr Micros kWatchRetryDelay{2000};  // after epoll_ctl found no memory
 
 }  // namespace
 
@@ -34,8 +34,8 @@
     return id;
 }
 
-// False: the kernel is short of memory, or of watches; it is tried again, and then tells what has come
-// meanwhile.
+// Returns false if the kernel is short of memory or of watches. A later retry then also reports events from
+// the meantime.
 bool Loop::watch(HandlerId id, int fd, std::uint32_t events) {
     epoll_event event{};
     event.events = events | EPOLLET;
@@ -66,7 +66,7 @@
 }
 
 void Loop::runPosted() {
-    // What is posted meanwhile runs too, in order.
+    // Includes tasks that are posted while this runs.
     for (std::size_t i = 0; i < posted_.size(); ++i) {
         const auto task = std::move(posted_[i]);
         task();
@@ -82,8 +82,8 @@
     runPosted();
 }
 
-// A wait that was interrupted, as by a stop of the process, says nothing of what has come meanwhile: it is
-// asked for before anything else is done, since timers that are due would act on clients who have long left.
+// A wait that is interrupted, for example by SIGSTOP and SIGCONT, returns no events. It is repeated without
+// waiting, since due timers would otherwise act before the loop has seen disconnects from the meantime.
 int Loop::pollEvents(Events& events, int wait) {
     const Micros entered = clock();
     const auto poll = [&](int millis) {
@@ -95,7 +95,8 @@
     const Micros before = std::exchange(now_, clock());
     const Micros slept = now_ - entered;
     const Micros overslept = std::max(Micros{0}, slept - std::chrono::milliseconds{wait});
-    // Also where the wait was not that short: on a busy machine one that found something takes a while, too.
+    // A long turn counts even after a longer poll: on a busy machine, a poll with pending events takes a
+    // while too.
     const Micros turn = entered - before;
     const bool counts = slept < kImmediatePoll || turn > kStallThreshold;
     const Micros stall = std::max(counts ? turn : Micros{0}, interrupted ? slept : overslept);
@@ -113,7 +114,7 @@
     int wait = 0;
     until = std::min(until, now_ + kMaxPollTime);
     if (!busy && until > now_) {
-        // Rounded up: a turn that comes too early would only spin.
+        // Rounded up: waking too early would make the loop spin.
         wait = static_cast<int>(((until - now_).count() + 999) / 1000);
     }
     handleInOrder(collectReady(wait));
@@ -122,7 +123,7 @@
     destroyedAfterTurn_.clear();
 }
 
-// All that is ready, so that the order holds among all of it and not only among the first.
+// Collects all ready events, not only the first batch, so that priorities hold among all of them.
 Loop::ReadyEvents Loop::collectReady(int wait) {
     ReadyEvents ready;
     ready.swap(nextTurn_);
@@ -137,7 +138,7 @@
     }
 }
 
-// Handlers are looked up one by one: an earlier one may have removed a later one.
+// Looks up each handler when its event is due, since an earlier handler may have removed it.
 void Loop::handleInOrder(const ReadyEvents& ready) {
     std::array<std::vector<ReadyEvents::value_type>, static_cast<std::size_t>(Priority::count_)> ordered;
     for (const auto& event : ready)
@@ -147,9 +148,8 @@
         for (const auto& [id, what] : events) handle(id, what);
 }
 
-// A process that was stopped within a turn goes on with what it had heard before. Whoever has left or taken
-// back a call meanwhile is heard in the next turn, before a timer or an answer that waited for the end of
-// this one.
+// After a suspension within a turn, the events of that turn are out of date. Timers and end-of-turn tasks
+// then wait for the next turn, which handles disconnects and cancellations from the meantime first.
 void Loop::runTimers() {
     const bool mayHold = !std::exchange(timersDeferred_, false);
     while (!timers_.empty() && timers_.begin()->first.first <= now_) {
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -1,4 +1,5 @@
-// One thread, one edge-triggered epoll. The clock is read once a turn.
+// A single-threaded event loop on edge-triggered epoll, with timers. A turn is one iteration; the clock is
+// read once per turn.
 #pragma once
 
 #include <sys/epoll.h>
@@ -20,15 +21,15 @@
 
 using Micros = std::chrono::microseconds;
 
-// What is told when a descriptor turns ready. With edges, it works until EAGAIN or until its share of the
-// turn is used up; in the latter case it returns the events that it must be called with again.
+// Receives readiness events. A handler works until EAGAIN or until its budget for the turn is used up; in the
+// latter case it returns the events with which it must be called again in the next turn.
 class Handler {
 public:
     virtual ~Handler() = default;
     virtual std::uint32_t ready(std::uint32_t events) = 0;
 };
 
-// The order in which the events of a turn are handled.
+// Within a turn, events of high priority are handled first.
 enum class Priority : std::uint8_t { high, normal, count_ };
 
 class Loop {
@@ -39,34 +40,33 @@
     Loop();
 
     Micros now() const { return now_; }
-    // The clock itself, where a long turn would make now() too early.
+    // Reads the clock, for callers in a long turn, for which now() is too old.
     static Micros clock();
-    // For so long what is read in this turn may have waited: the turn before was as long, or the process was
-    // held up.
+    // Upper bound on how long data that is read in this turn may have waited unread, because earlier turns
+    // were long or the process was suspended.
     Micros stallTime() const {
         return std::accumulate(recentStalls_.begin(), recentStalls_.end(), Micros{0});
     }
-    // The process was held up for long a moment ago: what is read now may have waited, too.
+    // The loop stalled shortly before, so data read now may have waited as well.
     bool recentlyStalled() const { return now_ - lastStallAt_ < kRecentStallWindow; }
-    // The turn has taken so long that what it has heard may be out of date: what begins anything waits for
-    // the next one.
+    // The turn has taken so long that its events may be out of date; new work should wait for the next turn.
     bool turnOverran() const { return clock() - now_ > kMaxTurnTime; }
-    // Timers wait for the next turn, since this one is stale: what they decide goes by what clients and
-    // servers had said by now. Never in two turns in a row.
+    // Timers are deferred to the next turn because this one overran, so that they act on current input. Never
+    // in two consecutive turns.
     bool timersDeferred() const { return timersDeferred_; }
     HandlerId add(int fd, std::uint32_t events, Handler& handler, Priority priority = Priority::normal);
     void remove(HandlerId id, int fd);
-    void callNextTurn(HandlerId id, std::uint32_t events);  // in the next turn, without a new edge
+    void callNextTurn(HandlerId id, std::uint32_t events);  // without a new epoll edge
 
     TimerKey after(Micros delay, std::function<void()> task);
     void cancel(TimerKey key) { timers_.erase(key); }
     void post(std::function<void()> task) { posted_.push_back(std::move(task)); }
-    // At the end of the turn, when all that came with it has been heard: who has left, what is drained.
+    // Runs the task at the end of the turn, after all its events have been handled.
     void atEndOfTurn(std::function<void()> task) { after(Micros{0}, std::move(task)); }
-    // Destroys it once nothing on the stack can be using it any more.
+    // Keeps the object alive until the end of the turn, since callers on the stack may still use it.
     void destroyAfterTurn(std::shared_ptr<void> object) { destroyedAfterTurn_.push_back(std::move(object)); }
 
-    // One turn: waits until something is ready, a timer is due or `until` has come.
+    // Runs one iteration: waits for an event, a due timer or `until`, then handles what is ready.
     void turn(Micros until);
 
 private:
@@ -82,7 +82,7 @@
 
     using Events = std::array<epoll_event, 256>;
     using ReadyEvents = std::unordered_map<HandlerId, std::uint32_t>;
-    static constexpr int kMaxPollsPerTurn = 16;  // more events than that wait for the next turn
+    static constexpr int kMaxPollsPerTurn = 16;  // further events wait for the next turn
     static constexpr Micros kMaxTurnTime{50'000};
     static constexpr Micros kRecentStallWindow{250'000};
     static constexpr Micros kStallThreshold{20'000};
@@ -98,12 +98,12 @@
 
     Descriptor epoll_;
     Micros now_;
-    // Of the last turns: a connection is accepted in one and read in the next.
+    // For the last turns, since a connection is accepted in one and read in a later one.
     std::array<Micros, 3> recentStalls_{};
-    Micros lastStallAt_{-kRecentStallWindow};  // for longer than kStallThreshold
+    Micros lastStallAt_{-kRecentStallWindow};  // of a stall longer than kStallThreshold
     std::uint64_t nextId_ = 1;
     std::unordered_map<HandlerId, Registered> handlers_;
-    std::map<HandlerId, PendingWatch> pendingWatches_;  // those that the kernel had no memory for
+    std::map<HandlerId, PendingWatch> pendingWatches_;  // for which the kernel had no memory
     ReadyEvents nextTurn_;
     std::map<TimerKey, std::function<void()>> timers_;
     bool timersDeferred_ = false;
--- a/src/net/resp.hpp
+++ b/src/net/resp.hpp
@@ -1,4 +1,4 @@
-// RESP arrays of bulk strings, read as the bytes come.
+// An incremental parser and a writer for RESP arrays of bulk strings.
 #pragma once
 
 #include <cstddef>
@@ -12,18 +12,19 @@
 public:
     struct Limits {
         std::size_t maxElements = 8;
-        std::size_t maxStringBytes = 256 * 1024;  // bytes of one string
-        std::size_t maxArrayBytes = 320 * 1024;   // bytes of one array
+        std::size_t maxStringBytes = 256 * 1024;
+        std::size_t maxArrayBytes = 320 * 1024;
     };
     enum class Status { needMore, message, malformed };
 
     RespParser() = default;
     explicit RespParser(Limits limits) : limits_(limits) {}
 
-    // Takes from the front of `data` what belongs to the message in hand. After `message`, take() has it.
+    // Consumes from the front of `data` what belongs to the current message. After `message`, takeMessage()
+    // returns it.
     Status feed(std::string_view& data);
     std::vector<std::string> takeMessage();
-    // What the message in hand may hold in memory.
+    // Memory that the incomplete message may occupy, by its announced string lengths.
     std::size_t bufferedBytes() const { return state_ == State::start ? 0 : arrayBytes_; }
     bool midMessage() const { return state_ != State::start || !line_.empty(); }
 
@@ -36,15 +37,16 @@
     State state_ = State::start;
     std::string line_;
     std::vector<std::string> elements_;
-    std::size_t expectedElements_ = 0;  // elements
-    std::size_t remainingBytes_ = 0;    // bytes of the string in hand, with its line end
+    std::size_t expectedElements_ = 0;
+    std::size_t remainingBytes_ = 0;  // of the current string, including its line end
     std::size_t arrayBytes_ = 0;
 };
 
-// Appends an array; the strings are copied.
+// Appends an array of bulk strings to `out`.
 void appendResp(std::string& out, std::initializer_list<std::string_view> elements);
 
-// Appends the head of an array whose last string, of `size` bytes, follows apart, and then a line end.
+// Appends an array except for the content of its last string: the caller sends those `size` bytes and a line
+// end separately.
 void appendRespHead(std::string& out, std::initializer_list<std::string_view> elements, std::size_t size);
 
 }  // namespace lotuslead::net
--- a/src/net/signals.hpp
+++ b/src/net/signals.hpp
@@ -1,4 +1,4 @@
-// Signals as a descriptor to watch.
+// Reads signals through a signalfd, for use with a Loop.
 #pragma once
 
 #include <sys/signalfd.h>
@@ -13,14 +13,14 @@
 
 namespace lotuslead::net {
 
-// Of a blocked set; throws std::system_error.
+// Opens a signalfd for a set of signals that are blocked already; throws std::system_error.
 inline Descriptor watchSignals(const sigset_t& set) {
     Descriptor fd(retryWhileShort([&] { return ::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC); }));
     if (!fd) throw std::system_error(errno, std::generic_category(), "signalfd");
     return fd;
 }
 
-// Calls `each` with the number of every signal that has come. Its edge comes once: no read may be given up.
+// Calls `each` with the number of every pending signal. Reads until empty, since epoll reports the edge once.
 template <class Each>
 void readSignals(const Descriptor& fd, Each each) {
     for (;;) {
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -23,14 +23,14 @@
 namespace {
 
 constexpr std::size_t kReadChunkBytes = 64 * 1024;
-constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;  // of what comes in after the end
-constexpr Micros kNoProgressTimeout = 3s;    // then nobody reads what a connection that ends still has
-constexpr Micros kShortageRetryDelay = 2ms;  // of memory or descriptors: then the call is made again
-constexpr int kMaxConnectAttempts = 6;       // with growing waits, 30 ms in all
-constexpr std::size_t kMaxBytesPerTurn = 4 * kReadChunkBytes;  // then the others have their turn
-constexpr int kMaxReadsPerTurn = 1024;                         // however short they are
-constexpr int kSendBufferBytes =
-    256 * 1024;  // else the kernel holds megabytes for each client that does not read
+constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;  // input discarded while lingering
+constexpr Micros kNoProgressTimeout = 3s;  // a lingering peer that acknowledges nothing for so long is closed
+constexpr Micros kShortageRetryDelay = 2ms;  // of memory or descriptors
+constexpr int kMaxConnectAttempts = 6;       // with increasing delays, 30 ms in all
+constexpr std::size_t kMaxBytesPerTurn =
+    4 * kReadChunkBytes;                      // bounds the time that one stream takes from the others
+constexpr int kMaxReadsPerTurn = 1024;        // also bounds many short reads
+constexpr int kSendBufferBytes = 256 * 1024;  // without a limit the kernel buffers megabytes per slow client
 
 void disableNagle(int fd) {
     const int on = 1;
@@ -55,8 +55,8 @@
     connect();
 }
 
-// Where this machine is short of something the peer has not been asked, and the next try may succeed. A
-// failure is told from the next turn on, as it would be with a connect that fails a little later.
+// Retries after a local shortage, in which the peer was not contacted. Failures are reported in a later turn,
+// as for a connect that fails asynchronously.
 void Stream::connect() {
     fd_.reset(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     int error = fd_ ? 0 : errno;
@@ -77,12 +77,12 @@
     });
 }
 
-// Zero: it is up or under way.
+// Returns zero if the connection is established or in progress, otherwise an errno.
 int Stream::connectOnce() {
     int result = 0;
     do result = ::connect(fd_.get(), reinterpret_cast<const sockaddr*>(&to_), sizeof to_);
     while (result != 0 && errno == EINTR);
-    // EALREADY and EISCONN: the interrupted call had begun it.
+    // EALREADY and EISCONN: the interrupted call had started the connect.
     return result == 0 || errno == EINPROGRESS || errno == EALREADY || errno == EISCONN ? 0 : errno;
 }
 
@@ -122,8 +122,8 @@
     closeAfterWriting();
 }
 
-// However long a slow reader takes for what it was sent: its time begins when it has all, and ends early only
-// where it takes nothing any more.
+// The linger time starts once the peer has acknowledged everything, so that a slow reader gets all data. A
+// peer that makes no progress for kNoProgressTimeout is closed earlier.
 void Stream::checkLinger() {
     const std::size_t remaining = unacknowledgedBytes();
     const bool progressed = remaining < unacknowledgedBytes_;
@@ -136,13 +136,13 @@
 
 void Stream::allWritten() {
     if (!lingering_) return end(CloseReason::closedByPeer);
-    // Once: each call makes an edge of its own, on which the next would follow, without a pause.
+    // Only once: each shutdown triggers another epoll edge, which would call this again in a busy loop.
     if (!std::exchange(writeShutDown_, true)) ::shutdown(fd_.get(), SHUT_WR);
 }
 
 namespace {
 
-// What recv would say now, with nothing taken.
+// The result of recv, without consuming data.
 ssize_t peek(int fd) {
     char byte = 0;
     ssize_t got = 0;
@@ -159,7 +159,7 @@
     if (sendBroken_) return true;
     const ssize_t got = peek(fd_.get());
     if (got <= 0) return got == 0 || (!wouldBlock(errno) && !isResourceShortage(errno));
-    // Its end may stand behind what is still to be read.
+    // The end may follow data that is still unread.
     pollfd look{fd_.get(), POLLRDHUP, 0};
     int ready = 0;
     do ready = ::poll(&look, 1, 0);
@@ -206,7 +206,7 @@
     frontSentBytes_ = static_cast<std::size_t>(sent);
     unsentBytes_ = bytes.size() - frontSentBytes_;
     queue_.push_back(std::move(bytes));
-    flush();  // a short write is no word of a full buffer: the next edge may never come
+    flush();  // a short write does not prove a full buffer, so an edge may never come
     return true;
 }
 
@@ -235,16 +235,16 @@
 }
 
 void Stream::sendFailed(int error) {
-    if (wouldBlock(error)) return;  // an edge tells when there is room
+    if (wouldBlock(error)) return;  // an epoll edge follows when there is room
     if (isResourceShortage(error)) return retryAfterShortage(EPOLLOUT);
-    // Told in the next turn, never from within the caller's own write, and after what has come in before the
-    // connection broke has been read. Reading may find nothing wrong: Linux tells an error once.
+    // Reported in the next turn, never from within the caller's write, and only after input from before the
+    // failure has been read. Linux reports a socket error only once, so the read may not see it.
     sendBroken_ = true;
     paused_ = false;
     loop_.callNextTurn(id_, EPOLLIN);
 }
 
-// A shortage passes without an edge.
+// The end of a shortage triggers no epoll edge, so a timer retries.
 void Stream::retryAfterShortage(std::uint32_t events) {
     retryEvents_ |= events;
     if (retry_) return;
@@ -279,7 +279,7 @@
         return 0;
     }
     if ((events & (EPOLLRDHUP | EPOLLHUP)) != 0) peerClosed_ = true;
-    // What it asked for before it left is wanted by nobody: taken now, it would only be sent on.
+    // Requests sent before the close have no receiver any more; reading them would only cause upstream load.
     if (peerClosed_ && dropInputOnPeerClose_ && !lingering_) {
         end(CloseReason::closedByPeer);
         return 0;
@@ -303,7 +303,8 @@
     for (int i = 0; i < kMaxReadsPerTurn && all < kMaxBytesPerTurn; ++i) {
         readable_ = true;
         if (paused_) {
-            // Its end makes no further edge, and stands behind what is not read: it must not wait for that.
+            // The close triggers no further edge and follows unread data; it must not wait until reading
+            // resumes.
             if (peerClosed_) end(CloseReason::closedByPeer);
             return 0;
         }
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -1,4 +1,5 @@
-// One TCP connection: reads with a budget a turn, writes from a queue, and says why it ended.
+// A non-blocking TCP connection on a Loop: reads with a budget per turn, queues writes, and reports why it
+// ended.
 #pragma once
 
 #include <netinet/in.h>
@@ -16,8 +17,8 @@
 class Stream : public Handler {
 public:
     enum class CloseReason {
-        connectFailed,  // never came up
-        localShortage,  // never came up, for want of something on this machine: the peer was not asked
+        connectFailed,  // refused, unreachable or timed out
+        localShortage,  // this machine lacked a resource for the connect; the peer was not contacted
         closedByPeer,
         reset,
         malformed,
@@ -26,14 +27,14 @@
     public:
         virtual ~Observer() = default;
         virtual void streamOpened() {}
-        // False: the peer sent what it may not; the stream ends as malformed.
+        // False: the data violates the protocol; the stream ends as malformed.
         virtual bool streamData(std::string_view data) = 0;
-        virtual void streamFlushed() {}  // all that was written is with the kernel
+        virtual void streamFlushed() {}  // the kernel has all that was written
         virtual void streamEnded(CloseReason reason) = 0;
     };
 
     Stream(Loop& loop, Descriptor fd, Observer& observer, Priority priority = Priority::normal);  // accepted
-    // Connects; may end in the next turn.
+    // Connects; a failure is reported in a later turn, never from the constructor.
     Stream(Loop& loop, const settings::Endpoint& to, Observer& observer,
            Priority priority = Priority::normal);
     ~Stream() override;
@@ -42,33 +43,31 @@
 
     bool opened() const { return state_ == State::open; }
     bool closed() const { return state_ == State::closed; }
-    void write(std::string bytes);  // queued, and sent as far as the kernel takes it
-    // As that, but only if a byte can go out at once; false: none did, and nothing is queued. With room again
-    // streamFlushed comes, or streamEnded.
+    void write(std::string bytes);  // sends what the kernel accepts and queues the rest
+    // Like write, but only if the kernel accepts at least one byte at once; otherwise returns false and
+    // queues nothing. streamFlushed follows when there is room again, or streamEnded.
     bool tryWrite(std::string bytes);
     std::size_t unsentBytes() const { return unsentBytes_; }
     void pauseReading(bool paused);
-    void close();              // at once; nothing is told any more
-    void closeAfterWriting();  // once all is with the kernel
-    // As that, but what the peer still sends is read and dropped until it closes too, the time is up or it
-    // has sent too much: a close over unread bytes would be a reset, which takes back from the peer what it
-    // has not yet read.
+    void close();              // at once, without a callback
+    void closeAfterWriting();  // once the kernel has all that was written
+    // Like closeAfterWriting, but first shuts down the write side and discards input until the peer closes,
+    // the time is up or the peer has sent too much. Closing a socket with unread input sends a reset, upon
+    // which the peer loses data that it has not read yet.
     void closeLingering(Micros within);
-    bool nothingUnread() const;                                // nothing has come in that was not read
-    bool peerHasClosed() const;                                // its end has come, read or not
-    void readNextTurn() { loop_.callNextTurn(id_, EPOLLIN); }  // in the next turn; its end, if it has come
-    // Once the peer has left, what it sent before that is not read any more.
+    bool nothingUnread() const;  // the receive buffer is empty
+    bool peerHasClosed() const;  // also where unread data precedes the end
+    // Reads in the next turn, and reports the peer's close if it has come.
+    void readNextTurn() { loop_.callNextTurn(id_, EPOLLIN); }
+    // From now on, unread input is dropped once the peer has closed.
     void dropInputOnPeerClose() { dropInputOnPeerClose_ = true; }
-    // What has come in was more than a turn's share, for some turns now.
+    // Input has exceeded the budget of each turn for longer than kReadBacklogThreshold.
     bool readBacklogged() const {
         return backloggedSince_ && loop_.now() - *backloggedSince_ > kReadBacklogThreshold;
     }
-    // How long ago the last byte came in, read or not; zero where the system does not tell.
+    // Time since the kernel received the last byte, read or not; zero if unknown.
     Micros timeSinceLastReceive() const;
-    bool allAcknowledged() const {
-        return unacknowledgedBytes() == 0;
-    }  // the peer's machine has all that was written
-
+    bool allAcknowledged() const { return unacknowledgedBytes() == 0; }
     std::uint32_t ready(std::uint32_t events) override;
 
 private:
@@ -83,7 +82,7 @@
     void end(CloseReason reason);
     void allWritten();
     void checkLinger();
-    std::size_t unacknowledgedBytes() const;  // of what was written, by the peer's machine
+    std::size_t unacknowledgedBytes() const;  // queued here or unacknowledged in the kernel
     std::uint32_t readAvailable();
 
     Loop& loop_;
@@ -95,19 +94,19 @@
     std::size_t frontSentBytes_ = 0;
     std::size_t unsentBytes_ = 0;
     bool paused_ = false;
-    bool readable_ = false;    // an edge came while paused
-    bool peerClosed_ = false;  // its end was seen behind what is still to be read
+    bool readable_ = false;    // input may be available; set while paused
+    bool peerClosed_ = false;  // possibly with unread data before the end
     bool dropInputOnPeerClose_ = false;
     bool closing_ = false;
     bool lingering_ = false;
-    bool writeShutDown_ = false;  // the peer has been told that nothing more comes
+    bool writeShutDown_ = false;
     std::size_t discardedBytes_ = 0;
-    std::size_t unacknowledgedBytes_ = 0;  // untaken when last looked at
+    std::size_t unacknowledgedBytes_ = 0;  // at the last check of the linger
     Micros lingerTime_{}, lastProgressAt_{};
     Loop::TimerKey timer_{};
     static constexpr Micros kReadBacklogThreshold{10'000};
     std::optional<Micros> backloggedSince_;
-    bool sendBroken_ = false;  // a send has failed for good; what came before is still read
+    bool sendBroken_ = false;  // a send failed permanently; earlier input is still read
     std::optional<Loop::TimerKey> retry_;
     std::uint32_t retryEvents_ = 0;
     sockaddr_in to_{};
--- a/src/net/system_errors.hpp
+++ b/src/net/system_errors.hpp
@@ -1,4 +1,4 @@
-// What an errno means for whoever has to decide whether the same call is worth another try.
+// Classifies errno values for callers that decide whether to retry a system call.
 #pragma once
 
 #include <cerrno>
@@ -7,33 +7,32 @@
 
 namespace lotuslead::net {
 
-// Memory or descriptors of this machine are short. Nothing has happened, and the same call may succeed in a
-// moment; no edge of epoll tells when.
+// This machine is short of memory or descriptors. The call had no effect and may succeed soon; no epoll edge
+// announces when.
 inline bool isResourceShortage(int error) {
     return error == ENOBUFS || error == ENOMEM || error == EMFILE || error == ENFILE;
 }
 
 inline bool isDescriptorShortage(int error) { return error == EMFILE || error == ENFILE; }
 
-// socket or connect failed on this machine: no word on the peer, which has not been asked.
+// socket or connect failed on this machine, without contact to the peer.
 inline bool isLocalConnectFailure(int error) {
     return isResourceShortage(error) || error == EADDRNOTAVAIL || error == EAGAIN || error == ENETUNREACH ||
            error == ENETDOWN || error == ECONNABORTED;
 }
 
-// A non-blocking call has done all there was to do.
+// A non-blocking call found nothing to do.
 inline bool wouldBlock(int error) { return error == EAGAIN || error == EWOULDBLOCK; }
 
-// For calls before there is a loop, without which the process could not go on: made again, for up to 2 s,
-// while this machine is short of something. Returns what the last call did, a negative number with errno set
-// where it failed.
+// Repeats a call for up to 2 s while this machine is short of a resource; for calls at startup, before there
+// is a Loop with timers. Returns the result of the last call: negative, with errno set, if it failed.
 template <class Call>
 int retryWhileShort(Call call) {
-    constexpr int kTries = 200;
-    constexpr std::chrono::milliseconds kWait{10};
+    constexpr int kMaxAttempts = 200;
+    constexpr std::chrono::milliseconds kRetryDelay{10};
     int result = call();
-    for (int i = 1; i < kTries && result < 0 && (isResourceShortage(errno) || errno == EINTR); ++i) {
-        std::this_thread::sleep_for(kWait);
+    for (int i = 1; i < kMaxAttempts && result < 0 && (isResourceShortage(errno) || errno == EINTR); ++i) {
+        std::this_thread::sleep_for(kRetryDelay);
         result = call();
     }
     return result;
