--- a/src/settings/disk.cpp
+++ b/src/settings/disk.cpp
@@ -85,7 +85,8 @@
     section.whole("most_marks", 64, 16'000'000, result.mostMarks);
     section.whole("read_wait_ms", 1, 10'000, result.readWaitMs);
     section.whole("purge_slack_ms", 0, 60'000, result.purgeSlackMs);
-    section.whole("bus_silence_ms", 1600, 60'000, result.busSilenceMs);  // a quiet bus answers each second
+    section.whole("bus_silence_ms", 1600, 60'000,
+                  result.busSilenceMs);  // an idle bus answers once per second
     section.flag("bus_keeps_positions", result.busKeepsPositions);
     section.flag("tables", result.tables);
     section.share("probation_share", 0.01, 0.5, result.probationShare);
--- a/src/settings/disk.hpp
+++ b/src/settings/disk.hpp
@@ -1,5 +1,5 @@
-// The operator's file that switches the disk tier on, named by LB_DISK: for each front that has one, where it
-// is and what it may take.
+// The settings of the disk tier, from the file that LB_DISK names: for each front with a tier, its folder and
+// its limits.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +11,19 @@
 namespace lotuslead::settings {
 
 struct DiskSettings {
-    enum class Sync { never, sealed, each };        // when records are made to last
-    enum class Admission { ghost, sketch, plain };  // what remembers parts that are not held
+    enum class Sync { never, sealed, each };        // when records are synced to the disk
+    enum class Admission { ghost, sketch, plain };  // filter that remembers parts that are not stored
 
     std::string folder;
-    std::int64_t capacityMb = 4096;  // of all segment files
-    std::int64_t segmentMb = 64;     // at most an eighth of that
+    std::int64_t capacityMb = 4096;  // total of all segment files
+    std::int64_t segmentMb = 64;     // at most an eighth of capacityMb
     std::int64_t mostParts = 262144;
-    std::int64_t queueMb = 32;    // that wait to be written; beyond it admissions are dropped
-    std::int64_t mostReads = 64;  // that wait to be read; beyond it hits are misses
+    std::int64_t queueMb = 32;    // waiting to be written; above it, admissions are dropped
+    std::int64_t mostReads = 64;  // waiting to be read; above it, hits are treated as misses
     std::int64_t mostMarks = 65536;
-    std::int64_t readWaitMs = 100;  // then the part is fetched instead
+    std::int64_t readWaitMs = 100;  // after it, the part is fetched instead of read
     std::int64_t purgeSlackMs = 1000;
-    std::int64_t busSilenceMs = 2000;  // then nothing is served from it
+    std::int64_t busSilenceMs = 2000;  // after it, nothing is served from the tier
     bool busKeepsPositions = false;
     bool tables = true;
     double probationShare = 0.1;
@@ -32,12 +32,12 @@
     Admission admission = Admission::ghost;
 };
 
-// By front; a front that is not named has no tier.
+// The settings by front; a front without an entry has no disk tier.
 struct DiskConfiguration {
     std::optional<DiskSettings> platform, repository;
 };
 
-// Throws Malformed, with the field named. Fields that it does not know are refused.
+// Throws DecodeError with the name of the field; unknown fields are rejected.
 DiskConfiguration readDiskConfiguration(const std::string& text);
 
 }  // namespace lotuslead::settings
--- a/src/settings/fields.hpp
+++ b/src/settings/fields.hpp
@@ -1,4 +1,5 @@
-// Reading JSON fields: each value that can't be used is told by the name of its field. For decoders only.
+// Reads typed JSON fields; an unusable value throws DecodeError with the name of its field. For decoders
+// only.
 #pragma once
 
 #include <cmath>
@@ -15,7 +16,7 @@
     throw DecodeError("field '" + key + "' is not " + wanted);
 }
 
-// Absent and null are the same.
+// Returns null for a field that is absent or null.
 inline const json* findValue(const json& object, const std::string& key) {
     if (!object.is_object()) throw DecodeError("'" + key + "' sought in no object");
     const auto found = object.find(key);
@@ -55,7 +56,7 @@
     if (!value) return fallback;
     if (value->is_string()) return value->get<std::string>();
     if (value->is_number_integer() && value->get<std::int64_t>() == 0)
-        return fallback;  // 0 stands for an absent name
+        return fallback;  // 0 means that there is no name
     throwWrongType(key, "text");
 }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -41,7 +41,8 @@
     return Siblings::none;
 }
 
-// What a request can't be served without is never guessed: a file that lacks it is not whole.
+// For values without which requests cannot be served: there is no default, and a file without them is
+// rejected as incomplete.
 std::int64_t requirePositive(const json& object, const std::string& key) {
     if (!findValue(object, key)) throw DecodeError("field '" + key + "' is missing");
     const std::int64_t number = integerOr(object, key, 0);
@@ -215,7 +216,7 @@
 
 namespace {
 
-// For each name of the fresh list its place in the old one, which grows by the names that are new.
+// For each name of `fresh`, its index in `names`, to which new names are appended.
 std::vector<std::size_t> placesOf(const std::vector<std::string>& fresh, std::vector<std::string>& names) {
     std::vector<std::size_t> places;
     for (const std::string& name : fresh) {
@@ -229,7 +230,7 @@
 template <class Item>
 std::vector<Item> moved(const std::vector<Item>& fresh, const std::vector<std::size_t>& places,
                         std::vector<Item> into, std::size_t size, const Item& absent) {
-    if (fresh.empty()) return {};  // not told
+    if (fresh.empty()) return {};  // not set
     into.resize(size, absent);
     for (std::size_t i = 0; i < std::min(fresh.size(), places.size()); ++i) into[places[i]] = fresh[i];
     return into;
@@ -279,8 +280,8 @@
 
 namespace {
 
-// Whatever the object in force has the fresh one must have, too. Lists are looked at by their readers, and
-// events are the bus's.
+// Collects the paths of all fields that are set, for requireSameFields. Lists are checked by their decoders;
+// "known" holds events and is left out.
 void collectPaths(const json& object, const std::string& before, std::set<std::string>& paths) {
     for (const auto& [key, value] : object.items()) {
         if (value.is_null() || before + key == "known") continue;
@@ -314,7 +315,8 @@
         static_cast<int>(std::min(integerOr(limits, "memory_mb", result.limits.memoryMb), kMost));
     result.limits.sockets =
         static_cast<int>(std::min(integerOr(limits, "sockets", result.limits.sockets), kMost));
-    // Below these a process has no room for its own. The upper bounds only keep sums from running over.
+    // Below these a process lacks room for its own needs. The upper bound kMost only prevents overflow of
+    // sums.
     if (result.limits.memoryMb < 12) throw DecodeError("field 'limits.memory_mb' is under 12");
     if (result.limits.sockets < 48) throw DecodeError("field 'limits.sockets' is under 48");
     if (const json* bus = findValue(root, "bus"); bus && bus->is_array()) {
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -1,4 +1,4 @@
-// The one decoder of the settings, of the gateway's configuration and of the event bus's events.
+// Decodes the settings, the gateway's configuration file and the events of the event bus from JSON.
 #pragma once
 
 #include <cstdint>
@@ -14,24 +14,24 @@
 
 namespace lotuslead::settings {
 
-// The message names the field at fault and fits one line.
+// An input that cannot be decoded. The message is one line and names the offending field.
 struct DecodeError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// The settings, and the names by which later events refer to them.
+// The settings, with the names of classes, zones and store types by which requests and events refer to them.
 struct DecodedSettings {
     Settings settings;
-    std::unordered_map<std::string, int> classes;  // those that may be asked for
+    std::unordered_map<std::string, int> classes;  // indexes of the classes that requests may name
     std::unordered_map<std::string, int> zones;
-    std::vector<std::string> classNames;  // by place, also of classes that a later file no longer has
+    std::vector<std::string> classNames;  // by index, including classes that a reloaded file dropped
     std::vector<std::string> zoneNames;
-    std::string parentType;  // empty: the site has no parents
+    std::string parentType;  // empty: there are no parents
     std::string originType;
-    Time connectTimeout{};  // zero: not told
-    Time idleTimeout{};     // zero: not told
+    Time connectTimeout{};  // zero: not set
+    Time idleTimeout{};     // of kept connections; zero: not set
     int streamsPerConnection = 0;
-    double bytesPerKb = 0;  // on the sockets, for a KB of the settings; zero: not told
+    double bytesPerKb = 0;  // socket bytes per KB as counted in the settings; zero: not set
 
     Role roleOf(const std::string& type) const;
     int zoneOf(const std::string& name) const;
@@ -39,12 +39,12 @@
 
 DecodedSettings readSettings(const nlohmann::json& info);
 
-// The settings of a file that is read again: what both know keeps its place, so that requests in hand and
-// hosts that were listed before go on meaning the same.
+// Merges the settings of a reloaded file: classes and zones that both have keep their indexes, so that open
+// requests and listed hosts remain valid.
 DecodedSettings mergeReloaded(const DecodedSettings& before, const DecodedSettings& fresh);
 
 struct Endpoint {
-    std::string host;  // numeric
+    std::string host;  // a numeric IPv4 address
     std::uint16_t port = 0;
     bool operator==(const Endpoint&) const = default;
 };
@@ -60,54 +60,56 @@
     Endpoint listen;
     std::uint64_t seed = 0;
     Limits limits;
-    std::vector<Endpoint> bus;                // one, or several that tell the same; none: there is no bus
-    std::optional<Endpoint> operatorAddress;  // none: it is off
-    nlohmann::json known;                     // the events up to now, in the form of the event bus
+    std::vector<Endpoint> bus;                // several carry the same events; empty: there is no bus
+    std::optional<Endpoint> operatorAddress;  // of the operators' HTTP endpoint; none: it is off
+    nlohmann::json known;                     // the events up to now, in the format of the event bus
     double flowBytesPerSecond = 0,
-           linkBytesPerSecond = 0;  // a second: of one transfer, of all; zero: not told
+           linkBytesPerSecond = 0;  // of one transfer, of all; zero: not set
     DecodedSettings decoded;
-    std::set<std::string> paths;  // of all its fields
+    std::set<std::string> paths;  // of all fields that are set
 };
 
 Configuration readConfiguration(const std::string& text);
-// A file that is read again and lacks a field that the one in force has is not whole; throws Malformed.
+// Throws DecodeError if a reloaded file lacks a field of the current one, since it may be incomplete.
 void requireSameFields(const std::set<std::string>& before, const std::set<std::string>& fresh);
 
-// What the repository front serves: its configuration has the same form, and these besides.
+// A path prefix that the repository front serves, with the class and group of its requests.
 struct Route {
     std::string prefix;
     int classIndex = 0;
     std::string className;
     std::int64_t group = 0;
 };
+// The configuration of the repository front: that of a gateway, with further fields.
 struct RepositoryConfiguration {
     Configuration base;
     std::vector<Route> routes;
     std::size_t partBytes = 256 * 1024;           // files are fetched in parts of this size
-    std::size_t maxIndexBytes = 4 * 1024 * 1024;  // indexes are fetched whole
+    std::size_t maxIndexBytes = 4 * 1024 * 1024;  // limit for indexes, which are fetched whole
 };
 RepositoryConfiguration readRepositoryConfiguration(const std::string& text);
 
-// One event of the event bus: a change of the list, or a purge.
+// A store as an event of the event bus lists it.
 struct ListedStore {
     std::string name, address, zone, type;
     std::int64_t cell = 0;
     double weight = 1;
-    std::int64_t sinceMs = 0;  // Unix milliseconds of a late start, or 0
+    std::int64_t sinceMs = 0;  // Unix milliseconds of its start, if it started late; otherwise 0
     Readiness readiness = Readiness::ready;
 };
+// One event of the event bus: a change of the list of stores, or a purge.
 struct BusEvent {
     std::int64_t offset = 0;
     bool isStoreList = false;
-    bool whole = false;
+    bool whole = false;  // a snapshot: stores that it does not name are gone
     std::vector<ListedStore> stores;
-    std::string purgedObject;  // empty: the whole group
+    std::string purgedObject;  // empty: the purge concerns the whole group
     std::int64_t purgedGroup = 0;
     std::int64_t purgedMs = 0;  // Unix milliseconds
 };
 struct BusBatch {
     std::int64_t offset = 0;
-    std::int64_t last = 0;  // the last event that there is; beyond `offset`: this is not all yet
+    std::int64_t last = 0;  // offset of the newest event; above `offset` if more batches follow
     std::vector<BusEvent> events;
 };
 BusBatch readBatch(const nlohmann::json& batch);
