--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -1,4 +1,4 @@
-// Drives one Router by hand: a clock, a small fleet, and what the router did.
+// Drives one Router in unit tests: a manual clock, a small fleet and the actions of the last call.
 #pragma once
 
 #include <optional>
@@ -67,7 +67,7 @@
         router_.handle(now, HostList{whole, std::move(entries)}, last);
     }
 
-    // Three caches of the own zone, two parents and the origin.
+    // Lists three caches of the router's own zone, two parents and the origin.
     void listBasicFleet() {
         list({cache("c1"), cache("c2"), cache("c3"), host("p1", Role::parent, 0, 20),
               host("p2", Role::parent, 0, 20), host("o", Role::origin, 0, 1)});
@@ -156,7 +156,7 @@
     }
     bool answered() const { return all<Refuse>().size() + all<Fail>().size() == 1; }
 
-    // Names and time enough for the filter to count as grown up, each answered at once.
+    // Sends requests for enough names, over enough time, for the admission filter to count as warmed up.
     void warmUpFilter(int names = 600) {
         for (int i = 0; i < names; ++i) {
             const RequestId id = ask("filler" + std::to_string(i));
@@ -165,7 +165,7 @@
         }
     }
 
-    // Makes the object a known name.
+    // Requests the object once, so that the admission filter knows its name.
     void makeKnown(const std::string& object, std::int64_t part = 0, int classIndex = 1) {
         const RequestId id = ask(object, part, classIndex);
         end(id, 0, Outcome::served);
@@ -174,7 +174,7 @@
     std::size_t places() const { return router_.places(); }
 
     Time now = 1000s;
-    Time attemptTime{};  // by the attempts that end
+    Time attemptTime{};  // elapsed time that ended attempts report
     Actions last;
 
 private:
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -1,5 +1,5 @@
-// For stories over loopback sockets: the real program as a child, scripted peers, and plain blocking
-// connections. Every wait ends by an event; the time limits only end a story that has failed.
+// Helpers for integration tests over loopback sockets: the gateway as a child process, scripted peers and
+// blocking connections. Waits end by events; their time limits only end a test that has failed.
 #pragma once
 
 #include <arpa/inet.h>
@@ -32,17 +32,18 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr int kWaitLimitSeconds = 20;  // seconds
+constexpr int kWaitLimitSeconds = 20;
 
+// A blocking TCP connection that reads lines, RESP arrays and HTTP heads.
 class Connection {
 public:
     explicit Connection(int fd) : fd_(fd) {
         const timeval limit{kWaitLimitSeconds, 0};
         ::setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
-        const int on = 1;  // what is sent is under way at once, whoever has not read what came before
+        const int on = 1;  // send at once, without waiting for acknowledgements of earlier data
         ::setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     }
-    // With `room`, the system keeps about so many bytes that were not read yet.
+    // `room`: size of the receive buffer in bytes; 0 keeps the system's default.
     explicit Connection(std::uint16_t port, int room = 0)
         : Connection(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
         if (room > 0) ::setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &room, sizeof room);
@@ -67,14 +68,14 @@
         ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
     }
     void shut() { ::shutdown(fd_, SHUT_RDWR); }
-    // Reads wait so long at most; what has not come by then counts as never.
+    // Limits how long reads wait for data.
     void waitAtMost(std::chrono::seconds time) {
         const timeval limit{time.count(), 0};
         ::setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
     }
     void shutSending() { ::shutdown(fd_, SHUT_WR); }
 
-    // An empty answer: the peer has closed.
+    // Empty if the peer has closed.
     std::vector<std::string> readResp() {
         const std::string head = line();
         std::vector<std::string> words;
@@ -88,7 +89,7 @@
         }
         return words;
     }
-    // The head of an HTTP message, with its blank line; empty: closed.
+    // The head of an HTTP message with its final empty line; empty if the peer has closed.
     std::string readHead() {
         std::string head;
         for (std::string next; !(next = line()).empty();) {
@@ -126,7 +127,7 @@
     std::string buffer_;
 };
 
-// Listens on a port of the system's choice; each connection is served by the script in a thread of its own.
+// Listens on an ephemeral port and runs the script for each connection in a thread of its own.
 class Peer {
 public:
     using Script = std::function<void(Connection&)>;
@@ -155,7 +156,7 @@
         start();
     }
     std::uint16_t port() const { return port_; }
-    int descriptor() const { return fd_; }  // for a program to inherit, where no script takes connections
+    int descriptor() const { return fd_; }  // for a program to inherit, if there is no script
     std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
 
 private:
@@ -176,7 +177,7 @@
     std::vector<std::thread> threads_;
 };
 
-// A counter that threads raise and the story waits for.
+// A counter that threads increment and a test waits for.
 class EventCounter {
 public:
     void raise() {
@@ -201,10 +202,11 @@
     int count_ = 0;
 };
 
-// The event bus. `told(n)` returns once the gateway has asked again, and so has applied event n.
+// A stand-in for the event bus. tell() returns once the gateway has polled again, and so has applied the
+// event.
 class Bus {
 public:
-    // A curt one ends each connection after one answer.
+    // `closesAfterAnswer`: ends each connection after one answer.
     explicit Bus(bool closesAfterAnswer = false, int last = 1)
         : last_(last), closesAfterAnswer_(closesAfterAnswer), peer_([this](Connection& c) { serve(c); }) {}
     ~Bus() {
@@ -221,21 +223,21 @@
         assert(came);
     }
 
-    // What was noted is with the gateway's machine, whether or not it has been read.
+    // Waits until all events have been sent, whether or not the gateway has read them.
     void awaitSent() {
         std::unique_lock lock(mutex_);
         const bool came =
             changed_.wait_for(lock, std::chrono::seconds(kWaitLimitSeconds), [&] { return sent_ >= last_; });
         assert(came);
     }
-    // Whether or not anybody asks.
+    // Adds an event without waiting for a poll.
     void note(json event) {
         const std::lock_guard lock(mutex_);
         event["offset"] = ++last_;
         events_.push_back(std::move(event));
         changed_.notify_all();
     }
-    // The events up to now are not told any more.
+    // Drops all events up to now from later answers.
     void forget() {
         const std::lock_guard lock(mutex_);
         events_.clear();
@@ -265,7 +267,7 @@
     std::mutex mutex_;
     std::condition_variable changed_;
     std::vector<json> events_;
-    int last_;  // the first event is the list under `known`
+    int last_;  // event 1 is the list in the configuration's field `known`
     int asked_ = 0, sent_ = 0;
     bool over_ = false;
     bool closesAfterAnswer_;
@@ -282,6 +284,7 @@
     return {{"topology", {{"index", 1}, {"snapshot", whole}, {"endpoints", hosts}}}};
 }
 
+// A gateway's configuration with the given hosts in the zones hub and edge.
 inline json configuration(const std::vector<json>& hosts) {
     const auto ms = [](long long n) { return n * 1'000'000; };
     const auto category = [&](const char* name, const char* effect, long long aim, long long limit) {
@@ -324,7 +327,7 @@
                 {"purgeSettles", ms(6000)}}}}}};
 }
 
-// One call at the operators' door; the status of its answer.
+// Sends one request to the operators' address and returns the status of the response, or 0.
 inline int callOperatorAddress(std::uint16_t port, const std::string& call) {
     Connection c(port);
     c.send(call + " HTTP/1.1\r\nHost: here\r\n\r\n");
@@ -332,12 +335,11 @@
     return head.size() > 12 ? std::atoi(head.c_str() + 9) : 0;
 }
 
-// The program itself, with its log.
+// The gateway as a child process, with its log.
 class Program {
 public:
-    // `descriptors`: how many the system lets it have.
+    // `descriptors`: its limit of open files. `socket` is inherited as descriptor 5.
     using Variables = std::vector<std::pair<std::string, std::string>>;
-    // `socket` is inherited as descriptor 5.
     explicit Program(const std::string& configuration, const char* variable = "LB_CONFIG",
                      rlim_t descriptors = 1024, const Variables& variables = {}, int socket = -1) {
         char folder[] = "/tmp/lotuslead-test-XXXXXX";
@@ -345,7 +347,7 @@
         std::ofstream(folder_ + "/config.json") << configuration;
         pid_ = ::fork();
         if (pid_ == 0) {
-            ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // also when an assert ends the story
+            ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // also when an assert ends the test
             const rlimit limit{descriptors, descriptors};
             ::setrlimit(RLIMIT_NOFILE, &limit);
             ::setenv(variable, (folder_ + "/config.json").c_str(), 1);
@@ -383,7 +385,7 @@
         std::abort();
     }
     void signal(int number) { ::kill(pid_, number); }
-    // Nothing of it runs until goOn(): what comes meanwhile is all there in its next turn.
+    // Stops the process until resume(), so that all input from the meantime is ready in its next turn.
     void suspend() {
         ::kill(pid_, SIGSTOP);
         int status = 0;
@@ -391,7 +393,7 @@
         assert(WIFSTOPPED(status));
     }
     void resume() { ::kill(pid_, SIGCONT); }
-    // Prints its counters until they have this text.
+    // Makes the process print its counters until they contain this text.
     void awaitCounters(const std::string& text) {
         const std::size_t from = log().size();
         for (int i = 0; i < kWaitLimitSeconds * 100; ++i, std::this_thread::sleep_for(10ms)) {
@@ -401,7 +403,7 @@
         std::fprintf(stderr, "never counted '%s':\n%s\n", text.c_str(), log().c_str());
         std::abort();
     }
-    // Until the log has this text; returns the log.
+    // Waits until the log contains this text so many times; returns the log.
     std::string awaitLog(const std::string& text, int times = 1) const {
         for (int i = 0; i < kWaitLimitSeconds * 200; ++i, std::this_thread::sleep_for(5ms)) {
             std::string all = log();
@@ -442,7 +444,7 @@
     pid_t pid_ = -1;
 };
 
-// A client of the platform's front, and stores.
+// The entity that call() asks for.
 inline const std::string kEntity = "7f3a9c21e0b4d655";
 
 inline void call(Connection& client, const std::string& tag, const std::string& more = "",
@@ -456,7 +458,7 @@
          body});
 }
 
-// Answers every PULL by the given function; what is not a PULL is passed over.
+// A script that answers every PULL with the given function and ignores other messages.
 using Answer = std::function<void(Connection&, const std::vector<std::string>&)>;
 inline Peer::Script store(const Answer& answer) {
     return [answer](Connection& c) {
@@ -469,7 +471,7 @@
         c.sendResp({w[1], "ok", "tag=4be0c1927d55a6f3,minted=1764576000000,remark=local", body});
     };
 }
-// Tells of each call, and answers none before it may.
+// Counts each PULL in `pulled` and answers only once `may` has been raised.
 inline Answer servingAfter(EventCounter& pulled, EventCounter& may, const std::string& body) {
     return [&pulled, &may, answer = serving(body)](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
@@ -478,6 +480,7 @@
     };
 }
 
+// A parent and an origin, to be listed with the caches of a test.
 struct Fleet {
     Peer parent{store(serving("p"))}, origin{store(serving("o"))};
     std::vector<json> with(std::vector<json> caches) const {
@@ -487,6 +490,7 @@
     }
 };
 
+// The value of a field in a list of the form "name=value,name=value".
 inline std::string valueOf(const std::string& fields, const std::string& name) {
     std::istringstream all(fields);
     for (std::string one; std::getline(all, one, ',');)
@@ -494,6 +498,7 @@
     return {};
 }
 
+// The value of a field in the head of an HTTP message.
 inline std::string fieldOf(const std::string& head, const std::string& name) {
     std::istringstream lines(head);
     for (std::string line; std::getline(lines, line);)
