--- a/tests/departed_clients_test.cpp
+++ b/tests/departed_clients_test.cpp
@@ -115,10 +115,11 @@
         c.shut();
     };
     Peer first(breakingOff), second(breakingOff), parent(breakingOff), origin(breakingOff);
-    Program program(repository({host("cache-1", first.address()), host("cache-2", second.address()),
-                                host("parent-1", parent.address(), "parent"),
-                                host("origin-1", origin.address(), "origin")}),
-                    "LB_REPOSITORY");
+    Program program(
+        repositoryConfiguration({host("cache-1", first.address()), host("cache-2", second.address()),
+                                 host("parent-1", parent.address(), "parent"),
+                                 host("origin-1", origin.address(), "origin")}),
+        "LB_REPOSITORY");
     auto client = std::make_unique<Connection>(program.port());
     ask(*client, path);
     held.await(1);
@@ -137,7 +138,7 @@
     std::atomic<int> fetches{0};
     const auto count = [&](const std::string&, const std::string&) { ++fetches; };
     Repository cache(40'000'000, count), origin(40'000'000, count);
-    Program program(repository(cache, origin), "LB_REPOSITORY");
+    Program program(repositoryConfiguration(cache, origin), "LB_REPOSITORY");
     {
         Connection client(program.port(), 4096);
         ask(client, "/files/tool.bin");
--- a/tests/disk_story_test.cpp
+++ b/tests/disk_story_test.cpp
@@ -47,7 +47,7 @@
 
 struct Site {
     explicit Site(std::size_t size = 3'000'000) : server(size) {
-        settings = repository(server, server);
+        settings = repositoryConfiguration(server, server);
         settings["bus"] = bus.address();
     }
     Repository server;
@@ -59,7 +59,7 @@
 void warm(Program& program, Repository& server) {
     for (int i = 0; i < 3; ++i) {
         Connection c(program.port());
-        const Got file = get(c, "/files/tool.bin");
+        const Response file = get(c, "/files/tool.bin");
         assert(file.status == 200 && file.body == server.file);
         assert(get(c, "/index/plugins.json").status == 200);
     }
@@ -90,8 +90,8 @@
     if (!disk.empty()) program.awaitLog(" segments at ");
     const std::size_t before = site.server.bytesSent();
     Connection c(program.port());
-    const Got file = get(c, "/files/tool.bin");
-    assert(file.status == 200 && file.whole && file.body == site.server.file);
+    const Response file = get(c, "/files/tool.bin");
+    assert(file.status == 200 && file.complete && file.body == site.server.file);
     return site.server.bytesSent() - before;
 }
 
@@ -189,8 +189,8 @@
     Program program(site.settings, "LB_REPOSITORY", 1024, variables);
     program.awaitLog(" segments at ");
     Connection c(program.port());
-    const Got got = get(c, "/files/tool.bin");
-    assert(got.status == 200 && got.whole && got.body == site.server.file);
+    const Response got = get(c, "/files/tool.bin");
+    assert(got.status == 200 && got.complete && got.body == site.server.file);
     program.signal(SIGUSR1);
     program.awaitLog(" disk_kept ");
     assert(counter(program, "disk_kept", "superseded") >= 1);
--- a/tests/held_up_test.cpp
+++ b/tests/held_up_test.cpp
@@ -106,7 +106,7 @@
 void aRepositoryClientThatHasLeftIsNotAskedFor() {
     const std::string path = "/index/plugins.json";
     Repository server(100'000);
-    Program program(repository(server, server), "LB_REPOSITORY");
+    Program program(repositoryConfiguration(server, server), "LB_REPOSITORY");
     Connection client(program.port());
     assert(get(client, path).status == 200);
     const int asked = server.requests(path);
--- a/tests/repository_server.hpp
+++ b/tests/repository_server.hpp
@@ -1,4 +1,4 @@
-// A stand-in for a repository server (RFC 9110), and a client's side of HTTP/1.1.
+// A stand-in for a repository server (RFC 9110), and helpers for HTTP/1.1 clients.
 #pragma once
 
 #include <set>
@@ -7,13 +7,15 @@
 
 namespace lotuslead::testing {
 
-// A repository server that knows GET and single ranges. The index says which version it is; a file is `size`
-// bytes of a pattern. `hold` is called before each answer.
+// A repository server for GET with single ranges. The index contains its version number; the file is `size`
+// bytes of a pattern. `beforeAnswer` is called before each answer and may block.
 class Repository {
 public:
-    using Hold = std::function<void(const std::string& path, const std::string& head)>;
-    explicit Repository(std::size_t size, Hold hold = {})
-        : file(size, '\0'), hold_(std::move(hold)), peer_([this](Connection& c) { serve(c); }) {
+    using BeforeAnswer = std::function<void(const std::string& path, const std::string& head)>;
+    explicit Repository(std::size_t size, BeforeAnswer beforeAnswer = {})
+        : file(size, '\0'),
+          beforeAnswer_(std::move(beforeAnswer)),
+          peer_([this](Connection& c) { serve(c); }) {
         for (std::size_t i = 0; i < size; ++i) file[i] = static_cast<char>('a' + i * 7 % 26 + i / 4096 % 3);
     }
     std::string address() const { return peer_.address(); }
@@ -34,9 +36,9 @@
                 const std::lock_guard lock(mutex_);
                 paths_.insert(path);
             }
-            // The copy is taken when the request comes; what is answered later is as old as that.
+            // The index is read when the request arrives, so a delayed answer carries the old version.
             const std::string index = "version " + std::to_string(version) + "\n";
-            if (hold_) hold_(path, head);
+            if (beforeAnswer_) beforeAnswer_(path, head);
             answer(c, path, head, index);
         }
     }
@@ -69,47 +71,50 @@
              file.substr(first, last - first + 1));
     }
 
-    Hold hold_;
+    BeforeAnswer beforeAnswer_;
     std::mutex mutex_;
     std::multiset<std::string> paths_;
     std::atomic<std::size_t> bytesSent_{0};
     Peer peer_;
 };
 
-inline json repository(const std::vector<json>& hosts) {
+// The configuration of a repository front with the given hosts.
+inline json repositoryConfiguration(const std::vector<json>& hosts) {
     json settings = configuration(hosts);
     settings["part_bytes"] = 65536;
     settings["routes"] = {{{"prefix", "/index/"}, {"class", "page"}, {"group", 5}},
                           {{"prefix", "/files/"}, {"class", "installer"}, {"group", 6}}};
     return settings;
 }
-inline json repository(Repository& cache, Repository& origin) {
-    return repository({host("cache-1", cache.address()), host("parent-1", origin.address(), "parent"),
-                       host("origin-1", origin.address(), "origin")});
+inline json repositoryConfiguration(Repository& cache, Repository& origin) {
+    return repositoryConfiguration({host("cache-1", cache.address()),
+                                    host("parent-1", origin.address(), "parent"),
+                                    host("origin-1", origin.address(), "origin")});
 }
 
-struct Got {
+struct Response {
     int status = 0;
     std::string head, body;
-    bool whole = false;
+    bool complete = false;
 };
-inline Got read(Connection& c, bool bodiless = false) {
-    Got got;
-    got.head = c.readHead();
-    if (got.head.empty()) return got;
-    got.status = std::atoi(got.head.c_str() + 9);
-    const std::size_t size = bodiless || got.status == 304
-                                 ? 0
-                                 : std::strtoul(fieldOf(got.head, "Content-Length").c_str(), nullptr, 10);
-    got.body = c.exactly(size);
-    got.whole = got.body.size() == size;
-    return got;
+inline Response read(Connection& c, bool bodiless = false) {
+    Response response;
+    response.head = c.readHead();
+    if (response.head.empty()) return response;
+    response.status = std::atoi(response.head.c_str() + 9);
+    const std::size_t size =
+        bodiless || response.status == 304
+            ? 0
+            : std::strtoul(fieldOf(response.head, "Content-Length").c_str(), nullptr, 10);
+    response.body = c.exactly(size);
+    response.complete = response.body.size() == size;
+    return response;
 }
 inline void ask(Connection& c, const std::string& path, const std::string& fields = "",
                 const std::string& method = "GET") {
     c.send(method + " " + path + " HTTP/1.1\r\nHost: packages.test\r\n" + fields + "\r\n");
 }
-inline Got get(Connection& c, const std::string& path, const std::string& fields = "") {
+inline Response get(Connection& c, const std::string& path, const std::string& fields = "") {
     ask(c, path, fields);
     return read(c);
 }
--- a/tests/repository_test.cpp
+++ b/tests/repository_test.cpp
@@ -7,21 +7,22 @@
 
 void indexesAndFilesAreServedAsTheSpecificationsSay() {
     Repository server(300'000);
-    Program program(repository(server, server), "LB_REPOSITORY");
+    Program program(repositoryConfiguration(server, server), "LB_REPOSITORY");
     const std::uint16_t port = program.port();
     Connection c(port);  // one connection for all that does not end it
-    Got got = get(c, "/index/plugins.json");
-    assert(got.status == 200 && got.body == "version 1\n");
-    assert(fieldOf(got.head, "ETag") == "\"i1\"" && fieldOf(got.head, "Content-Type") == "application/json");
+    Response response = get(c, "/index/plugins.json");
+    assert(response.status == 200 && response.body == "version 1\n");
+    assert(fieldOf(response.head, "ETag") == "\"i1\"" &&
+           fieldOf(response.head, "Content-Type") == "application/json");
     assert(get(c, "/index/%70lugins.json?x=1", "If-None-Match: \"i1\"\r\n").status == 304);
     assert(get(c, "/index/plugins.json", "If-Modified-Since: Tue, 01 Dec 2026 10:00:00 GMT\r\n").status ==
            304);
 
-    got = get(c, "/files/tool.bin");
-    assert(got.status == 200 && got.body == server.file);
+    response = get(c, "/files/tool.bin");
+    assert(response.status == 200 && response.body == server.file);
     assert(server.requests("/files/tool.bin") >= 5);  // in parts of 65,536 bytes
     const auto ranged = [&](const std::string& range, std::size_t first, std::size_t size) {
-        const Got part = get(c, "/files/tool.bin", "Range: bytes=" + range + "\r\n");
+        const Response part = get(c, "/files/tool.bin", "Range: bytes=" + range + "\r\n");
         return part.status == 206 && part.body == server.file.substr(first, size) &&
                fieldOf(part.head, "Content-Range") ==
                    "bytes " + std::to_string(first) + "-" + std::to_string(first + size - 1) + "/300000";
@@ -29,22 +30,22 @@
     assert(ranged("65530-65540", 65530, 11) && ranged("299999-", 299999, 1) &&
            ranged("-70000", 230000, 70000));
     assert(ranged("0-999999", 0, 300000));
-    got = get(c, "/files/tool.bin", "Range: bytes=300000-\r\n");
-    assert(got.status == 416 && fieldOf(got.head, "Content-Range") == "bytes */300000");
+    response = get(c, "/files/tool.bin", "Range: bytes=300000-\r\n");
+    assert(response.status == 416 && fieldOf(response.head, "Content-Range") == "bytes */300000");
     assert(get(c, "/files/tool.bin", "Range: bytes=5-9\r\nIf-Range: \"other\"\r\n").status == 200);
     assert(get(c, "/files/tool.bin", "Range: bytes=5-9\r\nIf-Range: \"f1\"\r\n").body.size() == 5);
     ask(c, "/files/tool.bin", "", "HEAD");
-    got = read(c, true);
-    assert(got.status == 200 && fieldOf(got.head, "Content-Length") == "300000");
+    response = read(c, true);
+    assert(response.status == 200 && fieldOf(response.head, "Content-Length") == "300000");
 
     assert(get(c, "/elsewhere").status == 404 && get(c, "/files/none").status == 404);
     ask(c, "/index/plugins.json", "", "DELETE");
-    got = read(c);
-    assert(got.status == 405 && fieldOf(got.head, "Allow") == "GET, HEAD");
-    got = get(c, "/index/broken");
-    assert(got.status == 502);
-    got = get(c, "/index/../secret");
-    assert(got.status == 400 && c.closed());
+    response = read(c);
+    assert(response.status == 405 && fieldOf(response.head, "Allow") == "GET, HEAD");
+    response = get(c, "/index/broken");
+    assert(response.status == 502);
+    response = get(c, "/index/../secret");
+    assert(response.status == 400 && c.closed());
     Connection wild(port), fat(port);
     wild.send("nonsense\r\n\r\n");
     assert(read(wild).status == 400 && wild.closed());
@@ -55,7 +56,7 @@
 // A close over bytes that were not read resets the connection, and takes back an answer that is under way.
 void aRefusalIsReadThoughItsBodyWasNot() {
     Repository server(1000);
-    Program program(repository(server, server), "LB_REPOSITORY");
+    Program program(repositoryConfiguration(server, server), "LB_REPOSITORY");
     const std::uint16_t port = program.port();
     constexpr int kTries = 20;
     int read413 = 0;
@@ -84,9 +85,9 @@
         c.shut();
         closed.raise();
     });
-    json settings =
-        repository({host("cache-1", server.address()), host("parent-1", server.address(), "parent"),
-                    host("origin-1", server.address(), "origin")});
+    json settings = repositoryConfiguration({host("cache-1", server.address()),
+                                             host("parent-1", server.address(), "parent"),
+                                             host("origin-1", server.address(), "origin")});
     settings["settings"]["allowed"]["mostTries"] = 1;
     Program program(settings, "LB_REPOSITORY");
     const std::uint16_t port = program.port();
@@ -100,8 +101,8 @@
         }
         ask(client, "/index/plugins.json");
         if (i > 1) program.resume();
-        const Got got = read(client);
-        assert(got.status == 200 && got.body == "here");
+        const Response response = read(client);
+        assert(response.status == 200 && response.body == "here");
     }
     close.raise();
 }
@@ -121,9 +122,9 @@
             said.raise();
         }
     });
-    json settings =
-        repository({host("cache-1", server.address()), host("parent-1", server.address(), "parent"),
-                    host("origin-1", server.address(), "origin")});
+    json settings = repositoryConfiguration({host("cache-1", server.address()),
+                                             host("parent-1", server.address(), "parent"),
+                                             host("origin-1", server.address(), "origin")});
     settings["settings"]["allowed"]["mostTries"] = 1;
     Program program(settings, "LB_REPOSITORY");
     Connection before(program.port()), after(program.port());
@@ -147,14 +148,15 @@
             c.send(++asked % 2 == 1 ? "HTTP/1.1 304 Not Modified\r\nETag: \"b\"\r\n\r\n"
                                     : "HTTP/1.1 200 OK\r\nETag: \"c\"\r\nContent-Length: 4\r\n\r\nhere");
     });
-    Program program(repository({host("cache-1", server.address()), host("cache-2", server.address()),
-                                host("parent-1", server.address(), "parent"),
-                                host("origin-1", server.address(), "origin")}),
-                    "LB_REPOSITORY");
+    Program program(
+        repositoryConfiguration({host("cache-1", server.address()), host("cache-2", server.address()),
+                                 host("parent-1", server.address(), "parent"),
+                                 host("origin-1", server.address(), "origin")}),
+        "LB_REPOSITORY");
     Connection client(program.port());
     for (const char* known : {"", "If-None-Match: \"a\"\r\n"}) {
-        const Got got = get(client, "/index/plugins.json", known);
-        assert(got.status == 200 && got.body == "here");
+        const Response response = get(client, "/index/plugins.json", known);
+        assert(response.status == 200 && response.body == "here");
     }
     assert(asked == 4);
 }
@@ -166,7 +168,7 @@
         asked.raise();
         go.await(1);
     });
-    json settings = repository(server, server);
+    json settings = repositoryConfiguration(server, server);
     settings["settings"]["allowed"]["mostTries"] = 1;
     Program program(settings, "LB_REPOSITORY");
     Connection index(program.port()), file(program.port());
@@ -175,9 +177,9 @@
     asked.await(2);
     const auto begin = std::chrono::steady_clock::now();
     program.signal(SIGTERM);
-    const Got refused = read(index), cut = read(file);
+    const Response refused = read(index), cut = read(file);
     assert(refused.status == 503 || refused.status == 504);
-    assert(cut.status == 200 && !cut.whole);
+    assert(cut.status == 200 && !cut.complete);
     program.awaitLog("lotuslead: stopped, 0 requests open");
     // The longest deadline, 9 s, counts as 3; with 0.7 s more, and a slow machine.
     assert(std::chrono::steady_clock::now() - begin < 4300ms);
@@ -194,7 +196,7 @@
         if (fetching.count() == 1) purged.await(1);  // the first fetch is under way when the purge is told
     });
     Bus bus;
-    json settings = repository(server, server);
+    json settings = repositoryConfiguration(server, server);
     settings["bus"] = bus.address();
     Program program(settings, "LB_REPOSITORY");
     const std::uint16_t port = program.port();
@@ -210,17 +212,17 @@
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
     bus.tell({{"ban", {{"url", "/index/plugins.json"}, {"ts", ms}}}});
     purged.raise();
-    Got got = read(early);
-    assert(got.status == 200 && got.body == "version 2\n");
+    Response response = read(early);
+    assert(response.status == 200 && response.body == "version 2\n");
     for (int i = 0; i < 20; ++i) {
         Connection c(port);
-        got = get(c, "/index/plugins.json");
-        assert(got.status == 200 && got.body == "version 2\n");
+        response = get(c, "/index/plugins.json");
+        assert(response.status == 200 && response.body == "version 2\n");
     }
-    got = read(download);
-    assert(got.status == 200 && got.whole && got.body == server.file);
-    got = read(download);
-    assert(got.status == 200 && got.body == "version 2\n");
+    response = read(download);
+    assert(response.status == 200 && response.complete && response.body == server.file);
+    response = read(download);
+    assert(response.status == 200 && response.body == "version 2\n");
 }
 
 void aDrainMidDownloadIsRefusedCleanly() {
@@ -231,7 +233,7 @@
     });
     Repository origin(10);
     Bus bus;
-    json settings = repository(box, origin);
+    json settings = repositoryConfiguration(box, origin);
     settings["bus"] = bus.address();
     Program program(settings, "LB_REPOSITORY");
     Connection download(program.port());
@@ -239,12 +241,13 @@
     parts.await(2);
     bus.tell(topology({host("cache-1", box.address(), "small", "draining")}));
     drained.raise();
-    const Got got = read(download);
-    assert(got.status == 200 && !got.whole && got.body.size() == 2 * 65536);  // shows as incomplete
-    assert(got.body == box.file.substr(0, got.body.size()) && download.closed());
+    const Response response = read(download);
+    assert(response.status == 200 && !response.complete &&
+           response.body.size() == 2 * 65536);  // shows as incomplete
+    assert(response.body == box.file.substr(0, response.body.size()) && download.closed());
     Connection again(program.port());
-    const Got refused = get(again, "/files/tool.bin", "Range: bytes=131072-\r\n");
-    assert(refused.status == 503 && fieldOf(refused.head, "Retry-After") == "1" && refused.whole);
+    const Response refused = get(again, "/files/tool.bin", "Range: bytes=131072-\r\n");
+    assert(refused.status == 503 && fieldOf(refused.head, "Retry-After") == "1" && refused.complete);
     assert(get(again, "/index/plugins.json").status == 503);  // and the connection goes on
     assert(parts.count() == 2);                               // nothing new went to the box
 }
@@ -252,7 +255,7 @@
 void aSilentServerEndsAtTheDeadline() {
     EventCounter over;
     Repository server(10, [&](const std::string&, const std::string&) { over.await(1); });
-    json settings = repository(server, server);
+    json settings = repositoryConfiguration(server, server);
     for (json& category : settings["settings"]["categories"]) {
         category["aim"] = 200'000'000;
         category["hardLimit"] = 300'000'000;
@@ -268,7 +271,7 @@
 
 void badClientsEndSoonAndKeepNobodyOut() {
     Repository server(10);
-    json settings = repository(server, server);
+    json settings = repositoryConfiguration(server, server);
     settings["limits"]["sockets"] = 192;  // 64 of them for clients
     Program program(settings, "LB_REPOSITORY");
     const std::uint16_t port = program.port();
