--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -39,7 +39,7 @@
 }
 
 Gateway::Gateway(std::optional<settings::Endpoint> door, const char* folder)
-    : folder_(folder), meeting_(loop_, *this), givenDoor_(std::move(door)) {
+    : folder_(folder), handover_(loop_, *this), givenDoor_(std::move(door)) {
     const sigset_t set = holdSignals();
     signals_ = net::watchSignals(set);
     signalsId_ = loop_.add(signals_.get(), EPOLLIN, *this);
@@ -50,9 +50,10 @@
 void Gateway::start() {
     startedAt_ = loop_.now();
     openAddresses(AddressSet::door);  // before the clients' address: it tells that this is not yet open
-    meeting_.open(folder_);
-    if (!meeting_.problem().empty())
-        std::fprintf(stderr, "lotuslead: no meeting place for a successor: %s\n", meeting_.problem().c_str());
+    handover_.open(folder_);
+    if (!handover_.openError().empty())
+        std::fprintf(stderr, "lotuslead: no meeting place for a successor: %s\n",
+                     handover_.openError().c_str());
     for (const auto& service : services_) service->prepare();
 }
 
@@ -66,12 +67,12 @@
     const bool catchingUp = std::any_of(services_.begin(), services_.end(),
                                         [](const auto& service) { return service->catchingUp(); });
     const Micros longest = catchingUp ? kLongestCatchUp : kLongestStart;
-    const core::StartFacts facts{ready, meeting_.awaitsHandOver(), loop_.now() - startedAt_ >= longest};
+    const core::StartFacts facts{ready, handover_.awaitsState(), loop_.now() - startedAt_ >= longest};
     if (core::mayServe(facts) != core::Denial::none) return;
     if (catchingUp) std::fprintf(stderr, "lotuslead: opens without all that the event bus has to tell\n");
     if (!openAddresses(AddressSet::all)) return;
     phase_ = Phase::serving;
-    meeting_.serving();
+    handover_.announceServing();
 }
 
 // False: an address can't be had yet, such as one that an older process has not let go of.
@@ -202,7 +203,7 @@
     longest_ = Micros::max();
     boundTime();
     // Without a successor new connections still come here for a while, and have nowhere else to go.
-    handedOver_ = meeting_.successorServes();
+    handedOver_ = handover_.successorServes();
     for (const auto& service : services_) handedOver_ ? service->yield() : service->leave();
     std::fprintf(stderr, "lotuslead: leaving%s, %zu requests open\n", handedOver_ ? " to a successor" : "",
                  openRequests());
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -12,7 +12,7 @@
 
 namespace lotuslead::gateway {
 
-class Gateway : private net::Handler, private operators::Desk, private Meeting::Desk {
+class Gateway : private net::Handler, private operators::Desk, private HandoverChannel::Delegate {
 public:
     // Draining is the operators' and has a way back; leaving is what SIGTERM begins, and has none.
     enum class Phase { starting, serving, draining, leaving, stopped };
@@ -67,7 +67,7 @@
     core::Micros startedAt_{}, leavingSince_{};
     core::Micros longest_{};  // the least of the longest deadlines that have held since then
     const char* folder_;
-    Meeting meeting_;
+    HandoverChannel handover_;
     std::optional<settings::Endpoint> givenDoor_, doorAt_;
     std::unique_ptr<operators::Door> door_;
 };
--- a/src/gateway/handover.cpp
+++ b/src/gateway/handover.cpp
@@ -16,12 +16,12 @@
 namespace {
 
 // In the name and in the first word: processes of unlike versions do not meet.
-constexpr const char* kName = "/lotuslead-1.sock";
-constexpr const char* kVersion = "1";
+constexpr const char* kSocketName = "/lotuslead-1.sock";
+constexpr const char* kProtocolVersion = "1";
 constexpr net::RespParser::Limits kLimits{2, 2 * 1024 * 1024, 2 * 1024 * 1024};
-constexpr net::Micros kHandOver = 700ms;  // then it is a cold start: the platform waits 6 s in all
+constexpr net::Micros kStateTimeout = 700ms;  // then it is a cold start: the platform waits 6 s in all
 
-bool addressOf(const std::string& path, sockaddr_un& address) {
+bool setPath(const std::string& path, sockaddr_un& address) {
     address = {};
     address.sun_family = AF_UNIX;
     if (path.size() >= sizeof address.sun_path) return false;
@@ -35,11 +35,12 @@
 
 }  // namespace
 
-class Meeting::Peer : public net::Stream::Observer {
+class HandoverChannel::Peer : public net::Stream::Observer {
 public:
-    Peer(Meeting& owner, net::Descriptor fd) : owner_(owner), stream_(owner.loop_, std::move(fd), *this) {}
+    Peer(HandoverChannel& owner, net::Descriptor fd)
+        : owner_(owner), stream_(owner.loop_, std::move(fd), *this) {}
 
-    void say(std::initializer_list<std::string_view> words) {
+    void send(std::initializer_list<std::string_view> words) {
         std::string text;
         net::appendResp(text, words);
         stream_.write(std::move(text));
@@ -50,52 +51,52 @@
         while (!data.empty()) {
             const auto status = parser_.feed(data);
             if (status == net::RespParser::Status::malformed) return false;
-            if (status == net::RespParser::Status::message) owner_.received(*this, parser_.takeMessage());
+            if (status == net::RespParser::Status::message) owner_.onMessage(*this, parser_.takeMessage());
             if (stream_.closed()) return true;
         }
         return true;
     }
-    void streamEnded(net::Stream::CloseReason) override { owner_.ended(*this); }
+    void streamEnded(net::Stream::CloseReason) override { owner_.onPeerClosed(*this); }
 
-    Meeting& owner_;
+    HandoverChannel& owner_;
     net::RespParser parser_{kLimits};
     net::Stream stream_;
 };
 
-Meeting::~Meeting() {
-    if (wait_) loop_.cancel(*wait_);
+HandoverChannel::~HandoverChannel() {
+    if (stateTimer_) loop_.cancel(*stateTimer_);
 }
 
-void Meeting::open(const char* folder) {
+void HandoverChannel::open(const char* folder) {
     if (!folder) return;
-    const std::string path = std::string(folder) + kName;
+    const std::string path = std::string(folder) + kSocketName;
     connect(path);
     listen(folder, path);
 }
 
 // Nobody listens at what a dead process left: the connect is refused at once.
-void Meeting::connect(const std::string& path) {
+void HandoverChannel::connect(const std::string& path) {
     sockaddr_un address{};
     net::Descriptor fd = unixSocket();
-    if (!fd || !addressOf(path, address)) return;
+    if (!fd || !setPath(path, address)) return;
     if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) return;
     predecessor_ = std::make_shared<Peer>(*this, std::move(fd));
-    wait_ = loop_.after(kHandOver, [this] { wait_.reset(); });
-    predecessor_->say({"HELLO", kVersion});
-    count();
+    stateTimer_ = loop_.after(kStateTimeout, [this] { stateTimer_.reset(); });
+    predecessor_->send({"HELLO", kProtocolVersion});
+    reportProcessCount();
 }
 
 // Bound under a name of its own and renamed, so that there is never a moment without a place to meet.
-void Meeting::listen(const std::string& folder, const std::string& path) {
+void HandoverChannel::listen(const std::string& folder, const std::string& path) {
     const std::string own = folder + "/lotuslead-" + std::to_string(::getpid()) + ".sock";
     sockaddr_un address{};
     ::unlink(own.c_str());
     errno = 0;  // what is told is why there is no socket, not that there was nothing to unlink
     net::Descriptor fd = unixSocket();
-    if (!fd || !addressOf(path, address) || !addressOf(own, address) ||
+    if (!fd || !setPath(path, address) || !setPath(own, address) ||
         ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
         ::listen(fd.get(), 4) != 0 || ::rename(own.c_str(), path.c_str()) != 0) {
-        problem_ = errno != 0 ? std::strerror(errno) : "its path is too long";
+        openError_ = errno != 0 ? std::strerror(errno) : "its path is too long";
         ::unlink(own.c_str());
         return;
     }
@@ -105,37 +106,39 @@
     });
 }
 
-void Meeting::received(Peer& peer, const std::vector<std::string>& words) {
+void HandoverChannel::onMessage(Peer& peer, const std::vector<std::string>& words) {
     const bool fromSuccessor = successor_.get() == &peer;
-    if (fromSuccessor && words[0] == "HELLO" && words.size() == 2 && words[1] == kVersion) {
-        successor_->say({"STATE", desk_.handOver()});
-        count();
+    if (fromSuccessor && words[0] == "HELLO" && words.size() == 2 && words[1] == kProtocolVersion) {
+        successor_->send({"STATE", delegate_.handOver()});
+        reportProcessCount();
     } else if (fromSuccessor && words[0] == "SERVING") {
         successorServes_ = true;
-    } else if (!fromSuccessor && words[0] == "STATE" && words.size() == 2 && wait_) {
-        stopWaiting();
-        desk_.takeOver(words[1]);
+    } else if (!fromSuccessor && words[0] == "STATE" && words.size() == 2 && stateTimer_) {
+        stopStateTimer();
+        delegate_.takeOver(words[1]);
     }
 }
 
-void Meeting::ended(Peer& peer) {
+void HandoverChannel::onPeerClosed(Peer& peer) {
     const bool isSuccessor = successor_.get() == &peer;
     auto& ending = isSuccessor ? successor_ : predecessor_;
     if (isSuccessor) successorServes_ = false;
-    if (!isSuccessor) stopWaiting();
+    if (!isSuccessor) stopStateTimer();
     loop_.destroyAfterTurn(std::exchange(ending, nullptr));
-    count();
+    reportProcessCount();
 }
 
-void Meeting::serving() {
-    if (predecessor_) predecessor_->say({"SERVING"});
+void HandoverChannel::announceServing() {
+    if (predecessor_) predecessor_->send({"SERVING"});
 }
 
-void Meeting::count() { desk_.processesChanged(1 + (predecessor_ ? 1 : 0) + (successor_ ? 1 : 0)); }
+void HandoverChannel::reportProcessCount() {
+    delegate_.processesChanged(1 + (predecessor_ ? 1 : 0) + (successor_ ? 1 : 0));
+}
 
-void Meeting::stopWaiting() {
-    if (wait_) loop_.cancel(*wait_);
-    wait_.reset();
+void HandoverChannel::stopStateTimer() {
+    if (stateTimer_) loop_.cancel(*stateTimer_);
+    stateTimer_.reset();
 }
 
 }  // namespace lotuslead::gateway
--- a/src/gateway/handover.hpp
+++ b/src/gateway/handover.hpp
@@ -13,43 +13,43 @@
 
 namespace lotuslead::gateway {
 
-class Meeting {
+class HandoverChannel {
 public:
-    class Desk {
+    class Delegate {
     public:
-        virtual ~Desk() = default;
+        virtual ~Delegate() = default;
         virtual std::string handOver() = 0;                  // what a successor should know
         virtual void takeOver(const std::string& what) = 0;  // never throws: what can't be used is dropped
         virtual void processesChanged(int count) = 0;        // that are one gateway now, this one included
     };
 
-    Meeting(net::Loop& loop, Desk& desk) : loop_(loop), desk_(desk) {}
-    ~Meeting();
+    HandoverChannel(net::Loop& loop, DelegateDesk& delegate_) : loop_(loop), delegate_(desk) {}
+    ~HandoverChannel();
 
     // Looks for a predecessor and takes its place; none: there is nowhere to meet.
     void open(const char* folder);
-    bool awaitsHandOver() const { return wait_.has_value(); }
-    void serving();  // tells the predecessor
+    bool awaitsState() const { return stateTimer_.has_value(); }
+    void announceServing();  // tells the predecessor
     bool successorServes() const { return successorServes_; }
-    const std::string& problem() const { return problem_; }
+    const std::string& openError() const { return openError_; }
 
 private:
     class Peer;
 
     void connect(const std::string& path);
     void listen(const std::string& folder, const std::string& path);
-    void received(Peer& peer, const std::vector<std::string>& words);
-    void ended(Peer& peer);
-    void count();
-    void stopWaiting();
+    void onMessage(Peer& peer, const std::vector<std::string>& words);
+    void onPeerClosed(Peer& peer);
+    void reportProcessCount();
+    void stopStateTimer();
 
     net::Loop& loop_;
-    Desk& desk_;
+    Delegate& delegate_;
     std::shared_ptr<Peer> predecessor_, successor_;
     std::unique_ptr<net::Listener> listener_;
-    std::optional<net::Loop::TimerKey> wait_;
+    std::optional<net::Loop::TimerKey> stateTimer_;
     bool successorServes_ = false;
-    std::string problem_;
+    std::string openError_;
 };
 
 }  // namespace lotuslead::gateway
