--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -38,8 +38,8 @@
     return set;
 }
 
-Gateway::Gateway(std::optional<settings::Endpoint> door, const char* folder)
-    : folder_(folder), handover_(loop_, *this), givenDoor_(std::move(door)) {
+Gateway::Gateway(std::optional<settings::Endpoint> operatorAddress, const char* folder)
+    : folder_(folder), handover_(loop_, *this), operatorAddressOverride_(std::move(operatorAddress)) {
     const sigset_t set = holdSignals();
     signals_ = net::watchSignals(set);
     signalsId_ = loop_.add(signals_.get(), EPOLLIN, *this);
@@ -49,7 +49,7 @@
 
 void Gateway::start() {
     startedAt_ = loop_.now();
-    openAddresses(AddressSet::door);  // before the clients' address: it tells that this is not yet open
+    openAddresses(AddressSet::operators);  // before the clients' address: it tells that this is not yet open
     handover_.open(folder_);
     if (!handover_.openError().empty())
         std::fprintf(stderr, "lotuslead: no meeting place for a successor: %s\n",
@@ -78,8 +78,8 @@
 // False: an address can't be had yet, such as one that an older process has not let go of.
 bool Gateway::openAddresses(AddressSet which) {
     try {
-        openDoor();
-        if (which == AddressSet::door) return true;
+        openOperatorServer();
+        if (which == AddressSet::operators) return true;
         for (; opened_ < services_.size(); ++opened_) services_[opened_]->open();
         return true;
     } catch (const std::system_error& problem) {
@@ -143,25 +143,27 @@
     reloadTries_ = read ? 0 : reloadTries_ + 1;
     if (!read) loop_.after(kReloadAgain, [this] { reloadAsked_ = true; });
     try {
-        openDoor();
+        openOperatorServer();
     } catch (const std::system_error& problem) {
         std::fprintf(stderr, "lotuslead: operators stay at the old address: %s\n", problem.what());
     }
 }
 
 // Throws, with the old door open, where the new address can't be listened on.
-void Gateway::openDoor() {
-    auto at = givenDoor_;
+void Gateway::openOperatorServer() {
+    auto at = operatorAddressOverride_;
     for (const auto& service : services_)
         if (!at) at = service->operatorDoor();
-    if (at == doorAt_) return;
-    operators::Desk& desk = *this;
-    auto door = at ? std::make_unique<operators::Door>(loop_, *at, desk) : nullptr;
+    if (at == operatorAddress_) return;
+    operators::GatewayControl& control = *this;
+    auto server = at ? std::make_unique<operators::OperatorServer>(loop_, *at, control) : nullptr;
     // It may be in the middle of an answer.
-    loop_.destroyAfterTurn(std::shared_ptr<operators::Door>(std::move(door_)));
-    door_ = std::move(door);
-    doorAt_ = at;
-    if (door_) std::fprintf(stderr, "lotuslead: operators at %s:%u\n", doorAt_->host.c_str(), door_->port());
+    loop_.destroyAfterTurn(std::shared_ptr<operators::OperatorServer>(std::move(operatorServer_)));
+    operatorServer_ = std::move(server);
+    operatorAddress_ = at;
+    if (operatorServer_)
+        std::fprintf(stderr, "lotuslead: operators at %s:%u\n", operatorAddress_->host.c_str(),
+                     operatorServer_->port());
 }
 
 const char* Gateway::phaseName() const {
@@ -254,8 +256,8 @@
 
 void Gateway::printCounters() const {
     for (const auto& service : services_) service->printCounters();
-    if (door_) {
-        const auto& d = door_->counters();
+    if (operatorServer_) {
+        const auto& d = operatorServer_->counters();
         core::printFigures("lotuslead", "operators", {{"calls", d.calls}, {"refused", d.refused}});
     }
 }
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -12,7 +12,7 @@
 
 namespace lotuslead::gateway {
 
-class Gateway : private net::Handler, private operators::Desk, private HandoverChannel::Delegate {
+class Gateway : private net::Handler, private operators::GatewayControl, private HandoverChannel::Delegate {
 public:
     // Draining is the operators' and has a way back; leaving is what SIGTERM begins, and has none.
     enum class Phase { starting, serving, draining, leaving, stopped };
@@ -21,7 +21,7 @@
     static sigset_t holdSignals();
     // `door`: the operators' address, which then holds whatever the configuration says.
     // `folder`: where this process meets the one that it replaces, and later the one that replaces it.
-    Gateway(std::optional<settings::Endpoint> door, const char* folder);
+    Gateway(std::optional<settings::Endpoint> operatorAddress, const char* folder);
     ~Gateway() override;
 
     net::Loop& loop() { return loop_; }
@@ -40,13 +40,13 @@
     void takeOver(const std::string& what) override;
     void processesChanged(int count) override;
 
-    enum class AddressSet { door, all };
+    enum class AddressSet { operators, all };
 
     void start();
     void open();
     bool openAddresses(AddressSet which);
     void reload();
-    void openDoor();
+    void openOperatorServer();
     void leave();
     void boundTime();
     void advance();
@@ -68,8 +68,8 @@
     core::Micros longest_{};  // the least of the longest deadlines that have held since then
     const char* folder_;
     HandoverChannel handover_;
-    std::optional<settings::Endpoint> givenDoor_, doorAt_;
-    std::unique_ptr<operators::Door> door_;
+    std::optional<settings::Endpoint> operatorAddressOverride_, operatorAddress_;
+    std::unique_ptr<operators::OperatorServer> operatorServer_;
 };
 
 }  // namespace lotuslead::gateway
--- a/src/gateway/handover.hpp
+++ b/src/gateway/handover.hpp
@@ -23,7 +23,7 @@
         virtual void processesChanged(int count) = 0;        // that are one gateway now, this one included
     };
 
-    HandoverChannel(net::Loop& loop, DelegateDesk& delegate_) : loop_(loop), delegate_(desk) {}
+    HandoverChannel(net::Loop& loop, Delegate& delegate) : loop_(loop), delegate_(delegate) {}
     ~HandoverChannel();
 
     // Looks for a predecessor and takes its place; none: there is nowhere to meet.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -70,12 +70,13 @@
         const char* listening = variable("LB_SOCKET_FD");
         const char* repositoryFile = variable("LB_REPOSITORY");
         if (!platformFile && !repositoryFile) throw settings::DecodeError("variable LB_CONFIG is not set");
-        std::optional<settings::Endpoint> door;
-        if (const char* given = variable("LB_OPERATOR")) door = settings::readEndpoint(given, "LB_OPERATOR");
+        std::optional<settings::Endpoint> operatorAddress;
+        if (const char* given = variable("LB_OPERATOR"))
+            operatorAddress = settings::readEndpoint(given, "LB_OPERATOR");
         const char* diskFile = variable("LB_DISK");
         const auto disk = [=] { return settings::readDiskConfiguration(contentsOf("LB_DISK", diskFile)); };
         if (diskFile) (void)retryWhileShort(disk);  // a bad file ends the start, whichever front it is for
-        gateway::Gateway gateway(door, variable("TMPDIR"));
+        gateway::Gateway gateway(operatorAddress, variable("TMPDIR"));
         if (platformFile) {
             gateway.add(retryWhileShort([&] {
                 auto service = std::make_unique<platform::Service>(
--- a/src/operator/operator_server.cpp
+++ b/src/operator/operator_server.cpp
@@ -11,23 +11,23 @@
 
 }  // namespace
 
-Door::Door(net::Loop& loop, const settings::Endpoint& at, Desk& desk)
-    : desk_(desk),
+OperatorServer::OperatorServer(net::Loop& loop, const settings::Endpoint& at, GatewayControl @gateway)
+    : gateway_(gateway),
       server_(loop, at, kLimits, net::Priority::high,
               [this](const net::HttpHead& head, const std::string&, net::HttpServer::SendResponse reply) {
-                  net::HttpServer::Response given = answer(head);
-                  ++(given.status == 200 ? counters_.calls : counters_.refused);
-                  reply(std::move(given));
+                  net::HttpServer::Response response = respond(head);
+                  ++(response.status == 200 ? counters_.calls : counters_.refused);
+                  reply(std::move(response));
               }) {}
 
-net::HttpServer::Response Door::answer(const net::HttpHead& head) {
+net::HttpServer::Response OperatorServer::respond(const net::HttpHead& head) {
     const std::string path = head.target.substr(0, head.target.find('?'));
     const bool ready = path == "/ready", drain = path == "/drain", undrain = path == "/undrain";
     if (!ready && !drain && !undrain) return {404, "no such call\n", {}};
     if (head.method != (ready ? "GET" : "POST"))
         return {405, "method not allowed\n", {"Allow", ready ? "GET" : "POST"}};
-    const bool yes = ready ? desk_.takesClients() : drain ? desk_.drain() : desk_.undrain();
-    return {yes ? 200 : ready ? 503 : 409, std::string(desk_.phaseName()) + "\n", {}};
+    const bool succeeded = ready ? gateway_.takesClients() : drain ? gateway_.drain() : gateway_.undrain();
+    return {succeeded ? 200 : ready ? 503 : 409, std::string(gateway_.phaseName()) + "\n", {}};
 }
 
 }  // namespace lotuslead::operators
--- a/src/operator/operator_server.hpp
+++ b/src/operator/operator_server.hpp
@@ -8,9 +8,9 @@
 namespace lotuslead::operators {
 
 // What the door asks of the gateway.
-class Desk {
+class GatewayControl {
 public:
-    virtual ~Desk() = default;
+    virtual ~GatewayControl() = default;
     virtual bool takesClients() const = 0;
     virtual const char* phaseName() const = 0;
     // True: it is so from now on, or was already.
@@ -18,20 +18,20 @@
     virtual bool undrain() = 0;
 };
 
-class Door {
+class OperatorServer {
 public:
     struct Counters {
         std::uint64_t calls = 0, refused = 0;
     };
 
-    Door(net::Loop& loop, const settings::Endpoint& at, Desk& desk);
+    OperatorServer(net::Loop& loop, const settings::Endpoint& at, GatewayControl @gateway);
     std::uint16_t port() const { return server_.port(); }
     const Counters& counters() const { return counters_; }
 
 private:
-    net::HttpServer::Response answer(const net::HttpHead& head);
+    net::HttpServer::Response respond(const net::HttpHead& head);
 
-    Desk& desk_;
+    GatewayControl& gateway_;
     Counters counters_;
     net::HttpServer server_;
 };
