--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -17,19 +17,19 @@
 
 // After SIGTERM connections and requests still come for up to 0.6 s. SIGKILL comes no sooner than the longest
 // deadline, counted as 3 s where it is longer, and 0.7 s after it.
-constexpr Micros kStillComing = 700ms;
-constexpr Micros kMostDeadline = 3s;
-constexpr Micros kLastCall = 150ms;   // before it: all that is open is answered
-constexpr Micros kBeforeKill = 40ms;  // and by then the process has ended, whoever has not read
-constexpr Micros kLeaveTick = 20ms;
-constexpr Micros kLongestStart = 1500ms;  // the platform waits 6 s
-constexpr Micros kReloadAgain = 50ms;     // where a file can't be read for want of descriptors or memory
-constexpr int kMostReloadTries = 100;
-constexpr Micros kLongestCatchUp = 25s;  // and counts a gateway as failed after 30 s
+constexpr Micros kTrafficAfterSigterm = 700ms;
+constexpr Micros kMaxDeadline = 3s;
+constexpr Micros kLastCallBeforeKill = 150ms;  // before it: all that is open is answered
+constexpr Micros kExitBeforeKill = 40ms;       // and by then the process has ended, whoever has not read
+constexpr Micros kPhaseCheckInterval = 20ms;
+constexpr Micros kMaxStartTime = 1500ms;    // the platform waits 6 s
+constexpr Micros kReloadRetryDelay = 50ms;  // where a file can't be read for want of descriptors or memory
+constexpr int kMaxReloadRetries = 100;
+constexpr Micros kMaxCatchUpTime = 25s;  // and counts a gateway as failed after 30 s
 
 }  // namespace
 
-sigset_t Gateway::holdSignals() {
+sigset_t Gateway::blockSignals() {
     std::signal(SIGPIPE, SIG_IGN);
     sigset_t set;
     sigemptyset(&set);
@@ -40,7 +40,7 @@
 
 Gateway::Gateway(std::optional<settings::Endpoint> operatorAddress, const char* folder)
     : folder_(folder), handover_(loop_, *this), operatorAddressOverride_(std::move(operatorAddress)) {
-    const sigset_t set = holdSignals();
+    const sigset_t set = blockSignals();
     signals_ = net::watchSignals(set);
     signalsId_ = loop_.add(signals_.get(), EPOLLIN, *this);
 }
@@ -66,7 +66,7 @@
                                    [](const auto& service) { return service->prepared(); });
     const bool catchingUp = std::any_of(services_.begin(), services_.end(),
                                         [](const auto& service) { return service->catchingUp(); });
-    const Micros longest = catchingUp ? kLongestCatchUp : kLongestStart;
+    const Micros longest = catchingUp ? kMaxCatchUpTime : kMaxStartTime;
     const core::StartFacts facts{ready, handover_.awaitsState(), loop_.now() - startedAt_ >= longest};
     if (core::mayServe(facts) != core::Denial::none) return;
     if (catchingUp) std::fprintf(stderr, "lotuslead: opens without all that the event bus has to tell\n");
@@ -80,12 +80,12 @@
     try {
         openOperatorServer();
         if (which == AddressSet::operators) return true;
-        for (; opened_ < services_.size(); ++opened_) services_[opened_]->open();
+        for (; openedServices_ < services_.size(); ++openedServices_) services_[openedServices_]->open();
         return true;
     } catch (const std::system_error& problem) {
         const int error = problem.code().value();
         const bool mayPass = net::isResourceShortage(error) || error == EADDRINUSE || error == EINTR;
-        if (!mayPass || loop_.now() - startedAt_ >= kLongestCatchUp) throw;
+        if (!mayPass || loop_.now() - startedAt_ >= kMaxCatchUpTime) throw;
         if (problem.what() != addressProblem_)
             std::fprintf(stderr, "lotuslead: %s; it is tried again\n", problem.what());
         addressProblem_ = problem.what();
@@ -121,15 +121,15 @@
         Micros until = Micros::max();
         for (const auto& service : services_) until = std::min(until, service->nextTurn());
         if (phase_ == Phase::starting || phase_ == Phase::leaving)
-            until = std::min(until, loop_.now() + kLeaveTick);
+            until = std::min(until, loop_.now() + kPhaseCheckInterval);
         loop_.turn(until);
         // Only now: a successor that has just said that it serves has been heard.
-        if (std::exchange(leaveAsked_, false)) leave();
+        if (std::exchange(shutdownRequested_, false)) leave();
         reload();
         if (!loop_.timersDeferred())
             for (const auto& service : services_) service->turn(loop_.now());
         open();
-        advance();
+        advanceShutdown();
     }
     printCounters();
     return 0;
@@ -137,11 +137,11 @@
 
 // Between two turns: nothing that a turn has begun meets other settings at its end.
 void Gateway::reload() {
-    if (!std::exchange(reloadAsked_, false)) return;
+    if (!std::exchange(reloadRequested_, false)) return;
     bool read = true;
-    for (const auto& service : services_) read = service->reload(reloadTries_ < kMostReloadTries) && read;
-    reloadTries_ = read ? 0 : reloadTries_ + 1;
-    if (!read) loop_.after(kReloadAgain, [this] { reloadAsked_ = true; });
+    for (const auto& service : services_) read = service->reload(failedReloads_ < kMaxReloadRetries) && read;
+    failedReloads_ = read ? 0 : failedReloads_ + 1;
+    if (!read) loop_.after(kReloadRetryDelay, [this] { reloadRequested_ = true; });
     try {
         openOperatorServer();
     } catch (const std::system_error& problem) {
@@ -202,8 +202,8 @@
     if (phase_ != Phase::serving && phase_ != Phase::draining) return;
     phase_ = Phase::leaving;
     leavingSince_ = loop_.now();
-    longest_ = Micros::max();
-    boundTime();
+    longestDeadline_ = Micros::max();
+    updateLongestDeadline();
     // Without a successor new connections still come here for a while, and have nowhere else to go.
     handedOver_ = handover_.successorServes();
     for (const auto& service : services_) handedOver_ ? service->yield() : service->leave();
@@ -212,26 +212,26 @@
 }
 
 // The file may be read again while this leaves: by which the platform goes is not known here.
-void Gateway::boundTime() {
+void Gateway::updateLongestDeadline() {
     Micros longest{};
     for (const auto& service : services_) longest = std::max(longest, service->longestDeadline());
-    longest_ = std::min(longest_, longest);
+    longestDeadline_ = std::min(longestDeadline_, longest);
 }
 
-void Gateway::advance() {
+void Gateway::advanceShutdown() {
     if (phase_ != Phase::leaving) return;
-    boundTime();
+    updateLongestDeadline();
     const Micros passed = loop_.now() - leavingSince_;
-    if (passed < kStillComing && !handedOver_) return;
-    const Micros kill = std::min(longest_, kMostDeadline) + kStillComing;
-    if (passed >= kill - kLastCall && !std::exchange(lastCall_, true)) {
+    if (passed < kTrafficAfterSigterm && !handedOver_) return;
+    const Micros kill = std::min(longestDeadline_, kMaxDeadline) + kTrafficAfterSigterm;
+    if (passed >= kill - kLastCallBeforeKill && !std::exchange(lastCallMade_, true)) {
         std::fprintf(stderr, "lotuslead: last call, %zu requests open\n", openRequests());
         for (const auto& service : services_) service->lastCall();
     }
     bool settled = true;
     for (const auto& service : services_)
         settled = service->settled() && (!handedOver_ || service->deserted()) && settled;
-    if (!settled && passed < kill - kBeforeKill) return;
+    if (!settled && passed < kill - kExitBeforeKill) return;
     phase_ = Phase::stopped;
     std::fprintf(stderr, "lotuslead: stopped, %zu requests open\n", openRequests());
 }
@@ -247,9 +247,9 @@
         if (number == SIGUSR1)
             printCounters();
         else if (number == SIGHUP)
-            reloadAsked_ = true;
+            reloadRequested_ = true;
         else
-            leaveAsked_ = true;
+            shutdownRequested_ = true;
     });
     return 0;
 }
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -18,7 +18,7 @@
     enum class Phase { starting, serving, draining, leaving, stopped };
 
     // What comes before there is a gateway waits for it: unheld, SIGHUP would end the process.
-    static sigset_t holdSignals();
+    static sigset_t blockSignals();
     // `door`: the operators' address, which then holds whatever the configuration says.
     // `folder`: where this process meets the one that it replaces, and later the one that replaces it.
     Gateway(std::optional<settings::Endpoint> operatorAddress, const char* folder);
@@ -48,8 +48,8 @@
     void reload();
     void openOperatorServer();
     void leave();
-    void boundTime();
-    void advance();
+    void updateLongestDeadline();
+    void advanceShutdown();
     std::size_t openRequests() const;
     void printCounters() const;
 
@@ -58,14 +58,14 @@
     net::Descriptor signals_;
     net::Loop::HandlerId signalsId_ = 0;
     Phase phase_ = Phase::starting;
-    std::size_t opened_ = 0;  // services that listen
+    std::size_t openedServices_ = 0;  // services that listen
     std::string addressProblem_;
-    int reloadTries_ = 0;  // in a row, that failed for want of something that may come back
-    bool reloadAsked_ = false, leaveAsked_ = false;
-    bool handedOver_ = false;  // a successor serves while this process leaves
-    bool lastCall_ = false;    // what was open has been answered, and what still comes is refused
+    int failedReloads_ = 0;  // in a row, that failed for want of something that may come back
+    bool reloadRequested_ = false, shutdownRequested_ = false;
+    bool handedOver_ = false;    // a successor serves while this process leaves
+    bool lastCallMade_ = false;  // what was open has been answered, and what still comes is refused
     core::Micros startedAt_{}, leavingSince_{};
-    core::Micros longest_{};  // the least of the longest deadlines that have held since then
+    core::Micros longestDeadline_{};  // the least of the longest deadlines that have held since then
     const char* folder_;
     HandoverChannel handover_;
     std::optional<settings::Endpoint> operatorAddressOverride_, operatorAddress_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -20,7 +20,7 @@
 
 using namespace lotuslead;
 
-std::string contentsOf(const char* variable, const char* path) {
+std::string readFile(const char* variable, const char* path) {
     errno = 0;
     std::ifstream file(path);
     std::ostringstream text;
@@ -33,19 +33,19 @@
 // Before there is a loop: made again, for up to 2 s, while descriptors or memory are short.
 template <class Make>
 auto retryWhileShort(Make make) {
-    constexpr int kTries = 200;
-    constexpr std::chrono::milliseconds kWait{10};
+    constexpr int kMaxAttempts = 200;
+    constexpr std::chrono::milliseconds kRetryDelay{10};
     for (int i = 1;; ++i) {
         try {
             return make();
         } catch (const std::system_error& problem) {
-            if (i == kTries || !net::isResourceShortage(problem.code().value())) throw;
+            if (i == kMaxAttempts || !net::isResourceShortage(problem.code().value())) throw;
         }
-        std::this_thread::sleep_for(kWait);
+        std::this_thread::sleep_for(kRetryDelay);
     }
 }
 
-const char* variable(const char* name) {
+const char* environmentVariable(const char* name) {
     const char* value = std::getenv(name);
     return value != nullptr && *value != '\0' ? value : nullptr;
 }
@@ -55,34 +55,34 @@
 // LB_CONFIG names the platform's configuration, LB_REPOSITORY that of the repository front; a front whose
 // variable is not set is off. Exit codes: 0 stopped as told, 1 could not go on, 2 bad configuration.
 // LB_DISK names the file that switches the disk tier on.
-int main(int count, char** words) {
-    const std::string_view word = count > 1 ? words[1] : "";
-    if (word == "--version" || word == "--help") {
-        std::puts(word == "--version"
+int main(int count, char** arguments) {
+    const std::string_view argument = count > 1 ? arguments[1] : "";
+    if (argument == "--version" || argument == "--help") {
+        std::puts(argument == "--version"
                       ? "lotuslead " LOTUSLEAD_VERSION
                       : "usage: lotuslead, with LB_CONFIG or LB_REPOSITORY set to a file; the "
                         "README has all variables");
         return 0;
     }
-    gateway::Gateway::holdSignals();
+    gateway::Gateway::blockSignals();
     try {
-        const char* platformFile = variable("LB_CONFIG");
-        const char* listening = variable("LB_SOCKET_FD");
-        const char* repositoryFile = variable("LB_REPOSITORY");
+        const char* platformFile = environmentVariable("LB_CONFIG");
+        const char* socketNumber = environmentVariable("LB_SOCKET_FD");
+        const char* repositoryFile = environmentVariable("LB_REPOSITORY");
         if (!platformFile && !repositoryFile) throw settings::DecodeError("variable LB_CONFIG is not set");
         std::optional<settings::Endpoint> operatorAddress;
-        if (const char* given = variable("LB_OPERATOR"))
-            operatorAddress = settings::readEndpoint(given, "LB_OPERATOR");
-        const char* diskFile = variable("LB_DISK");
-        const auto disk = [=] { return settings::readDiskConfiguration(contentsOf("LB_DISK", diskFile)); };
+        if (const char* endpoint = environmentVariable("LB_OPERATOR"))
+            operatorAddress = settings::readEndpoint(endpoint, "LB_OPERATOR");
+        const char* diskFile = environmentVariable("LB_DISK");
+        const auto disk = [=] { return settings::readDiskConfiguration(readFile("LB_DISK", diskFile)); };
         if (diskFile) (void)retryWhileShort(disk);  // a bad file ends the start, whichever front it is for
-        gateway::Gateway gateway(operatorAddress, variable("TMPDIR"));
+        gateway::Gateway gateway(operatorAddress, environmentVariable("TMPDIR"));
         if (platformFile) {
             gateway.add(retryWhileShort([&] {
                 auto service = std::make_unique<platform::Service>(
                     gateway.loop(),
-                    [=] { return settings::readConfiguration(contentsOf("LB_CONFIG", platformFile)); },
-                    listening ? listening : "");
+                    [=] { return settings::readConfiguration(readFile("LB_CONFIG", platformFile)); },
+                    socketNumber ? socketNumber : "");
                 if (diskFile) service->useDisk([=] { return disk().platform; });
                 return service;
             }));
@@ -90,7 +90,7 @@
         if (repositoryFile) {
             gateway.add(retryWhileShort([&] {
                 auto service = std::make_unique<repository::Service>(gateway.loop(), [=] {
-                    return settings::readRepositoryConfiguration(contentsOf("LB_REPOSITORY", repositoryFile));
+                    return settings::readRepositoryConfiguration(readFile("LB_REPOSITORY", repositoryFile));
                 });
                 if (diskFile) service->useDisk([=] { return disk().repository; });
                 return service;
