--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -15,17 +15,17 @@
 
 namespace {
 
-// After SIGTERM connections and requests still come for up to 0.6 s. SIGKILL comes no sooner than the longest
-// deadline, counted as 3 s where it is longer, and 0.7 s after it.
+// After SIGTERM, clients still send connections and requests for up to 0.6 s. SIGKILL follows at the earliest
+// after the longest deadline, limited to 3 s, plus 0.7 s.
 constexpr Micros kTrafficAfterSigterm = 700ms;
 constexpr Micros kMaxDeadline = 3s;
-constexpr Micros kLastCallBeforeKill = 150ms;  // before it: all that is open is answered
-constexpr Micros kExitBeforeKill = 40ms;       // and by then the process has ended, whoever has not read
+constexpr Micros kLastCallBeforeKill = 150ms;  // then all open requests are answered
+constexpr Micros kExitBeforeKill = 40ms;       // then the process exits, even with unread answers
 constexpr Micros kPhaseCheckInterval = 20ms;
-constexpr Micros kMaxStartTime = 1500ms;    // the platform waits 6 s
+constexpr Micros kMaxStartTime = 1500ms;    // the platform waits 6 s for a start
 constexpr Micros kReloadRetryDelay = 50ms;  // where a file can't be read for want of descriptors or memory
 constexpr int kMaxReloadRetries = 100;
-constexpr Micros kMaxCatchUpTime = 25s;  // and counts a gateway as failed after 30 s
+constexpr Micros kMaxCatchUpTime = 25s;  // the platform counts a start as failed after 30 s
 
 }  // namespace
 
@@ -49,7 +49,7 @@
 
 void Gateway::start() {
     startedAt_ = loop_.now();
-    openAddresses(AddressSet::operators);  // before the clients' address: it tells that this is not yet open
+    openAddresses(AddressSet::operators);  // first, so that /ready can report the start
     handover_.open(folder_);
     if (!handover_.openError().empty())
         std::fprintf(stderr, "lotuslead: no meeting place for a successor: %s\n",
@@ -57,9 +57,9 @@
     for (const auto& service : services_) service->prepare();
 }
 
-// Not before all is in hand: what a predecessor knows, and what the event bus has told since the
-// configuration was written. A bus that says nothing delays the start, and does not prevent it; one that has
-// said that there is more is waited for much longer, since what is missing may be a purge.
+// Starts serving once the predecessor's state and the events since the configuration was written have
+// arrived. A silent event bus delays the start by kMaxStartTime only; one that has announced further events
+// is waited for up to kMaxCatchUpTime, since a missing event may be a purge.
 void Gateway::open() {
     if (phase_ != Phase::starting) return;
     const bool ready = std::all_of(services_.begin(), services_.end(),
@@ -75,7 +75,7 @@
     handover_.announceServing();
 }
 
-// False: an address can't be had yet, such as one that an older process has not let go of.
+// Returns false if an address is not available yet, for example because an older process still holds it.
 bool Gateway::openAddresses(AddressSet which) {
     try {
         openOperatorServer();
@@ -123,7 +123,7 @@
         if (phase_ == Phase::starting || phase_ == Phase::leaving)
             until = std::min(until, loop_.now() + kPhaseCheckInterval);
         loop_.turn(until);
-        // Only now: a successor that has just said that it serves has been heard.
+        // After the turn, so that a successor's SERVING message from the same turn counts.
         if (std::exchange(shutdownRequested_, false)) leave();
         reload();
         if (!loop_.timersDeferred())
@@ -135,7 +135,7 @@
     return 0;
 }
 
-// Between two turns: nothing that a turn has begun meets other settings at its end.
+// Runs between two turns, so that the settings never change within one.
 void Gateway::reload() {
     if (!std::exchange(reloadRequested_, false)) return;
     bool read = true;
@@ -149,7 +149,7 @@
     }
 }
 
-// Throws, with the old door open, where the new address can't be listened on.
+// Throws, and keeps the old server, if it cannot listen at the new address.
 void Gateway::openOperatorServer() {
     auto at = operatorAddressOverride_;
     for (const auto& service : services_)
@@ -157,7 +157,7 @@
     if (at == operatorAddress_) return;
     operators::GatewayControl& control = *this;
     auto server = at ? std::make_unique<operators::OperatorServer>(loop_, *at, control) : nullptr;
-    // It may be in the middle of an answer.
+    // The old server may be in the middle of a response.
     loop_.destroyAfterTurn(std::shared_ptr<operators::OperatorServer>(std::move(operatorServer_)));
     operatorServer_ = std::move(server);
     operatorAddress_ = at;
@@ -204,14 +204,15 @@
     leavingSince_ = loop_.now();
     longestDeadline_ = Micros::max();
     updateLongestDeadline();
-    // Without a successor new connections still come here for a while, and have nowhere else to go.
+    // Without a successor, new connections still arrive here for a while and must be served.
     handedOver_ = handover_.successorServes();
     for (const auto& service : services_) handedOver_ ? service->yield() : service->leave();
     std::fprintf(stderr, "lotuslead: leaving%s, %zu requests open\n", handedOver_ ? " to a successor" : "",
                  openRequests());
 }
 
-// The file may be read again while this leaves: by which the platform goes is not known here.
+// A reload while leaving may change the longest deadline. Which one the platform uses is unknown, so the
+// lowest counts.
 void Gateway::updateLongestDeadline() {
     Micros longest{};
     for (const auto& service : services_) longest = std::max(longest, service->longestDeadline());
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -1,4 +1,4 @@
-// One gateway: its fronts on one loop, and its phases from start to exit.
+// The gateway process: runs its fronts on one loop and controls its phases from start to exit.
 #pragma once
 
 #include <csignal>
@@ -14,19 +14,20 @@
 
 class Gateway : private net::Handler, private operators::GatewayControl, private HandoverChannel::Delegate {
 public:
-    // Draining is the operators' and has a way back; leaving is what SIGTERM begins, and has none.
+    // Operators start draining and can undo it; SIGTERM starts leaving, which ends the process.
     enum class Phase { starting, serving, draining, leaving, stopped };
 
-    // What comes before there is a gateway waits for it: unheld, SIGHUP would end the process.
+    // Blocks the handled signals until there is a Gateway to read them; otherwise SIGHUP would end the
+    // process.
     static sigset_t blockSignals();
-    // `door`: the operators' address, which then holds whatever the configuration says.
-    // `folder`: where this process meets the one that it replaces, and later the one that replaces it.
+    // `operatorAddress`: overrides that of the configuration.
+    // `folder`: of the hand-over socket; may be null.
     Gateway(std::optional<settings::Endpoint> operatorAddress, const char* folder);
     ~Gateway() override;
 
     net::Loop& loop() { return loop_; }
     void add(std::unique_ptr<core::Service> service) { services_.push_back(std::move(service)); }
-    int run();  // until it has stopped; returns the exit code
+    int run();  // returns the exit code once the gateway has stopped
 
 private:
     std::uint32_t ready(std::uint32_t events) override;  // signals
@@ -58,14 +59,14 @@
     net::Descriptor signals_;
     net::Loop::HandlerId signalsId_ = 0;
     Phase phase_ = Phase::starting;
-    std::size_t openedServices_ = 0;  // services that listen
+    std::size_t openedServices_ = 0;  // number of services that listen
     std::string addressProblem_;
-    int failedReloads_ = 0;  // in a row, that failed for want of something that may come back
+    int failedReloads_ = 0;  // in a row, for lack of a resource
     bool reloadRequested_ = false, shutdownRequested_ = false;
     bool handedOver_ = false;    // a successor serves while this process leaves
-    bool lastCallMade_ = false;  // what was open has been answered, and what still comes is refused
+    bool lastCallMade_ = false;  // open requests are answered and new ones refused
     core::Micros startedAt_{}, leavingSince_{};
-    core::Micros longestDeadline_{};  // the least of the longest deadlines that have held since then
+    core::Micros longestDeadline_{};  // the lowest value since leavingSince_
     const char* folder_;
     HandoverChannel handover_;
     std::optional<settings::Endpoint> operatorAddressOverride_, operatorAddress_;
--- a/src/gateway/handover.cpp
+++ b/src/gateway/handover.cpp
@@ -15,11 +15,12 @@
 
 namespace {
 
-// In the name and in the first word: processes of unlike versions do not meet.
+// The protocol version is part of the socket's name and of the first message, so that processes with
+// different versions ignore each other.
 constexpr const char* kSocketName = "/lotuslead-1.sock";
 constexpr const char* kProtocolVersion = "1";
 constexpr net::RespParser::Limits kLimits{2, 2 * 1024 * 1024, 2 * 1024 * 1024};
-constexpr net::Micros kStateTimeout = 700ms;  // then it is a cold start: the platform waits 6 s in all
+constexpr net::Micros kStateTimeout = 700ms;  // then it starts cold; the platform waits 6 s in all
 
 bool setPath(const std::string& path, sockaddr_un& address) {
     address = {};
@@ -74,7 +75,7 @@
     listen(folder, path);
 }
 
-// Nobody listens at what a dead process left: the connect is refused at once.
+// The socket of a dead process refuses the connection at once.
 void HandoverChannel::connect(const std::string& path) {
     sockaddr_un address{};
     net::Descriptor fd = unixSocket();
@@ -86,12 +87,13 @@
     reportProcessCount();
 }
 
-// Bound under a name of its own and renamed, so that there is never a moment without a place to meet.
+// Binds a socket under its own name and renames it over the shared one, so that there is always a socket to
+// connect to.
 void HandoverChannel::listen(const std::string& folder, const std::string& path) {
     const std::string own = folder + "/lotuslead-" + std::to_string(::getpid()) + ".sock";
     sockaddr_un address{};
     ::unlink(own.c_str());
-    errno = 0;  // what is told is why there is no socket, not that there was nothing to unlink
+    errno = 0;  // so that openError_ never reports the unlink
     net::Descriptor fd = unixSocket();
     if (!fd || !setPath(path, address) || !setPath(own, address) ||
         ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
@@ -101,7 +103,7 @@
         return;
     }
     listener_ = std::make_unique<net::Listener>(loop_, std::move(fd), [this](net::Descriptor from) {
-        if (successor_) return;  // one at a time; a further one meets the successor
+        if (successor_) return;  // one at a time; a further one connects to the successor
         successor_ = std::make_shared<Peer>(*this, std::move(from));
     });
 }
--- a/src/gateway/handover.hpp
+++ b/src/gateway/handover.hpp
@@ -1,5 +1,6 @@
-// Where a process and the one that replaces it meet while both run: a Unix socket in $TMPDIR. Nothing of the
-// service depends on it: without it the newer one starts cold and neither knows of the other.
+// The hand-over of learned state between a gateway process and its successor while both run, over a Unix
+// socket in $TMPDIR. It is optional: without it the successor starts cold and the processes do not know of
+// each other.
 #pragma once
 
 #include <memory>
@@ -18,18 +19,19 @@
     class Delegate {
     public:
         virtual ~Delegate() = default;
-        virtual std::string handOver() = 0;                  // what a successor should know
-        virtual void takeOver(const std::string& what) = 0;  // never throws: what can't be used is dropped
-        virtual void processesChanged(int count) = 0;        // that are one gateway now, this one included
+        virtual std::string handOver() = 0;                  // state for a successor
+        virtual void takeOver(const std::string& what) = 0;  // never throws; ignores unusable state
+        virtual void processesChanged(int count) = 0;        // that serve as one gateway, including this one
     };
 
     HandoverChannel(net::Loop& loop, Delegate& delegate) : loop_(loop), delegate_(delegate) {}
     ~HandoverChannel();
 
-    // Looks for a predecessor and takes its place; none: there is nowhere to meet.
+    // Connects to a predecessor, if there is one, and listens for a successor. Without a folder it does
+    // nothing.
     void open(const char* folder);
     bool awaitsState() const { return stateTimer_.has_value(); }
-    void announceServing();  // tells the predecessor
+    void announceServing();  // to the predecessor
     bool successorServes() const { return successorServes_; }
     const std::string& openError() const { return openError_; }
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -30,7 +30,7 @@
     throw settings::DecodeError(problem);
 }
 
-// Before there is a loop: made again, for up to 2 s, while descriptors or memory are short.
+// Repeats a call for up to 2 s while descriptors or memory are short; for use before there is a loop.
 template <class Make>
 auto retryWhileShort(Make make) {
     constexpr int kMaxAttempts = 200;
@@ -52,9 +52,9 @@
 
 }  // namespace
 
-// LB_CONFIG names the platform's configuration, LB_REPOSITORY that of the repository front; a front whose
-// variable is not set is off. Exit codes: 0 stopped as told, 1 could not go on, 2 bad configuration.
-// LB_DISK names the file that switches the disk tier on.
+// Runs the gateway. LB_CONFIG names the platform's configuration file, LB_REPOSITORY that of the repository
+// front; a front without its variable is off. LB_DISK names the configuration file of the disk tier.
+// Exit codes: 0 after a normal stop, 1 after a fatal error, 2 for a bad configuration.
 int main(int count, char** arguments) {
     const std::string_view argument = count > 1 ? arguments[1] : "";
     if (argument == "--version" || argument == "--help") {
@@ -75,7 +75,7 @@
             operatorAddress = settings::readEndpoint(endpoint, "LB_OPERATOR");
         const char* diskFile = environmentVariable("LB_DISK");
         const auto disk = [=] { return settings::readDiskConfiguration(readFile("LB_DISK", diskFile)); };
-        if (diskFile) (void)retryWhileShort(disk);  // a bad file ends the start, whichever front it is for
+        if (diskFile) (void)retryWhileShort(disk);  // a bad file ends the start, for whichever front
         gateway::Gateway gateway(operatorAddress, environmentVariable("TMPDIR"));
         if (platformFile) {
             gateway.add(retryWhileShort([&] {
--- a/src/operator/operator_server.cpp
+++ b/src/operator/operator_server.cpp
@@ -6,7 +6,7 @@
 
 using namespace std::chrono_literals;
 
-// Callers that connect and finish no call must not keep others out: a caller waits 1 s.
+// Clients that connect without completing a request must not block others, which wait 1 s.
 constexpr net::HttpServer::Limits kLimits{24, 4 * 1024, 3s};
 
 }  // namespace
--- a/src/operator/operator_server.hpp
+++ b/src/operator/operator_server.hpp
@@ -1,4 +1,4 @@
-// The operators' door: a second address, for the calls that staff and their tools make.
+// The operators' HTTP endpoint at an address of its own: /ready, /drain and /undrain.
 #pragma once
 
 #include <string>
@@ -7,13 +7,13 @@
 
 namespace lotuslead::operators {
 
-// What the door asks of the gateway.
+// The gateway's operations that the endpoint offers.
 class GatewayControl {
 public:
     virtual ~GatewayControl() = default;
     virtual bool takesClients() const = 0;
     virtual const char* phaseName() const = 0;
-    // True: it is so from now on, or was already.
+    // True if the gateway drains, or takes clients, from now on or did so already.
     virtual bool drain() = 0;
     virtual bool undrain() = 0;
 };
