--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -23,7 +23,7 @@
 constexpr Micros kExitBeforeKill = 40ms;       // then the process exits, even with unread answers
 constexpr Micros kPhaseCheckInterval = 20ms;
 constexpr Micros kMaxStartTime = 1500ms;    // the platform waits 6 s for a start
-constexpr Micros kReloadRetryDelay = 50ms;  // where a file can't be read for want of descriptors or memory
+constexpr Micros kReloadRetryDelay = 50ms;  // after a shortage of descriptors or memory
 constexpr int kMaxReloadRetries = 100;
 constexpr Micros kMaxCatchUpTime = 25s;  // the platform counts a start as failed after 30 s
 
