--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -16,14 +16,14 @@
 
 namespace {
 
-constexpr Micros kStill = 30s;                 // a connection on which nothing moves for so long is closed
-constexpr Micros kHalfRequest = 2800ms;        // from the connection, or its first byte, to its last
-constexpr int kRequestsATurn = 16;             // of one client; then the others have their turn
-constexpr std::size_t kReadAhead = 64 * 1024;  // of further requests while one is answered
-constexpr Micros kSweep = 50ms;                // of the connections, while clients are sent away
-constexpr Micros kDrainRefuses = 1900ms;       // as at the platform's front
-constexpr Micros kSilentDrained = 500ms;
-constexpr std::size_t kSparedDescriptors = 128;
+constexpr Micros kIdleTimeout = 30s;        // a connection on which nothing moves for so long is closed
+constexpr Micros kRequestTimeout = 2800ms;  // from the connection, or its first byte, to its last
+constexpr int kMaxRequestsPerTurn = 16;     // of one client; then the others have their turn
+constexpr std::size_t kMaxPipelinedBytes = 64 * 1024;  // of further requests while one is answered
+constexpr Micros kDrainSweepInterval = 50ms;           // of the connections, while clients are sent away
+constexpr Micros kRefuseAfterDrainStart = 1900ms;      // as at the platform's front
+constexpr Micros kMinAgeToDrain = 500ms;
+constexpr std::size_t kMaxReservedDescriptors = 128;
 
 const char* reasonOf(int status) {
     switch (status) {
@@ -76,126 +76,127 @@
         : owner_(owner),
           parser_(net::HttpParser::Kind::request, {16 * 1024, 64 * 1024}),
           connectedAt_(owner.loop_.now()),
-          lastMoved_(connectedAt_),
-          halfSince_(connectedAt_),
+          lastActivity_(connectedAt_),
+          requestPendingSince_(connectedAt_),
           stream_(owner.loop_, std::move(fd), *this) {
         stream_.dropInputOnPeerClose();
         touch();
     }
     ~Client() override { abandon(); }
 
-    bool idle() const { return !job_ && stream_.unsentBytes() == 0; }
+    bool idle() const { return !current_ && stream_.unsentBytes() == 0; }
     // At rest: nothing of a further request has come, read or unread.
     bool resting() const {
-        return idle() && ahead_.empty() && !parser_.midMessage() && stream_.nothingUnread();
+        return idle() && unparsed_.empty() && !parser_.midMessage() && stream_.nothingUnread();
     }
-    Micros lastMoved() const { return lastMoved_; }
+    Micros lastActivity() const { return lastActivity_; }
     bool settled() const { return closing_ ? idle() : resting(); }
     void lastCall() {
-        if (!job_) return;
-        if (job_->asked) {
-            const RequestId id = *std::exchange(job_->asked, std::nullopt);
-            settleExpected();
+        if (!current_) return;
+        if (current_->openFetch) {
+            const RequestId id = *std::exchange(current_->openFetch, std::nullopt);
+            releaseReservation();
             owner_.requests_.withdraw(owner_.loop_.now(), id);
         }
-        job_->begun ? breakOff("the process ends") : unavailable(1s);
+        current_->headSent ? breakOff("the process ends") : unavailable(1s);
     }
     void endForDrain() {
-        if (job_ || closing_ || !ahead_.empty() || !stream_.allAcknowledged() || !stream_.nothingUnread())
+        if (current_ || closing_ || !unparsed_.empty() || !stream_.allAcknowledged() ||
+            !stream_.nothingUnread())
             return;
-        if (parser_.midMessage() || owner_.loop_.now() - connectedAt_ < kSilentDrained) return;
+        if (parser_.midMessage() || owner_.loop_.now() - connectedAt_ < kMinAgeToDrain) return;
         ++owner_.counters_.drained;
         closing_ = true;
-        stream_.closeLingering(kSilentDrained);
+        stream_.closeLingering(kMinAgeToDrain);
     }
     void abandon() {
         stream_.close();
         if (timer_) owner_.loop_.cancel(*timer_);
         timer_.reset();
-        if (resume_) owner_.loop_.cancel(*resume_);
-        resume_.reset();
-        if (job_ && job_->asked) {
-            const RequestId id = *job_->asked;
-            settleExpected();
+        if (resumeTimer_) owner_.loop_.cancel(*resumeTimer_);
+        resumeTimer_.reset();
+        if (current_ && current_->openFetch) {
+            const RequestId id = *current_->openFetch;
+            releaseReservation();
             owner_.requests_.withdraw(owner_.loop_.now(), id);
         }
-        job_.reset();
+        current_.reset();
         count(0);
     }
 
 private:
     // The request in hand. A file is fetched part by part, as its client takes it.
-    struct Job {
-        bool head = false;  // the method
-        bool file = false;
-        bool keep = true;
+    struct CurrentRequest {
+        bool isHead = false;  // the method
+        bool isFile = false;
+        bool keepAlive = true;
         settings::Route route;
         std::string path;
         std::optional<ByteRange> range;
         std::string ifRange, ifNoneMatch, ifModifiedSince;
-        std::optional<RequestId> asked;  // the part that is under way
-        std::size_t expected = 0;
+        std::optional<RequestId> openFetch;  // the part that is under way
+        std::size_t reservedBytes = 0;
         std::uint64_t part = 0;
-        bool begun = false;  // its head is written: what goes wrong from here on must show as incomplete
-        std::uint64_t at = 0, end = 0, total = 0;
-        std::string tag, modified;
+        bool headSent = false;  // its head is written: what goes wrong from here on must show as incomplete
+        std::uint64_t nextByte = 0, endByte = 0, fileBytes = 0;
+        std::string etag, lastModified;
     };
 
     // ----- requests -----
 
     bool streamData(std::string_view data) override {
-        ahead_.append(data);
-        if (job_ && ahead_.size() > kReadAhead) stream_.pauseReading(true);
-        takeRequests();
+        unparsed_.append(data);
+        if (current_ && unparsed_.size() > kMaxPipelinedBytes) stream_.pauseReading(true);
+        parseRequests();
         if (!stream_.closed()) touch();
         return true;
     }
 
     // One at a time: an index asked for behind a file is fetched after it, and so is no older than its
     // answer.
-    void takeRequests() {
-        if (resume_) return;
-        while (!job_ && !closing_ && !stream_.closed() && !ahead_.empty()) {
-            if (turnAt_ != owner_.loop_.now()) taken_ = 0;
-            turnAt_ = owner_.loop_.now();
-            if (taken_ >= kRequestsATurn) {
-                resume_ = owner_.loop_.after(Micros{1}, [this] {  // in the next turn
-                    resume_.reset();
-                    takeRequests();
+    void parseRequests() {
+        if (resumeTimer_) return;
+        while (!current_ && !closing_ && !stream_.closed() && !unparsed_.empty()) {
+            if (countedTurn_ != owner_.loop_.now()) requestsThisTurn_ = 0;
+            countedTurn_ = owner_.loop_.now();
+            if (requestsThisTurn_ >= kMaxRequestsPerTurn) {
+                resumeTimer_ = owner_.loop_.after(Micros{1}, [this] {  // in the next turn
+                    resumeTimer_.reset();
+                    parseRequests();
                 });
                 return stream_.pauseReading(true);
             }
-            std::string_view rest = ahead_;
+            std::string_view rest = unparsed_;
             const auto status = parser_.feed(rest);
-            ahead_.erase(0, ahead_.size() - rest.size());
+            unparsed_.erase(0, unparsed_.size() - rest.size());
             using Status = net::HttpParser::Status;
             if (status == Status::needMore) break;  // and read on, if it had to wait before
-            if (status == Status::malformed) return refuse(400);
-            if (status == Status::headTooLarge) return refuse(431);
-            if (status == Status::bodyTooLarge) return refuse(413);
-            ++taken_;
-            halfSince_.reset();
+            if (status == Status::malformed) return rejectAndClose(400);
+            if (status == Status::headTooLarge) return rejectAndClose(431);
+            if (status == Status::bodyTooLarge) return rejectAndClose(413);
+            ++requestsThisTurn_;
+            requestPendingSince_.reset();
             begin(parser_.head());
         }
-        if (!job_) stream_.pauseReading(false);
+        if (!current_) stream_.pauseReading(false);
     }
 
     // What can't be read leaves no way to tell where the next request would begin.
-    void refuse(int status) {
+    void rejectAndClose(int status) {
         ++owner_.counters_.badRequests;
-        halfSince_.reset();
-        job_.emplace();
-        job_->keep = false;
+        requestPendingSince_.reset();
+        current_.emplace();
+        current_->keepAlive = false;
         plain(status);
     }
 
     void begin(const net::HttpHead& head) {
-        job_.emplace();
-        job_->keep = head.keepAlive() && !owner_.leaving_ && !owner_.drainingSince_;
-        job_->head = head.method == "HEAD";
-        if (head.minorVersion >= 1 && !head.field("host")) return refuse(400);
+        current_.emplace();
+        current_->keepAlive = head.keepAlive() && !owner_.leaving_ && !owner_.drainingSince_;
+        current_->isHead = head.method == "HEAD";
+        if (head.minorVersion >= 1 && !head.field("host")) return rejectAndClose(400);
         const auto path = pathOf(head.target);
-        if (!path) return refuse(400);
+        if (!path) return rejectAndClose(400);
         const settings::Route* route = nullptr;
         for (const settings::Route& r : owner_.configuration_.routes)
             if (path->rfind(r.prefix, 0) == 0 && (!route || r.prefix.size() > route->prefix.size()))
@@ -206,51 +207,51 @@
             const std::string* value = head.field(name);
             return value ? *value : std::string{};
         };
-        if (owner_.refuses()) return unavailable(1s);
-        job_->route = *route;
-        job_->path = *path;
+        if (owner_.refusesRequests()) return unavailable(1s);
+        current_->route = *route;
+        current_->path = *path;
         const auto& classes = owner_.configuration_.base.decoded.settings.classes;
-        job_->file = classes[static_cast<std::size_t>(route->classIndex)].inParts;
-        if (!job_->head) job_->range = rangeOf(head.field("range"));
-        job_->ifRange = text("if-range");
-        job_->ifNoneMatch = text("if-none-match");
-        job_->ifModifiedSince = text("if-modified-since");
-        ++(job_->file ? owner_.counters_.files : owner_.counters_.indexes);
-        const bool placed = job_->file && job_->range && job_->range->first;
-        ask(placed ? *job_->range->first / owner_.configuration_.partBytes : 0);
+        current_->isFile = classes[static_cast<std::size_t>(route->classIndex)].inParts;
+        if (!current_->isHead) current_->range = rangeOf(head.field("range"));
+        current_->ifRange = text("if-range");
+        current_->ifNoneMatch = text("if-none-match");
+        current_->ifModifiedSince = text("if-modified-since");
+        ++(current_->isFile ? owner_.counters_.files : owner_.counters_.indexes);
+        const bool placed = current_->isFile && current_->range && current_->range->first;
+        ask(placed ? *current_->range->first / owner_.configuration_.partBytes : 0);
     }
 
     void ask(std::uint64_t part) {
         const auto& configuration = owner_.configuration_;
-        const std::size_t size = job_->file ? configuration.partBytes : configuration.maxIndexBytes;
+        const std::size_t size = current_->isFile ? configuration.partBytes : configuration.maxIndexBytes;
         if (!owner_.roomFor(size))
-            return job_->begun ? breakOff("no memory is left for it") : unavailable(1s);
-        job_->part = part;
-        job_->asked = owner_.nextId_++;
-        job_->expected = size;
-        owner_.expected_ += size;
+            return current_->headSent ? breakOff("no memory is left for it") : unavailable(1s);
+        current_->part = part;
+        current_->openFetch = owner_.nextId_++;
+        current_->reservedBytes = size;
+        owner_.reservedBytes_ += size;
         core::Request request;
-        request.id = *job_->asked;
-        request.classIndex = job_->route.classIndex;
-        request.className = job_->route.className;
-        request.object = job_->path;
-        request.group = job_->route.group;
+        request.id = *current_->openFetch;
+        request.classIndex = current_->route.classIndex;
+        request.className = current_->route.className;
+        request.object = current_->path;
+        request.group = current_->route.group;
         request.part = static_cast<std::int64_t>(part);
-        if (!job_->file && !job_->range) request.known = job_->ifNoneMatch;
+        if (!current_->isFile && !current_->range) request.known = current_->ifNoneMatch;
         const auto& words = configuration.base.decoded.settings.classes;
         const Micros now = owner_.loop_.now();
         request.deadline = now + std::chrono::duration_cast<Micros>(
                                      words[static_cast<std::size_t>(request.classIndex)].giveUp);
         owner_.requests_.take(now, std::move(request), [this](RequestId, Reply&& reply) {
-            settleExpected();
-            job_->asked.reset();
+            releaseReservation();
+            current_->openFetch.reset();
             take(std::move(reply));
         });
     }
 
-    void settleExpected() {
-        owner_.expected_ -= job_->expected;
-        job_->expected = 0;
+    void releaseReservation() {
+        owner_.reservedBytes_ -= current_->reservedBytes;
+        current_->reservedBytes = 0;
     }
 
     // ----- answers -----
@@ -261,79 +262,82 @@
         const std::uint64_t status = numberOf(factOf(payload, kStatus));
         const std::string tag = factOf(payload, "etag"), modified = factOf(payload, "last-modified");
         const std::uint64_t total = numberOf(factOf(payload, kTotal));
-        if (job_->begun) {
-            if ((status != 200 && status != 206) || tag != job_->tag || total != job_->total)
+        if (current_->headSent) {
+            if ((status != 200 && status != 206) || tag != current_->etag || total != current_->fileBytes)
                 return breakOff("the file has changed");
             return send(payload);
         }
-        job_->tag = tag;
-        job_->modified = modified;
-        job_->total = total;
+        current_->etag = tag;
+        current_->lastModified = modified;
+        current_->fileBytes = total;
         if (status == 404) return plain(404);
         if (payload.unchanged) return notModified();
         if (status == 416) {
-            if (total > 0 || job_->part > 0 || job_->range) return unsatisfiable();
+            if (total > 0 || current_->part > 0 || current_->range) return unsatisfiable();
             head(200, 0, payload);  // an empty file has no first part
             return done();
         }
         if (isUnmodified()) return notModified();
-        const bool rangeHolds =
-            job_->ifRange.empty() ||
-            (job_->ifRange.front() == '"' ? job_->ifRange == tag && !tag.empty() : job_->ifRange == modified);
-        if (!rangeHolds) job_->range.reset();
+        const bool rangeHolds = current_->ifRange.empty() ||
+                                (current_->ifRange.front() == '"' ? current_->ifRange == tag && !tag.empty()
+                                                                  : current_->ifRange == modified);
+        if (!rangeHolds) current_->range.reset();
         Span span{0, total};
-        if (job_->range) {
-            const auto found = spanOf(*job_->range, total);
+        if (current_->range) {
+            const auto found = spanOf(*current_->range, total);
             if (!found) return unsatisfiable();
             span = *found;
         }
-        job_->at = span.begin;
-        job_->end = span.end;
+        current_->nextByte = span.begin;
+        current_->endByte = span.end;
         const std::uint64_t first = numberOf(factOf(payload, kFirst));
         const bool holdsIt = span.begin >= first && span.begin < first + payload.body.size();
-        if (!holdsIt && !job_->head && span.begin < span.end) {
-            if (!job_->file || ++restarts_ > 2) return plain(502);
+        if (!holdsIt && !current_->isHead && span.begin < span.end) {
+            if (!current_->isFile || ++refetches_ > 2) return plain(502);
             return ask(span.begin / owner_.configuration_.partBytes);
         }
-        restarts_ = 0;
+        refetches_ = 0;
         std::string extra;
-        if (job_->range)
+        if (current_->range)
             extra = "Content-Range: bytes " + std::to_string(span.begin) + "-" +
                     std::to_string(span.end - 1) + "/" + std::to_string(total) + "\r\n";
-        head(job_->range ? 206 : 200, span.end - span.begin, payload, extra);
-        if (job_->head || span.begin == span.end) return done();
-        job_->begun = true;
+        head(current_->range ? 206 : 200, span.end - span.begin, payload, extra);
+        if (current_->isHead || span.begin == span.end) return done();
+        current_->headSent = true;
         send(payload);
     }
 
     void send(const core::Payload& payload) {
         const std::uint64_t first = numberOf(factOf(payload, kFirst));
-        const std::uint64_t upTo = std::min(job_->end, first + payload.body.size());
-        if (job_->at < first || job_->at >= upTo) return breakOff("the upstream sent another part");
-        stream_.write(payload.body.substr(job_->at - first, upTo - job_->at));
-        job_->at = upTo;
+        const std::uint64_t upTo = std::min(current_->endByte, first + payload.body.size());
+        if (current_->nextByte < first || current_->nextByte >= upTo)
+            return breakOff("the upstream sent another part");
+        stream_.write(payload.body.substr(current_->nextByte - first, upTo - current_->nextByte));
+        current_->nextByte = upTo;
         count(stream_.unsentBytes());
         touch();
-        if (job_->at == job_->end) return done();
+        if (current_->nextByte == current_->endByte) return done();
         askOnceTaken();
     }
 
     // The next part is fetched when the client has room for it.
     void askOnceTaken() {
-        if (!job_ || !job_->begun || job_->asked || stream_.unsentBytes() > owner_.configuration_.partBytes)
+        if (!current_ || !current_->headSent || current_->openFetch ||
+            stream_.unsentBytes() > owner_.configuration_.partBytes)
             return;
-        ask(job_->at / owner_.configuration_.partBytes);
+        ask(current_->nextByte / owner_.configuration_.partBytes);
     }
 
     bool isUnmodified() const {
-        if (!job_->ifNoneMatch.empty()) return matchesAny(job_->ifNoneMatch, job_->tag);
-        if (job_->ifModifiedSince.empty() || job_->modified.empty()) return false;
-        const auto since = readHttpDate(job_->ifModifiedSince), changed = readHttpDate(job_->modified);
+        if (!current_->ifNoneMatch.empty()) return matchesAny(current_->ifNoneMatch, current_->etag);
+        if (current_->ifModifiedSince.empty() || current_->lastModified.empty()) return false;
+        const auto since = readHttpDate(current_->ifModifiedSince),
+                   changed = readHttpDate(current_->lastModified);
         return since && changed && *changed <= *since;
     }
 
     void fail(const Reply& reply) {
-        if (job_->begun) return breakOff("no further part is to be had");
+        if (current_->headSent) return breakOff("no further part is to be had");
         if (reply.late) {
             ++owner_.counters_.late;
             return plain(504);
@@ -356,30 +360,32 @@
     // Fewer bytes than were announced, and then the end: no client takes that for the whole.
     void breakOff(const char* why) {
         ++owner_.counters_.brokenOff;
-        std::fprintf(stderr, "repository: %s broken off at byte %llu of %llu: %s\n", job_->path.c_str(),
-                     static_cast<unsigned long long>(job_->at), static_cast<unsigned long long>(job_->end),
-                     why);
-        job_->keep = false;
+        std::fprintf(stderr, "repository: %s broken off at byte %llu of %llu: %s\n", current_->path.c_str(),
+                     static_cast<unsigned long long>(current_->nextByte),
+                     static_cast<unsigned long long>(current_->endByte), why);
+        current_->keepAlive = false;
         done();
     }
 
     void notModified() {
         std::string words = statusLine(304);
-        if (!job_->tag.empty()) words += "ETag: " + job_->tag + "\r\n";
-        if (!job_->modified.empty()) words += "Last-Modified: " + job_->modified + "\r\n";
+        if (!current_->etag.empty()) words += "ETag: " + current_->etag + "\r\n";
+        if (!current_->lastModified.empty()) words += "Last-Modified: " + current_->lastModified + "\r\n";
         stream_.write(words + "\r\n");
         done();
     }
 
-    void unsatisfiable() { plain(416, "Content-Range: bytes */" + std::to_string(job_->total) + "\r\n"); }
+    void unsatisfiable() {
+        plain(416, "Content-Range: bytes */" + std::to_string(current_->fileBytes) + "\r\n");
+    }
 
     void head(int status, std::uint64_t length, const core::Payload& payload, const std::string& extra = {}) {
         std::string words = statusLine(status);
         const std::string type = factOf(payload, "content-type");
         words += "Content-Type: " + (type.empty() ? "application/octet-stream" : type) + "\r\n";
         words += "Content-Length: " + std::to_string(length) + "\r\nAccept-Ranges: bytes\r\n";
-        if (!job_->tag.empty()) words += "ETag: " + job_->tag + "\r\n";
-        if (!job_->modified.empty()) words += "Last-Modified: " + job_->modified + "\r\n";
+        if (!current_->etag.empty()) words += "ETag: " + current_->etag + "\r\n";
+        if (!current_->lastModified.empty()) words += "Last-Modified: " + current_->lastModified + "\r\n";
         stream_.write(words + extra + "\r\n");
     }
 
@@ -389,7 +395,7 @@
         if (status == 405) words += "Allow: GET, HEAD\r\n";
         const std::string body = std::string(reasonOf(status)) + "\n";
         words += "Content-Type: text/plain\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n";
-        if (!job_->head) words += body;
+        if (!current_->isHead) words += body;
         stream_.write(std::move(words));
         done();
     }
@@ -397,18 +403,18 @@
     std::string statusLine(int status) const {
         std::string words = "HTTP/1.1 " + std::to_string(status) + " " + reasonOf(status) + "\r\n";
         words += "Date: " + httpDate(std::time(nullptr)) + "\r\nVia: 1.1 lotuslead\r\n";
-        if (!job_->keep) words += "Connection: close\r\n";
+        if (!current_->keepAlive) words += "Connection: close\r\n";
         return words;
     }
 
     void done() {
-        const bool keep = job_->keep;
-        job_.reset();
-        restarts_ = 0;
+        const bool keep = current_->keepAlive;
+        current_.reset();
+        refetches_ = 0;
         count(stream_.unsentBytes());
         touch();
         // What comes next is taken later in the turn, so that a row of short answers does not nest.
-        if (keep) return later(&Client::takeRequests);
+        if (keep) return later(&Client::parseRequests);
         closing_ = true;
         later(&Client::closeWhenWritten);
     }
@@ -435,61 +441,63 @@
     }
     void touch() {
         if (timer_) owner_.loop_.cancel(*timer_);
-        lastMoved_ = owner_.loop_.now();
-        if (!job_ && !halfSince_ && parser_.midMessage()) halfSince_ = lastMoved_;
-        const bool half = !job_ && halfSince_;
-        const Micros wait = half ? std::max(Micros{0}, *halfSince_ + kHalfRequest - lastMoved_) : kStill;
+        lastActivity_ = owner_.loop_.now();
+        if (!current_ && !requestPendingSince_ && parser_.midMessage()) requestPendingSince_ = lastActivity_;
+        const bool half = !current_ && requestPendingSince_;
+        const Micros wait = half
+                                ? std::max(Micros{0}, *requestPendingSince_ + kRequestTimeout - lastActivity_)
+                                : kIdleTimeout;
         timer_ = owner_.loop_.after(wait, [this, half] {
             timer_.reset();
             // However slowly its bytes come, it does not hold its place.
             if (half && parser_.midMessage() && !closing_) {
                 ++owner_.counters_.halfRequests;
-                return refuse(408);
+                return rejectAndClose(408);
             }
             // While an answer is fetched its own deadline holds.
-            if (job_ && job_->asked) return touch();
+            if (current_ && current_->openFetch) return touch();
             streamEnded(net::Stream::CloseReason::closedByPeer);
         });
     }
     void count(std::size_t unsent) {
-        owner_.unsent_ += unsent;
-        owner_.unsent_ -= counted_;
-        counted_ = unsent;
+        owner_.unsentBytes_ += unsent;
+        owner_.unsentBytes_ -= accountedBytes_;
+        accountedBytes_ = unsent;
     }
 
     Front& owner_;
     net::HttpParser parser_;
-    std::string ahead_;
-    std::optional<Job> job_;
-    int restarts_ = 0;
+    std::string unparsed_;
+    std::optional<CurrentRequest> current_;
+    int refetches_ = 0;
     bool closing_ = false;
-    Micros connectedAt_, lastMoved_;
-    std::optional<Micros> halfSince_;  // a request is owed since then
-    Micros turnAt_{};
-    int taken_ = 0;  // requests, in that turn
-    std::optional<net::Loop::TimerKey> resume_;
+    Micros connectedAt_, lastActivity_;
+    std::optional<Micros> requestPendingSince_;  // a request is owed since then
+    Micros countedTurn_{};
+    int requestsThisTurn_ = 0;  // requests, in that turn
+    std::optional<net::Loop::TimerKey> resumeTimer_;
     std::optional<net::Loop::TimerKey> timer_;
-    std::size_t counted_ = 0;
+    std::size_t accountedBytes_ = 0;
     net::Stream stream_;
 };
 
 Front::Front(net::Loop& loop, core::Requests& requests,
              const settings::RepositoryConfiguration& configuration)
-    : loop_(loop), requests_(requests), configuration_(configuration), former_(loop) {
-    takeLimits(configuration.base.limits);
+    : loop_(loop), requests_(requests), configuration_(configuration), previousListener_(loop) {
+    applyLimits(configuration.base.limits);
 }
 
-void Front::takeLimits(const settings::Limits& limits) {
+void Front::applyLimits(const settings::Limits& limits) {
     const auto sockets = static_cast<std::size_t>(limits.sockets);
-    mostClients_ = std::min(sockets / 3, sockets - std::min(sockets / 2, kSparedDescriptors));
-    mostBytes_ = static_cast<std::size_t>(limits.memoryMb) * 1024 * 1024 / 2;
-    mostClients_ /= static_cast<std::size_t>(processes_);
-    mostBytes_ /= static_cast<std::size_t>(processes_);
+    maxClients_ = std::min(sockets / 3, sockets - std::min(sockets / 2, kMaxReservedDescriptors));
+    maxBufferedBytes_ = static_cast<std::size_t>(limits.memoryMb) * 1024 * 1024 / 2;
+    maxClients_ /= static_cast<std::size_t>(processes_);
+    maxBufferedBytes_ /= static_cast<std::size_t>(processes_);
 }
 
 void Front::share(int processes) {
     processes_ = processes;
-    takeLimits(configuration_.base.limits);
+    applyLimits(configuration_.base.limits);
 }
 
 Front::~Front() {
@@ -506,36 +514,36 @@
 
 void Front::reconfigure(const settings::RepositoryConfiguration& configuration) {
     if (listener_ && !(configuration.base.listen == configuration_.base.listen))
-        former_.replace(listener_, listenOn(configuration.base.listen));
-    takeLimits(configuration.base.limits);
+        previousListener_.replace(listener_, listenOn(configuration.base.listen));
+    applyLimits(configuration.base.limits);
 }
 
 void Front::drain() {
     if (drainingSince_) return;
     drainingSince_ = loop_.now();
-    sweep();
+    sweepForDrain();
 }
 
 void Front::undrain() {
     drainingSince_.reset();
-    if (sweep_) loop_.cancel(*sweep_);
-    sweep_.reset();
+    if (drainSweepTimer_) loop_.cancel(*drainSweepTimer_);
+    drainSweepTimer_.reset();
 }
 
-bool Front::refuses() const {
-    return lastCall_ || (drainingSince_ && loop_.now() - *drainingSince_ >= kDrainRefuses);
+bool Front::refusesRequests() const {
+    return lastCall_ || (drainingSince_ && loop_.now() - *drainingSince_ >= kRefuseAfterDrainStart);
 }
 
-void Front::sweep() {
+void Front::sweepForDrain() {
     for (const auto& [key, client] : clients_) client->endForDrain();
-    sweep_ = loop_.after(kSweep, [this] {
-        sweep_.reset();
-        sweep();
+    drainSweepTimer_ = loop_.after(kDrainSweepInterval, [this] {
+        drainSweepTimer_.reset();
+        sweepForDrain();
     });
 }
 
 void Front::accept(net::Descriptor fd) {
-    if (clients_.size() >= mostClients_ && !makeRoom()) {
+    if (clients_.size() >= maxClients_ && !makeRoom()) {
         ++counters_.turnedAway;
         return;
     }
@@ -547,7 +555,7 @@
 bool Front::makeRoom() {
     Client* oldest = nullptr;
     for (const auto& [key, client] : clients_)
-        if ((!oldest || client->lastMoved() < oldest->lastMoved()) && client->resting())
+        if ((!oldest || client->lastActivity() < oldest->lastActivity()) && client->resting())
             oldest = client.get();
     if (!oldest) return false;
     ++counters_.closedIdle;
@@ -556,7 +564,9 @@
     return true;
 }
 
-bool Front::roomFor(std::size_t bytes) const { return expected_ + unsent_ + bytes <= mostBytes_; }
+bool Front::roomFor(std::size_t bytes) const {
+    return reservedBytes_ + unsentBytes_ + bytes <= maxBufferedBytes_;
+}
 
 void Front::lastCall() {
     lastCall_ = true;
@@ -565,7 +575,7 @@
 
 bool Front::settled() {
     if (listener_ && !listener_->acceptPending()) return false;
-    if (!former_.settled()) return false;
+    if (!previousListener_.settled()) return false;
     return std::all_of(clients_.begin(), clients_.end(),
                        [](const auto& entry) { return entry.second->settled(); });
 }
--- a/src/repository/front.hpp
+++ b/src/repository/front.hpp
@@ -53,27 +53,27 @@
     bool makeRoom();
     bool roomFor(std::size_t bytes) const;
     void forget(Client* client);
-    void sweep();
-    bool refuses() const;
-    void takeLimits(const settings::Limits& limits);
+    void sweepForDrain();
+    bool refusesRequests() const;
+    void applyLimits(const settings::Limits& limits);
 
     std::unique_ptr<net::Listener> listenOn(const settings::Endpoint& address);
 
     net::Loop& loop_;
     core::Requests& requests_;
     const settings::RepositoryConfiguration& configuration_;
-    std::size_t mostClients_ = 0;
+    std::size_t maxClients_ = 0;
     int processes_ = 1;
-    std::size_t mostBytes_ = 0;
-    std::size_t unsent_ = 0;    // bytes of answers that clients have not yet read
-    std::size_t expected_ = 0;  // bytes that the requests in hand may yet bring
+    std::size_t maxBufferedBytes_ = 0;
+    std::size_t unsentBytes_ = 0;    // bytes of answers that clients have not yet read
+    std::size_t reservedBytes_ = 0;  // bytes that the requests in hand may yet bring
     bool leaving_ = false;
     bool lastCall_ = false;
     std::optional<core::Micros> drainingSince_;
-    std::optional<net::Loop::TimerKey> sweep_;
+    std::optional<net::Loop::TimerKey> drainSweepTimer_;
     RequestId nextId_ = 1;
     std::unique_ptr<net::Listener> listener_;
-    net::PreviousListener former_;
+    net::PreviousListener previousListener_;
     std::unordered_map<Client*, std::shared_ptr<Client>> clients_;
     Counters counters_;
 };
