--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -56,13 +56,13 @@
     }
 }
 
-std::string factOf(const core::Payload& payload, std::string_view name) {
+std::string findFact(const core::Payload& payload, std::string_view name) {
     for (const auto& [key, value] : payload.facts)
         if (key == name) return value;
     return {};
 }
 
-std::uint64_t numberOf(const std::string& text) {
+std::uint64_t parseNumber(const std::string& text) {
     std::uint64_t value = 0;
     std::from_chars(text.data(), text.data() + text.size(), value);
     return value;
@@ -80,7 +80,7 @@
           requestPendingSince_(connectedAt_),
           stream_(owner.loop_, std::move(fd), *this) {
         stream_.dropInputOnPeerClose();
-        touch();
+        restartTimer();
     }
     ~Client() override { abandon(); }
 
@@ -98,7 +98,7 @@
             releaseReservation();
             owner_.requests_.withdraw(owner_.loop_.now(), id);
         }
-        current_->headSent ? breakOff("the process ends") : unavailable(1s);
+        current_->headSent ? abortTransfer("the process ends") : sendUnavailable(1s);
     }
     void endForDrain() {
         if (current_ || closing_ || !unparsed_.empty() || !stream_.allAcknowledged() ||
@@ -121,7 +121,7 @@
             owner_.requests_.withdraw(owner_.loop_.now(), id);
         }
         current_.reset();
-        count(0);
+        accountUnsent(0);
     }
 
 private:
@@ -148,7 +148,7 @@
         unparsed_.append(data);
         if (current_ && unparsed_.size() > kMaxPipelinedBytes) stream_.pauseReading(true);
         parseRequests();
-        if (!stream_.closed()) touch();
+        if (!stream_.closed()) restartTimer();
         return true;
     }
 
@@ -176,7 +176,7 @@
             if (status == Status::bodyTooLarge) return rejectAndClose(413);
             ++requestsThisTurn_;
             requestPendingSince_.reset();
-            begin(parser_.head());
+            beginRequest(parser_.head());
         }
         if (!current_) stream_.pauseReading(false);
     }
@@ -187,10 +187,10 @@
         requestPendingSince_.reset();
         current_.emplace();
         current_->keepAlive = false;
-        plain(status);
+        sendPlain(status);
     }
 
-    void begin(const net::HttpHead& head) {
+    void beginRequest(const net::HttpHead& head) {
         current_.emplace();
         current_->keepAlive = head.keepAlive() && !owner_.leaving_ && !owner_.drainingSince_;
         current_->isHead = head.method == "HEAD";
@@ -201,13 +201,13 @@
         for (const settings::Route& r : owner_.configuration_.routes)
             if (path->rfind(r.prefix, 0) == 0 && (!route || r.prefix.size() > route->prefix.size()))
                 route = &r;
-        if (!route) return plain(404);
-        if (head.method != "GET" && head.method != "HEAD") return plain(405);
+        if (!route) return sendPlain(404);
+        if (head.method != "GET" && head.method != "HEAD") return sendPlain(405);
         const auto text = [&](const char* name) {
             const std::string* value = head.field(name);
             return value ? *value : std::string{};
         };
-        if (owner_.refusesRequests()) return unavailable(1s);
+        if (owner_.refusesRequests()) return sendUnavailable(1s);
         current_->route = *route;
         current_->path = *path;
         const auto& classes = owner_.configuration_.base.decoded.settings.classes;
@@ -217,15 +217,15 @@
         current_->ifNoneMatch = text("if-none-match");
         current_->ifModifiedSince = text("if-modified-since");
         ++(current_->isFile ? owner_.counters_.files : owner_.counters_.indexes);
-        const bool placed = current_->isFile && current_->range && current_->range->first;
-        ask(placed ? *current_->range->first / owner_.configuration_.partBytes : 0);
+        const bool hasFirst = current_->isFile && current_->range && current_->range->first;
+        fetchPart(hasFirst ? *current_->range->first / owner_.configuration_.partBytes : 0);
     }
 
-    void ask(std::uint64_t part) {
+    void fetchPart(std::uint64_t part) {
         const auto& configuration = owner_.configuration_;
         const std::size_t size = current_->isFile ? configuration.partBytes : configuration.maxIndexBytes;
         if (!owner_.roomFor(size))
-            return current_->headSent ? breakOff("no memory is left for it") : unavailable(1s);
+            return current_->headSent ? abortTransfer("no memory is left for it") : sendUnavailable(1s);
         current_->part = part;
         current_->openFetch = owner_.nextId_++;
         current_->reservedBytes = size;
@@ -238,14 +238,14 @@
         request.group = current_->route.group;
         request.part = static_cast<std::int64_t>(part);
         if (!current_->isFile && !current_->range) request.known = current_->ifNoneMatch;
-        const auto& words = configuration.base.decoded.settings.classes;
+        const auto& classes = configuration.base.decoded.settings.classes;
         const Micros now = owner_.loop_.now();
         request.deadline = now + std::chrono::duration_cast<Micros>(
-                                     words[static_cast<std::size_t>(request.classIndex)].giveUp);
+                                     classes[static_cast<std::size_t>(request.classIndex)].giveUp);
         owner_.requests_.take(now, std::move(request), [this](RequestId, Reply&& reply) {
             releaseReservation();
             current_->openFetch.reset();
-            take(std::move(reply));
+            handleReply(std::move(reply));
         });
     }
 
@@ -256,28 +256,28 @@
 
     // ----- answers -----
 
-    void take(Reply&& reply) {
-        if (reply.word != Reply::Word::served) return fail(reply);
+    void handleReply(Reply&& reply) {
+        if (reply.word != Reply::Word::served) return handleFailure(reply);
         const core::Payload& payload = reply.payload;
-        const std::uint64_t status = numberOf(factOf(payload, kStatus));
-        const std::string tag = factOf(payload, "etag"), modified = factOf(payload, "last-modified");
-        const std::uint64_t total = numberOf(factOf(payload, kTotal));
+        const std::uint64_t status = parseNumber(findFact(payload, kStatus));
+        const std::string tag = findFact(payload, "etag"), modified = findFact(payload, "last-modified");
+        const std::uint64_t total = parseNumber(findFact(payload, kTotal));
         if (current_->headSent) {
             if ((status != 200 && status != 206) || tag != current_->etag || total != current_->fileBytes)
-                return breakOff("the file has changed");
-            return send(payload);
+                return abortTransfer("the file has changed");
+            return sendPart(payload);
         }
         current_->etag = tag;
         current_->lastModified = modified;
         current_->fileBytes = total;
-        if (status == 404) return plain(404);
-        if (payload.unchanged) return notModified();
+        if (status == 404) return sendPlain(404);
+        if (payload.unchanged) return sendNotModified();
         if (status == 416) {
-            if (total > 0 || current_->part > 0 || current_->range) return unsatisfiable();
-            head(200, 0, payload);  // an empty file has no first part
-            return done();
+            if (total > 0 || current_->part > 0 || current_->range) return sendUnsatisfiable();
+            sendHead(200, 0, payload);  // an empty file has no first part
+            return finishRequest();
         }
-        if (isUnmodified()) return notModified();
+        if (isUnmodified()) return sendNotModified();
         const bool rangeHolds = current_->ifRange.empty() ||
                                 (current_->ifRange.front() == '"' ? current_->ifRange == tag && !tag.empty()
                                                                   : current_->ifRange == modified);
@@ -285,47 +285,47 @@
         Span span{0, total};
         if (current_->range) {
             const auto found = spanOf(*current_->range, total);
-            if (!found) return unsatisfiable();
+            if (!found) return sendUnsatisfiable();
             span = *found;
         }
         current_->nextByte = span.begin;
         current_->endByte = span.end;
-        const std::uint64_t first = numberOf(factOf(payload, kFirst));
+        const std::uint64_t first = parseNumber(findFact(payload, kFirst));
         const bool holdsIt = span.begin >= first && span.begin < first + payload.body.size();
         if (!holdsIt && !current_->isHead && span.begin < span.end) {
-            if (!current_->isFile || ++refetches_ > 2) return plain(502);
-            return ask(span.begin / owner_.configuration_.partBytes);
+            if (!current_->isFile || ++refetches_ > 2) return sendPlain(502);
+            return fetchPart(span.begin / owner_.configuration_.partBytes);
         }
         refetches_ = 0;
         std::string extra;
         if (current_->range)
             extra = "Content-Range: bytes " + std::to_string(span.begin) + "-" +
                     std::to_string(span.end - 1) + "/" + std::to_string(total) + "\r\n";
-        head(current_->range ? 206 : 200, span.end - span.begin, payload, extra);
-        if (current_->isHead || span.begin == span.end) return done();
+        sendHead(current_->range ? 206 : 200, span.end - span.begin, payload, extra);
+        if (current_->isHead || span.begin == span.end) return finishRequest();
         current_->headSent = true;
-        send(payload);
+        sendPart(payload);
     }
 
-    void send(const core::Payload& payload) {
-        const std::uint64_t first = numberOf(factOf(payload, kFirst));
+    void sendPart(const core::Payload& payload) {
+        const std::uint64_t first = parseNumber(findFact(payload, kFirst));
         const std::uint64_t upTo = std::min(current_->endByte, first + payload.body.size());
         if (current_->nextByte < first || current_->nextByte >= upTo)
-            return breakOff("the upstream sent another part");
+            return abortTransfer("the upstream sent another part");
         stream_.write(payload.body.substr(current_->nextByte - first, upTo - current_->nextByte));
         current_->nextByte = upTo;
-        count(stream_.unsentBytes());
-        touch();
-        if (current_->nextByte == current_->endByte) return done();
-        askOnceTaken();
+        accountUnsent(stream_.unsentBytes());
+        restartTimer();
+        if (current_->nextByte == current_->endByte) return finishRequest();
+        fetchNextPart();
     }
 
     // The next part is fetched when the client has room for it.
-    void askOnceTaken() {
+    void fetchNextPart() {
         if (!current_ || !current_->headSent || current_->openFetch ||
             stream_.unsentBytes() > owner_.configuration_.partBytes)
             return;
-        ask(current_->nextByte / owner_.configuration_.partBytes);
+        fetchPart(current_->nextByte / owner_.configuration_.partBytes);
     }
 
     bool isUnmodified() const {
@@ -336,91 +336,92 @@
         return since && changed && *changed <= *since;
     }
 
-    void fail(const Reply& reply) {
-        if (current_->headSent) return breakOff("no further part is to be had");
+    void handleFailure(const Reply& reply) {
+        if (current_->headSent) return abortTransfer("no further part is to be had");
         if (reply.late) {
             ++owner_.counters_.late;
-            return plain(504);
+            return sendPlain(504);
         }
         const auto last = reply.last.value_or(Outcome::notSent);
         if (last == Outcome::error || last == Outcome::broken || last == Outcome::noConnection ||
             last == Outcome::timedOut) {
             ++owner_.counters_.upstreamFailed;
-            return plain(502);
+            return sendPlain(502);
         }
-        unavailable(reply.pause);
+        sendUnavailable(reply.pause);
     }
 
-    void unavailable(Micros pause) {
+    void sendUnavailable(Micros pause) {
         ++owner_.counters_.refused;
         const auto seconds = std::max<std::int64_t>(1, (pause.count() + 999'999) / 1'000'000);
-        plain(503, "Retry-After: " + std::to_string(seconds) + "\r\n");
+        sendPlain(503, "Retry-After: " + std::to_string(seconds) + "\r\n");
     }
 
     // Fewer bytes than were announced, and then the end: no client takes that for the whole.
-    void breakOff(const char* why) {
+    void abortTransfer(const char* why) {
         ++owner_.counters_.brokenOff;
         std::fprintf(stderr, "repository: %s broken off at byte %llu of %llu: %s\n", current_->path.c_str(),
                      static_cast<unsigned long long>(current_->nextByte),
                      static_cast<unsigned long long>(current_->endByte), why);
         current_->keepAlive = false;
-        done();
+        finishRequest();
     }
 
-    void notModified() {
-        std::string words = statusLine(304);
-        if (!current_->etag.empty()) words += "ETag: " + current_->etag + "\r\n";
-        if (!current_->lastModified.empty()) words += "Last-Modified: " + current_->lastModified + "\r\n";
-        stream_.write(words + "\r\n");
-        done();
+    void sendNotModified() {
+        std::string response = statusLine(304);
+        if (!current_->etag.empty()) response += "ETag: " + current_->etag + "\r\n";
+        if (!current_->lastModified.empty()) response += "Last-Modified: " + current_->lastModified + "\r\n";
+        stream_.write(response + "\r\n");
+        finishRequest();
     }
 
-    void unsatisfiable() {
-        plain(416, "Content-Range: bytes */" + std::to_string(current_->fileBytes) + "\r\n");
+    void sendUnsatisfiable() {
+        sendPlain(416, "Content-Range: bytes */" + std::to_string(current_->fileBytes) + "\r\n");
     }
 
-    void head(int status, std::uint64_t length, const core::Payload& payload, const std::string& extra = {}) {
-        std::string words = statusLine(status);
-        const std::string type = factOf(payload, "content-type");
-        words += "Content-Type: " + (type.empty() ? "application/octet-stream" : type) + "\r\n";
-        words += "Content-Length: " + std::to_string(length) + "\r\nAccept-Ranges: bytes\r\n";
-        if (!current_->etag.empty()) words += "ETag: " + current_->etag + "\r\n";
-        if (!current_->lastModified.empty()) words += "Last-Modified: " + current_->lastModified + "\r\n";
-        stream_.write(words + extra + "\r\n");
+    void sendHead(int status, std::uint64_t length, const core::Payload& payload,
+                  const std::string& extra = {}) {
+        std::string response = statusLine(status);
+        const std::string type = findFact(payload, "content-type");
+        response += "Content-Type: " + (type.empty() ? "application/octet-stream" : type) + "\r\n";
+        response += "Content-Length: " + std::to_string(length) + "\r\nAccept-Ranges: bytes\r\n";
+        if (!current_->etag.empty()) response += "ETag: " + current_->etag + "\r\n";
+        if (!current_->lastModified.empty()) response += "Last-Modified: " + current_->lastModified + "\r\n";
+        stream_.write(response + extra + "\r\n");
     }
 
-    void plain(int status, const std::string& extra = {}) {
+    void sendPlain(int status, const std::string& extra = {}) {
         if (status == 404) ++owner_.counters_.notFound;
-        std::string words = statusLine(status) + extra;
-        if (status == 405) words += "Allow: GET, HEAD\r\n";
+        std::string response = statusLine(status) + extra;
+        if (status == 405) response += "Allow: GET, HEAD\r\n";
         const std::string body = std::string(reasonOf(status)) + "\n";
-        words += "Content-Type: text/plain\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n";
-        if (!current_->isHead) words += body;
-        stream_.write(std::move(words));
-        done();
+        response += "Content-Type: text/plain\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n";
+        if (!current_->isHead) response += body;
+        stream_.write(std::move(response));
+        finishRequest();
     }
 
     std::string statusLine(int status) const {
-        std::string words = "HTTP/1.1 " + std::to_string(status) + " " + reasonOf(status) + "\r\n";
-        words += "Date: " + httpDate(std::time(nullptr)) + "\r\nVia: 1.1 lotuslead\r\n";
-        if (!current_->keepAlive) words += "Connection: close\r\n";
-        return words;
+        std::string response = "HTTP/1.1 " + std::to_string(status) + " " + reasonOf(status) + "\r\n";
+        response += "Date: " + httpDate(std::time(nullptr)) + "\r\nVia: 1.1 lotuslead\r\n";
+        if (!current_->keepAlive) response += "Connection: close\r\n";
+        return response;
     }
 
-    void done() {
+    void finishRequest() {
         const bool keep = current_->keepAlive;
         current_.reset();
         refetches_ = 0;
-        count(stream_.unsentBytes());
-        touch();
+        accountUnsent(stream_.unsentBytes());
+        restartTimer();
         // What comes next is taken later in the turn, so that a row of short answers does not nest.
-        if (keep) return later(&Client::parseRequests);
+        if (keep) return postToSelf(&Client::parseRequests);
         closing_ = true;
-        later(&Client::closeWhenWritten);
+        postToSelf(&Client::closeWhenWritten);
     }
     void closeWhenWritten() { stream_.closeAfterWriting(); }
 
-    void later(void (Client::*what)()) {
+    void postToSelf(void (Client::*what)()) {
         const auto found = owner_.clients_.find(this);
         if (found == owner_.clients_.end()) return;
         owner_.loop_.post([self = std::weak_ptr<Client>(found->second), what] {
@@ -431,35 +432,35 @@
     // ----- the connection -----
 
     void streamFlushed() override {
-        touch();
-        count(0);
-        askOnceTaken();
+        restartTimer();
+        accountUnsent(0);
+        fetchNextPart();
     }
     void streamEnded(net::Stream::CloseReason) override {
         abandon();
         owner_.forget(this);
     }
-    void touch() {
+    void restartTimer() {
         if (timer_) owner_.loop_.cancel(*timer_);
         lastActivity_ = owner_.loop_.now();
         if (!current_ && !requestPendingSince_ && parser_.midMessage()) requestPendingSince_ = lastActivity_;
-        const bool half = !current_ && requestPendingSince_;
-        const Micros wait = half
+        const bool requestPending = !current_ && requestPendingSince_;
+        const Micros wait = requestPending
                                 ? std::max(Micros{0}, *requestPendingSince_ + kRequestTimeout - lastActivity_)
                                 : kIdleTimeout;
-        timer_ = owner_.loop_.after(wait, [this, half] {
+        timer_ = owner_.loop_.after(wait, [this, requestPending] {
             timer_.reset();
             // However slowly its bytes come, it does not hold its place.
-            if (half && parser_.midMessage() && !closing_) {
+            if (requestPending && parser_.midMessage() && !closing_) {
                 ++owner_.counters_.halfRequests;
                 return rejectAndClose(408);
             }
             // While an answer is fetched its own deadline holds.
-            if (current_ && current_->openFetch) return touch();
+            if (current_ && current_->openFetch) return restartTimer();
             streamEnded(net::Stream::CloseReason::closedByPeer);
         });
     }
-    void count(std::size_t unsent) {
+    void accountUnsent(std::size_t unsent) {
         owner_.unsentBytes_ += unsent;
         owner_.unsentBytes_ -= accountedBytes_;
         accountedBytes_ = unsent;
