--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -195,7 +195,7 @@
         current_->keepAlive = head.keepAlive() && !owner_.leaving_ && !owner_.drainingSince_;
         current_->isHead = head.method == "HEAD";
         if (head.minorVersion >= 1 && !head.field("host")) return rejectAndClose(400);
-        const auto path = pathOf(head.target);
+        const auto path = normalizePath(head.target);
         if (!path) return rejectAndClose(400);
         const settings::Route* route = nullptr;
         for (const settings::Route& r : owner_.configuration_.routes)
@@ -212,7 +212,7 @@
         current_->path = *path;
         const auto& classes = owner_.configuration_.base.decoded.settings.classes;
         current_->isFile = classes[static_cast<std::size_t>(route->classIndex)].inParts;
-        if (!current_->isHead) current_->range = rangeOf(head.field("range"));
+        if (!current_->isHead) current_->range = parseRange(head.field("range"));
         current_->ifRange = text("if-range");
         current_->ifNoneMatch = text("if-none-match");
         current_->ifModifiedSince = text("if-modified-since");
@@ -282,9 +282,9 @@
                                 (current_->ifRange.front() == '"' ? current_->ifRange == tag && !tag.empty()
                                                                   : current_->ifRange == modified);
         if (!rangeHolds) current_->range.reset();
-        Span span{0, total};
+        ByteSpan span{0, total};
         if (current_->range) {
-            const auto found = spanOf(*current_->range, total);
+            const auto found = resolveRange(*current_->range, total);
             if (!found) return sendUnsatisfiable();
             span = *found;
         }
@@ -329,10 +329,10 @@
     }
 
     bool isUnmodified() const {
-        if (!current_->ifNoneMatch.empty()) return matchesAny(current_->ifNoneMatch, current_->etag);
+        if (!current_->ifNoneMatch.empty()) return matchesIfNoneMatch(current_->ifNoneMatch, current_->etag);
         if (current_->ifModifiedSince.empty() || current_->lastModified.empty()) return false;
-        const auto since = readHttpDate(current_->ifModifiedSince),
-                   changed = readHttpDate(current_->lastModified);
+        const auto since = parseHttpDate(current_->ifModifiedSince),
+                   changed = parseHttpDate(current_->lastModified);
         return since && changed && *changed <= *since;
     }
 
@@ -403,7 +403,7 @@
 
     std::string statusLine(int status) const {
         std::string response = "HTTP/1.1 " + std::to_string(status) + " " + reasonOf(status) + "\r\n";
-        response += "Date: " + httpDate(std::time(nullptr)) + "\r\nVia: 1.1 lotuslead\r\n";
+        response += "Date: " + formatHttpDate(std::time(nullptr)) + "\r\nVia: 1.1 lotuslead\r\n";
         if (!current_->keepAlive) response += "Connection: close\r\n";
         return response;
     }
--- a/src/repository/target.cpp
+++ b/src/repository/target.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-int hexOf(char c) {
+int hexDigitValue(char c) {
     if (c >= '0' && c <= '9') return c - '0';
     if (c >= 'a' && c <= 'f') return c - 'a' + 10;
     if (c >= 'A' && c <= 'F') return c - 'A' + 10;
@@ -21,20 +21,20 @@
            c == '.' || c == '_' || c == '~';
 }
 
-std::optional<std::uint64_t> wholeOf(std::string_view text) {
+std::optional<std::uint64_t> parseInteger(std::string_view text) {
     std::uint64_t value = 0;
     const auto read = std::from_chars(text.data(), text.data() + text.size(), value);
     if (text.empty() || read.ec != std::errc{} || read.ptr != text.data() + text.size()) return {};
     return value;
 }
 
-std::string_view withoutWeakness(std::string_view tag) {
+std::string_view withoutWeakPrefix(std::string_view tag) {
     return tag.substr(0, 2) == "W/" ? tag.substr(2) : tag;
 }
 
 }  // namespace
 
-std::optional<std::string> pathOf(std::string_view target) {
+std::optional<std::string> normalizePath(std::string_view target) {
     for (const std::string_view scheme : {"http://", "https://"}) {
         if (net::lowerCase(target.substr(0, scheme.size())) != scheme) continue;
         const std::size_t slash = target.find('/', scheme.size());
@@ -53,7 +53,7 @@
             continue;
         }
         if (i + 2 >= target.size()) return {};
-        const int high = hexOf(target[i + 1]), low = hexOf(target[i + 2]);
+        const int high = hexDigitValue(target[i + 1]), low = hexDigitValue(target[i + 2]);
         if (high < 0 || low < 0) return {};
         const char decoded = static_cast<char>(high * 16 + low);
         constexpr char kDigits[] = "0123456789ABCDEF";
@@ -72,44 +72,44 @@
     return path;
 }
 
-std::optional<ByteRange> rangeOf(const std::string* field) {
+std::optional<ByteRange> parseRange(const std::string* field) {
     constexpr std::string_view unit = "bytes=";
     if (!field || net::lowerCase(field->substr(0, unit.size())) != unit) return {};
     const std::string_view text = net::trimmed(std::string_view(*field).substr(unit.size()));
     const std::size_t dash = text.find('-');
     if (dash == std::string_view::npos || text.find(',') != std::string_view::npos) return {};
-    ByteRange range{wholeOf(text.substr(0, dash)), wholeOf(text.substr(dash + 1))};
-    const bool firstWell = dash == 0 || range.first;
-    const bool lastWell = dash + 1 == text.size() || range.last;
-    if (!firstWell || !lastWell || (!range.first && !range.last)) return {};
+    ByteRange range{parseInteger(text.substr(0, dash)), parseInteger(text.substr(dash + 1))};
+    const bool firstValid = dash == 0 || range.first;
+    const bool lastValid = dash + 1 == text.size() || range.last;
+    if (!firstValid || !lastValid || (!range.first && !range.last)) return {};
     if (range.first && range.last && *range.last < *range.first) return {};
     return range;
 }
 
-std::optional<Span> spanOf(const ByteRange& range, std::uint64_t total) {
+std::optional<ByteSpan> resolveRange(const ByteRange& range, std::uint64_t total) {
     if (!range.first) {
         const std::uint64_t size = std::min(*range.last, total);
         if (size == 0) return {};
-        return Span{total - size, total};
+        return ByteSpan{total - size, total};
     }
     if (*range.first >= total) return {};
     const std::uint64_t last = range.last ? std::min(*range.last, total - 1) : total - 1;
-    return Span{*range.first, last + 1};
+    return ByteSpan{*range.first, last + 1};
 }
 
-bool matchesAny(const std::string& field, const std::string& tag) {
+bool matchesIfNoneMatch(const std::string& field, const std::string& tag) {
     if (net::trimmed(field) == "*") return true;
     if (tag.empty()) return false;
     for (std::size_t at = 0; at <= field.size();) {
         const std::size_t end = std::min(field.find(',', at), field.size());
         const auto one = net::trimmed(std::string_view(field).substr(at, end - at));
-        if (withoutWeakness(one) == withoutWeakness(tag)) return true;
+        if (withoutWeakPrefix(one) == withoutWeakPrefix(tag)) return true;
         at = end + 1;
     }
     return false;
 }
 
-std::string httpDate(std::time_t when) {
+std::string formatHttpDate(std::time_t when) {
     std::tm parts{};
     ::gmtime_r(&when, &parts);
     char text[40];
@@ -117,7 +117,7 @@
     return {text, size};
 }
 
-std::optional<std::time_t> readHttpDate(const std::string& text) {
+std::optional<std::time_t> parseHttpDate(const std::string& text) {
     std::tm parts{};
     const char* end = ::strptime(text.c_str(), "%a, %d %b %Y %H:%M:%S GMT", &parts);
     if (end == nullptr || *end != '\0') return {};
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -21,7 +21,7 @@
 // Age counts whole seconds, so a limit below this cannot be told by it: the copy is then validated anew.
 constexpr Micros kFinestAge = 2s;
 
-std::optional<std::uint64_t> wholeOf(std::string_view text) {
+std::optional<std::uint64_t> parseInteger(std::string_view text) {
     std::uint64_t value = 0;
     const auto read = std::from_chars(text.data(), text.data() + text.size(), value);
     if (text.empty() || read.ec != std::errc{} || read.ptr != text.data() + text.size()) return {};
@@ -38,12 +38,12 @@
     const std::string_view text = std::string_view(*field).substr(6);
     const std::size_t slash = text.find('/');
     if (slash == std::string_view::npos) return result;
-    result.total = wholeOf(text.substr(slash + 1));
+    result.total = parseInteger(text.substr(slash + 1));
     const std::string_view span = text.substr(0, slash);
     const std::size_t dash = span.find('-');
     if (dash == std::string_view::npos) return result;
-    result.first = wholeOf(span.substr(0, dash));
-    result.last = wholeOf(span.substr(dash + 1));
+    result.first = parseInteger(span.substr(0, dash));
+    result.last = parseInteger(span.substr(dash + 1));
     return result;
 }
 
@@ -161,7 +161,7 @@
             // Of a copy that the client holds, or it says nothing of any.
             const std::string& known = work.request->known;
             const std::string* tag = head.field("etag");
-            end.payload.unchanged = !known.empty() && (!tag || matchesAny(known, *tag));
+            end.payload.unchanged = !known.empty() && (!tag || matchesIfNoneMatch(known, *tag));
             if (!end.payload.unchanged) end.outcome = Outcome::error;
         } else if (status == 416 && range.total) {
             facts.emplace_back(kTotal, std::to_string(*range.total));
@@ -179,7 +179,7 @@
         const std::string* field = head.field("age");
         constexpr std::uint64_t kTenYears = 315'360'000;  // in seconds; no sum runs over
         const auto age =
-            field ? static_cast<std::int64_t>(std::min(wholeOf(*field).value_or(0), kTenYears)) : 0;
+            field ? static_cast<std::int64_t>(std::min(parseInteger(*field).value_or(0), kTenYears)) : 0;
         if (end.outcome == Outcome::served && field && work.send.oldest >= kFinestAge &&
             age + 1 > secondsOf(work.send.oldest)) {
             ++owner_.counters_.tooOld;
