--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 constexpr Micros kConnectTimeout = 400ms;
-constexpr Micros kIdleClose = 15s;
-constexpr std::size_t kMostLinks = 16;  // to one server
+constexpr Micros kIdleTimeout = 15s;
+constexpr std::size_t kMaxConnectionsPerServer = 16;  // to one server
 // Age counts whole seconds, so a limit below this cannot be told by it: the copy is then validated anew.
-constexpr Micros kFinestAge = 2s;
+constexpr Micros kMinAgeLimit = 2s;
 
 std::optional<std::uint64_t> parseInteger(std::string_view text) {
     std::uint64_t value = 0;
@@ -32,7 +32,7 @@
 struct ContentRange {
     std::optional<std::uint64_t> first, last, total;
 };
-ContentRange contentRangeOf(const std::string* field) {
+ContentRange parseContentRange(const std::string* field) {
     ContentRange result;
     if (!field || field->rfind("bytes ", 0) != 0) return result;
     const std::string_view text = std::string_view(*field).substr(6);
@@ -47,33 +47,33 @@
     return result;
 }
 
-std::int64_t secondsOf(Micros t) { return std::chrono::duration_cast<std::chrono::seconds>(t).count(); }
+std::int64_t toSeconds(Micros t) { return std::chrono::duration_cast<std::chrono::seconds>(t).count(); }
 
 }  // namespace
 
-class Upstreams::Link : public net::Stream::Observer, public std::enable_shared_from_this<Link> {
+class Upstreams::Connection : public net::Stream::Observer, public std::enable_shared_from_this<Connection> {
 public:
-    Link(Upstreams& owner, std::string host, const settings::Endpoint& to)
+    Connection(Upstreams& owner, std::string host, const settings::Endpoint& to)
         : owner_(owner),
           host_(std::move(host)),
           parser_(net::HttpParser::Kind::response,
                   {16 * 1024, std::max(owner.configuration_.maxIndexBytes, owner.configuration_.partBytes)}),
           stream_(owner_.loop_, to, *this) {
         ++owner_.counters_.connects;
-        arm(owner_.connectTimeout_, Outcome::noConnection);
+        startTimer(owner_.connectTimeout_, Outcome::noConnection);
     }
-    ~Link() override { stopTimer(); }
+    ~Connection() override { stopTimer(); }
 
     bool connecting() const { return !ended_ && !stream_.opened(); }
     // One whose close has come and is not handled yet would lose what is written now; and what it says
     // unasked, such as 408 before it closes, would pass for the answer.
-    bool ready() const { return !ended_ && stream_.opened() && !work_ && stream_.nothingUnread(); }
-    bool has(RequestId request) const { return work_ && work_->send.request == request; }
+    bool ready() const { return !ended_ && stream_.opened() && !attempt_ && stream_.nothingUnread(); }
+    bool has(RequestId request) const { return attempt_ && attempt_->send.request == request; }
 
-    void take(const Waiting& work) {
+    void take(const QueuedAttempt& attempt) {
         stopTimer();
-        work_ = work;
-        stream_.write(owner_.wordsFor(*work.request, work.send));
+        attempt_ = attempt;
+        stream_.write(owner_.requestText(*attempt.request, attempt.send));
     }
 
     void fail(Outcome outcome) {
@@ -81,41 +81,41 @@
         stopTimer();
         stream_.close();
         const auto self = shared_from_this();
-        if (work_) owner_.tell(*work_, outcome);
-        work_.reset();
+        if (attempt_) owner_.report(*attempt_, outcome);
+        attempt_.reset();
         owner_.loop_.destroyAfterTurn(self);
-        owner_.drop(host_, this, blameless_);
+        owner_.removeConnection(host_, this, blameless_);
     }
     // HTTP/1.1 has no other way to give a request up.
-    void giveUp() {
-        work_.reset();
+    void abort() {
+        attempt_.reset();
         fail(Outcome::cancelled);
     }
 
 private:
     void streamOpened() override {
-        rest();
-        serveWhatWaited();
+        startIdleTimer();
+        serveQueueAtEndOfTurn();
     }
     // Its client may have left in this very turn.
-    void serveWhatWaited() {
-        owner_.loop_.atEndOfTurn([self = shared_from_this()] { self->owner_.serveWaiting(self->host_); });
+    void serveQueueAtEndOfTurn() {
+        owner_.loop_.atEndOfTurn([self = shared_from_this()] { self->owner_.serveQueue(self->host_); });
     }
     bool streamData(std::string_view data) override {
         while (!data.empty()) {
-            if (!work_) return false;  // an answer to nothing
+            if (!attempt_) return false;  // an answer to nothing
             const auto status = parser_.feed(data);
             if (status == net::HttpParser::Status::needMore) return true;
             if (status != net::HttpParser::Status::message) return false;
             if (parser_.head().status < 200) continue;  // interim: the final one follows
-            answered(parser_.head().keepAlive());
+            finishAttempt(parser_.head().keepAlive());
             if (ended_) return true;
         }
         return true;
     }
     void streamEnded(net::Stream::CloseReason why) override {
         using End = net::Stream::CloseReason;
-        if (why == End::closedByPeer && work_ && parser_.endOfStream()) return answered(false);
+        if (why == End::closedByPeer && attempt_ && parser_.endOfStream()) return finishAttempt(false);
         const bool cameUp = why != End::connectFailed && why != End::localShortage;
         if (!cameUp) ++owner_.counters_.connectFailures;
         if (why == End::reset) ++owner_.counters_.resets;
@@ -128,26 +128,26 @@
         fail(cameUp ? Outcome::broken : Outcome::noConnection);
     }
 
-    void answered(bool keep) {
-        const Waiting work = *work_;
-        work_.reset();
-        owner_.tell(outcomeOf(work));
+    void finishAttempt(bool keep) {
+        const QueuedAttempt attempt = *attempt_;
+        attempt_.reset();
+        owner_.report(readResponse(attempt));
         if (!keep) return fail(Outcome::broken);
-        rest();
-        serveWhatWaited();
+        startIdleTimer();
+        serveQueueAtEndOfTurn();
     }
 
-    AttemptEnd outcomeOf(const Waiting& work) {
+    AttemptEnd readResponse(const QueuedAttempt& attempt) {
         const net::HttpHead& head = parser_.head();
         AttemptEnd end;
-        end.request = work.send.request;
-        end.attempt = work.send.attempt;
+        end.request = attempt.send.request;
+        end.attempt = attempt.send.attempt;
         end.outcome = Outcome::served;
         auto& facts = end.payload.facts;
         for (const char* name : {"etag", "last-modified", "content-type"})
             if (const std::string* value = head.field(name)) facts.emplace_back(name, *value);
         int status = head.status;
-        const ContentRange range = contentRangeOf(head.field("content-range"));
+        const ContentRange range = parseContentRange(head.field("content-range"));
         if (status == 200) {
             facts.emplace_back(kTotal, std::to_string(parser_.body().size()));
             facts.emplace_back(kFirst, "0");
@@ -159,7 +159,7 @@
             facts.emplace_back(kFirst, std::to_string(range.first.value_or(0)));
         } else if (status == 304) {
             // Of a copy that the client holds, or it says nothing of any.
-            const std::string& known = work.request->known;
+            const std::string& known = attempt.request->known;
             const std::string* tag = head.field("etag");
             end.payload.unchanged = !known.empty() && (!tag || matchesIfNoneMatch(known, *tag));
             if (!end.payload.unchanged) end.outcome = Outcome::error;
@@ -168,7 +168,7 @@
         } else if (status == 410 || status == 404) {
             status = 404;
         } else if (status == 504) {  // also the answer to only-if-cached (RFC 9111, 5.2.1.7)
-            const bool held = work.send.source.empty() || work.send.heldOnly;
+            const bool held = attempt.send.source.empty() || attempt.send.heldOnly;
             end.outcome = held ? Outcome::noCopy : Outcome::error;
         } else if (status == 503 || status == 429) {
             end.outcome = Outcome::notTaken;
@@ -180,8 +180,8 @@
         constexpr std::uint64_t kTenYears = 315'360'000;  // in seconds; no sum runs over
         const auto age =
             field ? static_cast<std::int64_t>(std::min(parseInteger(*field).value_or(0), kTenYears)) : 0;
-        if (end.outcome == Outcome::served && field && work.send.oldest >= kFinestAge &&
-            age + 1 > secondsOf(work.send.oldest)) {
+        if (end.outcome == Outcome::served && field && attempt.send.oldest >= kMinAgeLimit &&
+            age + 1 > toSeconds(attempt.send.oldest)) {
             ++owner_.counters_.tooOld;
             end.outcome = Outcome::noCopy;
         }
@@ -189,8 +189,8 @@
         // It can't be older: Age was counted after the request was sent, and cuts off less than a second
         // (RFC 9111 4.2.3).
         const Micros held = field ? std::chrono::seconds{age + 1} : Micros{0};
-        end.payload.mintedMs = std::chrono::duration_cast<std::chrono::milliseconds>(work.send.pickedAt +
-                                                                                     owner_.unixAhead_ - held)
+        end.payload.mintedMs = std::chrono::duration_cast<std::chrono::milliseconds>(
+                                   attempt.send.pickedAt + owner_.unixClockOffset_ - held)
                                    .count();
         facts.emplace_back(kStatus, std::to_string(status));
         if (end.outcome == Outcome::served && (status == 200 || status == 206))
@@ -198,8 +198,8 @@
         return end;
     }
 
-    void rest() { arm(owner_.idleClose_, Outcome::broken); }
-    void arm(Micros delay, Outcome outcome) {
+    void startIdleTimer() { startTimer(owner_.idleTimeout_, Outcome::broken); }
+    void startTimer(Micros delay, Outcome outcome) {
         stopTimer();
         timer_ = owner_.loop_.after(delay, [this, outcome] {
             timer_.reset();
@@ -214,7 +214,7 @@
     Upstreams& owner_;
     std::string host_;
     net::HttpParser parser_;
-    std::optional<Waiting> work_;
+    std::optional<QueuedAttempt> attempt_;
     std::optional<net::Loop::TimerKey> timer_;
     bool ended_ = false;
     bool blameless_ = false;  // its end says nothing of the server
@@ -222,17 +222,17 @@
 };
 
 Upstreams::Upstreams(net::Loop& loop, const settings::RepositoryConfiguration& configuration)
-    : loop_(loop), unixAhead_(core::unixAhead()), configuration_(configuration) {
+    : loop_(loop), unixClockOffset_(core::unixAhead()), configuration_(configuration) {
     reconfigure(configuration);
 }
 
 void Upstreams::reconfigure(const settings::RepositoryConfiguration& configuration) {
     const settings::DecodedSettings& decoded = configuration.base.decoded;
-    const auto given = [](Time t, Micros otherwise) {
+    const auto valueOr = [](Time t, Micros otherwise) {
         return t.count() > 0 ? std::chrono::duration_cast<Micros>(t) : otherwise;
     };
-    connectTimeout_ = given(decoded.connectTimeout, kConnectTimeout);
-    idleClose_ = given(decoded.idleTimeout * 9 / 10, kIdleClose);
+    connectTimeout_ = valueOr(decoded.connectTimeout, kConnectTimeout);
+    idleTimeout_ = valueOr(decoded.idleTimeout * 9 / 10, kIdleTimeout);
 }
 
 Upstreams::~Upstreams() = default;
@@ -241,13 +241,13 @@
     for (auto& [name, server] : servers_) {
         const bool named = std::any_of(event.stores.begin(), event.stores.end(),
                                        [&, &key = name](const auto& s) { return s.name == key; });
-        if (event.whole && !named) dropAll(server);
+        if (event.whole && !named) closeConnections(server);
     }
     for (const settings::ListedStore& listed : event.stores) {
         Server& server = servers_[listed.name];
         const bool restarted = listed.sinceMs > server.sinceMs && !server.address.empty();
         const bool moved = !listed.address.empty() && listed.address != server.address;
-        if (restarted || moved || listed.readiness == Readiness::gone) dropAll(server);
+        if (restarted || moved || listed.readiness == Readiness::gone) closeConnections(server);
         try {
             if (!listed.address.empty()) settings::readEndpoint(listed.address, "address");
             if (!listed.address.empty()) server.address = listed.address;
@@ -259,113 +259,117 @@
     }
 }
 
-void Upstreams::dropAll(Server& server) {
-    for (const Waiting& w : std::exchange(server.waiting, {})) tell(w, Outcome::notSent);
-    const auto links = server.links;
-    for (const auto& link : links) link->fail(Outcome::broken);
+void Upstreams::closeConnections(Server& server) {
+    for (const QueuedAttempt& w : std::exchange(server.queue, {})) report(w, Outcome::notSent);
+    const auto connections = server.connections;
+    for (const auto& connection : connections) connection->fail(Outcome::broken);
 }
 
-void Upstreams::drop(const std::string& host, Link* link, bool blameless) {
+void Upstreams::removeConnection(const std::string& host, Connection* connection, bool blameless) {
     Server& server = servers_[host];
-    std::erase_if(server.links, [&](const auto& held) { return held.get() == link; });
+    std::erase_if(server.connections, [&](const auto& held) { return held.get() == connection; });
     // Those that were waiting for this connection to come up have lost it.
-    if (server.links.empty())
-        for (const Waiting& w : std::exchange(server.waiting, {})) tell(w, Outcome::noConnection, blameless);
+    if (server.connections.empty())
+        for (const QueuedAttempt& w : std::exchange(server.queue, {}))
+            report(w, Outcome::noConnection, blameless);
 }
 
 void Upstreams::send(Micros, const core::Request& request, const core::Verdict& send) {
-    out_[request.id] = send.attempt;
+    inFlight_[request.id] = send.attempt;
     servers_[send.host].waiting.push_back({&request, send});
-    serveWaiting(send.host);
+    serveQueue(send.host);
 }
 
 // An attempt is looked at again when a connection is free for it: a server may be draining by then.
-void Upstreams::serveWaiting(const std::string& host) {
+void Upstreams::serveQueue(const std::string& host) {
     Server& server = servers_[host];
     if (server.address.empty())
-        for (const Waiting& w : std::exchange(server.waiting, {})) tell(w, Outcome::noConnection);
-    while (!server.waiting.empty()) {
-        const Waiting next = server.waiting.front();
+        for (const QueuedAttempt& w : std::exchange(server.queue, {})) report(w, Outcome::noConnection);
+    while (!server.queue.empty()) {
+        const QueuedAttempt next = server.queue.front();
         if (loop_.now() > next.send.pickedAt && !callbacks_.mayBegin(next.send.request, next.send.attempt)) {
-            server.waiting.pop_front();
+            server.queue.pop_front();
             ++counters_.heldBack;
-            tell(next, Outcome::notSent);
+            report(next, Outcome::notSent);
             continue;
         }
-        const auto free = std::find_if(server.links.begin(), server.links.end(),
-                                       [](const auto& link) { return link->ready(); });
-        if (free == server.links.end()) break;
-        server.waiting.pop_front();
+        const auto free = std::find_if(server.connections.begin(), server.connections.end(),
+                                       [](const auto& connection) { return connection->ready(); });
+        if (free == server.connections.end()) break;
+        server.queue.pop_front();
         (*free)->take(next);
     }
-    auto coming = static_cast<std::size_t>(std::count_if(
-        server.links.begin(), server.links.end(), [](const auto& link) { return link->connecting(); }));
-    for (; coming < server.waiting.size() && server.links.size() < kMostLinks; ++coming)
-        server.links.push_back(
-            std::make_shared<Link>(*this, host, settings::readEndpoint(server.address, "address")));
+    auto connecting = static_cast<std::size_t>(
+        std::count_if(server.connections.begin(), server.connections.end(),
+                      [](const auto& connection) { return connection->connecting(); }));
+    for (; connecting < server.queue.size() && server.connections.size() < kMaxConnectionsPerServer;
+         ++connecting)
+        server.connections.push_back(
+            std::make_shared<Connection>(*this, host, settings::readEndpoint(server.address, "address")));
 }
 
 bool Upstreams::cancel(Micros, RequestId request, int attempt) {
-    const auto found = out_.find(request);
-    if (found == out_.end() || found->second != attempt) return false;
-    out_.erase(found);
+    const auto found = inFlight_.find(request);
+    if (found == inFlight_.end() || found->second != attempt) return false;
+    inFlight_.erase(found);
     for (auto& [name, server] : servers_) {
-        const auto queued = std::find_if(server.waiting.begin(), server.waiting.end(),
-                                         [&](const Waiting& w) { return w.send.request == request; });
-        if (queued != server.waiting.end()) {
-            server.waiting.erase(queued);
+        const auto queued = std::find_if(server.queue.begin(), server.queue.end(),
+                                         [&](const QueuedAttempt& w) { return w.send.request == request; });
+        if (queued != server.queue.end()) {
+            server.queue.erase(queued);
             return true;
         }
-        const auto held = std::find_if(server.links.begin(), server.links.end(),
-                                       [&](const auto& link) { return link->has(request); });
-        if (held == server.links.end()) continue;
-        const std::shared_ptr<Link> link = *held;
-        link->giveUp();
+        const auto held = std::find_if(server.connections.begin(), server.connections.end(),
+                                       [&](const auto& connection) { return connection->has(request); });
+        if (held == server.connections.end()) continue;
+        const std::shared_ptr<Connection> connection = *held;
+        connection->abort();
         return false;
     }
     return false;
 }
 
-std::string Upstreams::wordsFor(const core::Request& request, const core::Verdict& send) {
+std::string Upstreams::requestText(const core::Request& request, const core::Verdict& send) {
     const Server& server = servers_[send.host];
-    std::string words = "GET " + request.object + " HTTP/1.1\r\nHost: " + server.address + "\r\n";
+    std::string text = "GET " + request.object + " HTTP/1.1\r\nHost: " + server.address + "\r\n";
     if (configuration_.base.decoded.settings.classes[static_cast<std::size_t>(request.classIndex)].inParts) {
         const auto first = static_cast<std::uint64_t>(request.part) * configuration_.partBytes;
-        words += "Range: bytes=" + std::to_string(first) + "-" +
-                 std::to_string(first + configuration_.partBytes - 1) + "\r\n";
+        text += "Range: bytes=" + std::to_string(first) + "-" +
+                std::to_string(first + configuration_.partBytes - 1) + "\r\n";
     }
-    if (!request.known.empty()) words += "If-None-Match: " + request.known + "\r\n";
+    if (!request.known.empty()) text += "If-None-Match: " + request.known + "\r\n";
     std::string control;
     const auto add = [&](const std::string& word) { control += (control.empty() ? "" : ", ") + word; };
     if (send.oldest.count() > 0)
-        add(send.oldest < kFinestAge ? "no-cache" : "max-age=" + std::to_string(secondsOf(send.oldest) - 1));
+        add(send.oldest < kMinAgeLimit ? "no-cache"
+                                       : "max-age=" + std::to_string(toSeconds(send.oldest) - 1));
     if (!server.origin) {
         if (send.source.empty() || send.heldOnly) add("only-if-cached");
         if (send.keepRank == 0) add("no-store");
         // A cache that knows this field fills a miss from there; others go by their own set-up.
-        if (!send.source.empty()) words += "Lotuslead-Source: " + servers_[send.source].address + "\r\n";
+        if (!send.source.empty()) text += "Lotuslead-Source: " + servers_[send.source].address + "\r\n";
     }
-    if (!control.empty()) words += "Cache-Control: " + control + "\r\n";
-    return words + "\r\n";
+    if (!control.empty()) text += "Cache-Control: " + control + "\r\n";
+    return text + "\r\n";
 }
 
-void Upstreams::tell(const Waiting& waiting, Outcome outcome, bool blameless) {
+void Upstreams::report(const QueuedAttempt& attempt, Outcome outcome, bool blameless) {
     AttemptEnd end;
     end.blameless = blameless;
-    end.request = waiting.send.request;
-    end.attempt = waiting.send.attempt;
+    end.request = attempt.send.request;
+    end.attempt = attempt.send.attempt;
     end.outcome = outcome;
-    tell(std::move(end));
+    report(std::move(end));
 }
 
-void Upstreams::tell(AttemptEnd end) {
+void Upstreams::report(AttemptEnd end) {
     // Later in the turn: the caller may be in the middle of the very request that this is about. And what its
     // client has said by then is known before the request is sent on.
     auto shared = std::make_shared<AttemptEnd>(std::move(end));
     loop_.atEndOfTurn([this, shared] {
-        const auto found = out_.find(shared->request);
-        if (found == out_.end() || found->second != shared->attempt) return;
-        out_.erase(found);
+        const auto found = inFlight_.find(shared->request);
+        if (found == inFlight_.end() || found->second != shared->attempt) return;
+        inFlight_.erase(found);
         callbacks_.ended(std::move(*shared));
     });
 }
--- a/src/repository/upstreams.hpp
+++ b/src/repository/upstreams.hpp
@@ -35,7 +35,7 @@
 
     void listen(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
     void list(const settings::BusEvent& event);
-    void share(int) {}  // its connections are few: kMostLinks to a server
+    void share(int) {}  // its connections are few: kMaxConnectionsPerServer to a server
     void reconfigure(const settings::RepositoryConfiguration& configuration);
     void send(core::Micros now, const core::Request& request, const core::Verdict& send) override;
     bool cancel(core::Micros now, RequestId request, int attempt) override;
@@ -43,8 +43,8 @@
     const Counters& counters() const { return counters_; }
 
 private:
-    class Link;
-    struct Waiting {
+    class Connection;
+    struct QueuedAttempt {
         const core::Request* request;  // lives at least as long as the attempt is out
         core::Verdict send;
     };
@@ -52,25 +52,25 @@
         std::string address;
         bool origin = false;
         std::int64_t sinceMs = 0;
-        std::vector<std::shared_ptr<Link>> links;
-        std::deque<Waiting> waiting;
+        std::vector<std::shared_ptr<Connection>> connections;
+        std::deque<QueuedAttempt> queue;
     };
 
-    void serveWaiting(const std::string& host);
-    std::string wordsFor(const core::Request& request, const core::Verdict& send);
-    void tell(core::AttemptEnd end);
-    void tell(const Waiting& waiting, Outcome outcome, bool blameless = false);
-    void drop(const std::string& host, Link* link, bool blameless);
-    void dropAll(Server& server);
+    void serveQueue(const std::string& host);
+    std::string requestText(const core::Request& request, const core::Verdict& send);
+    void report(core::AttemptEnd end);
+    void report(const QueuedAttempt& attempt, Outcome outcome, bool blameless = false);
+    void removeConnection(const std::string& host, Connection* connection, bool blameless);
+    void closeConnections(Server& server);
 
     net::Loop& loop_;
-    core::Micros unixAhead_;
+    core::Micros unixClockOffset_;
     const settings::RepositoryConfiguration& configuration_;
-    core::Micros connectTimeout_{}, idleClose_{};
+    core::Micros connectTimeout_{}, idleTimeout_{};
     Callbacks callbacks_;
     Counters counters_;
     std::unordered_map<std::string, Server> servers_;
-    std::unordered_map<RequestId, int> out_;  // the attempt of each request that is out
+    std::unordered_map<RequestId, int> inFlight_;  // the attempt of each request that is out
 };
 
 }  // namespace lotuslead::repository
