--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-constexpr Micros kIdleTimeout = 30s;        // a connection on which nothing moves for so long is closed
-constexpr Micros kRequestTimeout = 2800ms;  // from the connection, or its first byte, to its last
-constexpr int kMaxRequestsPerTurn = 16;     // of one client; then the others have their turn
-constexpr std::size_t kMaxPipelinedBytes = 64 * 1024;  // of further requests while one is answered
-constexpr Micros kDrainSweepInterval = 50ms;           // of the connections, while clients are sent away
+constexpr Micros kIdleTimeout = 30s;        // for connections without any progress
+constexpr Micros kRequestTimeout = 2800ms;  // from connecting, or a request's first byte, to its last
+constexpr int kMaxRequestsPerTurn = 16;     // of one client, so that others get their turn
+constexpr std::size_t kMaxPipelinedBytes = 64 * 1024;  // of further requests during an answer
+constexpr Micros kDrainSweepInterval = 50ms;           // for closing idle connections
 constexpr Micros kRefuseAfterDrainStart = 1900ms;      // as at the platform's front
 constexpr Micros kMinAgeToDrain = 500ms;
 constexpr std::size_t kMaxReservedDescriptors = 128;
@@ -85,7 +85,7 @@
     ~Client() override { abandon(); }
 
     bool idle() const { return !current_ && stream_.unsentBytes() == 0; }
-    // At rest: nothing of a further request has come, read or unread.
+    // Idle, and no byte of a further request has arrived, read or unread.
     bool resting() const {
         return idle() && unparsed_.empty() && !parser_.midMessage() && stream_.nothingUnread();
     }
@@ -125,19 +125,19 @@
     }
 
 private:
-    // The request in hand. A file is fetched part by part, as its client takes it.
+    // The request that is being answered. A file is fetched part by part, as its client reads it.
     struct CurrentRequest {
-        bool isHead = false;  // the method
+        bool isHead = false;  // its method is HEAD
         bool isFile = false;
         bool keepAlive = true;
         settings::Route route;
         std::string path;
         std::optional<ByteRange> range;
         std::string ifRange, ifNoneMatch, ifModifiedSince;
-        std::optional<RequestId> openFetch;  // the part that is under way
+        std::optional<RequestId> openFetch;  // of the part that is being fetched
         std::size_t reservedBytes = 0;
         std::uint64_t part = 0;
-        bool headSent = false;  // its head is written: what goes wrong from here on must show as incomplete
+        bool headSent = false;  // from here on, a failure must show as an incomplete response
         std::uint64_t nextByte = 0, endByte = 0, fileBytes = 0;
         std::string etag, lastModified;
     };
@@ -152,8 +152,8 @@
         return true;
     }
 
-    // One at a time: an index asked for behind a file is fetched after it, and so is no older than its
-    // answer.
+    // Handles requests one at a time, so that an index requested behind a file is fetched after the file, and
+    // is not outdated when it is sent.
     void parseRequests() {
         if (resumeTimer_) return;
         while (!current_ && !closing_ && !stream_.closed() && !unparsed_.empty()) {
@@ -170,7 +170,7 @@
             const auto status = parser_.feed(rest);
             unparsed_.erase(0, unparsed_.size() - rest.size());
             using Status = net::HttpParser::Status;
-            if (status == Status::needMore) break;  // and read on, if it had to wait before
+            if (status == Status::needMore) break;  // and resume reading, if it was paused
             if (status == Status::malformed) return rejectAndClose(400);
             if (status == Status::headTooLarge) return rejectAndClose(431);
             if (status == Status::bodyTooLarge) return rejectAndClose(413);
@@ -181,7 +181,7 @@
         if (!current_) stream_.pauseReading(false);
     }
 
-    // What can't be read leaves no way to tell where the next request would begin.
+    // Closes the connection as well, since the start of the next request is unknown.
     void rejectAndClose(int status) {
         ++owner_.counters_.badRequests;
         requestPendingSince_.reset();
@@ -320,7 +320,7 @@
         fetchNextPart();
     }
 
-    // The next part is fetched when the client has room for it.
+    // Fetches the next part once the client has read enough of what was sent.
     void fetchNextPart() {
         if (!current_ || !current_->headSent || current_->openFetch ||
             stream_.unsentBytes() > owner_.configuration_.partBytes)
@@ -357,7 +357,7 @@
         sendPlain(503, "Retry-After: " + std::to_string(seconds) + "\r\n");
     }
 
-    // Fewer bytes than were announced, and then the end: no client takes that for the whole.
+    // Closes the connection before the announced length, so that the client sees an incomplete response.
     void abortTransfer(const char* why) {
         ++owner_.counters_.brokenOff;
         std::fprintf(stderr, "repository: %s broken off at byte %llu of %llu: %s\n", current_->path.c_str(),
@@ -414,7 +414,7 @@
         refetches_ = 0;
         accountUnsent(stream_.unsentBytes());
         restartTimer();
-        // What comes next is taken later in the turn, so that a row of short answers does not nest.
+        // The next request is handled later in the turn, so that pipelined requests do not recurse.
         if (keep) return postToSelf(&Client::parseRequests);
         closing_ = true;
         postToSelf(&Client::closeWhenWritten);
@@ -450,12 +450,12 @@
                                 : kIdleTimeout;
         timer_ = owner_.loop_.after(wait, [this, requestPending] {
             timer_.reset();
-            // However slowly its bytes come, it does not hold its place.
+            // Also for requests whose bytes arrive slowly: they must not occupy a connection.
             if (requestPending && parser_.midMessage() && !closing_) {
                 ++owner_.counters_.halfRequests;
                 return rejectAndClose(408);
             }
-            // While an answer is fetched its own deadline holds.
+            // An open fetch is bounded by its own deadline.
             if (current_ && current_->openFetch) return restartTimer();
             streamEnded(net::Stream::CloseReason::closedByPeer);
         });
@@ -473,9 +473,9 @@
     int refetches_ = 0;
     bool closing_ = false;
     Micros connectedAt_, lastActivity_;
-    std::optional<Micros> requestPendingSince_;  // a request is owed since then
+    std::optional<Micros> requestPendingSince_;  // start of the wait for a complete request
     Micros countedTurn_{};
-    int requestsThisTurn_ = 0;  // requests, in that turn
+    int requestsThisTurn_ = 0;  // in the turn countedTurn_
     std::optional<net::Loop::TimerKey> resumeTimer_;
     std::optional<net::Loop::TimerKey> timer_;
     std::size_t accountedBytes_ = 0;
--- a/src/repository/front.hpp
+++ b/src/repository/front.hpp
@@ -1,4 +1,4 @@
-// The front for package repositories: indexes and files over HTTP/1.1.
+// The front for package repositories: serves indexes and files over HTTP/1.1.
 #pragma once
 
 #include <cstdint>
@@ -27,14 +27,14 @@
     ~Front();
 
     void open();
-    void share(int processes);  // of the limits
-    // Other limits and routes are read from the configuration that it was given; throws like the platform's
-    // front.
+    void share(int processes);  // divides the limits by the number of processes
+    // Applies a changed address and limits; routes are always read from the configuration that the
+    // constructor was given. Throws like the platform's front.
     void reconfigure(const settings::RepositoryConfiguration& configuration);
-    // What is open is answered or broken off at once, what still comes refused.
+    // Answers or aborts all open requests at once and refuses new ones.
     void lastCall();
-    void leave() { leaving_ = true; }  // connections are not kept any more
-    // As at the platform's front: what still comes is served, and refused later on. Downloads go on.
+    void leave() { leaving_ = true; }  // ends connections after their answers
+    // As in the platform's front: new requests are served at first and refused later; downloads continue.
     void drain();
     void undrain();
     void yield() {
@@ -42,7 +42,7 @@
         drain();
     }
     bool deserted() const { return clients_.empty(); }
-    bool settled();  // as at the platform's front
+    bool settled();  // as in the platform's front
     std::uint16_t port() const { return listener_->port(); }
     const Counters& counters() const { return counters_; }
 
@@ -65,8 +65,8 @@
     std::size_t maxClients_ = 0;
     int processes_ = 1;
     std::size_t maxBufferedBytes_ = 0;
-    std::size_t unsentBytes_ = 0;    // bytes of answers that clients have not yet read
-    std::size_t reservedBytes_ = 0;  // bytes that the requests in hand may yet bring
+    std::size_t unsentBytes_ = 0;    // of answers, not yet sent to clients
+    std::size_t reservedBytes_ = 0;  // that open fetches may still deliver
     bool leaving_ = false;
     bool lastCall_ = false;
     std::optional<core::Micros> drainingSince_;
--- a/src/repository/service.cpp
+++ b/src/repository/service.cpp
@@ -14,7 +14,8 @@
     return {};
 }
 
-// Whole answers, and the very part that was asked for: a server that knows no ranges sends all of a file.
+// Only complete responses for the requested part can be stored: a server without support for ranges sends the
+// whole file.
 bool storable(const disk::Key& key, const core::Payload& payload) {
     const std::string status = factOf(payload.facts, kStatus);
     const bool inParts = key.form != 0;
@@ -23,7 +24,7 @@
     return factOf(payload.facts, kFirst) == std::to_string(static_cast<std::uint64_t>(key.part) * key.form);
 }
 
-// What the front compares before it joins two parts.
+// The version of the file, which the front compares before it joins two parts.
 std::uint64_t versionOf(const disk::Facts& facts) {
     return fingerprint(factOf(facts, "etag") + "\n" + factOf(facts, kTotal));
 }
--- a/src/repository/service.hpp
+++ b/src/repository/service.hpp
@@ -1,4 +1,4 @@
-// The repository side of the gateway.
+// The gateway's service for package repositories: its front, decisions and upstream connections.
 #pragma once
 
 #include "../platform/front_service.hpp"
--- a/src/repository/target.hpp
+++ b/src/repository/target.hpp
@@ -1,4 +1,4 @@
-// What a client asks for: request targets, ranges, dates and validators (RFC 3986, RFC 9110).
+// Parses request targets, ranges, dates and validators (RFC 3986, RFC 9110).
 #pragma once
 
 #include <cstdint>
@@ -9,25 +9,26 @@
 
 namespace lotuslead::repository {
 
-// The path of a request target in one spelling, without its query: a purge must meet every spelling of a
-// name. Nothing where it is malformed.
+// Returns the path of a request target in normal form, without its query, so that a purge matches every
+// spelling of a name; nothing if the target is malformed.
 std::optional<std::string> normalizePath(std::string_view target);
 
-// One range of bytes. Without a first place it is the last `last` bytes.
+// One range of bytes. Without `first` it means the last `last` bytes.
 struct ByteRange {
     std::optional<std::uint64_t> first;
     std::optional<std::uint64_t> last;
 };
-// Nothing where it is absent, malformed or more than one: the field is then ignored, as it may be.
+// Parses a Range field; nothing if it is absent, malformed or has several ranges. A server may ignore the
+// field then.
 std::optional<ByteRange> parseRange(const std::string* field);
 
 struct ByteSpan {
-    std::uint64_t begin = 0, end = 0;  // end: one past the last
+    std::uint64_t begin = 0, end = 0;  // `end` is one past the last byte
 };
-// Nothing where no byte of it exists.
+// Resolves a range within `total` bytes; nothing if no byte of it exists.
 std::optional<ByteSpan> resolveRange(const ByteRange& range, std::uint64_t total);
 
-// Whether If-None-Match names this entity tag.
+// Whether an If-None-Match field contains this entity tag.
 bool matchesIfNoneMatch(const std::string& field, const std::string& tag);
 
 std::string formatHttpDate(std::time_t when);
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -17,8 +17,8 @@
 
 constexpr Micros kConnectTimeout = 400ms;
 constexpr Micros kIdleTimeout = 15s;
-constexpr std::size_t kMaxConnectionsPerServer = 16;  // to one server
-// Age counts whole seconds, so a limit below this cannot be told by it: the copy is then validated anew.
+constexpr std::size_t kMaxConnectionsPerServer =
+    16;  // The Age field counts whole seconds and cannot express a lower limit; the copy is then revalidated.
 constexpr Micros kMinAgeLimit = 2s;
 
 std::optional<std::uint64_t> parseInteger(std::string_view text) {
@@ -65,8 +65,8 @@
     ~Connection() override { stopTimer(); }
 
     bool connecting() const { return !ended_ && !stream_.opened(); }
-    // One whose close has come and is not handled yet would lose what is written now; and what it says
-    // unasked, such as 408 before it closes, would pass for the answer.
+    // Not with unread input: after an unhandled close, a request would be lost; and an unsolicited response,
+    // such as 408 before a close, would be taken for the answer.
     bool ready() const { return !ended_ && stream_.opened() && !attempt_ && stream_.nothingUnread(); }
     bool has(RequestId request) const { return attempt_ && attempt_->send.request == request; }
 
@@ -86,7 +86,7 @@
         owner_.loop_.destroyAfterTurn(self);
         owner_.removeConnection(host_, this, blameless_);
     }
-    // HTTP/1.1 has no other way to give a request up.
+    // Closes the connection, since HTTP/1.1 has no other way to cancel a request.
     void abort() {
         attempt_.reset();
         fail(Outcome::cancelled);
@@ -97,17 +97,17 @@
         startIdleTimer();
         serveQueueAtEndOfTurn();
     }
-    // Its client may have left in this very turn.
+    // Deferred, since the client of a queued attempt may disconnect in this turn.
     void serveQueueAtEndOfTurn() {
         owner_.loop_.atEndOfTurn([self = shared_from_this()] { self->owner_.serveQueue(self->host_); });
     }
     bool streamData(std::string_view data) override {
         while (!data.empty()) {
-            if (!attempt_) return false;  // an answer to nothing
+            if (!attempt_) return false;  // an unsolicited response
             const auto status = parser_.feed(data);
             if (status == net::HttpParser::Status::needMore) return true;
             if (status != net::HttpParser::Status::message) return false;
-            if (parser_.head().status < 200) continue;  // interim: the final one follows
+            if (parser_.head().status < 200) continue;  // interim: the final response follows
             finishAttempt(parser_.head().keepAlive());
             if (ended_) return true;
         }
@@ -158,7 +158,7 @@
             facts.emplace_back(kTotal, std::to_string(range.total.value_or(0)));
             facts.emplace_back(kFirst, std::to_string(range.first.value_or(0)));
         } else if (status == 304) {
-            // Of a copy that the client holds, or it says nothing of any.
+            // Valid only for the copy that the client named.
             const std::string& known = attempt.request->known;
             const std::string* tag = head.field("etag");
             end.payload.unchanged = !known.empty() && (!tag || matchesIfNoneMatch(known, *tag));
@@ -175,9 +175,9 @@
         } else {
             end.outcome = Outcome::error;
         }
-        // A server that ignores the limit on age must not get an older copy past a purge.
+        // Servers may ignore the limit on age; a copy from before a purge must not be accepted.
         const std::string* field = head.field("age");
-        constexpr std::uint64_t kTenYears = 315'360'000;  // in seconds; no sum runs over
+        constexpr std::uint64_t kTenYears = 315'360'000;  // in seconds; prevents overflow
         const auto age =
             field ? static_cast<std::int64_t>(std::min(parseInteger(*field).value_or(0), kTenYears)) : 0;
         if (end.outcome == Outcome::served && field && attempt.send.oldest >= kMinAgeLimit &&
@@ -186,8 +186,8 @@
             end.outcome = Outcome::noCopy;
         }
         end.note = age > 0 ? Note::hit : Note::none;
-        // It can't be older: Age was counted after the request was sent, and cuts off less than a second
-        // (RFC 9111 4.2.3).
+        // An upper bound of the copy's age: Age is computed after the request was sent and truncates less
+        // than a second (RFC 9111, 4.2.3).
         const Micros held = field ? std::chrono::seconds{age + 1} : Micros{0};
         end.payload.mintedMs = std::chrono::duration_cast<std::chrono::milliseconds>(
                                    attempt.send.pickedAt + owner_.unixClockOffset_ - held)
@@ -217,7 +217,7 @@
     std::optional<QueuedAttempt> attempt_;
     std::optional<net::Loop::TimerKey> timer_;
     bool ended_ = false;
-    bool blameless_ = false;  // its end says nothing of the server
+    bool blameless_ = false;  // its failure does not count against the server
     net::Stream stream_;
 };
 
@@ -268,7 +268,7 @@
 void Upstreams::removeConnection(const std::string& host, Connection* connection, bool blameless) {
     Server& server = servers_[host];
     std::erase_if(server.connections, [&](const auto& held) { return held.get() == connection; });
-    // Those that were waiting for this connection to come up have lost it.
+    // Attempts that waited for this connection fail with it.
     if (server.connections.empty())
         for (const QueuedAttempt& w : std::exchange(server.queue, {}))
             report(w, Outcome::noConnection, blameless);
@@ -280,7 +280,7 @@
     serveQueue(send.host);
 }
 
-// An attempt is looked at again when a connection is free for it: a server may be draining by then.
+// Checks each attempt again when a connection is free for it, since the server may be draining by then.
 void Upstreams::serveQueue(const std::string& host) {
     Server& server = servers_[host];
     if (server.address.empty())
@@ -346,7 +346,7 @@
     if (!server.origin) {
         if (send.source.empty() || send.heldOnly) add("only-if-cached");
         if (send.keepRank == 0) add("no-store");
-        // A cache that knows this field fills a miss from there; others go by their own set-up.
+        // Caches that support this field fill a miss from that source; others use their own configuration.
         if (!send.source.empty()) text += "Lotuslead-Source: " + servers_[send.source].address + "\r\n";
     }
     if (!control.empty()) text += "Cache-Control: " + control + "\r\n";
@@ -363,8 +363,8 @@
 }
 
 void Upstreams::report(AttemptEnd end) {
-    // Later in the turn: the caller may be in the middle of the very request that this is about. And what its
-    // client has said by then is known before the request is sent on.
+    // At the end of the turn: the caller may be handling the same request, and a disconnect of its client in
+    // this turn should be seen before a retry.
     auto shared = std::make_shared<AttemptEnd>(std::move(end));
     loop_.atEndOfTurn([this, shared] {
         const auto found = inFlight_.find(shared->request);
--- a/src/repository/upstreams.hpp
+++ b/src/repository/upstreams.hpp
@@ -1,4 +1,4 @@
-// Carries attempts to repository servers over HTTP/1.1: one request at a time on a connection, which is kept.
+// Sends attempts to repository servers over persistent HTTP/1.1 connections, one request at a time on each.
 #pragma once
 
 #include <deque>
@@ -15,10 +15,10 @@
 
 namespace lotuslead::repository {
 
-// The facts that come with a payload.
+// Names of the facts that come with a payload.
 inline constexpr const char* kStatus = "status";
 inline constexpr const char* kTotal = "total";  // bytes of the whole file
-inline constexpr const char* kFirst = "first";  // place of the payload's first byte in it
+inline constexpr const char* kFirst = "first";  // offset of the payload's first byte in the file
 
 class Upstreams : public core::Carrier {
 public:
@@ -35,7 +35,7 @@
 
     void listen(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
     void list(const settings::BusEvent& event);
-    void share(int) {}  // its connections are few: kMaxConnectionsPerServer to a server
+    void share(int) {}  // not divided: kMaxConnectionsPerServer is low
     void reconfigure(const settings::RepositoryConfiguration& configuration);
     void send(core::Micros now, const core::Request& request, const core::Verdict& send) override;
     bool cancel(core::Micros now, RequestId request, int attempt) override;
@@ -45,7 +45,7 @@
 private:
     class Connection;
     struct QueuedAttempt {
-        const core::Request* request;  // lives at least as long as the attempt is out
+        const core::Request* request;  // outlives the attempt
         core::Verdict send;
     };
     struct Server {
@@ -70,7 +70,7 @@
     Callbacks callbacks_;
     Counters counters_;
     std::unordered_map<std::string, Server> servers_;
-    std::unordered_map<RequestId, int> inFlight_;  // the attempt of each request that is out
+    std::unordered_map<RequestId, int> inFlight_;  // the attempt number of each request
 };
 
 }  // namespace lotuslead::repository
