--- a/src/operator/operator_server.cpp
+++ b/src/operator/operator_server.cpp
@@ -23,7 +23,7 @@
 net::HttpServer::Response OperatorServer::respond(const net::HttpHead& head) {
     const std::string path = head.target.substr(0, head.target.find('?'));
     const bool ready = path == "/ready", drain = path == "/drain", undrain = path == "/undrain";
-    if (!ready && !drain && !undrain) return {404, "no such call\n", {}};
+    if (!ready && !drain && !undrain) return {404, "unknown path\n", {}};
     if (head.method != (ready ? "GET" : "POST"))
         return {405, "method not allowed\n", {"Allow", ready ? "GET" : "POST"}};
     const bool succeeded = ready ? gateway_.takesClients() : drain ? gateway_.drain() : gateway_.undrain();
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -21,7 +21,7 @@
 constexpr int kMaxRequestsPerTurn = 16;     // of one client, so that others get their turn
 constexpr std::size_t kMaxPipelinedBytes = 64 * 1024;  // of further requests during an answer
 constexpr Micros kDrainSweepInterval = 50ms;           // for closing idle connections
-constexpr Micros kRefuseAfterDrainStart = 1900ms;      // as at the platform's front
+constexpr Micros kRefuseAfterDrainStart = 1900ms;      // as in the platform's front
 constexpr Micros kMinAgeToDrain = 500ms;
 constexpr std::size_t kMaxReservedDescriptors = 128;
 
@@ -98,7 +98,7 @@
             releaseReservation();
             owner_.requests_.withdraw(owner_.loop_.now(), id);
         }
-        current_->headSent ? abortTransfer("the process ends") : sendUnavailable(1s);
+        current_->headSent ? abortTransfer("the process is stopping") : sendUnavailable(1s);
     }
     void endForDrain() {
         if (current_ || closing_ || !unparsed_.empty() || !stream_.allAcknowledged() ||
@@ -311,7 +311,7 @@
         const std::uint64_t first = parseNumber(findFact(payload, kFirst));
         const std::uint64_t upTo = std::min(current_->endByte, first + payload.body.size());
         if (current_->nextByte < first || current_->nextByte >= upTo)
-            return abortTransfer("the upstream sent another part");
+            return abortTransfer("the upstream sent a different part");
         stream_.write(payload.body.substr(current_->nextByte - first, upTo - current_->nextByte));
         current_->nextByte = upTo;
         accountUnsent(stream_.unsentBytes());
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -17,8 +17,8 @@
 
 constexpr Micros kConnectTimeout = 400ms;
 constexpr Micros kIdleTimeout = 15s;
-constexpr std::size_t kMaxConnectionsPerServer =
-    16;  // The Age field counts whole seconds and cannot express a lower limit; the copy is then revalidated.
+constexpr std::size_t kMaxConnectionsPerServer = 16;
+// The Age field counts whole seconds and cannot express a lower limit; the copy is then revalidated.
 constexpr Micros kMinAgeLimit = 2s;
 
 std::optional<std::uint64_t> parseInteger(std::string_view text) {
