--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -1,4 +1,4 @@
-// The loop and its streams, without a gateway round them.
+// Unit tests of the event loop and of streams.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <netinet/in.h>
@@ -20,10 +20,10 @@
 
 using namespace std::chrono_literals;
 
-// A stream that a peer has connected to, and the peer's own socket.
-class Pair : public Stream::Observer {
+// An accepted stream and the socket of its peer.
+class ConnectedStream : public Stream::Observer {
 public:
-    explicit Pair(Loop& loop) {
+    explicit ConnectedStream(Loop& loop) {
         Descriptor listening = listenOn({"127.0.0.1", 0});
         sockaddr_in at{};
         socklen_t size = sizeof at;
@@ -43,17 +43,17 @@
     int drained = 0;
 };
 
-// A full buffer: what finds no room is not begun, and nothing of it goes out later.
+// With a full send buffer, tryWrite must not send a part of the data, neither at once nor later.
 TEST(Stream, WhatFindsNoRoomIsNotBegun) {
     Loop loop;
-    Pair pair(loop);
+    ConnectedStream pair(loop);
     const std::string piece(512, 'x');
     std::size_t begun = 0;
     while (pair.stream->tryWrite(piece)) begun += piece.size();
     ASSERT_GT(begun, 0u);
     EXPECT_FALSE(pair.stream->tryWrite("late"));
     loop.turn(loop.now());
-    pair.drained = 0;  // the edge of a new connection
+    pair.drained = 0;  // drop the flush event of the new connection
     std::string got(begun, 0);
     EXPECT_EQ(::recv(pair.peer.get(), got.data(), got.size(), MSG_WAITALL), static_cast<ssize_t>(begun));
     while (pair.drained == 0 && !pair.ended) loop.turn(loop.now() + 1s);
@@ -65,16 +65,16 @@
 
 TEST(Stream, AnEndThatIsNotHandledYetIsSeen) {
     Loop loop;
-    Pair pair(loop);
+    ConnectedStream pair(loop);
     EXPECT_FALSE(pair.stream->peerHasClosed());
     pair.peer.reset();
     EXPECT_TRUE(pair.stream->peerHasClosed());
 }
 
-// Its end makes no edge of its own once reading goes on, and what came before it stays unread.
+// The close triggers no further edge when reading resumes, so it must be reported while data is still unread.
 TEST(Stream, AnEndIsToldWhileReadingIsPaused) {
     Loop loop;
-    Pair pair(loop);
+    ConnectedStream pair(loop);
     pair.stream->pauseReading(true);
     ASSERT_EQ(::send(pair.peer.get(), "unread", 6, 0), 6);
     pair.peer.reset();
@@ -84,7 +84,7 @@
 
 TEST(Stream, AGentleCloseWaitsForItsPeerWithoutTurns) {
     Loop loop;
-    Pair pair(loop);
+    ConnectedStream pair(loop);
     pair.stream->write("last words");
     pair.stream->closeLingering(200ms);
     int turns = 0;
@@ -93,17 +93,18 @@
         ++turns;
     }
     EXPECT_TRUE(pair.ended);
-    // The connection's edge, that of its end of writing, the time's end; each further shutdown made one more.
+    // Events of the connection, of the shutdown and of the timeout. Repeated shutdowns each caused a further
+    // turn.
     EXPECT_LE(turns, 10);
     char words[16] = {};
     EXPECT_EQ(::recv(pair.peer.get(), words, sizeof words, MSG_WAITALL), 10);
     EXPECT_STREQ(words, "last words");
 }
 
-// Calls back with what comes in.
-class Listens : public Stream::Observer {
+// A stream over a socket pair that calls back on input.
+class TestStream : public Stream::Observer {
 public:
-    Listens(Loop& loop, std::function<void()> heard) : heard_(std::move(heard)) {
+    TestStream(Loop& loop, std::function<void()> onData) : onData_(std::move(onData)) {
         std::array<int, 2> ends{};
         EXPECT_EQ(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, ends.data()), 0);
         peer_.reset(ends[0]);
@@ -113,28 +114,29 @@
 
 private:
     bool streamData(std::string_view) override {
-        heard_();
+        onData_();
         return true;
     }
     void streamEnded(Stream::CloseReason) override {}
 
-    std::function<void()> heard_;
+    std::function<void()> onData_;
     Descriptor peer_;
     std::unique_ptr<Stream> stream_;
 };
 
-constexpr auto kHeldUp = 80ms;  // longer than a turn may take
+constexpr auto kStall = 80ms;  // longer than Loop's limits for a turn
 
-// A process that is stopped within a turn: what comes meanwhile is heard before a timer of that turn acts.
+// If the process is suspended within a turn, input from the meantime must be handled before timers of that
+// turn.
 TEST(Loop, ATimerWaitsForWhatHasComeWhileItsTurnWasHeldUp) {
     Loop loop;
     std::string order;
-    Listens late(loop, [&] { order += "late "; });
-    Listens first(loop, [&] {
+    TestStream late(loop, [&] { order += "late "; });
+    TestStream first(loop, [&] {
         order += "first ";
         loop.atEndOfTurn([&] { order += "timer "; });
         late.send();
-        std::this_thread::sleep_for(kHeldUp);
+        std::this_thread::sleep_for(kStall);
     });
     first.send();
     for (int i = 0; i < 3; ++i) loop.turn(loop.now());
@@ -144,43 +146,43 @@
 TEST(Loop, TimersRunThoughEveryTurnIsHeldUp) {
     Loop loop;
     int timers = 0;
-    std::unique_ptr<Listens> busy;
-    busy = std::make_unique<Listens>(loop, [&] {
+    std::unique_ptr<TestStream> busy;
+    busy = std::make_unique<TestStream>(loop, [&] {
         loop.atEndOfTurn([&] {
             ++timers;
             busy->send();
         });
-        std::this_thread::sleep_for(kHeldUp);
+        std::this_thread::sleep_for(kStall);
     });
     busy->send();
     for (int i = 0; i < 8; ++i) loop.turn(loop.now());
     EXPECT_GE(timers, 2);
 }
 
-// A wait of a few milliseconds behind it does not make it forgotten: on a busy machine a wait that finds
-// something at once takes as long. Forgotten, a call that had waited in the socket was taken for a new one
-// (soak seed 6104: a store was told 325 ms where its client had left 242 ms before, after a stop of 575 ms).
+// A stall must still count after a poll of a few milliseconds, since on a busy machine a poll with pending
+// events takes as long. Otherwise a request that had waited in the socket was taken for a new one (soak seed
+// 6104: a store was given 325 ms for a request whose client had left 242 ms before, after a stop of 575 ms).
 TEST(Loop, ATurnThatWasHeldUpIsRememberedAfterAShortWait) {
     Loop loop;
-    Listens slow(loop, [] { std::this_thread::sleep_for(kHeldUp); });
+    TestStream slow(loop, [] { std::this_thread::sleep_for(kStall); });
     slow.send();
     loop.turn(loop.now());
     EXPECT_FALSE(loop.recentlyStalled());
-    loop.turn(loop.now() + kHeldUp + 5ms);
+    loop.turn(loop.now() + kStall + 5ms);
     EXPECT_TRUE(loop.recentlyStalled());
-    EXPECT_GE(loop.stallTime(), kHeldUp);
+    EXPECT_GE(loop.stallTime(), kStall);
 }
 
-// Of more than one look at the kernel brings, too.
+// Also with more events than one call of epoll_wait returns.
 TEST(Loop, AllThatIsReadyIsHeardInOneTurn) {
-    constexpr int kMany = 300;
+    constexpr int kStreams = 300;
     Loop loop;
-    int heard = 0;
-    std::vector<std::unique_ptr<Listens>> all;
-    for (int i = 0; i < kMany; ++i) all.push_back(std::make_unique<Listens>(loop, [&] { ++heard; }));
+    int received = 0;
+    std::vector<std::unique_ptr<TestStream>> all;
+    for (int i = 0; i < kStreams; ++i) all.push_back(std::make_unique<TestStream>(loop, [&] { ++received; }));
     for (const auto& one : all) one->send();
     loop.turn(loop.now());
-    EXPECT_EQ(heard, kMany);
+    EXPECT_EQ(received, kStreams);
 }
 
 }  // namespace
