--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -7,36 +7,36 @@
 
 using namespace lotuslead::testing;
 
-json withDoor(json settings) {
+json withOperatorAddress(json settings) {
     settings["operator"] = "127.0.0.1:0";
     return settings;
 }
 
-std::string check(std::uint16_t port) {
+std::string checkAnswer(std::uint16_t port) {
     Connection c(port);
     c.sendResp({"CHECK", "1", ""});
     const auto answer = c.readResp();
     return answer.size() > 1 ? answer[1] : "";
 }
 
-void theDoorAnswersWhoeverElseStandsThere() {
+void operatorRequestsAreAnsweredDespiteIdleConnections() {
     Fleet fleet;
-    json settings = withDoor(configuration(fleet.with({})));
+    json settings = withOperatorAddress(configuration(fleet.with({})));
     settings["limits"]["sockets"] = 64;  // 21 of them for clients
     Program program(settings);
-    const std::uint16_t port = program.port(), door = program.operatorPort();
+    const std::uint16_t port = program.port(), operatorPort = program.operatorPort();
     std::vector<std::unique_ptr<Connection>> crowd, idle;
     for (int i = 0; i < 40; ++i) crowd.push_back(std::make_unique<Connection>(port));
     for (int i = 0; i < 40; ++i) {
-        idle.push_back(std::make_unique<Connection>(door));
+        idle.push_back(std::make_unique<Connection>(operatorPort));
         if (i % 2) idle.back()->send("GET /rea");
     }
-    for (int i = 0; i < 40; ++i) assert(callOperatorAddress(door, "GET /ready") == 200);
-    assert(callOperatorAddress(door, "GET /nothing") == 404);
-    assert(callOperatorAddress(door, "GET /drain") == 405);
-    assert(callOperatorAddress(door, "POST /ready") == 405);
-    assert(callOperatorAddress(door, "noise") == 400);
-    Connection pieces(door);
+    for (int i = 0; i < 40; ++i) assert(callOperatorAddress(operatorPort, "GET /ready") == 200);
+    assert(callOperatorAddress(operatorPort, "GET /nothing") == 404);
+    assert(callOperatorAddress(operatorPort, "GET /drain") == 405);
+    assert(callOperatorAddress(operatorPort, "POST /ready") == 405);
+    assert(callOperatorAddress(operatorPort, "noise") == 400);
+    Connection pieces(operatorPort);
     for (const char c : std::string("POST /undrain HTTP/1.1\r\nHost: here\r\nContent-Length: 2\r\n\r\n{}"))
         pieces.send(std::string(1, c));
     assert(pieces.readHead().rfind("HTTP/1.1 200 ", 0) == 0);
@@ -48,71 +48,71 @@
     program.awaitLog("operators at 127.0.0.2:");
 }
 
-void drainSendsClientsAwayAndUndrainTakesThemBack() {
+void drainClosesConnectionsAndUndrainServesAgain() {
     Fleet fleet;
     EventCounter pulled;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
         if (words[3] != "slow") serving("served")(c, words);
     }));
-    Program program(withDoor(configuration(fleet.with({host("cache-1", cache.address())}))), "LB_CONFIG",
-                    1024, {{"LB_OPERATOR", "127.0.0.1:0"}});
-    const std::uint16_t port = program.port(), door = program.operatorPort();
-    Connection rests(port), busy(port);
-    call(rests, "1");
-    assert(rests.readResp()[1] == "SERVED");
-    call(busy, "1", "", "page", "slow");
+    Program program(withOperatorAddress(configuration(fleet.with({host("cache-1", cache.address())}))),
+                    "LB_CONFIG", 1024, {{"LB_OPERATOR", "127.0.0.1:0"}});
+    const std::uint16_t port = program.port(), operatorPort = program.operatorPort();
+    Connection idleClient(port), busyClient(port);
+    call(idleClient, "1");
+    assert(idleClient.readResp()[1] == "SERVED");
+    call(busyClient, "1", "", "page", "slow");
     pulled.await(2);
 
     const auto begin = std::chrono::steady_clock::now();
-    for (int i = 0; i < 2; ++i) assert(callOperatorAddress(door, "POST /drain") == 200);
-    assert(callOperatorAddress(door, "GET /ready") == 503);
-    assert(check(port) == "LEAVING");
-    assert(rests.closed());
+    for (int i = 0; i < 2; ++i) assert(callOperatorAddress(operatorPort, "POST /drain") == 200);
+    assert(callOperatorAddress(operatorPort, "GET /ready") == 503);
+    assert(checkAnswer(port) == "LEAVING");
+    assert(idleClient.closed());
     // Late ones are served, on new connections and on those that stay open.
     Connection late(port);
     call(late, "1");
     assert(late.readResp()[1] == "SERVED");
     assert(late.closed());
-    call(busy, "2");
-    assert(busy.readResp()[0] == "2");
+    call(busyClient, "2");
+    assert(busyClient.readResp()[0] == "2");
     // Then they are refused; the connection ends after its last answer, and none is there after 4 s.
     std::this_thread::sleep_until(begin + 2000ms);
-    call(busy, "3");
-    const auto refused = busy.readResp();
+    call(busyClient, "3");
+    const auto refused = busyClient.readResp();
     assert(refused[0] == "3" && refused[1] == "SHED" && !valueOf(refused[2], "pause").empty());
     Connection half(port);
     half.send("*3\r\n$5\r\nCHE");
-    assert(busy.readResp()[0] == "1");
-    assert(busy.closed() && half.closed());
+    assert(busyClient.readResp()[0] == "1");
+    assert(busyClient.closed() && half.closed());
     assert(std::chrono::steady_clock::now() - begin < 4s);
-    assert(callOperatorAddress(door, "GET /ready") == 503);
+    assert(callOperatorAddress(operatorPort, "GET /ready") == 503);
 
-    for (int i = 0; i < 2; ++i) assert(callOperatorAddress(door, "POST /undrain") == 200);
-    assert(callOperatorAddress(door, "GET /ready") == 200);
-    assert(check(port) == "PASS");
+    for (int i = 0; i < 2; ++i) assert(callOperatorAddress(operatorPort, "POST /undrain") == 200);
+    assert(callOperatorAddress(operatorPort, "GET /ready") == 200);
+    assert(checkAnswer(port) == "PASS");
     Connection again(port);
     for (int i = 1; i <= 2; ++i) {
         call(again, std::to_string(i));
         assert(again.readResp()[1] == "SERVED");
     }
     // SIGTERM works in a drain, and has no way back.
-    assert(callOperatorAddress(door, "POST /drain") == 200);
+    assert(callOperatorAddress(operatorPort, "POST /drain") == 200);
     Connection open(port);
     call(open, "1");
     program.signal(SIGTERM);
     program.awaitLog("leaving");
-    assert(callOperatorAddress(door, "POST /undrain") == 409);
+    assert(callOperatorAddress(operatorPort, "POST /undrain") == 409);
     assert(open.readResp()[1] == "SERVED");
     assert(program.exitCode() == 0);
 }
 
-void aSlowReaderGetsAllOfItsAnswerFromADrain() {
+void aSlowReaderGetsCompleteAnswersDuringADrain() {
     Fleet fleet;
     Peer cache(store(serving(std::string(240'000, 'x'))));
     json wide = host("cache-1", cache.address());
     wide["weight"] = 1000;
-    json settings = withDoor(configuration(fleet.with({wide})));
+    json settings = withOperatorAddress(configuration(fleet.with({wide})));
     settings["settings"]["weights"] = "nominal";
     Program program(settings);
     Connection slow(program.port(), 4096);
@@ -126,7 +126,7 @@
     assert(slow.closed());
 }
 
-void nothingIsTakenFromABrokenFile() {
+void aMalformedConfigurationIsRejectedAsAWhole() {
     Fleet fleet;
     Peer cache(store(serving("as before")));
     const json good = configuration(fleet.with({host("cache-1", cache.address())}));
@@ -170,7 +170,7 @@
     assert(never.log() == "lotuslead: bad configuration: field 'hardLimit' is not a positive number\n");
 }
 
-void anOpenRequestKeepsTheRulesItCameUnder() {
+void anOpenRequestKeepsItsSettingsAcrossAReload() {
     Fleet fleet;
     EventCounter pulled, go;
     const auto script = store([&](Connection& c, const std::vector<std::string>& words) {
@@ -204,18 +204,18 @@
 }
 
 // A folder that two processes share, and the platform's listening socket.
-class Place {
+class SharedSocket {
 public:
-    Place() {
+    SharedSocket() {
         char name[] = "/tmp/lotuslead-test-XXXXXX";
         folder_ = ::mkdtemp(name);
     }
-    ~Place() { std::filesystem::remove_all(folder_); }
+    ~SharedSocket() { std::filesystem::remove_all(folder_); }
     const std::string& folder() const { return folder_; }
     std::uint16_t port() const { return socket_.port(); }
     std::unique_ptr<Program> start(json settings) const {
         settings["listen"] = socket_.address();
-        return std::make_unique<Program>(withDoor(settings), "LB_CONFIG", 1024,
+        return std::make_unique<Program>(withOperatorAddress(settings), "LB_CONFIG", 1024,
                                          Program::Variables{{"TMPDIR", folder_}}, socket_.descriptor());
     }
 
@@ -224,7 +224,7 @@
     Peer socket_{nullptr, 256};
 };
 
-void aSuccessorTakesOverAndNothingEndsAtTheDoor() {
+void aSuccessorTakesOverWithoutFailedRequests() {
     Fleet fleet;
     EventCounter pulled;
     std::string tier;
@@ -233,49 +233,49 @@
         pulled.raise();
         if (words[3] != "slow") serving("served")(c, words);
     }));
-    Place place;
+    SharedSocket shared;
     const json settings = configuration(fleet.with({host("cache-1", cache.address())}));
-    auto older = place.start(settings);
+    auto older = shared.start(settings);
     older->awaitLog("serving on");
-    Connection rests(place.port()), busy(place.port());
-    call(rests, "1");
-    assert(rests.readResp()[1] == "SERVED");
-    call(busy, "1", "", "page", "slow");
+    Connection idleClient(shared.port()), busyClient(shared.port());
+    call(idleClient, "1");
+    assert(idleClient.readResp()[1] == "SERVED");
+    call(busyClient, "1", "", "page", "slow");
     pulled.await(2);
 
-    auto newer = place.start(settings);
+    auto newer = shared.start(settings);
     newer->awaitLog("serving on");
     newer->awaitLog("taken over what the predecessor knew");
     for (const auto* p : {older.get(), newer.get()}) p->awaitLog("2 processes are one gateway now");
     older->signal(SIGTERM);
     older->awaitLog("leaving to a successor, 1 requests open");
     // At rest it is closed; a busy one may go on, and checks there speak for the gateway.
-    assert(rests.closed());
-    busy.sendResp({"CHECK", "2", ""});
-    assert(busy.readResp()[1] == "PASS");
-    call(busy, "3");
-    assert(busy.readResp()[1] == "SERVED");
+    assert(idleClient.closed());
+    busyClient.sendResp({"CHECK", "2", ""});
+    assert(busyClient.readResp()[1] == "PASS");
+    call(busyClient, "3");
+    assert(busyClient.readResp()[1] == "SERVED");
     for (int i = 0; i < 50; ++i) {
-        Connection one(place.port());
+        Connection one(shared.port());
         call(one, "1");
         assert(one.readResp()[1] == "SERVED");
         assert(!tier.empty());  // a name that only its predecessor has seen: found, and so a copy is kept
     }
-    busy.sendResp({"CANCEL", "1"});
-    assert(busy.closed());
+    busyClient.sendResp({"CANCEL", "1"});
+    assert(busyClient.closed());
     assert(older->exitCode() == 0);
     newer->awaitLog("1 processes are one gateway now");
     assert(older->log().find("taken=3 served=2") != std::string::npos);
     assert(callOperatorAddress(newer->operatorPort(), "GET /ready") == 200);
     // And again.
-    auto third = place.start(settings);
+    auto third = shared.start(settings);
     third->awaitLog("serving on");
     newer->signal(SIGTERM);
     assert(newer->exitCode() == 0);
-    assert(check(place.port()) == "PASS");
+    assert(checkAnswer(shared.port()) == "PASS");
 }
 
-void aStartNeedsNoPredecessorAndTakesNoClientBeforeTheBusHasAnswered() {
+void aStartWithoutPredecessorWaitsForTheEventBus() {
     Fleet fleet;
     Peer cache(store(serving("new")));
     EventCounter asked, go;
@@ -291,30 +291,31 @@
             if (++polls > 1) return;
         }
     });
-    Place place;
+    SharedSocket shared;
     // What a dead process left, and nonsense in its place, do no harm.
-    const std::string left = place.folder() + "/lotuslead-1.sock";
+    const std::string left = shared.folder() + "/lotuslead-1.sock";
     std::ofstream(left) << "left";
     json settings = configuration(fleet.with({}));
     settings["bus"] = bus.address();
-    auto program = place.start(settings);
+    auto program = shared.start(settings);
     asked.await(1);
-    const std::uint16_t door = program->operatorPort();
-    assert(callOperatorAddress(door, "GET /ready") == 503 && callOperatorAddress(door, "POST /drain") == 409);
-    Connection waits(place.port());  // in the platform's socket
+    const std::uint16_t operatorPort = program->operatorPort();
+    assert(callOperatorAddress(operatorPort, "GET /ready") == 503 &&
+           callOperatorAddress(operatorPort, "POST /drain") == 409);
+    Connection waits(shared.port());  // in the platform's socket
     call(waits, "1");
     go.raise();
     assert((waits.readResp() == std::vector<std::string>{"1", "SERVED", "-", "new"}));
-    assert(callOperatorAddress(door, "GET /ready") == 200);
+    assert(callOperatorAddress(operatorPort, "GET /ready") == 200);
     program->signal(SIGKILL);
     program->exitCode();
-    auto next = place.start(configuration(fleet.with({host("cache-1", cache.address())})));
+    auto next = shared.start(configuration(fleet.with({host("cache-1", cache.address())})));
     next->awaitLog("serving on");
     assert(next->log().find("processes are one gateway") == std::string::npos);
-    assert(check(place.port()) == "PASS");
+    assert(checkAnswer(shared.port()) == "PASS");
 }
 
-void whatIsNoListeningSocketOfThisAddressIsToldAtTheStart() {
+void anUnusableInheritedSocketEndsTheStart() {
     const json settings = configuration({});
     const auto refused = [](Program&& program) {
         assert(program.exitCode() == 2);
@@ -334,12 +335,12 @@
 }  // namespace
 
 int main() {
-    aSuccessorTakesOverAndNothingEndsAtTheDoor();
-    aStartNeedsNoPredecessorAndTakesNoClientBeforeTheBusHasAnswered();
-    whatIsNoListeningSocketOfThisAddressIsToldAtTheStart();
-    nothingIsTakenFromABrokenFile();
-    anOpenRequestKeepsTheRulesItCameUnder();
-    theDoorAnswersWhoeverElseStandsThere();
-    drainSendsClientsAwayAndUndrainTakesThemBack();
-    aSlowReaderGetsAllOfItsAnswerFromADrain();
+    aSuccessorTakesOverWithoutFailedRequests();
+    aStartWithoutPredecessorWaitsForTheEventBus();
+    anUnusableInheritedSocketEndsTheStart();
+    aMalformedConfigurationIsRejectedAsAWhole();
+    anOpenRequestKeepsItsSettingsAcrossAReload();
+    operatorRequestsAreAnsweredDespiteIdleConnections();
+    drainClosesConnectionsAndUndrainServesAgain();
+    aSlowReaderGetsCompleteAnswersDuringADrain();
 }
