--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -1,4 +1,5 @@
-// What operators do with a gateway in service: the door, drains and the way back.
+// Tests of operations on a running gateway: the operators' endpoint, drain and undrain, reloads and
+// hand-over.
 #include <filesystem>
 
 #include "loopback.hpp"
@@ -40,8 +41,8 @@
     for (const char c : std::string("POST /undrain HTTP/1.1\r\nHost: here\r\nContent-Length: 2\r\n\r\n{}"))
         pieces.send(std::string(1, c));
     assert(pieces.readHead().rfind("HTTP/1.1 200 ", 0) == 0);
-    for (const auto& c : idle) assert(c->closed());  // those that finish no call do not stay
-    // Another address at SIGHUP, and none.
+    for (const auto& c : idle) assert(c->closed());  // connections without a complete request are closed
+    // A reload with another address.
     settings["operator"] = "127.0.0.2:0";
     program.rewrite(settings.dump());
     program.signal(SIGHUP);
@@ -69,14 +70,14 @@
     assert(callOperatorAddress(operatorPort, "GET /ready") == 503);
     assert(checkAnswer(port) == "LEAVING");
     assert(idleClient.closed());
-    // Late ones are served, on new connections and on those that stay open.
+    // Requests soon after the drain are served, on new connections and on those that stay open.
     Connection late(port);
     call(late, "1");
     assert(late.readResp()[1] == "SERVED");
     assert(late.closed());
     call(busyClient, "2");
     assert(busyClient.readResp()[0] == "2");
-    // Then they are refused; the connection ends after its last answer, and none is there after 4 s.
+    // Later ones are refused; a connection ends after its last answer, and none is open after 4 s.
     std::this_thread::sleep_until(begin + 2000ms);
     call(busyClient, "3");
     const auto refused = busyClient.readResp();
@@ -96,7 +97,7 @@
         call(again, std::to_string(i));
         assert(again.readResp()[1] == "SERVED");
     }
-    // SIGTERM works in a drain, and has no way back.
+    // SIGTERM works during a drain and cannot be undone.
     assert(callOperatorAddress(operatorPort, "POST /drain") == 200);
     Connection open(port);
     call(open, "1");
@@ -135,7 +136,7 @@
     std::vector<std::string> broken = {"", "{", "[]", good.dump().substr(0, good.dump().size() / 2)};
     const auto with = [&](const std::function<void(json&)>& change) {
         json one = good;
-        one["settings"]["categories"][1]["name"] = "other";  // nothing of it is to be seen
+        one["settings"]["categories"][1]["name"] = "other";  // a valid change that must not take effect
         change(one);
         broken.push_back(one.dump());
     };
@@ -162,7 +163,7 @@
     }
     program.signal(SIGTERM);
     assert(program.exitCode() == 0);
-    // At the start it is one line and exit 2.
+    // At the start, such a file causes one line of log and exit code 2.
     json wrong = good;
     wrong["settings"]["categories"][0]["hardLimit"] = -5;
     Program never(wrong);
@@ -186,7 +187,7 @@
     Connection client(program.port());
     call(client, "1", "", "installer");
     pulled.await(1);
-    // One try from now on, and a run too many does harm; the class has another place besides.
+    // From now on a single attempt, a class that is unsafe to repeat, and another order of the classes.
     auto& categories = settings["settings"]["categories"];
     categories = {categories[1], categories[2], categories[0]};
     categories[2]["effect"] = "single_shot";
@@ -203,7 +204,7 @@
     assert(pulled.count() == 3);
 }
 
-// A folder that two processes share, and the platform's listening socket.
+// A folder and a listening socket that successive processes share.
 class SharedSocket {
 public:
     SharedSocket() {
@@ -249,7 +250,7 @@
     for (const auto* p : {older.get(), newer.get()}) p->awaitLog("2 processes are one gateway now");
     older->signal(SIGTERM);
     older->awaitLog("leaving to a successor, 1 requests open");
-    // At rest it is closed; a busy one may go on, and checks there speak for the gateway.
+    // An idle connection is closed; a busy one stays open, and its checks answer for the whole gateway.
     assert(idleClient.closed());
     busyClient.sendResp({"CHECK", "2", ""});
     assert(busyClient.readResp()[1] == "PASS");
@@ -259,7 +260,8 @@
         Connection one(shared.port());
         call(one, "1");
         assert(one.readResp()[1] == "SERVED");
-        assert(!tier.empty());  // a name that only its predecessor has seen: found, and so a copy is kept
+        assert(!tier.empty());  // only the predecessor has seen this name: known from its state, so a copy is
+                                // kept
     }
     busyClient.sendResp({"CANCEL", "1"});
     assert(busyClient.closed());
@@ -267,7 +269,7 @@
     newer->awaitLog("1 processes are one gateway now");
     assert(older->log().find("taken=3 served=2") != std::string::npos);
     assert(callOperatorAddress(newer->operatorPort(), "GET /ready") == 200);
-    // And again.
+    // A second hand-over.
     auto third = shared.start(settings);
     third->awaitLog("serving on");
     newer->signal(SIGTERM);
@@ -292,7 +294,7 @@
         }
     });
     SharedSocket shared;
-    // What a dead process left, and nonsense in its place, do no harm.
+    // A stale or unusable file in place of the hand-over socket must not prevent the start.
     const std::string left = shared.folder() + "/lotuslead-1.sock";
     std::ofstream(left) << "left";
     json settings = configuration(fleet.with({}));
@@ -302,7 +304,7 @@
     const std::uint16_t operatorPort = program->operatorPort();
     assert(callOperatorAddress(operatorPort, "GET /ready") == 503 &&
            callOperatorAddress(operatorPort, "POST /drain") == 409);
-    Connection waits(shared.port());  // in the platform's socket
+    Connection waits(shared.port());  // in the backlog of the platform's socket
     call(waits, "1");
     go.raise();
     assert((waits.readResp() == std::vector<std::string>{"1", "SERVED", "-", "new"}));
