--- a/tests/fleet_operations_test.cpp
+++ b/tests/fleet_operations_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace lotuslead::testing;
 
-constexpr int kRestarted = 20;
+constexpr int kGateways = 20;
 constexpr auto kReadyWithin = 10s;
 
 // Waits for its answer to CHECK, as the platform's front does before it takes a gateway in.
@@ -19,7 +19,7 @@
 }
 
 // Requests for objects enough to meet each store: none is answered with what this one serves.
-void nothingIsServedBy(const std::string& body, Program& program) {
+void assertNotServedBy(const std::string& body, Program& program) {
     constexpr int kObjects = 40;
     Connection client(program.port());
     for (int i = 1; i <= kObjects; ++i) {
@@ -36,7 +36,7 @@
 
     explicit FailingBus(State state) : state_(state) {}
     std::string address() const { return peer_.address(); }
-    void become(State state) { state_ = state; }
+    void setState(State state) { state_ = state; }
     void tell(json event) {
         const std::lock_guard lock(mutex_);
         event["offset"] = ++last_;
@@ -68,7 +68,7 @@
 
 // A tenth of the fleet at a time is told to end and started anew, under a watch that never answers: the
 // slowest start there is.
-void nineInTenRestartedGatewaysAreReadyInTime() {
+void restartedGatewaysAreReadyInTime() {
     Fleet fleet;
     Peer cache(store(serving("served")));
     for (const auto state : {FailingBus::State::silent, FailingBus::State::refusing}) {
@@ -76,19 +76,19 @@
         json settings = configuration(fleet.with({host("cache-1", cache.address())}));
         settings["bus"] = bus.address();
         std::vector<std::unique_ptr<Program>> programs;
-        for (int i = 0; i < kRestarted; ++i) programs.push_back(std::make_unique<Program>(settings));
+        for (int i = 0; i < kGateways; ++i) programs.push_back(std::make_unique<Program>(settings));
         for (const auto& program : programs) awaitPass(*program);
         for (const auto& program : programs) program->signal(SIGTERM);
         for (const auto& program : programs) assert(program->exitCode() == 0);
         programs.clear();
         const auto begin = Clock::now();
         int ready = 0;
-        for (int i = 0; i < kRestarted; ++i) programs.push_back(std::make_unique<Program>(settings));
+        for (int i = 0; i < kGateways; ++i) programs.push_back(std::make_unique<Program>(settings));
         for (const auto& program : programs) {
             awaitPass(*program);
             ready += Clock::now() - begin < kReadyWithin;
         }
-        assert(ready * 10 >= kRestarted * 9);
+        assert(ready * 10 >= kGateways * 9);
         Connection client(programs.back()->port());
         call(client, "1");
         assert(client.readResp().at(1) == "SERVED");
@@ -98,7 +98,7 @@
 // Idle clients, each of which has asked once and may stay, take every descriptor that they can get while the
 // event bus is down. When it is back the gateway reaches it soon, and a store that it has never been
 // connected to.
-void aCrowdOfIdleClientsLeavesRoomForBusAndStores() {
+void idleClientsLeaveDescriptorsForBusAndStores() {
     Fleet fleet;
     EventCounter pulled;
     Peer fresh(store([&](Connection& c, const std::vector<std::string>& words) {
@@ -112,16 +112,16 @@
     settings["bus"] = bus.address();
     Program program(settings, "LB_CONFIG", kDescriptors);
     const std::uint16_t port = program.port();
-    std::vector<std::unique_ptr<Connection>> crowd;
+    std::vector<std::unique_ptr<Connection>> idleClients;
     for (int i = 0; i < 3 * kDescriptors; ++i) {
-        crowd.push_back(std::make_unique<Connection>(port));
-        crowd.back()->sendResp({"CHECK", "1", ""});
-        crowd.back()->readResp();
+        idleClients.push_back(std::make_unique<Connection>(port));
+        idleClients.back()->sendResp({"CHECK", "1", ""});
+        idleClients.back()->readResp();
     }
     bus.tell(topology({host("cache-1", fresh.address())}));
     std::this_thread::sleep_for(300ms);  // some tries to reconnect while all descriptors are taken
     const auto begin = Clock::now();
-    bus.become(FailingBus::State::answering);
+    bus.setState(FailingBus::State::answering);
     program.awaitCounters(" events=2 ");
     assert(Clock::now() - begin < 1500ms + kSlowMachine);
     Connection client(port);
@@ -132,9 +132,9 @@
 
 // A store drains while the configuration is read again, told by the file, by the event bus or by both: what
 // comes after that goes elsewhere.
-void aDrainHoldsAcrossAReload() {
-    enum class ToldBy { file, bus, both };
-    for (const ToldBy toldBy : {ToldBy::file, ToldBy::bus, ToldBy::both}) {
+void aDrainSurvivesAReload() {
+    enum class Source { file, bus, both };
+    for (const Source source : {Source::file, Source::bus, Source::both}) {
         Fleet fleet;
         Bus bus;
         Peer drained(store(serving("drained"))), other(store(serving("other")));
@@ -144,8 +144,8 @@
         settings["bus"] = bus.address();
         Program program(settings);
         awaitPass(program);
-        if (toldBy != ToldBy::file) bus.tell(topology({draining}));
-        if (toldBy != ToldBy::bus) {
+        if (source != Source::file) bus.tell(topology({draining}));
+        if (source != Source::bus) {
             json event = topology({draining});
             event["offset"] = 2;
             settings["known"]["offset"] = 2;
@@ -154,12 +154,12 @@
         program.rewrite(settings.dump());
         program.signal(SIGHUP);
         program.awaitLog("configuration read again");
-        nothingIsServedBy("drained", program);
+        assertNotServedBy("drained", program);
     }
 }
 
 // A whole list that no longer names a store takes it out, also where the change that removed it was lost.
-void aWholeListTakesOutWhatItDoesNotName() {
+void aSnapshotRemovesStoresThatItDoesNotName() {
     Fleet fleet;
     Bus bus;
     Peer gone(store(serving("gone"))), other(store(serving("other")));
@@ -168,12 +168,12 @@
     settings["bus"] = bus.address();
     Program program(settings);
     bus.tell(topology(fleet.with({host("cache-2", other.address())}), true));
-    nothingIsServedBy("gone", program);
+    assertNotServedBy("gone", program);
 }
 
 // A watch that has answered for a while falls silent with a drain untold. It is asked anew, and the drain is
 // known within the time that the settings give.
-void aWatchThatFallsSilentLateIsAskedAnew() {
+void aSilentEventBusConnectionIsReplaced() {
     Fleet fleet;
     Peer drained(store(serving("drained"))), other(store(serving("other")));
     FailingBus bus(FailingBus::State::answering);
@@ -183,16 +183,16 @@
     Program program(settings);
     awaitPass(program);
     std::this_thread::sleep_for(500ms);  // some polls have been answered
-    bus.become(FailingBus::State::silent);
+    bus.setState(FailingBus::State::silent);
     bus.tell(topology({host("cache-1", drained.address(), "small", "draining")}));
     std::this_thread::sleep_for(100ms);
-    bus.become(FailingBus::State::answering);  // for new connections; the old one has been passed over
+    bus.setState(FailingBus::State::answering);  // for new connections; the old one has been passed over
     std::this_thread::sleep_for(1500ms + kSlowMachine);
-    nothingIsServedBy("drained", program);
+    assertNotServedBy("drained", program);
 }
 
 // Clients may write byte by byte; a request is taken with its last byte, and a CANCEL likewise.
-void requestsInPiecesAreTakenWhole() {
+void requestsMayArriveByteByByte() {
     Fleet fleet;
     EventCounter pulled;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
@@ -220,7 +220,7 @@
 
 // A store that accepts and is killed before it reads: a request with a key never ran there and goes
 // elsewhere.
-void aStoreKilledBehindItsAcceptCostsNoRequest() {
+void aStoreKilledAfterAcceptCausesARetry() {
     Fleet fleet;
     std::atomic<int> connections{0};
     const auto killedOnce = [&](Connection& c) {
@@ -240,7 +240,7 @@
 }
 
 // Whatever the stores do, each request has its one answer when its patience ends.
-void noRequestIsLeftUnansweredBySilentStores() {
+void requestsToSilentStoresAreAnsweredByTheDeadline() {
     constexpr int kRequests = 20, kPatienceMs = 1500;
     Peer silent(store([](Connection&, const std::vector<std::string>&) {}));
     json settings = configuration({host("cache-1", silent.address()), host("cache-2", silent.address()),
@@ -266,14 +266,14 @@
 }
 
 constexpr Story kStories[] = {
-    {"mass-restart", nineInTenRestartedGatewaysAreReadyInTime},
-    {"idle-crowd", aCrowdOfIdleClientsLeavesRoomForBusAndStores},
-    {"reload-drain", aDrainHoldsAcrossAReload},
-    {"whole-list", aWholeListTakesOutWhatItDoesNotName},
-    {"late-silence", aWatchThatFallsSilentLateIsAskedAnew},
-    {"pieces", requestsInPiecesAreTakenWhole},
-    {"killed-store", aStoreKilledBehindItsAcceptCostsNoRequest},
-    {"unanswered", noRequestIsLeftUnansweredBySilentStores},
+    {"mass-restart", restartedGatewaysAreReadyInTime},
+    {"idle-crowd", idleClientsLeaveDescriptorsForBusAndStores},
+    {"reload-drain", aDrainSurvivesAReload},
+    {"whole-list", aSnapshotRemovesStoresThatItDoesNotName},
+    {"late-silence", aSilentEventBusConnectionIsReplaced},
+    {"pieces", requestsMayArriveByteByByte},
+    {"killed-store", aStoreKilledAfterAcceptCausesARetry},
+    {"unanswered", requestsToSilentStoresAreAnsweredByTheDeadline},
 };
 
 }  // namespace
