--- a/tests/fleet_operations_test.cpp
+++ b/tests/fleet_operations_test.cpp
@@ -1,5 +1,5 @@
-// What operators do to a fleet, and what comes with it: mass restarts, reloads, whole lists, a crowd at the
-// door while discovery is down, requests in pieces and stores that are killed.
+// Tests of operations on a fleet: mass restarts, reloads, snapshots of the list, many idle clients while the
+// event bus is down, requests in pieces and stores that are killed.
 #include <set>
 
 #include "moments.hpp"
@@ -11,14 +11,14 @@
 constexpr int kGateways = 20;
 constexpr auto kReadyWithin = 10s;
 
-// Waits for its answer to CHECK, as the platform's front does before it takes a gateway in.
+// Waits until the gateway answers CHECK, as the platform does before it sends clients to it.
 void awaitPass(Program& program) {
     Connection client(program.port());
     client.sendResp({"CHECK", "1", ""});
     assert(client.readResp().at(1) == "PASS");
 }
 
-// Requests for objects enough to meet each store: none is answered with what this one serves.
+// Requests enough objects to reach each store, and asserts that none is answered with this body.
 void assertNotServedBy(const std::string& body, Program& program) {
     constexpr int kObjects = 40;
     Connection client(program.port());
@@ -29,7 +29,7 @@
     }
 }
 
-// An event bus that can be taken down: connections end unanswered, or are kept without a word.
+// An event bus with failures: it closes connections without an answer, or keeps them open and stays silent.
 class FailingBus {
 public:
     enum class State { answering, refusing, silent };
@@ -66,8 +66,8 @@
     Peer peer_{[this](Connection& c) { serve(c); }};
 };
 
-// A tenth of the fleet at a time is told to end and started anew, under a watch that never answers: the
-// slowest start there is.
+// At least 9 of 10 gateways must be ready in time after a restart of all, with an event bus that never
+// answers, which is the slowest kind of start.
 void restartedGatewaysAreReadyInTime() {
     Fleet fleet;
     Peer cache(store(serving("served")));
@@ -95,9 +95,8 @@
     }
 }
 
-// Idle clients, each of which has asked once and may stay, take every descriptor that they can get while the
-// event bus is down. When it is back the gateway reaches it soon, and a store that it has never been
-// connected to.
+// Idle clients hold every descriptor that they can get while the event bus is down. Once it is back, the
+// gateway must soon reach it, and also a store to which it has never been connected.
 void idleClientsLeaveDescriptorsForBusAndStores() {
     Fleet fleet;
     EventCounter pulled;
@@ -130,8 +129,8 @@
     assert(pulled.count() == 1);
 }
 
-// A store drains while the configuration is read again, told by the file, by the event bus or by both: what
-// comes after that goes elsewhere.
+// A store drains during a reload, announced by the file, by the event bus or by both; later requests must go
+// to other stores.
 void aDrainSurvivesAReload() {
     enum class Source { file, bus, both };
     for (const Source source : {Source::file, Source::bus, Source::both}) {
@@ -158,7 +157,7 @@
     }
 }
 
-// A whole list that no longer names a store takes it out, also where the change that removed it was lost.
+// A snapshot without a store removes it, even if the event that removed it was lost.
 void aSnapshotRemovesStoresThatItDoesNotName() {
     Fleet fleet;
     Bus bus;
@@ -171,8 +170,8 @@
     assertNotServedBy("gone", program);
 }
 
-// A watch that has answered for a while falls silent with a drain untold. It is asked anew, and the drain is
-// known within the time that the settings give.
+// An event bus connection falls silent before it reports a drain. The gateway must open a new one and learn
+// of the drain within the time that the settings allow.
 void aSilentEventBusConnectionIsReplaced() {
     Fleet fleet;
     Peer drained(store(serving("drained"))), other(store(serving("other")));
@@ -186,12 +185,13 @@
     bus.setState(FailingBus::State::silent);
     bus.tell(topology({host("cache-1", drained.address(), "small", "draining")}));
     std::this_thread::sleep_for(100ms);
-    bus.setState(FailingBus::State::answering);  // for new connections; the old one has been passed over
+    bus.setState(
+        FailingBus::State::answering);  // for new connections; the poll on the old one stays unanswered
     std::this_thread::sleep_for(1500ms + kSlowMachine);
     assertNotServedBy("drained", program);
 }
 
-// Clients may write byte by byte; a request is taken with its last byte, and a CANCEL likewise.
+// Clients may send byte by byte; a request, and likewise a CANCEL, counts from its last byte.
 void requestsMayArriveByteByByte() {
     Fleet fleet;
     EventCounter pulled;
@@ -218,8 +218,8 @@
     assert(pulled.count() == 2);
 }
 
-// A store that accepts and is killed before it reads: a request with a key never ran there and goes
-// elsewhere.
+// A store is killed after it accepted a connection and before it read: the request never ran there and must
+// be retried elsewhere.
 void aStoreKilledAfterAcceptCausesARetry() {
     Fleet fleet;
     std::atomic<int> connections{0};
@@ -239,7 +239,7 @@
     assert(client.readResp().at(1) == "SERVED");
 }
 
-// Whatever the stores do, each request has its one answer when its patience ends.
+// Each request gets exactly one answer by its deadline, whatever the stores do.
 void requestsToSilentStoresAreAnsweredByTheDeadline() {
     constexpr int kRequests = 20, kPatienceMs = 1500;
     Peer silent(store([](Connection&, const std::vector<std::string>&) {}));
