--- a/tests/repository_test.cpp
+++ b/tests/repository_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace lotuslead::testing;
 
-void indexesAndFilesAreServedAsTheSpecificationsSay() {
+void servesIndexesAndFilesByTheStandards() {
     Repository server(300'000);
     Program program(repositoryConfiguration(server, server), "LB_REPOSITORY");
     const std::uint16_t port = program.port();
@@ -46,15 +46,15 @@
     assert(response.status == 502);
     response = get(c, "/index/../secret");
     assert(response.status == 400 && c.closed());
-    Connection wild(port), fat(port);
-    wild.send("nonsense\r\n\r\n");
-    assert(read(wild).status == 400 && wild.closed());
-    fat.send("GET /index/ HTTP/1.1\r\nHost: x\r\nFill: " + std::string(20'000, 'x'));
-    assert(read(fat).status == 431 && fat.closed());
+    Connection malformed(port), oversized(port);
+    malformed.send("nonsense\r\n\r\n");
+    assert(read(malformed).status == 400 && malformed.closed());
+    oversized.send("GET /index/ HTTP/1.1\r\nHost: x\r\nFill: " + std::string(20'000, 'x'));
+    assert(read(oversized).status == 431 && oversized.closed());
 }
 
 // A close over bytes that were not read resets the connection, and takes back an answer that is under way.
-void aRefusalIsReadThoughItsBodyWasNot() {
+void aRejectionReachesAClientThatStillSends() {
     Repository server(1000);
     Program program(repositoryConfiguration(server, server), "LB_REPOSITORY");
     const std::uint16_t port = program.port();
@@ -74,7 +74,7 @@
 }
 
 // The server's close and the next request are both there when the gateway looks.
-void anIdleConnectionThatWasJustClosedIsNotUsed() {
+void aClosedIdleConnectionIsNotReused() {
     EventCounter close, closed;
     std::atomic<int> connections{0};
     Peer server([&](Connection& c) {
@@ -109,17 +109,17 @@
 
 // What is open when the process must end is broken off or refused, and the client can tell.
 // What a server says unasked, as it may before it closes (RFC 9110, 15.5.9), is no answer to what comes next.
-void whatAServerSaysOfItselfIsNoAnswer() {
-    EventCounter say, said;
+void anUnsolicitedResponseIsNotUsed() {
+    EventCounter sendUnsolicited, sentUnsolicited;
     std::atomic<int> connections{0};
     Peer server([&](Connection& c) {
         const bool first = ++connections == 1;
         while (!c.readHead().empty()) {
             c.send("HTTP/1.1 200 OK\r\nETag: \"a\"\r\nContent-Length: 4\r\n\r\nhere");
             if (!first) continue;
-            say.await(1);
+            sendUnsolicited.await(1);
             c.send("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n");
-            said.raise();
+            sentUnsolicited.raise();
         }
     });
     json settings = repositoryConfiguration({host("cache-1", server.address()),
@@ -132,8 +132,8 @@
     assert(get(before, "/index/plugins.json").status == 200);
     program.suspend();
     ask(before, "/index/plugins.json");
-    say.raise();
-    said.await(1);
+    sendUnsolicited.raise();
+    sentUnsolicited.await(1);
     ask(after, "/index/plugins.json");
     program.resume();
     assert(read(before).status == 200);
@@ -141,7 +141,7 @@
 }
 
 // 304 says nothing to who holds no copy, or another one.
-void aCopyThatNobodyNamedIsNotUnmodified() {
+void anUnrequested304IsRetried() {
     std::atomic<int> asked{0};
     Peer server([&](Connection& c) {
         while (!c.readHead().empty())
@@ -161,7 +161,7 @@
     assert(asked == 4);
 }
 
-void whatIsOpenIsEndedBeforeSigkillMayCome() {
+void openRequestsEndBeforeSigkill() {
     EventCounter asked, go;
     Repository server(4'000'000, [&](const std::string& path, const std::string& head) {
         if (path == "/files/tool.bin" && head.find("bytes=0-") != std::string::npos) return;
@@ -177,9 +177,9 @@
     asked.await(2);
     const auto begin = std::chrono::steady_clock::now();
     program.signal(SIGTERM);
-    const Response refused = read(index), cut = read(file);
+    const Response refused = read(index), aborted = read(file);
     assert(refused.status == 503 || refused.status == 504);
-    assert(cut.status == 200 && !cut.complete);
+    assert(aborted.status == 200 && !aborted.complete);
     program.awaitLog("lotuslead: stopped, 0 requests open");
     // The longest deadline, 9 s, counts as 3; with 0.7 s more, and a slow machine.
     assert(std::chrono::steady_clock::now() - begin < 4300ms);
@@ -188,7 +188,7 @@
 }
 
 // No index older than a purge once it was told, also while a large file is in transfer.
-void aPurgeMidFetchLeavesNoOldIndex() {
+void aPurgeDuringAFetchLeavesNoOldIndex() {
     EventCounter fetching, inTransfer, purged;
     Repository server(4'000'000, [&](const std::string& path, const std::string&) {
         if (path != "/index/plugins.json") return inTransfer.raise();
@@ -225,26 +225,26 @@
     assert(response.status == 200 && response.body == "version 2\n");
 }
 
-void aDrainMidDownloadIsRefusedCleanly() {
+void aDrainDuringADownloadShowsAsIncomplete() {
     EventCounter parts, drained;
-    Repository box(4'000'000, [&](const std::string&, const std::string&) {
+    Repository store(4'000'000, [&](const std::string&, const std::string&) {
         parts.raise();
         if (parts.count() == 2) drained.await(1);
     });
     Repository origin(10);
     Bus bus;
-    json settings = repositoryConfiguration(box, origin);
+    json settings = repositoryConfiguration(store, origin);
     settings["bus"] = bus.address();
     Program program(settings, "LB_REPOSITORY");
     Connection download(program.port());
     ask(download, "/files/tool.bin");
     parts.await(2);
-    bus.tell(topology({host("cache-1", box.address(), "small", "draining")}));
+    bus.tell(topology({host("cache-1", store.address(), "small", "draining")}));
     drained.raise();
     const Response response = read(download);
     assert(response.status == 200 && !response.complete &&
            response.body.size() == 2 * 65536);  // shows as incomplete
-    assert(response.body == box.file.substr(0, response.body.size()) && download.closed());
+    assert(response.body == store.file.substr(0, response.body.size()) && download.closed());
     Connection again(program.port());
     const Response refused = get(again, "/files/tool.bin", "Range: bytes=131072-\r\n");
     assert(refused.status == 503 && fieldOf(refused.head, "Retry-After") == "1" && refused.complete);
@@ -252,7 +252,7 @@
     assert(parts.count() == 2);                               // nothing new went to the box
 }
 
-void aSilentServerEndsAtTheDeadline() {
+void aSilentServerCausesATimeoutAtTheDeadline() {
     EventCounter over;
     Repository server(10, [&](const std::string&, const std::string&) { over.await(1); });
     json settings = repositoryConfiguration(server, server);
@@ -269,7 +269,7 @@
     assert(program.log().find("repository connections=1") != std::string::npos);
 }
 
-void badClientsEndSoonAndKeepNobodyOut() {
+void badClientsAreClosedAndBlockNobody() {
     Repository server(10);
     json settings = repositoryConfiguration(server, server);
     settings["limits"]["sockets"] = 192;  // 64 of them for clients
@@ -282,35 +282,35 @@
     }
     idle.resize(40);
     idle.erase(idle.begin(), idle.begin() + 30);
-    Connection greedy(port), usual(port);
+    Connection pipeliningClient(port), normalClient(port);
     std::string many;
     for (int i = 0; i < 3000; ++i) many += "GET /nothing HTTP/1.1\r\nHost: here\r\n\r\n";
-    greedy.send(many);
-    assert(get(usual, "/index/plugins.json").status == 200);
+    pipeliningClient.send(many);
+    assert(get(normalClient, "/index/plugins.json").status == 200);
     const auto begin = std::chrono::steady_clock::now();
     Connection silent(port), half(port);
     half.send("GET /index/plugins.json HTTP/1.1\r\nHo");
     assert(half.readHead().rfind("HTTP/1.1 408 ", 0) == 0);
     assert(silent.closed());
     assert(std::chrono::steady_clock::now() - begin < 6s);
-    assert(get(usual, "/index/plugins.json").status == 200);  // at rest it stays
+    assert(get(normalClient, "/index/plugins.json").status == 200);  // at rest it stays
     for (int i = 0; i < 3000; ++i) {
-        assert(greedy.readHead().rfind("HTTP/1.1 404 ", 0) == 0);
-        assert(greedy.exactly(10) == "Not Found\n");
+        assert(pipeliningClient.readHead().rfind("HTTP/1.1 404 ", 0) == 0);
+        assert(pipeliningClient.exactly(10) == "Not Found\n");
     }
 }
 
 }  // namespace
 
 int main() {
-    aRefusalIsReadThoughItsBodyWasNot();
-    anIdleConnectionThatWasJustClosedIsNotUsed();
-    whatAServerSaysOfItselfIsNoAnswer();
-    aCopyThatNobodyNamedIsNotUnmodified();
-    whatIsOpenIsEndedBeforeSigkillMayCome();
-    badClientsEndSoonAndKeepNobodyOut();
-    indexesAndFilesAreServedAsTheSpecificationsSay();
-    aPurgeMidFetchLeavesNoOldIndex();
-    aDrainMidDownloadIsRefusedCleanly();
-    aSilentServerEndsAtTheDeadline();
+    aRejectionReachesAClientThatStillSends();
+    aClosedIdleConnectionIsNotReused();
+    anUnsolicitedResponseIsNotUsed();
+    anUnrequested304IsRetried();
+    openRequestsEndBeforeSigkill();
+    badClientsAreClosedAndBlockNobody();
+    servesIndexesAndFilesByTheStandards();
+    aPurgeDuringAFetchLeavesNoOldIndex();
+    aDrainDuringADownloadShowsAsIncomplete();
+    aSilentServerCausesATimeoutAtTheDeadline();
 }
