--- a/tests/repository_test.cpp
+++ b/tests/repository_test.cpp
@@ -1,4 +1,4 @@
-// The repository front, with stand-ins for a repository server, its caches and the event bus.
+// Tests of the repository front, with stand-ins for a repository server, its caches and the event bus.
 #include "repository_server.hpp"
 
 namespace {
@@ -9,7 +9,7 @@
     Repository server(300'000);
     Program program(repositoryConfiguration(server, server), "LB_REPOSITORY");
     const std::uint16_t port = program.port();
-    Connection c(port);  // one connection for all that does not end it
+    Connection c(port);  // reused by all requests that keep the connection open
     Response response = get(c, "/index/plugins.json");
     assert(response.status == 200 && response.body == "version 1\n");
     assert(fieldOf(response.head, "ETag") == "\"i1\"" &&
@@ -53,7 +53,7 @@
     assert(read(oversized).status == 431 && oversized.closed());
 }
 
-// A close over bytes that were not read resets the connection, and takes back an answer that is under way.
+// Closing a connection with unread input resets it, and the client may lose the response; it must not.
 void aRejectionReachesAClientThatStillSends() {
     Repository server(1000);
     Program program(repositoryConfiguration(server, server), "LB_REPOSITORY");
@@ -73,7 +73,7 @@
     assert(read413 == kTries);
 }
 
-// The server's close and the next request are both there when the gateway looks.
+// The server's close and the next request are both pending when the gateway resumes.
 void aClosedIdleConnectionIsNotReused() {
     EventCounter close, closed;
     std::atomic<int> connections{0};
@@ -107,8 +107,8 @@
     close.raise();
 }
 
-// What is open when the process must end is broken off or refused, and the client can tell.
-// What a server says unasked, as it may before it closes (RFC 9110, 15.5.9), is no answer to what comes next.
+// A server may send an unsolicited response before it closes (RFC 9110, 15.5.9). It must not be taken for the
+// answer to the next request.
 void anUnsolicitedResponseIsNotUsed() {
     EventCounter sendUnsolicited, sentUnsolicited;
     std::atomic<int> connections{0};
@@ -140,7 +140,7 @@
     assert(read(after).status == 200);
 }
 
-// 304 says nothing to who holds no copy, or another one.
+// A 304 without a matching If-None-Match is invalid; the request is retried.
 void anUnrequested304IsRetried() {
     std::atomic<int> asked{0};
     Peer server([&](Connection& c) {
@@ -161,6 +161,7 @@
     assert(asked == 4);
 }
 
+// When the process must stop, open requests are aborted or refused in a way that the client can see.
 void openRequestsEndBeforeSigkill() {
     EventCounter asked, go;
     Repository server(4'000'000, [&](const std::string& path, const std::string& head) {
@@ -181,19 +182,19 @@
     assert(refused.status == 503 || refused.status == 504);
     assert(aborted.status == 200 && !aborted.complete);
     program.awaitLog("lotuslead: stopped, 0 requests open");
-    // The longest deadline, 9 s, counts as 3; with 0.7 s more, and a slow machine.
+    // The longest deadline, 9 s, counts as 3 s; plus 0.7 s, and slack for a slow machine.
     assert(std::chrono::steady_clock::now() - begin < 4300ms);
     assert(program.exitCode() == 0);
     go.raise();
 }
 
-// No index older than a purge once it was told, also while a large file is in transfer.
+// Once a purge is known, no older index is served, also during the transfer of a large file.
 void aPurgeDuringAFetchLeavesNoOldIndex() {
     EventCounter fetching, inTransfer, purged;
     Repository server(4'000'000, [&](const std::string& path, const std::string&) {
         if (path != "/index/plugins.json") return inTransfer.raise();
         fetching.raise();
-        if (fetching.count() == 1) purged.await(1);  // the first fetch is under way when the purge is told
+        if (fetching.count() == 1) purged.await(1);  // the first fetch is open when the purge arrives
     });
     Bus bus;
     json settings = repositoryConfiguration(server, server);
@@ -204,7 +205,7 @@
     ask(download, "/files/tool.bin");
     inTransfer.await(1);
     ask(early, "/index/plugins.json");
-    // Behind the file on one connection: it is answered last, and must be no older for it.
+    // Pipelined behind the file: it is answered last and must not be outdated.
     ask(download, "/index/plugins.json");
     fetching.await(1);
     server.version = 2;
@@ -248,8 +249,8 @@
     Connection again(program.port());
     const Response refused = get(again, "/files/tool.bin", "Range: bytes=131072-\r\n");
     assert(refused.status == 503 && fieldOf(refused.head, "Retry-After") == "1" && refused.complete);
-    assert(get(again, "/index/plugins.json").status == 503);  // and the connection goes on
-    assert(parts.count() == 2);                               // nothing new went to the box
+    assert(get(again, "/index/plugins.json").status == 503);  // the connection stays open
+    assert(parts.count() == 2);                               // no new request went to the draining store
 }
 
 void aSilentServerCausesATimeoutAtTheDeadline() {
@@ -276,7 +277,7 @@
     Program program(settings, "LB_REPOSITORY");
     const std::uint16_t port = program.port();
     std::vector<std::unique_ptr<Connection>> idle;
-    for (int i = 0; i < 80; ++i) {  // each is served, though those before stay
+    for (int i = 0; i < 80; ++i) {  // each is served, though earlier clients stay connected
         idle.push_back(std::make_unique<Connection>(port));
         assert(get(*idle.back(), "/index/plugins.json").status == 200);
     }
@@ -293,7 +294,7 @@
     assert(half.readHead().rfind("HTTP/1.1 408 ", 0) == 0);
     assert(silent.closed());
     assert(std::chrono::steady_clock::now() - begin < 6s);
-    assert(get(normalClient, "/index/plugins.json").status == 200);  // at rest it stays
+    assert(get(normalClient, "/index/plugins.json").status == 200);  // an idle connection stays open
     for (int i = 0; i < 3000; ++i) {
         assert(pipeliningClient.readHead().rfind("HTTP/1.1 404 ", 0) == 0);
         assert(pipeliningClient.exactly(10) == "Not Found\n");
