--- a/tests/fleet_operations_test.cpp
+++ b/tests/fleet_operations_test.cpp
@@ -218,8 +218,8 @@
     assert(pulled.count() == 2);
 }
 
-// A store is killed after it accepted a connection and before it read: the request never ran there and must
-// be retried elsewhere.
+// A store is killed after it accepted a connection and before it read: a keyed request never ran there and
+// must be retried elsewhere.
 void aStoreKilledAfterAcceptCausesARetry() {
     Fleet fleet;
     std::atomic<int> connections{0};
