--- a/src/disk/before.cpp
+++ b/src/disk/before.cpp
@@ -23,19 +23,19 @@
     rules.folder = s.folder;
     rules.shelf.capacityBytes = megabytes(s.capacityMb);
     rules.shelf.segmentBytes = static_cast<std::uint32_t>(megabytes(s.segmentMb));
-    rules.shelf.mostParts = static_cast<std::size_t>(s.mostParts);
+    rules.shelf.mostParts = static_cast<std::size_t>(s.maxParts);
     rules.shelf.probationShare = s.probationShare;
     rules.shelf.rewriteShare = s.rewriteShare;
     rules.shelf.memory = s.admission == Settings::Admission::ghost    ? Memory::ghost
                          : s.admission == Settings::Admission::sketch ? Memory::sketch
                                                                       : Memory::none;
     rules.worker.queueBytes = megabytes(s.queueMb);
-    rules.worker.mostReads = static_cast<std::size_t>(s.mostReads);
+    rules.worker.mostReads = static_cast<std::size_t>(s.maxQueuedReads);
     rules.worker.sync = s.sync == Settings::Sync::never    ? SyncPolicy::never
                         : s.sync == Settings::Sync::sealed ? SyncPolicy::sealed
                                                            : SyncPolicy::each;
     rules.worker.tables = s.tables;
-    rules.mostMarks = static_cast<std::size_t>(s.mostMarks);
+    rules.mostMarks = static_cast<std::size_t>(s.maxMarks);
     rules.purgeSlackMs = s.purgeSlackMs;
     rules.purges = {bus, s.busKeepsPositions, s.busSilenceMs};
     return rules;
--- a/src/settings/disk.cpp
+++ b/src/settings/disk.cpp
@@ -79,10 +79,10 @@
         result.segmentMb = std::min(result.segmentMb, result.capacityMb / 8);
     if (result.segmentMb > result.capacityMb / 8)
         throw DecodeError(section.name("segment_mb") + " is more than an eighth of capacity_mb");
-    section.whole("most_parts", 1024, 64'000'000, result.mostParts);
+    section.whole("most_parts", 1024, 64'000'000, result.maxParts);
     section.whole("queue_mb", 1, 4096, result.queueMb);
-    section.whole("reads", 1, 4096, result.mostReads);
-    section.whole("most_marks", 64, 16'000'000, result.mostMarks);
+    section.whole("reads", 1, 4096, result.maxQueuedReads);
+    section.whole("most_marks", 64, 16'000'000, result.maxMarks);
     section.whole("read_wait_ms", 1, 10'000, result.readWaitMs);
     section.whole("purge_slack_ms", 0, 60'000, result.purgeSlackMs);
     section.whole("bus_silence_ms", 1600, 60'000,
--- a/src/settings/disk.hpp
+++ b/src/settings/disk.hpp
@@ -17,10 +17,10 @@
     std::string folder;
     std::int64_t capacityMb = 4096;  // total of all segment files
     std::int64_t segmentMb = 64;     // at most an eighth of capacityMb
-    std::int64_t mostParts = 262144;
-    std::int64_t queueMb = 32;    // waiting to be written; above it, admissions are dropped
-    std::int64_t mostReads = 64;  // waiting to be read; above it, hits are treated as misses
-    std::int64_t mostMarks = 65536;
+    std::int64_t maxParts = 262144;
+    std::int64_t queueMb = 32;         // waiting to be written; above it, admissions are dropped
+    std::int64_t maxQueuedReads = 64;  // waiting to be read; above it, hits are treated as misses
+    std::int64_t maxMarks = 65536;
     std::int64_t readWaitMs = 100;  // after it, the part is fetched instead of read
     std::int64_t purgeSlackMs = 1000;
     std::int64_t busSilenceMs = 2000;  // after it, nothing is served from the tier
