--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -14,28 +14,28 @@
 
 namespace {
 
-Effect effectOf(const std::string& word) {
+Effect parseEffect(const std::string& word) {
     if (word == "free") return Effect::safe;
     if (word == "guarded") return Effect::keyed;
     if (word == "single_shot") return Effect::unsafe;
     throw DecodeError("unknown effect '" + word + "'");
 }
 
-RepeatGroup groupOf(const std::string& word) {
+RepeatGroup parseRepeatGroup(const std::string& word) {
     if (word == "all") return RepeatGroup::all;
     if (word == "zone") return RepeatGroup::zone;
     if (word == "cell") return RepeatGroup::cell;
     throw DecodeError("unknown group '" + word + "'");
 }
 
-Weights weightsOf(const std::string& word) {
+Weights parseWeights(const std::string& word) {
     if (word == "nominal") return Weights::nominal;
     if (word == "rough") return Weights::rough;
     if (word == "live") return Weights::live;
     return Weights::none;
 }
 
-Siblings siblingsOf(const std::string& word) {
+Siblings parseSiblings(const std::string& word) {
     if (word == "any") return Siblings::any;
     if (word == "location") return Siblings::zone;
     return Siblings::none;
@@ -57,8 +57,8 @@
     result.giveUp = Time{requirePositive(entry, "hardLimit")};
     result.worth = numberOr(entry, "value", 1);
     result.lateWorth = numberOr(entry, "lateValue", 0);
-    result.effect = effectOf(requireString(entry, "effect"));
-    result.group = groupOf(stringOr(entry, "group", "all"));
+    result.effect = parseEffect(requireString(entry, "effect"));
+    result.group = parseRepeatGroup(stringOr(entry, "group", "all"));
     result.repeatWindow = timeOr(entry, "window");
     if (result.effect == Effect::keyed) requirePositive(entry, "window");
     result.streamed = boolOr(entry, "stream", false);
@@ -66,7 +66,7 @@
 }
 
 template <class Set>
-void eachClass(Settings& settings, const json& extra, const std::string& key, Set set) {
+void forEachClass(Settings& settings, const json& extra, const std::string& key, Set set) {
     std::size_t at = 0;
     for (const json& item : listOrEmpty(extra, key)) {
         if (at < settings.classes.size() && !item.is_null()) set(settings.classes[at], item);
@@ -74,19 +74,19 @@
     }
 }
 
-std::string storeTypeAt(const json& info, std::int64_t place) {
+std::string storeTypeAt(const json& info, std::int64_t index) {
     const json& shapes = listOrEmpty(info, "shapes");
-    if (place < 0 || static_cast<std::size_t>(place) >= shapes.size()) return {};
-    const json& name = shapes[static_cast<std::size_t>(place)];
+    if (index < 0 || static_cast<std::size_t>(index) >= shapes.size()) return {};
+    const json& name = shapes[static_cast<std::size_t>(index)];
     return name.is_string() ? name.get<std::string>() : std::string{};
 }
 
-void readExtra(DecodedSettings& decoded, const json& info, const json& extra) {
+void readExtraSettings(DecodedSettings& decoded, const json& info, const json& extra) {
     Settings& settings = decoded.settings;
     settings.direct = boolOr(extra, "direct", false);
     settings.joins = boolOr(extra, "joins", false);
     settings.paceKb = numberOr(extra, "flowKbPerS", 0);
-    settings.siblings = siblingsOf(stringOr(extra, "siblings", "silent"));
+    settings.siblings = parseSiblings(stringOr(extra, "siblings", "silent"));
     settings.notesTold = stringOr(extra, "noteLevel", "silent") == "all";
     settings.purgeGrace = timeOr(extra, "obeyAfter");
     settings.purgeSettles = timeOr(extra, "purgeSettles");
@@ -110,19 +110,19 @@
         if (!item.is_boolean()) throwWrongType(key, "true or false");
         return item.get<bool>();
     };
-    eachClass(settings, extra, "maxAge",
-              [&](ClassSettings& c, const json& item) { c.freshFor = time(item, "maxAge"); });
-    eachClass(settings, extra, "staleFor",
-              [&](ClassSettings& c, const json& item) { c.staleFor = time(item, "staleFor"); });
-    eachClass(settings, extra, "staleEarns",
-              [&](ClassSettings& c, const json& item) { c.staleWorth = number(item, "staleEarns"); });
-    eachClass(settings, extra, "inParts",
-              [&](ClassSettings& c, const json& item) { c.inParts = flag(item, "inParts"); });
-    eachClass(settings, extra, "neverKept",
-              [&](ClassSettings& c, const json& item) { c.neverKept = flag(item, "neverKept"); });
+    forEachClass(settings, extra, "maxAge",
+                 [&](ClassSettings& c, const json& item) { c.freshFor = time(item, "maxAge"); });
+    forEachClass(settings, extra, "staleFor",
+                 [&](ClassSettings& c, const json& item) { c.staleFor = time(item, "staleFor"); });
+    forEachClass(settings, extra, "staleEarns",
+                 [&](ClassSettings& c, const json& item) { c.staleWorth = number(item, "staleEarns"); });
+    forEachClass(settings, extra, "inParts",
+                 [&](ClassSettings& c, const json& item) { c.inParts = flag(item, "inParts"); });
+    forEachClass(settings, extra, "neverKept",
+                 [&](ClassSettings& c, const json& item) { c.neverKept = flag(item, "neverKept"); });
 }
 
-Readiness readinessOf(const std::string& word) {
+Readiness parseReadiness(const std::string& word) {
     if (word == "up") return Readiness::ready;
     if (word == "draining") return Readiness::draining;
     if (word == "removed") return Readiness::gone;
@@ -144,7 +144,7 @@
             store.cell = integerOr(item, "group", 0);
             store.weight = numberOr(item, "weight", 1);
             store.sinceMs = integerOr(item, "since_ms", 0);
-            store.readiness = readinessOf(stringOr(item, "status", "up"));
+            store.readiness = parseReadiness(stringOr(item, "status", "up"));
             event.stores.push_back(std::move(store));
         }
     } else if (const json* ban = findValue(entry, "ban")) {
@@ -178,15 +178,15 @@
             throw DecodeError("field 'categories' names '" + decoded.classNames.back() + "' twice");
         settings.classes.push_back(readClass(item));
     }
-    int place = 0;
+    int index = 0;
     for (const json& item : listOrEmpty(info, "zones")) {
         if (!item.is_string()) throwWrongType("zones", "a list of names");
         decoded.zoneNames.push_back(item.get<std::string>());
-        decoded.zones.emplace(decoded.zoneNames.back(), place++);
+        decoded.zones.emplace(decoded.zoneNames.back(), index++);
     }
     settings.zone = decoded.zoneOf(stringOr(info, "zone", ""));
     settings.routers = static_cast<int>(integerOr(info, "balancers", 1));
-    settings.weights = weightsOf(stringOr(info, "weights", "silent"));
+    settings.weights = parseWeights(stringOr(info, "weights", "silent"));
     settings.mustAskForList = stringOr(info, "discovery", "pushed") == "on_request";
 
     const json& allowed = objectOrEmpty(info, "allowed");
@@ -210,29 +210,29 @@
     settings.fallMultiple = numberOr(rules, "fallMultiple", 0);
     settings.fallWindow = timeOr(rules, "fall");
 
-    readExtra(decoded, info, objectOrEmpty(info, "extra"));
+    readExtraSettings(decoded, info, objectOrEmpty(info, "extra"));
     return decoded;
 }
 
 namespace {
 
 // For each name of `fresh`, its index in `names`, to which new names are appended.
-std::vector<std::size_t> placesOf(const std::vector<std::string>& fresh, std::vector<std::string>& names) {
-    std::vector<std::size_t> places;
+std::vector<std::size_t> mergeNames(const std::vector<std::string>& fresh, std::vector<std::string>& names) {
+    std::vector<std::size_t> indexes;
     for (const std::string& name : fresh) {
         const auto found = std::find(names.begin(), names.end(), name);
-        places.push_back(static_cast<std::size_t>(found - names.begin()));
+        indexes.push_back(static_cast<std::size_t>(found - names.begin()));
         if (found == names.end()) names.push_back(name);
     }
-    return places;
+    return indexes;
 }
 
 template <class Item>
-std::vector<Item> moved(const std::vector<Item>& fresh, const std::vector<std::size_t>& places,
-                        std::vector<Item> into, std::size_t size, const Item& absent) {
+std::vector<Item> reindexed(const std::vector<Item>& fresh, const std::vector<std::size_t>& indexes,
+                            std::vector<Item> into, std::size_t size, const Item& absent) {
     if (fresh.empty()) return {};  // not set
     into.resize(size, absent);
-    for (std::size_t i = 0; i < std::min(fresh.size(), places.size()); ++i) into[places[i]] = fresh[i];
+    for (std::size_t i = 0; i < std::min(fresh.size(), indexes.size()); ++i) into[indexes[i]] = fresh[i];
     return into;
 }
 
@@ -242,22 +242,22 @@
     DecodedSettings decoded = fresh;
     decoded.classNames = before.classNames;
     decoded.zoneNames = before.zoneNames;
-    const auto classes = placesOf(fresh.classNames, decoded.classNames);
-    const auto zones = placesOf(fresh.zoneNames, decoded.zoneNames);
-    const auto place = [](const std::vector<std::size_t>& places, int at) {
-        return at < 0 ? at : static_cast<int>(places.at(static_cast<std::size_t>(at)));
+    const auto classes = mergeNames(fresh.classNames, decoded.classNames);
+    const auto zones = mergeNames(fresh.zoneNames, decoded.zoneNames);
+    const auto newIndex = [](const std::vector<std::size_t>& indexes, int at) {
+        return at < 0 ? at : static_cast<int>(indexes.at(static_cast<std::size_t>(at)));
     };
-    for (auto& [name, at] : decoded.classes) at = place(classes, at);
-    for (auto& [name, at] : decoded.zones) at = place(zones, at);
+    for (auto& [name, at] : decoded.classes) at = newIndex(classes, at);
+    for (auto& [name, at] : decoded.zones) at = newIndex(zones, at);
     Settings& s = decoded.settings;
     const Settings& f = fresh.settings;
-    s.zone = place(zones, f.zone);
+    s.zone = newIndex(zones, f.zone);
     s.classes =
-        moved(f.classes, classes, before.settings.classes, decoded.classNames.size(), ClassSettings{});
+        reindexed(f.classes, classes, before.settings.classes, decoded.classNames.size(), ClassSettings{});
     const std::size_t all = decoded.zoneNames.size();
-    s.zoneHub = moved(f.zoneHub, zones, {}, all, -1);
-    s.routersByZone = moved(f.routersByZone, zones, {}, all, 0);
-    s.zoneLinkKb = moved(f.zoneLinkKb, zones, {}, all, 0.0);
+    s.zoneHub = reindexed(f.zoneHub, zones, {}, all, -1);
+    s.routersByZone = reindexed(f.routersByZone, zones, {}, all, 0);
+    s.zoneLinkKb = reindexed(f.zoneLinkKb, zones, {}, all, 0.0);
     return decoded;
 }
 
@@ -310,12 +310,12 @@
     if (read.ec != std::errc{} || read.ptr != seed.data() + seed.size())
         throw DecodeError("field 'seed' is not hexadecimal");
     const json& limits = objectOrEmpty(root, "limits");
-    constexpr std::int64_t kMost = 1'000'000;
+    constexpr std::int64_t kMaxLimit = 1'000'000;
     result.limits.memoryMb =
-        static_cast<int>(std::min(integerOr(limits, "memory_mb", result.limits.memoryMb), kMost));
+        static_cast<int>(std::min(integerOr(limits, "memory_mb", result.limits.memoryMb), kMaxLimit));
     result.limits.sockets =
-        static_cast<int>(std::min(integerOr(limits, "sockets", result.limits.sockets), kMost));
-    // Below these a process lacks room for its own needs. The upper bound kMost only prevents overflow of
+        static_cast<int>(std::min(integerOr(limits, "sockets", result.limits.sockets), kMaxLimit));
+    // Below these a process lacks room for its own needs. The upper bound kMaxLimit only prevents overflow of
     // sums.
     if (result.limits.memoryMb < 12) throw DecodeError("field 'limits.memory_mb' is under 12");
     if (result.limits.sockets < 48) throw DecodeError("field 'limits.sockets' is under 48");
