--- a/src/settings/disk.cpp
+++ b/src/settings/disk.cpp
@@ -14,6 +14,7 @@
         if (known.count(key) == 0) throw DecodeError("field '" + path + "." + key + "' is not known");
 }
 
+// Reads typed fields of one section of the file; absent fields keep their defaults.
 class Section {
 public:
     Section(const json& object, std::string path) : object_(object), path_(std::move(path)) {}
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -227,6 +227,7 @@
     return indexes;
 }
 
+// Writes `fresh` into `into` at the given indexes; indexes without a value keep theirs or get `absent`.
 template <class Item>
 std::vector<Item> reindexed(const std::vector<Item>& fresh, const std::vector<std::size_t>& indexes,
                             std::vector<Item> into, std::size_t size, const Item& absent) {
