--- a/src/agent/settings.hpp
+++ b/src/agent/settings.hpp
@@ -23,7 +23,7 @@
     const Member& self() const;
 };
 
-// Throws settings::Malformed, with the field named.
+// Throws settings::DecodeError, with the field named.
 AgentConfiguration readAgentConfiguration(const std::string& text);
 
 }  // namespace lotuslead::agent
--- a/src/config/check.hpp
+++ b/src/config/check.hpp
@@ -12,7 +12,7 @@
 inline constexpr std::size_t kMostChanges = 1000;         // of a transaction
 inline constexpr std::size_t kMostTransaction = 1 << 20;  // bytes, as it is proposed
 
-// Throws settings::Malformed with the field, and the key, named.
+// Throws settings::DecodeError with the field, and the key, named.
 void check(const Transaction& transaction);
 
 // `{"if":[{"key":K,"revision":N}],"do":[{"key":K,"value":V}]}`; without `value` the document goes. Throws as
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -35,7 +35,7 @@
 template <class Configuration, class Front, class Carrier>
 class FrontService : public core::Service, private net::Handler {
 public:
-    using Source = std::function<Configuration()>;  // throws settings::Malformed
+    using Source = std::function<Configuration()>;  // throws settings::DecodeError
     // None: no tier.
     using DiskSource = std::function<std::optional<settings::DiskSettings>()>;
 
--- a/src/platform/stores.hpp
+++ b/src/platform/stores.hpp
@@ -61,7 +61,8 @@
         int attempt = 0;
     };
 
-    // None: no descriptor is left for one. Throws settings::Malformed where the host can't be reached at all.
+    // None: no descriptor is left for one. Throws settings::DecodeError where the host can't be reached at
+    // all.
     std::shared_ptr<Link> linkFor(const std::string& host, const std::string& label);
     void carry(Waiting waiting);
     void retireStuck(Store& store);
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -26,8 +26,8 @@
     settings["limits"]["sockets"] = 64;  // 21 of them for clients
     Program program(settings);
     const std::uint16_t port = program.port(), operatorPort = program.operatorPort();
-    std::vector<std::unique_ptr<Connection>> crowd, idle;
-    for (int i = 0; i < 40; ++i) crowd.push_back(std::make_unique<Connection>(port));
+    std::vector<std::unique_ptr<Connection>> clients, idle;
+    for (int i = 0; i < 40; ++i) clients.push_back(std::make_unique<Connection>(port));
     for (int i = 0; i < 40; ++i) {
         idle.push_back(std::make_unique<Connection>(operatorPort));
         if (i % 2) idle.back()->send("GET /rea");
