--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -99,12 +99,12 @@
     return known.dump();
 }
 
-void Gateway::takeOver(const std::string& what) {
+void Gateway::takeOver(const std::string& state) {
     try {
-        const auto known = nlohmann::json::parse(what);
+        const auto known = nlohmann::json::parse(state);
         for (const auto& service : services_)
             if (known.contains(service->part())) service->takeOver(known.at(service->part()));
-        std::fprintf(stderr, "lotuslead: taken over what the predecessor knew, %zu bytes\n", what.size());
+        std::fprintf(stderr, "lotuslead: taken over what the predecessor knew, %zu bytes\n", state.size());
     } catch (const std::exception& problem) {
         std::fprintf(stderr, "lotuslead: cannot use what the predecessor knew: %s\n", problem.what());
     }
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -38,7 +38,7 @@
     bool undrain() override;
 
     std::string handOver() override;
-    void takeOver(const std::string& what) override;
+    void takeOver(const std::string& state) override;
     void processesChanged(int count) override;
 
     enum class AddressSet { operators, all };
--- a/src/gateway/handover.cpp
+++ b/src/gateway/handover.cpp
@@ -41,9 +41,9 @@
     Peer(HandoverChannel& owner, net::Descriptor fd)
         : owner_(owner), stream_(owner.loop_, std::move(fd), *this) {}
 
-    void send(std::initializer_list<std::string_view> words) {
+    void send(std::initializer_list<std::string_view> message) {
         std::string text;
-        net::appendResp(text, words);
+        net::appendResp(text, message);
         stream_.write(std::move(text));
     }
 
@@ -108,16 +108,16 @@
     });
 }
 
-void HandoverChannel::onMessage(Peer& peer, const std::vector<std::string>& words) {
+void HandoverChannel::onMessage(Peer& peer, const std::vector<std::string>& message) {
     const bool fromSuccessor = successor_.get() == &peer;
-    if (fromSuccessor && words[0] == "HELLO" && words.size() == 2 && words[1] == kProtocolVersion) {
+    if (fromSuccessor && message[0] == "HELLO" && message.size() == 2 && message[1] == kProtocolVersion) {
         successor_->send({"STATE", delegate_.handOver()});
         reportProcessCount();
-    } else if (fromSuccessor && words[0] == "SERVING") {
+    } else if (fromSuccessor && message[0] == "SERVING") {
         successorServes_ = true;
-    } else if (!fromSuccessor && words[0] == "STATE" && words.size() == 2 && stateTimer_) {
+    } else if (!fromSuccessor && message[0] == "STATE" && message.size() == 2 && stateTimer_) {
         stopStateTimer();
-        delegate_.takeOver(words[1]);
+        delegate_.takeOver(message[1]);
     }
 }
 
--- a/src/gateway/handover.hpp
+++ b/src/gateway/handover.hpp
@@ -19,9 +19,9 @@
     class Delegate {
     public:
         virtual ~Delegate() = default;
-        virtual std::string handOver() = 0;                  // state for a successor
-        virtual void takeOver(const std::string& what) = 0;  // never throws; ignores unusable state
-        virtual void processesChanged(int count) = 0;        // that serve as one gateway, including this one
+        virtual std::string handOver() = 0;                   // state for a successor
+        virtual void takeOver(const std::string& state) = 0;  // never throws; ignores unusable state
+        virtual void processesChanged(int count) = 0;         // that serve as one gateway, including this one
     };
 
     HandoverChannel(net::Loop& loop, Delegate& delegate) : loop_(loop), delegate_(delegate) {}
@@ -40,7 +40,7 @@
 
     void connect(const std::string& path);
     void listen(const std::string& folder, const std::string& path);
-    void onMessage(Peer& peer, const std::vector<std::string>& words);
+    void onMessage(Peer& peer, const std::vector<std::string>& message);
     void onPeerClosed(Peer& peer);
     void reportProcessCount();
     void stopStateTimer();
