--- a/src/config/validation.hpp
+++ b/src/config/validation.hpp
@@ -12,7 +12,7 @@
 inline constexpr std::size_t kMaxChanges = 1000;              // of a transaction
 inline constexpr std::size_t kMaxTransactionBytes = 1 << 20;  // bytes, as it is proposed
 
-// Throws settings::Malformed with the field, and the key, named.
+// Throws settings::DecodeError with the field, and the key, named.
 void validate(const Transaction& transaction);
 
 // `{"if":[{"key":K,"revision":N}],"do":[{"key":K,"value":V}]}`; without `value` the document goes. Throws as
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -15,21 +15,21 @@
 
 namespace {
 
-// After SIGTERM connections and requests still come for up to 0.6 s. SIGKILL comes no sooner than the longest
-// deadline, counted as 3 s where it is longer, and 0.7 s after it.
-constexpr Micros kStillComing = 700ms;
-constexpr Micros kMostDeadline = 3s;
-constexpr Micros kLastCall = 150ms;   // before it: all that is open is answered
-constexpr Micros kBeforeKill = 40ms;  // and by then the process has ended, whoever has not read
-constexpr Micros kLeaveTick = 20ms;
-constexpr Micros kLongestStart = 1500ms;  // the platform waits 6 s
-constexpr Micros kReloadAgain = 50ms;     // where a file can't be read for want of descriptors or memory
-constexpr int kMostReloadTries = 100;
-constexpr Micros kLongestCatchUp = 25s;  // and counts a gateway as failed after 30 s
+// After SIGTERM, clients still send connections and requests for up to 0.6 s. SIGKILL follows at the earliest
+// after the longest deadline, limited to 3 s, plus 0.7 s.
+constexpr Micros kTrafficAfterSigterm = 700ms;
+constexpr Micros kMaxDeadline = 3s;
+constexpr Micros kLastCallBeforeKill = 150ms;  // then all open requests are answered
+constexpr Micros kExitBeforeKill = 40ms;       // then the process exits, even with unread answers
+constexpr Micros kPhaseCheckInterval = 20ms;
+constexpr Micros kMaxStartTime = 1500ms;    // the platform waits 6 s for a start
+constexpr Micros kReloadRetryDelay = 50ms;  // after a shortage of descriptors or memory
+constexpr int kMaxReloadRetries = 100;
+constexpr Micros kMaxCatchUpTime = 25s;  // the platform counts a start as failed after 30 s
 
 }  // namespace
 
-sigset_t Gateway::holdSignals() {
+sigset_t Gateway::blockSignals() {
     std::signal(SIGPIPE, SIG_IGN);
     sigset_t set;
     sigemptyset(&set);
@@ -38,9 +38,9 @@
     return set;
 }
 
-Gateway::Gateway(std::optional<settings::Endpoint> door, const char* folder)
-    : folder_(folder), meeting_(loop_, *this), givenDoor_(std::move(door)) {
-    const sigset_t set = holdSignals();
+Gateway::Gateway(std::optional<settings::Endpoint> operatorAddress, const char* folder)
+    : folder_(folder), handover_(loop_, *this), operatorAddressOverride_(std::move(operatorAddress)) {
+    const sigset_t set = blockSignals();
     signals_ = net::watchSignals(set);
     signalsId_ = loop_.add(signals_.get(), EPOLLIN, *this);
 }
@@ -49,42 +49,43 @@
 
 void Gateway::start() {
     startedAt_ = loop_.now();
-    openAddresses(AddressSet::door);  // before the clients' address: it tells that this is not yet open
-    meeting_.open(folder_);
-    if (!meeting_.problem().empty())
-        std::fprintf(stderr, "lotuslead: no meeting place for a successor: %s\n", meeting_.problem().c_str());
+    openAddresses(AddressSet::operators);  // first, so that /ready can report the start
+    handover_.open(folder_);
+    if (!handover_.openError().empty())
+        std::fprintf(stderr, "lotuslead: no meeting place for a successor: %s\n",
+                     handover_.openError().c_str());
     for (const auto& service : services_) service->prepare();
 }
 
-// Not before all is in hand: what a predecessor knows, and what the event bus has told since the
-// configuration was written. A bus that says nothing delays the start, and does not prevent it; one that has
-// said that there is more is waited for much longer, since what is missing may be a purge.
+// Starts serving once the predecessor's state and the events since the configuration was written have
+// arrived. A silent event bus delays the start by kMaxStartTime only; one that has announced further events
+// is waited for up to kMaxCatchUpTime, since a missing event may be a purge.
 void Gateway::open() {
     if (phase_ != Phase::starting) return;
     const bool ready = std::all_of(services_.begin(), services_.end(),
                                    [](const auto& service) { return service->prepared(); });
     const bool catchingUp = std::any_of(services_.begin(), services_.end(),
                                         [](const auto& service) { return service->catchingUp(); });
-    const Micros longest = catchingUp ? kLongestCatchUp : kLongestStart;
-    const core::StartFacts facts{ready, meeting_.awaitsHandOver(), loop_.now() - startedAt_ >= longest};
+    const Micros longest = catchingUp ? kMaxCatchUpTime : kMaxStartTime;
+    const core::StartFacts facts{ready, handover_.awaitsState(), loop_.now() - startedAt_ >= longest};
     if (core::mayServe(facts) != core::Denial::none) return;
     if (catchingUp) std::fprintf(stderr, "lotuslead: opens without all that the event bus has to tell\n");
     if (!openAddresses(AddressSet::all)) return;
     phase_ = Phase::serving;
-    meeting_.serving();
+    handover_.announceServing();
 }
 
-// False: an address can't be had yet, such as one that an older process has not let go of.
+// Returns false if an address is not available yet, for example because an older process still holds it.
 bool Gateway::openAddresses(AddressSet which) {
     try {
-        openDoor();
-        if (which == AddressSet::door) return true;
-        for (; opened_ < services_.size(); ++opened_) services_[opened_]->open();
+        openOperatorServer();
+        if (which == AddressSet::operators) return true;
+        for (; openedServices_ < services_.size(); ++openedServices_) services_[openedServices_]->open();
         return true;
     } catch (const std::system_error& problem) {
         const int error = problem.code().value();
         const bool mayPass = net::isResourceShortage(error) || error == EADDRINUSE || error == EINTR;
-        if (!mayPass || loop_.now() - startedAt_ >= kLongestCatchUp) throw;
+        if (!mayPass || loop_.now() - startedAt_ >= kMaxCatchUpTime) throw;
         if (problem.what() != addressProblem_)
             std::fprintf(stderr, "lotuslead: %s; it is tried again\n", problem.what());
         addressProblem_ = problem.what();
@@ -98,12 +99,12 @@
     return known.dump();
 }
 
-void Gateway::takeOver(const std::string& what) {
+void Gateway::takeOver(const std::string& state) {
     try {
-        const auto known = nlohmann::json::parse(what);
+        const auto known = nlohmann::json::parse(state);
         for (const auto& service : services_)
             if (known.contains(service->stateKey())) service->importState(known.at(service->stateKey()));
-        std::fprintf(stderr, "lotuslead: taken over what the predecessor knew, %zu bytes\n", what.size());
+        std::fprintf(stderr, "lotuslead: taken over what the predecessor knew, %zu bytes\n", state.size());
     } catch (const std::exception& problem) {
         std::fprintf(stderr, "lotuslead: cannot use what the predecessor knew: %s\n", problem.what());
     }
@@ -120,47 +121,49 @@
         Micros until = Micros::max();
         for (const auto& service : services_) until = std::min(until, service->nextTimerAt());
         if (phase_ == Phase::starting || phase_ == Phase::leaving)
-            until = std::min(until, loop_.now() + kLeaveTick);
+            until = std::min(until, loop_.now() + kPhaseCheckInterval);
         loop_.turn(until);
-        // Only now: a successor that has just said that it serves has been heard.
-        if (std::exchange(leaveAsked_, false)) leave();
+        // After the turn, so that a successor's SERVING message from the same turn counts.
+        if (std::exchange(shutdownRequested_, false)) leave();
         reload();
         if (!loop_.timersDeferred())
             for (const auto& service : services_) service->runTimers(loop_.now());
         open();
-        advance();
+        advanceShutdown();
     }
     printCounters();
     return 0;
 }
 
-// Between two turns: nothing that a turn has begun meets other settings at its end.
+// Runs between two turns, so that the settings never change within one.
 void Gateway::reload() {
-    if (!std::exchange(reloadAsked_, false)) return;
+    if (!std::exchange(reloadRequested_, false)) return;
     bool read = true;
-    for (const auto& service : services_) read = service->reload(reloadTries_ < kMostReloadTries) && read;
-    reloadTries_ = read ? 0 : reloadTries_ + 1;
-    if (!read) loop_.after(kReloadAgain, [this] { reloadAsked_ = true; });
+    for (const auto& service : services_) read = service->reload(failedReloads_ < kMaxReloadRetries) && read;
+    failedReloads_ = read ? 0 : failedReloads_ + 1;
+    if (!read) loop_.after(kReloadRetryDelay, [this] { reloadRequested_ = true; });
     try {
-        openDoor();
+        openOperatorServer();
     } catch (const std::system_error& problem) {
         std::fprintf(stderr, "lotuslead: operators stay at the old address: %s\n", problem.what());
     }
 }
 
-// Throws, with the old door open, where the new address can't be listened on.
-void Gateway::openDoor() {
-    auto at = givenDoor_;
+// Throws, and keeps the old server, if it cannot listen at the new address.
+void Gateway::openOperatorServer() {
+    auto at = operatorAddressOverride_;
     for (const auto& service : services_)
         if (!at) at = service->operatorAddress();
-    if (at == doorAt_) return;
-    operators::Desk& desk = *this;
-    auto door = at ? std::make_unique<operators::Door>(loop_, *at, desk) : nullptr;
-    // It may be in the middle of an answer.
-    loop_.destroyAfterTurn(std::shared_ptr<operators::Door>(std::move(door_)));
-    door_ = std::move(door);
-    doorAt_ = at;
-    if (door_) std::fprintf(stderr, "lotuslead: operators at %s:%u\n", doorAt_->host.c_str(), door_->port());
+    if (at == operatorAddress_) return;
+    operators::GatewayControl& control = *this;
+    auto server = at ? std::make_unique<operators::OperatorServer>(loop_, *at, control) : nullptr;
+    // The old server may be in the middle of a response.
+    loop_.destroyAfterTurn(std::shared_ptr<operators::OperatorServer>(std::move(operatorServer_)));
+    operatorServer_ = std::move(server);
+    operatorAddress_ = at;
+    if (operatorServer_)
+        std::fprintf(stderr, "lotuslead: operators at %s:%u\n", operatorAddress_->host.c_str(),
+                     operatorServer_->port());
 }
 
 const char* Gateway::phaseName() const {
@@ -199,36 +202,37 @@
     if (phase_ != Phase::serving && phase_ != Phase::draining) return;
     phase_ = Phase::leaving;
     leavingSince_ = loop_.now();
-    longest_ = Micros::max();
-    boundTime();
-    // Without a successor new connections still come here for a while, and have nowhere else to go.
-    handedOver_ = meeting_.successorServes();
+    longestDeadline_ = Micros::max();
+    updateLongestDeadline();
+    // Without a successor, new connections still arrive here for a while and must be served.
+    handedOver_ = handover_.successorServes();
     for (const auto& service : services_) handedOver_ ? service->leaveToSuccessor() : service->leave();
     std::fprintf(stderr, "lotuslead: leaving%s, %zu requests open\n", handedOver_ ? " to a successor" : "",
                  openRequests());
 }
 
-// The file may be read again while this leaves: by which the platform goes is not known here.
-void Gateway::boundTime() {
+// A reload while leaving may change the longest deadline. Which one the platform uses is unknown, so the
+// lowest counts.
+void Gateway::updateLongestDeadline() {
     Micros longest{};
     for (const auto& service : services_) longest = std::max(longest, service->longestRequestTimeout());
-    longest_ = std::min(longest_, longest);
+    longestDeadline_ = std::min(longestDeadline_, longest);
 }
 
-void Gateway::advance() {
+void Gateway::advanceShutdown() {
     if (phase_ != Phase::leaving) return;
-    boundTime();
+    updateLongestDeadline();
     const Micros passed = loop_.now() - leavingSince_;
-    if (passed < kStillComing && !handedOver_) return;
-    const Micros kill = std::min(longest_, kMostDeadline) + kStillComing;
-    if (passed >= kill - kLastCall && !std::exchange(lastCall_, true)) {
+    if (passed < kTrafficAfterSigterm && !handedOver_) return;
+    const Micros kill = std::min(longestDeadline_, kMaxDeadline) + kTrafficAfterSigterm;
+    if (passed >= kill - kLastCallBeforeKill && !std::exchange(lastCallMade_, true)) {
         std::fprintf(stderr, "lotuslead: last call, %zu requests open\n", openRequests());
         for (const auto& service : services_) service->failOpenRequests();
     }
     bool settled = true;
     for (const auto& service : services_)
         settled = service->settled() && (!handedOver_ || service->hasNoClients()) && settled;
-    if (!settled && passed < kill - kBeforeKill) return;
+    if (!settled && passed < kill - kExitBeforeKill) return;
     phase_ = Phase::stopped;
     std::fprintf(stderr, "lotuslead: stopped, %zu requests open\n", openRequests());
 }
@@ -244,17 +248,17 @@
         if (number == SIGUSR1)
             printCounters();
         else if (number == SIGHUP)
-            reloadAsked_ = true;
+            reloadRequested_ = true;
         else
-            leaveAsked_ = true;
+            shutdownRequested_ = true;
     });
     return 0;
 }
 
 void Gateway::printCounters() const {
     for (const auto& service : services_) service->printCounters();
-    if (door_) {
-        const auto& d = door_->counters();
+    if (operatorServer_) {
+        const auto& d = operatorServer_->counters();
         core::printCounterLine("lotuslead", "operators", {{"calls", d.calls}, {"refused", d.refused}});
     }
 }
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -1,4 +1,4 @@
-// One gateway: its fronts on one loop, and its phases from start to exit.
+// The gateway process: runs its fronts on one loop and controls its phases from start to exit.
 #pragma once
 
 #include <csignal>
@@ -12,21 +12,22 @@
 
 namespace lotuslead::gateway {
 
-class Gateway : private net::Handler, private operators::Desk, private Meeting::Desk {
+class Gateway : private net::Handler, private operators::GatewayControl, private HandoverChannel::Delegate {
 public:
-    // Draining is the operators' and has a way back; leaving is what SIGTERM begins, and has none.
+    // Operators start draining and can undo it; SIGTERM starts leaving, which ends the process.
     enum class Phase { starting, serving, draining, leaving, stopped };
 
-    // What comes before there is a gateway waits for it: unheld, SIGHUP would end the process.
-    static sigset_t holdSignals();
-    // `door`: the operators' address, which then holds whatever the configuration says.
-    // `folder`: where this process meets the one that it replaces, and later the one that replaces it.
-    Gateway(std::optional<settings::Endpoint> door, const char* folder);
+    // Blocks the handled signals until there is a Gateway to read them; otherwise SIGHUP would end the
+    // process.
+    static sigset_t blockSignals();
+    // `operatorAddress`: overrides that of the configuration.
+    // `folder`: of the hand-over socket; may be null.
+    Gateway(std::optional<settings::Endpoint> operatorAddress, const char* folder);
     ~Gateway() override;
 
     net::Loop& loop() { return loop_; }
     void add(std::unique_ptr<core::Service> service) { services_.push_back(std::move(service)); }
-    int run();  // until it has stopped; returns the exit code
+    int run();  // returns the exit code once the gateway has stopped
 
 private:
     std::uint32_t ready(std::uint32_t events) override;  // signals
@@ -37,19 +38,19 @@
     bool undrain() override;
 
     std::string handOver() override;
-    void takeOver(const std::string& what) override;
+    void takeOver(const std::string& state) override;
     void processesChanged(int count) override;
 
-    enum class AddressSet { door, all };
+    enum class AddressSet { operators, all };
 
     void start();
     void open();
     bool openAddresses(AddressSet which);
     void reload();
-    void openDoor();
+    void openOperatorServer();
     void leave();
-    void boundTime();
-    void advance();
+    void updateLongestDeadline();
+    void advanceShutdown();
     std::size_t openRequests() const;
     void printCounters() const;
 
@@ -58,18 +59,18 @@
     net::Descriptor signals_;
     net::Loop::HandlerId signalsId_ = 0;
     Phase phase_ = Phase::starting;
-    std::size_t opened_ = 0;  // services that listen
+    std::size_t openedServices_ = 0;  // number of services that listen
     std::string addressProblem_;
-    int reloadTries_ = 0;  // in a row, that failed for want of something that may come back
-    bool reloadAsked_ = false, leaveAsked_ = false;
-    bool handedOver_ = false;  // a successor serves while this process leaves
-    bool lastCall_ = false;    // what was open has been answered, and what still comes is refused
+    int failedReloads_ = 0;  // in a row, for lack of a resource
+    bool reloadRequested_ = false, shutdownRequested_ = false;
+    bool handedOver_ = false;    // a successor serves while this process leaves
+    bool lastCallMade_ = false;  // open requests are answered and new ones refused
     core::Micros startedAt_{}, leavingSince_{};
-    core::Micros longest_{};  // the least of the longest deadlines that have held since then
+    core::Micros longestDeadline_{};  // the lowest value since leavingSince_
     const char* folder_;
-    Meeting meeting_;
-    std::optional<settings::Endpoint> givenDoor_, doorAt_;
-    std::unique_ptr<operators::Door> door_;
+    HandoverChannel handover_;
+    std::optional<settings::Endpoint> operatorAddressOverride_, operatorAddress_;
+    std::unique_ptr<operators::OperatorServer> operatorServer_;
 };
 
 }  // namespace lotuslead::gateway
--- a/src/gateway/handover.hpp
+++ b/src/gateway/handover.hpp
@@ -1,5 +1,6 @@
-// Where a process and the one that replaces it meet while both run: a Unix socket in $TMPDIR. Nothing of the
-// service depends on it: without it the newer one starts cold and neither knows of the other.
+// The hand-over of learned state between a gateway process and its successor while both run, over a Unix
+// socket in $TMPDIR. It is optional: without it the successor starts cold and the processes do not know of
+// each other.
 #pragma once
 
 #include <memory>
@@ -13,43 +14,44 @@
 
 namespace lotuslead::gateway {
 
-class Meeting {
+class HandoverChannel {
 public:
-    class Desk {
+    class Delegate {
     public:
-        virtual ~Desk() = default;
-        virtual std::string handOver() = 0;                  // what a successor should know
-        virtual void takeOver(const std::string& what) = 0;  // never throws: what can't be used is dropped
-        virtual void processesChanged(int count) = 0;        // that are one gateway now, this one included
+        virtual ~Delegate() = default;
+        virtual std::string handOver() = 0;                   // state for a successor
+        virtual void takeOver(const std::string& state) = 0;  // never throws; ignores unusable state
+        virtual void processesChanged(int count) = 0;         // that serve as one gateway, including this one
     };
 
-    Meeting(net::Loop& loop, Desk& desk) : loop_(loop), desk_(desk) {}
-    ~Meeting();
+    HandoverChannel(net::Loop& loop, Delegate& delegate) : loop_(loop), delegate_(delegate) {}
+    ~HandoverChannel();
 
-    // Looks for a predecessor and takes its place; none: there is nowhere to meet.
+    // Connects to a predecessor, if there is one, and listens for a successor. Without a folder it does
+    // nothing.
     void open(const char* folder);
-    bool awaitsHandOver() const { return wait_.has_value(); }
-    void serving();  // tells the predecessor
+    bool awaitsState() const { return stateTimer_.has_value(); }
+    void announceServing();  // to the predecessor
     bool successorServes() const { return successorServes_; }
-    const std::string& problem() const { return problem_; }
+    const std::string& openError() const { return openError_; }
 
 private:
     class Peer;
 
     void connect(const std::string& path);
     void listen(const std::string& folder, const std::string& path);
-    void received(Peer& peer, const std::vector<std::string>& words);
-    void ended(Peer& peer);
-    void count();
-    void stopWaiting();
+    void onMessage(Peer& peer, const std::vector<std::string>& message);
+    void onPeerClosed(Peer& peer);
+    void reportProcessCount();
+    void stopStateTimer();
 
     net::Loop& loop_;
-    Desk& desk_;
+    Delegate& delegate_;
     std::shared_ptr<Peer> predecessor_, successor_;
     std::unique_ptr<net::Listener> listener_;
-    std::optional<net::Loop::TimerKey> wait_;
+    std::optional<net::Loop::TimerKey> stateTimer_;
     bool successorServes_ = false;
-    std::string problem_;
+    std::string openError_;
 };
 
 }  // namespace lotuslead::gateway
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages, read as the bytes come (RFC 9112): requests and responses, with limits.
+// An incremental parser for HTTP/1.1 requests and responses (RFC 9112), with limits on their size.
 #pragma once
 
 #include <cstddef>
@@ -19,7 +19,7 @@
     int minorVersion = 1;
     std::vector<std::pair<std::string, std::string>> fields;  // names in lower case
 
-    const std::string* field(std::string_view name) const;  // the first of that name
+    const std::string* field(std::string_view name) const;  // the first with that name, or null
     bool keepAlive() const;
 };
 
@@ -27,40 +27,40 @@
 public:
     enum class Kind { request, response };
     struct Limits {
-        std::size_t head = 16 * 1024;
-        std::size_t body = 1024 * 1024;
+        std::size_t maxHeadBytes = 16 * 1024;
+        std::size_t maxBodyBytes = 1024 * 1024;
     };
     enum class Status { needMore, message, malformed, headTooLarge, bodyTooLarge };
 
     HttpParser(Kind kind, Limits limits) : kind_(kind), limits_(limits) {}
 
-    // Takes from the front of `data` what belongs to the message in hand. After `message`, head() and body()
-    // hold it until the next call.
+    // Consumes from the front of `data` what belongs to the current message. After `message`, head() and
+    // body() hold it until the next call.
     Status feed(std::string_view& data);
-    // The peer closed: true if that ends a response whose length nothing else told.
+    // To be called when the peer has closed. True: this completes a response that is delimited by the close.
     bool endOfStream();
-    // The response in hand answers HEAD: it has no body whatever it says.
+    // For responses to HEAD, which have no body whatever their fields say.
     void expectNoBody(bool none) { noBody_ = none; }
 
     const HttpHead& head() const { return head_; }
     std::string& body() { return body_; }
-    bool midMessage() const { return state_ != State::start || !text_.empty(); }
+    bool midMessage() const { return state_ != State::start || !pending_.empty(); }
 
 private:
     enum class State { start, head, sized, untilClose, chunkSize, chunk, chunkEnd, trailer };
 
-    Status readHead();
-    Status frame();
-    bool startLine(std::string_view line);
+    Status parseHead();
+    Status beginBody();
+    bool parseStartLine(std::string_view line);
     Status takeLine(std::string_view& data, std::string& line);
 
     Kind kind_;
     Limits limits_;
     State state_ = State::start;
-    std::string text_;  // of the head, or of the line in hand
+    std::string pending_;  // received part of the head or of the current line
     HttpHead head_;
     std::string body_;
-    std::size_t left_ = 0;
+    std::size_t remainingBytes_ = 0;
     bool noBody_ = false;
 };
 
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -39,7 +39,7 @@
 template <class Configuration, class Front, class Transport>
 class FrontService : public core::Service, private net::Handler {
 public:
-    using Source = std::function<Configuration()>;  // throws settings::Malformed
+    using Source = std::function<Configuration()>;  // throws settings::DecodeError
     // Empty: there is no disk tier.
     using DiskSource = std::function<std::optional<settings::DiskSettings>()>;
 
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -61,7 +61,8 @@
         int attempt = 0;
     };
 
-    // Null if no descriptor is left. Throws settings::Malformed if the host cannot be reached at all.
+    // Null if no descriptor is left. Throws settings::DecodeError if the host cannot be reached at
+    // all.
     std::shared_ptr<Connection> connectionFor(const std::string& host, const std::string& traceId);
     void dispatch(QueuedAttempt queued);
     void closeStuck(Store& store);
--- a/src/repository/upstreams.hpp
+++ b/src/repository/upstreams.hpp
@@ -1,4 +1,4 @@
-// Carries attempts to repository servers over HTTP/1.1: one request at a time on a connection, which is kept.
+// Sends attempts to repository servers over persistent HTTP/1.1 connections, one request at a time on each.
 #pragma once
 
 #include <deque>
@@ -15,10 +15,10 @@
 
 namespace lotuslead::repository {
 
-// The facts that come with a payload.
+// Names of the facts that come with a payload.
 inline constexpr const char* kStatus = "status";
 inline constexpr const char* kTotal = "total";  // bytes of the whole file
-inline constexpr const char* kFirst = "first";  // place of the payload's first byte in it
+inline constexpr const char* kFirst = "first";  // offset of the payload's first byte in the file
 
 class Upstreams : public core::AttemptTransport {
 public:
@@ -35,7 +35,7 @@
 
     void setCallbacks(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
     void applyHostList(const settings::BusEvent& event);
-    void setProcessCount(int) {}  // its connections are few: kMostLinks to a server
+    void setProcessCount(int) {}  // not divided: kMaxConnectionsPerServer is low
     void reconfigure(const settings::RepositoryConfiguration& configuration);
     void send(core::Micros now, const core::Request& request, const core::Decision& send) override;
     bool cancel(core::Micros now, RequestId request, int attempt) override;
@@ -43,34 +43,34 @@
     const Counters& counters() const { return counters_; }
 
 private:
-    class Link;
-    struct Waiting {
-        const core::Request* request;  // lives at least as long as the attempt is out
+    class Connection;
+    struct QueuedAttempt {
+        const core::Request* request;  // outlives the attempt
         core::Decision send;
     };
     struct Server {
         std::string address;
         bool origin = false;
         std::int64_t sinceMs = 0;
-        std::vector<std::shared_ptr<Link>> links;
-        std::deque<Waiting> waiting;
+        std::vector<std::shared_ptr<Connection>> connections;
+        std::deque<QueuedAttempt> queue;
     };
 
-    void serveWaiting(const std::string& host);
-    std::string wordsFor(const core::Request& request, const core::Decision& send);
-    void tell(core::AttemptResult end);
-    void tell(const Waiting& waiting, Outcome outcome, bool blameless = false);
-    void drop(const std::string& host, Link* link, bool blameless);
-    void dropAll(Server& server);
+    void serveQueue(const std::string& host);
+    std::string requestText(const core::Request& request, const core::Decision& send);
+    void report(core::AttemptResult end);
+    void report(const QueuedAttempt& attempt, Outcome outcome, bool blameless = false);
+    void removeConnection(const std::string& host, Connection* connection, bool blameless);
+    void closeConnections(Server& server);
 
     net::Loop& loop_;
-    core::Micros unixAhead_;
+    core::Micros unixClockOffset_;
     const settings::RepositoryConfiguration& configuration_;
-    core::Micros connectTimeout_{}, idleClose_{};
+    core::Micros connectTimeout_{}, idleTimeout_{};
     Callbacks callbacks_;
     Counters counters_;
     std::unordered_map<std::string, Server> servers_;
-    std::unordered_map<RequestId, int> out_;  // the attempt of each request that is out
+    std::unordered_map<RequestId, int> inFlight_;  // the attempt number of each request
 };
 
 }  // namespace lotuslead::repository
--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -58,7 +58,7 @@
 
 // The store has just started. By a clock one hour ahead, that was an hour ago.
 void aClockThatIsAheadDoesNotWarmAColdStore() {
-    Mark cold;
+    EventCounter cold;
     Fleet fleet;
     const std::string body(kObjectBytes, 'b');
     Peer warm(store(serving(body))), fresh(store([&](Connection&c, const std::vector<std::string>&words) {
@@ -80,7 +80,7 @@
 
 // The same store in the list that the process starts with. No later event contradicts the clock.
 void aClockThatIsAheadDoesNotWarmAColdStoreOfTheFirstList() {
-    Mark cold;
+    EventCounter cold;
     Fleet fleet;
     const std::string body(kObjectBytes, 'b');
     Peer warm(store(serving(body)));
--- a/tests/departed_clients_test.cpp
+++ b/tests/departed_clients_test.cpp
@@ -54,7 +54,7 @@
 // The first store holds the request until its client has been gone for 0.1 s and then fails it: no other
 // store may receive it, whether or not the settings allow the gateway to cancel at the store.
 void noFurtherAttemptFollowsADeparture(bool mayCancel, Departure departure, StoreFailure end) {
-    Mark pulled, mayEnd, ended;
+    EventCounter pulled, mayEnd, ended;
     const auto holding = store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
         mayEnd.await(1);
@@ -107,7 +107,7 @@
 // Repository front: each server breaks off its answer once the client has been gone for 0.1 s. For a client
 // that stays, the request is sent to another server.
 void noFurtherFetchFollowsADeparture(const std::string& path, bool stays) {
-    Mark held, mayEnd;
+    EventCounter held, mayEnd;
     const auto breakingOff = [&](Connection& c) {
         if (c.readHead().empty()) return;
         held.raise();
@@ -116,10 +116,11 @@
         c.shut();
     };
     Peer first(breakingOff), second(breakingOff), parent(breakingOff), origin(breakingOff);
-    Program program(repository({host("cache-1", first.address()), host("cache-2", second.address()),
-                                host("parent-1", parent.address(), "parent"),
-                                host("origin-1", origin.address(), "origin")}),
-                    "LB_REPOSITORY");
+    Program program(
+        repositoryConfiguration({host("cache-1", first.address()), host("cache-2", second.address()),
+                                 host("parent-1", parent.address(), "parent"),
+                                 host("origin-1", origin.address(), "origin")}),
+        "LB_REPOSITORY");
     auto client = std::make_unique<Connection>(program.port());
     ask(*client, path);
     held.await(1);
@@ -138,7 +139,7 @@
     std::atomic<int> fetches{0};
     const auto count = [&](const std::string&, const std::string&) { ++fetches; };
     Repository cache(40'000'000, count), origin(40'000'000, count);
-    Program program(repository(cache, origin), "LB_REPOSITORY");
+    Program program(repositoryConfiguration(cache, origin), "LB_REPOSITORY");
     {
         Connection client(program.port(), 4096);
         ask(client, "/files/tool.bin");
--- a/tests/fleet_operations_test.cpp
+++ b/tests/fleet_operations_test.cpp
@@ -1,5 +1,5 @@
-// What operators do to a fleet, and what comes with it: mass restarts, reloads, whole lists, a crowd at the
-// door while discovery is down, requests in pieces and stores that are killed.
+// Tests of operations on a fleet: mass restarts, reloads, snapshots of the list, many idle clients while the
+// event bus is down, requests in pieces and stores that are killed.
 #include <set>
 
 #include "scenarios.hpp"
@@ -8,18 +8,18 @@
 
 using namespace lotuslead::testing;
 
-constexpr int kRestarted = 20;
+constexpr int kGateways = 20;
 constexpr auto kReadyWithin = 10s;
 
-// Waits for its answer to CHECK, as the platform's front does before it takes a gateway in.
+// Waits until the gateway answers CHECK, as the platform does before it sends clients to it.
 void awaitPass(Program& program) {
     Connection client(program.port());
     client.sendResp({"CHECK", "1", ""});
     assert(client.readResp().at(1) == "PASS");
 }
 
-// Requests for objects enough to meet each store: none is answered with what this one serves.
-void nothingIsServedBy(const std::string& body, Program& program) {
+// Requests enough objects to reach each store, and asserts that none is answered with this body.
+void assertNotServedBy(const std::string& body, Program& program) {
     constexpr int kObjects = 40;
     Connection client(program.port());
     for (int i = 1; i <= kObjects; ++i) {
@@ -29,14 +29,14 @@
     }
 }
 
-// An event bus that can be taken down: connections end unanswered, or are kept without a word.
+// An event bus with failures: it closes connections without an answer, or keeps them open and stays silent.
 class FailingBus {
 public:
     enum class State { answering, refusing, silent };
 
     explicit FailingBus(State state) : state_(state) {}
     std::string address() const { return peer_.address(); }
-    void become(State state) { state_ = state; }
+    void setState(State state) { state_ = state; }
     void tell(json event) {
         const std::lock_guard lock(mutex_);
         event["offset"] = ++last_;
@@ -66,9 +66,9 @@
     Peer peer_{[this](Connection& c) { serve(c); }};
 };
 
-// A tenth of the fleet at a time is told to end and started anew, under a watch that never answers: the
-// slowest start there is.
-void nineInTenRestartedGatewaysAreReadyInTime() {
+// At least 9 of 10 gateways must be ready in time after a restart of all, with an event bus that never
+// answers, which is the slowest kind of start.
+void restartedGatewaysAreReadyInTime() {
     Fleet fleet;
     Peer cache(store(serving("served")));
     for (const auto state : {FailingBus::State::silent, FailingBus::State::refusing}) {
@@ -76,31 +76,30 @@
         json settings = configuration(fleet.with({host("cache-1", cache.address())}));
         settings["bus"] = bus.address();
         std::vector<std::unique_ptr<Program>> programs;
-        for (int i = 0; i < kRestarted; ++i) programs.push_back(std::make_unique<Program>(settings));
+        for (int i = 0; i < kGateways; ++i) programs.push_back(std::make_unique<Program>(settings));
         for (const auto& program : programs) awaitPass(*program);
         for (const auto& program : programs) program->signal(SIGTERM);
         for (const auto& program : programs) assert(program->exitCode() == 0);
         programs.clear();
         const auto begin = Clock::now();
         int ready = 0;
-        for (int i = 0; i < kRestarted; ++i) programs.push_back(std::make_unique<Program>(settings));
+        for (int i = 0; i < kGateways; ++i) programs.push_back(std::make_unique<Program>(settings));
         for (const auto& program : programs) {
             awaitPass(*program);
             ready += Clock::now() - begin < kReadyWithin;
         }
-        assert(ready * 10 >= kRestarted * 9);
+        assert(ready * 10 >= kGateways * 9);
         Connection client(programs.back()->port());
         call(client, "1");
         assert(client.readResp().at(1) == "SERVED");
     }
 }
 
-// Idle clients, each of which has asked once and may stay, take every descriptor that they can get while the
-// event bus is down. When it is back the gateway reaches it soon, and a store that it has never been
-// connected to.
-void aCrowdOfIdleClientsLeavesRoomForBusAndStores() {
+// Idle clients hold every descriptor that they can get while the event bus is down. Once it is back, the
+// gateway must soon reach it, and also a store to which it has never been connected.
+void idleClientsLeaveDescriptorsForBusAndStores() {
     Fleet fleet;
-    Mark pulled;
+    EventCounter pulled;
     Peer fresh(store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
         serving("fresh")(c, words);
@@ -112,16 +111,16 @@
     settings["bus"] = bus.address();
     Program program(settings, "LB_CONFIG", kDescriptors);
     const std::uint16_t port = program.port();
-    std::vector<std::unique_ptr<Connection>> crowd;
+    std::vector<std::unique_ptr<Connection>> idleClients;
     for (int i = 0; i < 3 * kDescriptors; ++i) {
-        crowd.push_back(std::make_unique<Connection>(port));
-        crowd.back()->sendResp({"CHECK", "1", ""});
-        crowd.back()->readResp();
+        idleClients.push_back(std::make_unique<Connection>(port));
+        idleClients.back()->sendResp({"CHECK", "1", ""});
+        idleClients.back()->readResp();
     }
     bus.tell(topology({host("cache-1", fresh.address())}));
     std::this_thread::sleep_for(300ms);  // some tries to reconnect while all descriptors are taken
     const auto begin = Clock::now();
-    bus.become(FailingBus::State::answering);
+    bus.setState(FailingBus::State::answering);
     program.awaitCounters(" events=2 ");
     assert(Clock::now() - begin < 1500ms + kSlowMachineAllowance);
     Connection client(port);
@@ -130,11 +129,11 @@
     assert(pulled.count() == 1);
 }
 
-// A store drains while the configuration is read again, told by the file, by the event bus or by both: what
-// comes after that goes elsewhere.
-void aDrainHoldsAcrossAReload() {
-    enum class ToldBy { file, bus, both };
-    for (const ToldBy toldBy : {ToldBy::file, ToldBy::bus, ToldBy::both}) {
+// A store drains during a reload, announced by the file, by the event bus or by both; later requests must go
+// to other stores.
+void aDrainSurvivesAReload() {
+    enum class Source { file, bus, both };
+    for (const Source source : {Source::file, Source::bus, Source::both}) {
         Fleet fleet;
         Bus bus;
         Peer drained(store(serving("drained"))), other(store(serving("other")));
@@ -144,8 +143,8 @@
         settings["bus"] = bus.address();
         Program program(settings);
         awaitPass(program);
-        if (toldBy != ToldBy::file) bus.tell(topology({draining}));
-        if (toldBy != ToldBy::bus) {
+        if (source != Source::file) bus.tell(topology({draining}));
+        if (source != Source::bus) {
             json event = topology({draining});
             event["offset"] = 2;
             settings["known"]["offset"] = 2;
@@ -154,12 +153,12 @@
         program.rewrite(settings.dump());
         program.signal(SIGHUP);
         program.awaitLog("configuration read again");
-        nothingIsServedBy("drained", program);
+        assertNotServedBy("drained", program);
     }
 }
 
-// A whole list that no longer names a store takes it out, also where the change that removed it was lost.
-void aWholeListTakesOutWhatItDoesNotName() {
+// A snapshot without a store removes it, even if the event that removed it was lost.
+void aSnapshotRemovesStoresThatItDoesNotName() {
     Fleet fleet;
     Bus bus;
     Peer gone(store(serving("gone"))), other(store(serving("other")));
@@ -168,12 +167,12 @@
     settings["bus"] = bus.address();
     Program program(settings);
     bus.tell(topology(fleet.with({host("cache-2", other.address())}), true));
-    nothingIsServedBy("gone", program);
+    assertNotServedBy("gone", program);
 }
 
-// A watch that has answered for a while falls silent with a drain untold. It is asked anew, and the drain is
-// known within the time that the settings give.
-void aWatchThatFallsSilentLateIsAskedAnew() {
+// An event bus connection falls silent before it reports a drain. The gateway must open a new one and learn
+// of the drain within the time that the settings allow.
+void aSilentEventBusConnectionIsReplaced() {
     Fleet fleet;
     Peer drained(store(serving("drained"))), other(store(serving("other")));
     FailingBus bus(FailingBus::State::answering);
@@ -183,18 +182,19 @@
     Program program(settings);
     awaitPass(program);
     std::this_thread::sleep_for(500ms);  // some polls have been answered
-    bus.become(FailingBus::State::silent);
+    bus.setState(FailingBus::State::silent);
     bus.tell(topology({host("cache-1", drained.address(), "small", "draining")}));
     std::this_thread::sleep_for(100ms);
-    bus.become(FailingBus::State::answering);  // for new connections; the old one has been passed over
+    bus.setState(
+        FailingBus::State::answering);  // for new connections; the poll on the old one stays unanswered
     std::this_thread::sleep_for(1500ms + kSlowMachineAllowance);
-    nothingIsServedBy("drained", program);
+    assertNotServedBy("drained", program);
 }
 
-// Clients may write byte by byte; a request is taken with its last byte, and a CANCEL likewise.
-void requestsInPiecesAreTakenWhole() {
+// Clients may send byte by byte; a request, and likewise a CANCEL, counts from its last byte.
+void requestsMayArriveByteByByte() {
     Fleet fleet;
-    Mark pulled;
+    EventCounter pulled;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
         serving("whole")(c, words);
@@ -218,9 +218,9 @@
     assert(pulled.count() == 2);
 }
 
-// A store that accepts and is killed before it reads: a request with a key never ran there and goes
-// elsewhere.
-void aStoreKilledBehindItsAcceptCostsNoRequest() {
+// A store is killed after it accepted a connection and before it read: a keyed request never ran there and
+// must be retried elsewhere.
+void aStoreKilledAfterAcceptCausesARetry() {
     Fleet fleet;
     std::atomic<int> connections{0};
     const auto killedOnce = [&](Connection& c) {
@@ -239,8 +239,8 @@
     assert(client.readResp().at(1) == "SERVED");
 }
 
-// Whatever the stores do, each request has its one answer when its patience ends.
-void noRequestIsLeftUnansweredBySilentStores() {
+// Each request gets exactly one answer by its deadline, whatever the stores do.
+void requestsToSilentStoresAreAnsweredByTheDeadline() {
     constexpr int kRequests = 20, kPatienceMs = 1500;
     Peer silent(store([](Connection&, const std::vector<std::string>&) {}));
     json settings = configuration({host("cache-1", silent.address()), host("cache-2", silent.address()),
@@ -266,14 +266,14 @@
 }
 
 constexpr Scenario kScenarios[] = {
-    {"mass-restart", nineInTenRestartedGatewaysAreReadyInTime},
-    {"idle-crowd", aCrowdOfIdleClientsLeavesRoomForBusAndStores},
-    {"reload-drain", aDrainHoldsAcrossAReload},
-    {"whole-list", aWholeListTakesOutWhatItDoesNotName},
-    {"late-silence", aWatchThatFallsSilentLateIsAskedAnew},
-    {"pieces", requestsInPiecesAreTakenWhole},
-    {"killed-store", aStoreKilledBehindItsAcceptCostsNoRequest},
-    {"unanswered", noRequestIsLeftUnansweredBySilentStores},
+    {"mass-restart", restartedGatewaysAreReadyInTime},
+    {"idle-crowd", idleClientsLeaveDescriptorsForBusAndStores},
+    {"reload-drain", aDrainSurvivesAReload},
+    {"whole-list", aSnapshotRemovesStoresThatItDoesNotName},
+    {"late-silence", aSilentEventBusConnectionIsReplaced},
+    {"pieces", requestsMayArriveByteByByte},
+    {"killed-store", aStoreKilledAfterAcceptCausesARetry},
+    {"unanswered", requestsToSilentStoresAreAnsweredByTheDeadline},
 };
 
 }  // namespace
--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -19,7 +19,7 @@
     Gateway(const Settings& settings, std::uint64_t seed) : harness_(settings, seed) {
         harness_.list({Harness::cache("c1"), Harness::cache("c2"), Harness::host("p1", Role::parent, 0, 20),
                        Harness::host("p2", Role::parent, 0, 20), Harness::host("o", Role::origin, 0, 1)});
-        harness_.growUp(100);
+        harness_.warmUpFilter(100);
         start_ = harness_.now;
     }
 
@@ -142,13 +142,13 @@
 // now.
 struct BusyZone {
     explicit BusyZone(double transfers) : harness(settings(transfers)) {
-        harness.usualList();
-        harness.growUp();
-        for (const char* name : {"known", "a", "b", "c"}) harness.know(name, 0, 0);
-        harness.took = 2s;
+        harness.listBasicFleet();
+        harness.warmUpFilter();
+        for (const char* name : {"known", "a", "b", "c"}) harness.makeKnown(name, 0, 0);
+        harness.attemptTime = 2s;
         std::vector<RequestId> fills;
         for (const char* name : {"a", "b", "c"}) fills.push_back(harness.ask(name, 0, 0, 500, 10s));
-        harness.now += harness.took;
+        harness.now += harness.attemptTime;
         for (const RequestId id : fills) harness.end(id, 0, Outcome::served, CacheStatus::filled);
     }
     static Settings settings(double transfers) {
@@ -183,7 +183,7 @@
     BusyZone zone(5);
     EXPECT_FALSE(zone.fills("known"));
     const RequestId small = zone.harness.ask("known", 1, 0, 100, 10s);
-    zone.harness.took = 150ms;  // 0.1 s of sending, plus overhead
+    zone.harness.attemptTime = 150ms;  // 0.1 s of sending, plus overhead
     zone.harness.end(small, 0, Outcome::served, CacheStatus::filled);
     EXPECT_TRUE(zone.fills("known"));
     zone.harness.now += 500ms;
@@ -214,7 +214,7 @@
     Settings settings = settingsFor(4);
     settings.weights = WeightMeaning::none;
     Harness h(settings);
-    h.usualList();
+    h.listBasicFleet();
     fillsFrom(h, "p1", 200, 200);  // the other parents' links are learned as about 15 transfers
     h.list({Harness::host("p3", Role::parent, 0, 0, h.now)}, false);
     fillsFrom(h, "p3", 20, 5);
@@ -271,8 +271,8 @@
                     Harness::host("p1", Role::parent, 0, kLinkTransfers),
                     Harness::host("p2", Role::parent, 0, kLinkTransfers),
                     Harness::host("o", Role::origin, 0, 1)});
-            h.took = fromSeconds(kMeanSendSeconds);
-            h.growUp(40);
+            h.attemptTime = fromSeconds(kMeanSendSeconds);
+            h.warmUpFilter(40);
             const Role other = start.role == Role::parent ? Role::cache : Role::parent;
             h.list({Harness::host(nameOf(start.role), start.role, start.role == Role::parent ? 0 : 1,
                                   kLinkTransfers, h.now),
--- a/tests/held_up_test.cpp
+++ b/tests/held_up_test.cpp
@@ -37,10 +37,10 @@
     Connection client(program.port());
     call(client, "1");
     assert(client.readResp().size() > 1);
-    program.stop();
+    program.suspend();
     callWithPatience(client, "2", kPatienceMs);
     std::this_thread::sleep_for(kStopTime);
-    program.goOn();
+    program.resume();
     assert(client.readResp().size() > 1);
     const auto stopped = std::chrono::duration_cast<std::chrono::milliseconds>(kStopTime).count();
     std::fprintf(stderr, "PULL has max=%d of %d ms after a stop of %lld ms\n", pullMaxMs.load(), kPatienceMs,
@@ -61,11 +61,11 @@
     Connection client(program.port());
     call(client, "1");
     assert(client.readResp().size() > 1 && pulls == 1);
-    program.stop();
+    program.suspend();
     callWithPatience(client, "2", kPatienceMs);
     client.sendResp({"CANCEL", "2"});
     std::this_thread::sleep_for(kStopTime);
-    program.goOn();
+    program.resume();
     call(client, "3");
     assert((client.readResp() == std::vector<std::string>{"3", "SERVED", "-", "bytes"}));
     assert(pulls == 2);
@@ -74,7 +74,7 @@
 // While the process is stopped a client cancels its call, and after that the store answers. When the process
 // resumes both have arrived, the CANCEL first.
 void anAnswerAfterTheCancelIsNotForwarded() {
-    Mark pulled, may;
+    EventCounter pulled, may;
     Fleet fleet;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
@@ -87,12 +87,12 @@
         Connection client(program.port());
         call(client, "1");
         pulled.await(round);
-        program.stop();
+        program.suspend();
         client.sendResp({"CANCEL", "1"});
         std::this_thread::sleep_for(kDeliveryTime);
         may.raise();
         std::this_thread::sleep_for(kDeliveryTime);
-        program.goOn();
+        program.resume();
         client.sendResp({"CHECK", "2", ""});
         forwarded += client.readResp().at(0) == "1" ? 1 : 0;
     }
@@ -106,17 +106,17 @@
 void nothingIsFetchedForADepartedRepositoryClient() {
     const std::string path = "/index/plugins.json";
     Repository server(100'000);
-    Program program(repository(server, server), "LB_REPOSITORY");
+    Program program(repositoryConfiguration(server, server), "LB_REPOSITORY");
     Connection client(program.port());
     assert(get(client, path).status == 200);
     const int asked = server.requests(path);
-    program.stop();
+    program.suspend();
     for (int i = 0; i < kConnections; ++i) {
         Connection leaver(program.port());
         ask(leaver, path);
     }
     std::this_thread::sleep_for(kStopTime);
-    program.goOn();
+    program.resume();
     for (int i = 0; i < kConnections; ++i) assert(get(client, "/elsewhere").status == 404);
     std::this_thread::sleep_for(kStopTime);
     std::fprintf(stderr, "%d requests sent for %d departed clients\n", server.requests(path) - asked,
@@ -132,7 +132,7 @@
     settings["listen"] = "127.0.0.1:" + std::to_string(Peer(nullptr).port());
     Program program(settings);
     const std::uint16_t port = program.port();
-    program.stop();
+    program.suspend();
     std::vector<std::unique_ptr<Connection>> clients;
     for (int i = 0; i < kConnections; ++i) {
         clients.push_back(std::make_unique<Connection>(port));
@@ -141,7 +141,7 @@
     settings["listen"] = "127.0.0.1:" + std::to_string(Peer(nullptr).port());
     program.rewrite(settings.dump());
     program.signal(SIGHUP);
-    program.goOn();
+    program.resume();
     int answered = 0;
     for (const auto& client : clients) answered += client->readResp().size() > 1 ? 1 : 0;
     std::fprintf(stderr, "%d of %d calls in the backlog of the old address answered\n", answered,
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -13,7 +13,7 @@
     // The longest deadline, counted as at most 3 s, plus 0.7 s.
     for (const auto& [longest, kill] : {std::pair{1500, 2200ms}, std::pair{9000, 3700ms}}) {
         Fleet fleet;
-        Mark pulled;
+        EventCounter pulled;
         Peer cache(store([&](Connection&, const std::vector<std::string>&) { pulled.raise(); }));
         json settings = configuration(fleet.with({host("cache-1", cache.address())}));
         setRequestTimeouts(settings, longest);
@@ -43,14 +43,14 @@
     const std::uint16_t port = program.port();
     program.signal(SIGTERM);
     program.awaitLog("leaving, 0 requests open");
-    program.stop();
+    program.suspend();
     std::vector<std::unique_ptr<Connection>> crowd;
     for (int i = 0; i < 20; ++i) {
         crowd.push_back(std::make_unique<Connection>(port));
         call(*crowd.back(), "1");
     }
     std::this_thread::sleep_for(800ms);  // connections still arrive for this long
-    program.goOn();
+    program.resume();
     for (const auto& c : crowd)
         assert((c->readResp() == std::vector<std::string>{"1", "SERVED", "-", "in the end"}));
     assert(program.exitCode() == 0);
@@ -73,7 +73,7 @@
 
 void callsCancelledBeforeTheyAreReadAreNotForwarded() {
     Fleet fleet;
-    Mark pulled;
+    EventCounter pulled;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
         serving("here")(c, words);
@@ -85,7 +85,7 @@
     assert(stays.readResp()[1] == "PASS");
     call(stays, "1");
     assert(stays.readResp()[1] == "SERVED");  // the connection to the store is up
-    program.stop();
+    program.suspend();
     {
         Connection goes(port);
         call(goes, "1");
@@ -94,7 +94,7 @@
     call(stays, "2");
     stays.sendResp({"CANCEL", "2"});
     call(stays, "3");
-    program.goOn();
+    program.resume();
     assert(stays.readResp()[0] == "3");
     waitUntilHandled(port);
     assert(pulled.count() == 2);
@@ -156,7 +156,7 @@
 // The store's close and the next call have both arrived when the gateway reads.
 void aJustClosedIdleConnectionIsNotReused() {
     Fleet fleet;
-    Mark close, closed;
+    EventCounter close, closed;
     std::atomic<int> connections{0};
     Peer cache([&](Connection& c) {
         const int here = ++connections;
@@ -174,12 +174,12 @@
         client.sendResp({"CHECK", "1", ""});
         assert(client.readResp()[1] == "PASS");
         if (i > 1) {
-            program.stop();
+            program.suspend();
             close.raise();
             closed.await(i - 1);
         }
         call(client, "2", kKeyField, "checkout");
-        if (i > 1) program.goOn();
+        if (i > 1) program.resume();
         assert((client.readResp() == std::vector<std::string>{"2", "SERVED", "-", "here"}));
     }
     close.raise();
@@ -188,7 +188,7 @@
 // Queued behind the request itself, KILL would arrive too late: another store may have the request by then.
 void aConnectionThatCannotTakeTheCancelIsClosed() {
     Fleet fleet;
-    Mark read, ended;
+    EventCounter read, ended;
     std::atomic<int> connections{0}, kills{0};
     Peer cache(nullptr);
     const int room = 64 * 1024;
@@ -218,9 +218,9 @@
 void aLateHostListKeepsConnectionsOfTheRestartedStore() {
     for (const bool older : {false, true}) {
         Fleet fleet;
-        Mark pulled, go;
+        EventCounter pulled, go;
         Bus bus;
-        Peer cache(store(servingWhenTold(pulled, go, "the new process")));
+        Peer cache(store(servingAfter(pulled, go, "the new process")));
         json settings = configuration(fleet.with({host("cache-1", cache.address())}));
         settings["settings"]["allowed"]["mostTries"] = 1;
         settings["bus"] = bus.address();
@@ -246,7 +246,7 @@
 void aRetryPastItsKeyWindowIsNotSent() {
     Fleet fleet;
     LateStore late;
-    Mark pulled, go;
+    EventCounter pulled, go;
     Bus bus;
     Peer cache([&](Connection& c) {
         c.readResp();
@@ -275,7 +275,7 @@
 
 void aTooOldAnswerToAWriteIsNotAMiss() {
     Fleet fleet;
-    Mark pulled;
+    EventCounter pulled;
     Bus bus;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
@@ -329,7 +329,7 @@
 
 void aSilentBusPollIsAbandonedWithinTheDrainGrace() {
     Fleet fleet;
-    Mark asked, again;
+    EventCounter asked, again;
     Clock::time_point silentSince{}, askedAgain{};
     Peer bus([&](Connection& c) {
         for (std::string head; !(head = c.readHead()).empty();) {
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -1,4 +1,5 @@
-// What operators do with a gateway in service: the door, drains and the way back.
+// Tests of operations on a running gateway: the operators' endpoint, drain and undrain, reloads and
+// hand-over.
 #include <filesystem>
 
 #include "loopback.hpp"
@@ -7,117 +8,117 @@
 
 using namespace lotuslead::testing;
 
-json withDoor(json settings) {
+json withOperatorAddress(json settings) {
     settings["operator"] = "127.0.0.1:0";
     return settings;
 }
 
-std::string check(std::uint16_t port) {
+std::string checkAnswer(std::uint16_t port) {
     Connection c(port);
     c.sendResp({"CHECK", "1", ""});
     const auto answer = c.readResp();
     return answer.size() > 1 ? answer[1] : "";
 }
 
-void theDoorAnswersWhoeverElseStandsThere() {
+void operatorRequestsAreAnsweredDespiteIdleConnections() {
     Fleet fleet;
-    json settings = withDoor(configuration(fleet.with({})));
+    json settings = withOperatorAddress(configuration(fleet.with({})));
     settings["limits"]["sockets"] = 64;  // 21 of them for clients
     Program program(settings);
-    const std::uint16_t port = program.port(), door = program.door();
-    std::vector<std::unique_ptr<Connection>> crowd, idle;
-    for (int i = 0; i < 40; ++i) crowd.push_back(std::make_unique<Connection>(port));
+    const std::uint16_t port = program.port(), operatorPort = program.operatorPort();
+    std::vector<std::unique_ptr<Connection>> clients, idle;
+    for (int i = 0; i < 40; ++i) clients.push_back(std::make_unique<Connection>(port));
     for (int i = 0; i < 40; ++i) {
-        idle.push_back(std::make_unique<Connection>(door));
+        idle.push_back(std::make_unique<Connection>(operatorPort));
         if (i % 2) idle.back()->send("GET /rea");
     }
-    for (int i = 0; i < 40; ++i) assert(operate(door, "GET /ready") == 200);
-    assert(operate(door, "GET /nothing") == 404);
-    assert(operate(door, "GET /drain") == 405);
-    assert(operate(door, "POST /ready") == 405);
-    assert(operate(door, "noise") == 400);
-    Connection pieces(door);
+    for (int i = 0; i < 40; ++i) assert(callOperatorAddress(operatorPort, "GET /ready") == 200);
+    assert(callOperatorAddress(operatorPort, "GET /nothing") == 404);
+    assert(callOperatorAddress(operatorPort, "GET /drain") == 405);
+    assert(callOperatorAddress(operatorPort, "POST /ready") == 405);
+    assert(callOperatorAddress(operatorPort, "noise") == 400);
+    Connection pieces(operatorPort);
     for (const char c : std::string("POST /undrain HTTP/1.1\r\nHost: here\r\nContent-Length: 2\r\n\r\n{}"))
         pieces.send(std::string(1, c));
     assert(pieces.readHead().rfind("HTTP/1.1 200 ", 0) == 0);
-    for (const auto& c : idle) assert(c->closed());  // those that finish no call do not stay
-    // Another address at SIGHUP, and none.
+    for (const auto& c : idle) assert(c->closed());  // connections without a complete request are closed
+    // A reload with another address.
     settings["operator"] = "127.0.0.2:0";
     program.rewrite(settings.dump());
     program.signal(SIGHUP);
     program.awaitLog("operators at 127.0.0.2:");
 }
 
-void drainSendsClientsAwayAndUndrainTakesThemBack() {
+void drainClosesConnectionsAndUndrainServesAgain() {
     Fleet fleet;
-    Mark pulled;
+    EventCounter pulled;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
         if (words[3] != "slow") serving("served")(c, words);
     }));
-    Program program(withDoor(configuration(fleet.with({host("cache-1", cache.address())}))), "LB_CONFIG",
-                    1024, {{"LB_OPERATOR", "127.0.0.1:0"}});
-    const std::uint16_t port = program.port(), door = program.door();
-    Connection rests(port), busy(port);
-    call(rests, "1");
-    assert(rests.readResp()[1] == "SERVED");
-    call(busy, "1", "", "page", "slow");
+    Program program(withOperatorAddress(configuration(fleet.with({host("cache-1", cache.address())}))),
+                    "LB_CONFIG", 1024, {{"LB_OPERATOR", "127.0.0.1:0"}});
+    const std::uint16_t port = program.port(), operatorPort = program.operatorPort();
+    Connection idleClient(port), busyClient(port);
+    call(idleClient, "1");
+    assert(idleClient.readResp()[1] == "SERVED");
+    call(busyClient, "1", "", "page", "slow");
     pulled.await(2);
 
     const auto begin = std::chrono::steady_clock::now();
-    for (int i = 0; i < 2; ++i) assert(operate(door, "POST /drain") == 200);
-    assert(operate(door, "GET /ready") == 503);
-    assert(check(port) == "LEAVING");
-    assert(rests.closed());
-    // Late ones are served, on new connections and on those that stay open.
+    for (int i = 0; i < 2; ++i) assert(callOperatorAddress(operatorPort, "POST /drain") == 200);
+    assert(callOperatorAddress(operatorPort, "GET /ready") == 503);
+    assert(checkAnswer(port) == "LEAVING");
+    assert(idleClient.closed());
+    // Requests soon after the drain are served, on new connections and on those that stay open.
     Connection late(port);
     call(late, "1");
     assert(late.readResp()[1] == "SERVED");
     assert(late.closed());
-    call(busy, "2");
-    assert(busy.readResp()[0] == "2");
-    // Then they are refused; the connection ends after its last answer, and none is there after 4 s.
+    call(busyClient, "2");
+    assert(busyClient.readResp()[0] == "2");
+    // Later ones are refused; a connection ends after its last answer, and none is open after 4 s.
     std::this_thread::sleep_until(begin + 2000ms);
-    call(busy, "3");
-    const auto refused = busy.readResp();
+    call(busyClient, "3");
+    const auto refused = busyClient.readResp();
     assert(refused[0] == "3" && refused[1] == "SHED" && !valueOf(refused[2], "pause").empty());
     Connection half(port);
     half.send("*3\r\n$5\r\nCHE");
-    assert(busy.readResp()[0] == "1");
-    assert(busy.closed() && half.closed());
+    assert(busyClient.readResp()[0] == "1");
+    assert(busyClient.closed() && half.closed());
     assert(std::chrono::steady_clock::now() - begin < 4s);
-    assert(operate(door, "GET /ready") == 503);
+    assert(callOperatorAddress(operatorPort, "GET /ready") == 503);
 
-    for (int i = 0; i < 2; ++i) assert(operate(door, "POST /undrain") == 200);
-    assert(operate(door, "GET /ready") == 200);
-    assert(check(port) == "PASS");
+    for (int i = 0; i < 2; ++i) assert(callOperatorAddress(operatorPort, "POST /undrain") == 200);
+    assert(callOperatorAddress(operatorPort, "GET /ready") == 200);
+    assert(checkAnswer(port) == "PASS");
     Connection again(port);
     for (int i = 1; i <= 2; ++i) {
         call(again, std::to_string(i));
         assert(again.readResp()[1] == "SERVED");
     }
-    // SIGTERM works in a drain, and has no way back.
-    assert(operate(door, "POST /drain") == 200);
+    // SIGTERM works during a drain and cannot be undone.
+    assert(callOperatorAddress(operatorPort, "POST /drain") == 200);
     Connection open(port);
     call(open, "1");
     program.signal(SIGTERM);
     program.awaitLog("leaving");
-    assert(operate(door, "POST /undrain") == 409);
+    assert(callOperatorAddress(operatorPort, "POST /undrain") == 409);
     assert(open.readResp()[1] == "SERVED");
     assert(program.exitCode() == 0);
 }
 
-void aSlowReaderGetsAllOfItsAnswerFromADrain() {
+void aSlowReaderGetsCompleteAnswersDuringADrain() {
     Fleet fleet;
     Peer cache(store(serving(std::string(240'000, 'x'))));
     json wide = host("cache-1", cache.address());
     wide["weight"] = 1000;
-    json settings = withDoor(configuration(fleet.with({wide})));
+    json settings = withOperatorAddress(configuration(fleet.with({wide})));
     settings["settings"]["weights"] = "nominal";
     Program program(settings);
     Connection slow(program.port(), 4096);
     for (int i = 1; i <= 8; ++i) call(slow, std::to_string(i));
-    assert(operate(program.door(), "POST /drain") == 200);
+    assert(callOperatorAddress(program.operatorPort(), "POST /drain") == 200);
     for (int i = 1; i <= 8; ++i) {
         std::this_thread::sleep_for(200ms);
         const auto answer = slow.readResp();
@@ -126,7 +127,7 @@
     assert(slow.closed());
 }
 
-void nothingIsTakenFromABrokenFile() {
+void aMalformedConfigurationIsRejectedAsAWhole() {
     Fleet fleet;
     Peer cache(store(serving("as before")));
     const json good = configuration(fleet.with({host("cache-1", cache.address())}));
@@ -135,7 +136,7 @@
     std::vector<std::string> broken = {"", "{", "[]", good.dump().substr(0, good.dump().size() / 2)};
     const auto with = [&](const std::function<void(json&)>& change) {
         json one = good;
-        one["settings"]["categories"][1]["name"] = "other";  // nothing of it is to be seen
+        one["settings"]["categories"][1]["name"] = "other";  // a valid change that must not take effect
         change(one);
         broken.push_back(one.dump());
     };
@@ -162,7 +163,7 @@
     }
     program.signal(SIGTERM);
     assert(program.exitCode() == 0);
-    // At the start it is one line and exit 2.
+    // At the start, such a file causes one line of log and exit code 2.
     json wrong = good;
     wrong["settings"]["categories"][0]["hardLimit"] = -5;
     Program never(wrong);
@@ -170,9 +171,9 @@
     assert(never.log() == "lotuslead: bad configuration: field 'hardLimit' is not a positive number\n");
 }
 
-void anOpenRequestKeepsTheRulesItCameUnder() {
+void anOpenRequestKeepsItsSettingsAcrossAReload() {
     Fleet fleet;
-    Mark pulled, go;
+    EventCounter pulled, go;
     const auto script = store([&](Connection& c, const std::vector<std::string>& words) {
         pulled.raise();
         if (pulled.count() == 1) go.await(1);
@@ -186,7 +187,7 @@
     Connection client(program.port());
     call(client, "1", "", "installer");
     pulled.await(1);
-    // One try from now on, and a run too many does harm; the class has another place besides.
+    // From now on a single attempt, a class that is unsafe to repeat, and another order of the classes.
     auto& categories = settings["settings"]["categories"];
     categories = {categories[1], categories[2], categories[0]};
     categories[2]["effect"] = "single_shot";
@@ -203,19 +204,19 @@
     assert(pulled.count() == 3);
 }
 
-// A folder that two processes share, and the platform's listening socket.
-class Place {
+// A folder and a listening socket that successive processes share.
+class SharedSocket {
 public:
-    Place() {
+    SharedSocket() {
         char name[] = "/tmp/lotuslead-test-XXXXXX";
         folder_ = ::mkdtemp(name);
     }
-    ~Place() { std::filesystem::remove_all(folder_); }
+    ~SharedSocket() { std::filesystem::remove_all(folder_); }
     const std::string& folder() const { return folder_; }
     std::uint16_t port() const { return socket_.port(); }
     std::unique_ptr<Program> start(json settings) const {
         settings["listen"] = socket_.address();
-        return std::make_unique<Program>(withDoor(settings), "LB_CONFIG", 1024,
+        return std::make_unique<Program>(withOperatorAddress(settings), "LB_CONFIG", 1024,
                                          Program::Variables{{"TMPDIR", folder_}}, socket_.descriptor());
     }
 
@@ -224,61 +225,62 @@
     Peer socket_{nullptr, 256};
 };
 
-void aSuccessorTakesOverAndNothingEndsAtTheDoor() {
+void aSuccessorTakesOverWithoutFailedRequests() {
     Fleet fleet;
-    Mark pulled;
+    EventCounter pulled;
     std::string tier;
     Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
         tier = valueOf(words[2], "tier");
         pulled.raise();
         if (words[3] != "slow") serving("served")(c, words);
     }));
-    Place place;
+    SharedSocket shared;
     const json settings = configuration(fleet.with({host("cache-1", cache.address())}));
-    auto older = place.start(settings);
+    auto older = shared.start(settings);
     older->awaitLog("serving on");
-    Connection rests(place.port()), busy(place.port());
-    call(rests, "1");
-    assert(rests.readResp()[1] == "SERVED");
-    call(busy, "1", "", "page", "slow");
+    Connection idleClient(shared.port()), busyClient(shared.port());
+    call(idleClient, "1");
+    assert(idleClient.readResp()[1] == "SERVED");
+    call(busyClient, "1", "", "page", "slow");
     pulled.await(2);
 
-    auto newer = place.start(settings);
+    auto newer = shared.start(settings);
     newer->awaitLog("serving on");
     newer->awaitLog("taken over what the predecessor knew");
     for (const auto* p : {older.get(), newer.get()}) p->awaitLog("2 processes are one gateway now");
     older->signal(SIGTERM);
     older->awaitLog("leaving to a successor, 1 requests open");
-    // At rest it is closed; a busy one may go on, and checks there speak for the gateway.
-    assert(rests.closed());
-    busy.sendResp({"CHECK", "2", ""});
-    assert(busy.readResp()[1] == "PASS");
-    call(busy, "3");
-    assert(busy.readResp()[1] == "SERVED");
+    // An idle connection is closed; a busy one stays open, and its checks answer for the whole gateway.
+    assert(idleClient.closed());
+    busyClient.sendResp({"CHECK", "2", ""});
+    assert(busyClient.readResp()[1] == "PASS");
+    call(busyClient, "3");
+    assert(busyClient.readResp()[1] == "SERVED");
     for (int i = 0; i < 50; ++i) {
-        Connection one(place.port());
+        Connection one(shared.port());
         call(one, "1");
         assert(one.readResp()[1] == "SERVED");
-        assert(!tier.empty());  // a name that only its predecessor has seen: found, and so a copy is kept
+        assert(!tier.empty());  // only the predecessor has seen this name: known from its state, so a copy is
+                                // kept
     }
-    busy.sendResp({"CANCEL", "1"});
-    assert(busy.closed());
+    busyClient.sendResp({"CANCEL", "1"});
+    assert(busyClient.closed());
     assert(older->exitCode() == 0);
     newer->awaitLog("1 processes are one gateway now");
     assert(older->log().find("taken=3 served=2") != std::string::npos);
-    assert(operate(newer->door(), "GET /ready") == 200);
-    // And again.
-    auto third = place.start(settings);
+    assert(callOperatorAddress(newer->operatorPort(), "GET /ready") == 200);
+    // A second hand-over.
+    auto third = shared.start(settings);
     third->awaitLog("serving on");
     newer->signal(SIGTERM);
     assert(newer->exitCode() == 0);
-    assert(check(place.port()) == "PASS");
+    assert(checkAnswer(shared.port()) == "PASS");
 }
 
-void aStartNeedsNoPredecessorAndTakesNoClientBeforeTheBusHasAnswered() {
+void aStartWithoutPredecessorWaitsForTheEventBus() {
     Fleet fleet;
     Peer cache(store(serving("new")));
-    Mark asked, go;
+    EventCounter asked, go;
     std::atomic<int> polls{0};
     json later = topology({host("cache-1", cache.address())});
     later["offset"] = 2;
@@ -291,30 +293,31 @@
             if (++polls > 1) return;
         }
     });
-    Place place;
-    // What a dead process left, and nonsense in its place, do no harm.
-    const std::string left = place.folder() + "/lotuslead-1.sock";
+    SharedSocket shared;
+    // A stale or unusable file in place of the hand-over socket must not prevent the start.
+    const std::string left = shared.folder() + "/lotuslead-1.sock";
     std::ofstream(left) << "left";
     json settings = configuration(fleet.with({}));
     settings["bus"] = bus.address();
-    auto program = place.start(settings);
+    auto program = shared.start(settings);
     asked.await(1);
-    const std::uint16_t door = program->door();
-    assert(operate(door, "GET /ready") == 503 && operate(door, "POST /drain") == 409);
-    Connection waits(place.port());  // in the platform's socket
+    const std::uint16_t operatorPort = program->operatorPort();
+    assert(callOperatorAddress(operatorPort, "GET /ready") == 503 &&
+           callOperatorAddress(operatorPort, "POST /drain") == 409);
+    Connection waits(shared.port());  // in the backlog of the platform's socket
     call(waits, "1");
     go.raise();
     assert((waits.readResp() == std::vector<std::string>{"1", "SERVED", "-", "new"}));
-    assert(operate(door, "GET /ready") == 200);
+    assert(callOperatorAddress(operatorPort, "GET /ready") == 200);
     program->signal(SIGKILL);
     program->exitCode();
-    auto next = place.start(configuration(fleet.with({host("cache-1", cache.address())})));
+    auto next = shared.start(configuration(fleet.with({host("cache-1", cache.address())})));
     next->awaitLog("serving on");
     assert(next->log().find("processes are one gateway") == std::string::npos);
-    assert(check(place.port()) == "PASS");
+    assert(checkAnswer(shared.port()) == "PASS");
 }
 
-void whatIsNoListeningSocketOfThisAddressIsToldAtTheStart() {
+void anUnusableInheritedSocketEndsTheStart() {
     const json settings = configuration({});
     const auto refused = [](Program&& program) {
         assert(program.exitCode() == 2);
@@ -334,12 +337,12 @@
 }  // namespace
 
 int main() {
-    aSuccessorTakesOverAndNothingEndsAtTheDoor();
-    aStartNeedsNoPredecessorAndTakesNoClientBeforeTheBusHasAnswered();
-    whatIsNoListeningSocketOfThisAddressIsToldAtTheStart();
-    nothingIsTakenFromABrokenFile();
-    anOpenRequestKeepsTheRulesItCameUnder();
-    theDoorAnswersWhoeverElseStandsThere();
-    drainSendsClientsAwayAndUndrainTakesThemBack();
-    aSlowReaderGetsAllOfItsAnswerFromADrain();
+    aSuccessorTakesOverWithoutFailedRequests();
+    aStartWithoutPredecessorWaitsForTheEventBus();
+    anUnusableInheritedSocketEndsTheStart();
+    aMalformedConfigurationIsRejectedAsAWhole();
+    anOpenRequestKeepsItsSettingsAcrossAReload();
+    operatorRequestsAreAnsweredDespiteIdleConnections();
+    drainClosesConnectionsAndUndrainServesAgain();
+    aSlowReaderGetsCompleteAnswersDuringADrain();
 }
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -11,8 +11,8 @@
 
 TEST(Design, UnknownNameGoesStraightToItsParent) {
     Harness h;
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     h.ask("new");
     const auto sent = h.one<Send>();
     ASSERT_TRUE(sent);
@@ -23,9 +23,9 @@
 
 TEST(Design, KnownNameGoesToACacheThatKeepsIt) {
     Harness h;
-    h.usualList();
-    h.growUp();
-    h.know("a");
+    h.listBasicFleet();
+    h.warmUpFilter();
+    h.makeKnown("a");
     h.ask("a");
     const auto sent = h.one<Send>();
     ASSERT_TRUE(sent);
@@ -38,8 +38,8 @@
     Settings s = basicSettings();
     s.directUpstream = false;
     Harness h(s);
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     h.ask("new");
     const auto sent = h.one<Send>();
     ASSERT_TRUE(sent);
@@ -51,7 +51,7 @@
     Settings s = basicSettings();
     s.classes[1].uncacheable = true;
     Harness h(s);
-    h.usualList();
+    h.listBasicFleet();
     for (int i = 0; i < 3; ++i) {
         const RequestId id = h.ask("w");
         const auto sent = h.one<Send>();
@@ -64,8 +64,8 @@
 
 TEST(Design, PartsSpreadOverCachesButShareOneParent) {
     Harness h;
-    h.usualList();
-    h.know("film", 0, 0);
+    h.listBasicFleet();
+    h.makeKnown("film", 0, 0);
     std::set<std::string> caches, parents;
     for (int part = 1; part < 40; ++part) {
         const RequestId id = h.ask("film", part, 0, 5);
@@ -82,8 +82,8 @@
 
 TEST(Design, OneViewerKeepsAtTheLowestRankUntilASecondShows) {
     Harness h;
-    h.usualList();
-    h.know("film", 0, 0);
+    h.listBasicFleet();
+    h.makeKnown("film", 0, 0);
     RequestId id = h.ask("film", 1, 0);
     EXPECT_EQ(h.one<Send>()->keepRank, 1);
     h.end(id, 0, Outcome::served);
@@ -93,18 +93,18 @@
 
 TEST(Design, WholeObjectsRankAbovePartsOfOne) {
     Harness h;
-    h.usualList();
-    h.know("page", 0, 1);
+    h.listBasicFleet();
+    h.makeKnown("page", 0, 1);
     h.ask("page", 0, 1);
     const int whole = h.one<Send>()->keepRank;
-    h.know("film", 0, 0);
+    h.makeKnown("film", 0, 0);
     h.ask("film", 0, 0);
     EXPECT_GT(whole, h.one<Send>()->keepRank);
 }
 
 TEST(Design, HotObjectUsesTwoCaches) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     std::set<std::string> used;
     for (int i = 0; i < 60; ++i) {
         const RequestId id = h.ask("hot", 0, 1, 200);
@@ -118,8 +118,8 @@
 // The parts of a hot object are filled from more than one parent.
 TEST(Design, HotObjectsPartsHaveParentsApart) {
     Harness h;
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     std::set<std::string> sources;
     for (int round = 0; round < 8; ++round) {
         for (int part = 0; part < 12; ++part) {
@@ -135,10 +135,10 @@
 
 TEST(Design, SameSeedSameChoiceAtEveryRouter) {
     Harness a(basicSettings(), 1), b(basicSettings(), 99);
-    a.usualList();
-    b.usualList();
-    a.growUp();
-    b.growUp();
+    a.listBasicFleet();
+    b.listBasicFleet();
+    a.warmUpFilter();
+    b.warmUpFilter();
     for (int i = 0; i < 50; ++i) {
         const std::string name = "n" + std::to_string(i);
         a.ask(name);
@@ -149,7 +149,7 @@
 
 TEST(YoungFilter, UnknownNameAsksItsCacheOnTheWayAndLeavesNoCopy) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     h.ask("new");
     const auto sent = h.one<Send>();
     ASSERT_TRUE(sent);
@@ -161,7 +161,7 @@
 // required.
 TEST(YoungFilter, EndsSoonAfterTheStartHoweverFewTheNames) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     h.now += 15s;
     h.ask("new");
     EXPECT_TRUE(startsWith(h.one<Send>()->host, 'p'));
@@ -170,8 +170,8 @@
 // While origin and parents do not answer, fewer fills are requested, but hits still are.
 TEST(Gates, UpwardRequestsFallOffWhenNothingComesBack) {
     Harness h;
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     int upward = 0;
     int held = 0;
     for (int i = 0; i < 300; ++i) {
@@ -197,9 +197,9 @@
 // the object: a fetch by another parent would leave copies at two parents.
 TEST(Gates, AFetchAfterNoCopyGoesToTheSameParent) {
     Harness h;
-    h.usualList();
-    h.growUp();
-    h.know("a");
+    h.listBasicFleet();
+    h.warmUpFilter();
+    h.makeKnown("a");
     for (int i = 0; i < 40; ++i) {  // refused fetches: the origin's limiter restricts from here on
         const RequestId id = h.ask("b" + std::to_string(i));
         for (int attempt = 0; !h.all<Send>().empty(); ++attempt) h.end(id, attempt, Outcome::notTaken);
@@ -225,8 +225,8 @@
 // Missing answers weigh little while others arrive in time: a tier that loses some answers is not limited.
 TEST(Gates, LostAnswersAloneDoNotCloseThem) {
     Harness h;
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     int upward = 0;
     for (int i = 0; i < 200; ++i) {
         const RequestId id = h.ask("n" + std::to_string(i));
@@ -243,8 +243,8 @@
 // Prompt errors are a fault of their host: they do not limit fills, so that fills are still requested.
 TEST(Gates, PromptErrorsDoNotCloseThem) {
     Harness h;
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     for (int i = 0; i < 60; ++i) {
         const RequestId id = h.ask("e" + std::to_string(i));
         h.end(id, 0, Outcome::error);
@@ -286,7 +286,7 @@
 TEST(Origin, AnswersInTimeEarnItMoreThanItsShare) {
     const auto served = [](Outcome outcome) {
         Harness h;
-        h.growUp(10);
+        h.warmUpFilter(10);
         h.list({Harness::cache("c1"), Harness::host("o", Role::origin, 0, 1)});
         int toOrigin = 0;
         for (int i = 0; i < 200; ++i) {
@@ -305,9 +305,9 @@
 // A full cache gets no request that it cannot answer in time; an answer at full pace proves free capacity.
 TEST(HostGate, AFullCacheIsPassedBy) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     h.list({Harness::cache("c1")}, true);
-    h.know("a", 0, 0);
+    h.makeKnown("a", 0, 0);
     int refused = 0;
     for (int i = 0; i < 60; ++i) {
         h.ask("a", 0, 0, 500);
@@ -321,8 +321,8 @@
 // While the parent is cold, hits are requested without a fill: they must not use up its budget.
 TEST(ColdParent, IsOnlyChargedForFills) {
     Harness h;
-    h.usualList();
-    h.know("a");
+    h.listBasicFleet();
+    h.makeKnown("a");
     h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20, h.now),
             Harness::host("o", Role::origin, 0, 1)});
     const RequestId id = h.ask("a");
@@ -339,8 +339,8 @@
     s.classes[1].freshFor = 8s;
     s.classes[1].staleFor = 10s;
     Harness h(s);
-    h.usualList();
-    h.know("a");
+    h.listBasicFleet();
+    h.makeKnown("a");
     const RequestId id = h.ask("a");
     EXPECT_EQ(h.one<Send>()->maxCopyAge, 8s);
     EXPECT_TRUE(h.one<Send>()->refreshInBackground);
@@ -351,9 +351,9 @@
 
 TEST(Failures, AnotherAttemptTakesAnotherRoute) {
     Harness h;
-    h.usualList();
-    h.growUp();
-    h.know("a");
+    h.listBasicFleet();
+    h.warmUpFilter();
+    h.makeKnown("a");
     const RequestId id = h.ask("a");
     const auto first = h.one<Send>();
     ASSERT_TRUE(first);
@@ -366,8 +366,8 @@
 
 TEST(Failures, ACacheThatKeepsFailingIsLeftOut) {
     Harness h;
-    h.usualList();
-    h.know("a");
+    h.listBasicFleet();
+    h.makeKnown("a");
     RequestId id = h.ask("a");
     const std::string bad(h.one<Send>()->host);
     h.end(id, 0, Outcome::noConnection);
@@ -388,7 +388,7 @@
 // recover.
 TEST(Failures, WhenAllHostsLookBadNoneIsShutOut) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     const auto play = [&](int requests, Outcome outcome) {
         int sends = 0;
         for (int i = 0; i < requests; ++i) {
@@ -412,7 +412,7 @@
 // When all caches of the zone fail without notice, the parents take over.
 TEST(Failures, WhenAllCachesAreLostTheParentsTakeOver) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     h.now += 10s;
     int toCaches = 0;
     for (int i = 0; i < 200; ++i) {
@@ -431,7 +431,7 @@
 
 TEST(Failures, FurtherAttemptsAreAShareOfTheRequests) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     int sends = 0;
     constexpr int kRequests = 400;  // plus a tenth of them, plus the initial burst
     for (int i = 0; i < kRequests; ++i) {
@@ -451,10 +451,10 @@
 // and is refused on a miss.
 TEST(FullLink, OnlyWhatTheCacheHoldsIsAskedFor) {
     Harness h;
-    h.usualList();
-    h.growUp();
+    h.listBasicFleet();
+    h.warmUpFilter();
     for (int i = 0; i < 30; ++i) {
-        h.know("a");
+        h.makeKnown("a");
         const RequestId id = h.ask("a");
         h.end(id, 0, Outcome::served, CacheStatus::none, 30.0);
     }
@@ -470,9 +470,9 @@
 
 TEST(FullLink, OldReportsAreForgotten) {
     Harness h;
-    h.usualList();
-    h.growUp();
-    h.know("a");
+    h.listBasicFleet();
+    h.warmUpFilter();
+    h.makeKnown("a");
     const RequestId id = h.ask("a");
     h.end(id, 0, Outcome::served, CacheStatus::none, 30.0);
     h.now += 10s;
@@ -568,7 +568,7 @@
     Settings s = basicSettings();
     for (auto& c : s.classes) c.streamed = true;
     Harness h(s);
-    h.usualList();
+    h.listBasicFleet();
     const RequestId id = h.ask("a");
     const auto timers = h.all<SetTimer>();
     ASSERT_FALSE(timers.empty());
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -10,7 +10,7 @@
 
 TEST(LongDays, PlacesOfHostsThatAreGoneAreUsedAgain) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     for (int i = 0; i < 200; ++i) {
         auto old = Harness::cache("c" + std::to_string(i + 1));
         old.readiness = Readiness::gone;
@@ -26,8 +26,8 @@
 TEST(Health, TheEndOfOneConnectionIsOneWordOnItsHost) {
     Harness h;
     h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20)});
-    h.growUp();
-    h.know("a");
+    h.warmUpFilter();
+    h.makeKnown("a");
     std::vector<RequestId> ids;
     for (int i = 0; i < 5; ++i) ids.push_back(h.ask("a"));
     for (std::size_t i = 0; i < ids.size(); ++i)
@@ -44,12 +44,12 @@
     settings.classes[1].latencyTarget =
         200ms;  // plus twice the sending time; the first estimate is a quarter of it
     Harness h(settings);
-    h.usualList();
-    h.growUp(60);
-    const auto askAndEnd = [&](const std::string& object, Time took) {
+    h.listBasicFleet();
+    h.warmUpFilter(60);
+    const auto askAndEnd = [&](const std::string& object, Time attemptTime) {
         const RequestId id = h.ask(object, 0, 1, 0);
-        h.now += took;
-        h.took = took;
+        h.now += attemptTime;
+        h.attemptTime = attemptTime;
         h.end(id, 0, Outcome::served, CacheStatus::filledByOrigin, {}, false, 300);  // 300 ms to send
         return id;
     };
@@ -71,9 +71,9 @@
         Settings settings = basicSettings();
         settings.mayHedge = false;
         Harness h(settings);
-        h.usualList();
-        h.growUp();
-        h.know("a");
+        h.listBasicFleet();
+        h.warmUpFilter();
+        h.makeKnown("a");
         const RequestId slow = h.ask("a");
         const auto timers = h.all<SetTimer>();  // the slow timer, then the late timer
         ASSERT_EQ(timers.size(), 2u);
@@ -84,7 +84,7 @@
             h.now += 1ms;
             h.end(other, 0, Outcome::served, CacheStatus::hit);
             if (same) break;
-            h.know("b" + std::to_string(i + 1));
+            h.makeKnown("b" + std::to_string(i + 1));
         }
         h.now += timers[0].delay;
         h.fire(timers[0].timer);
@@ -97,7 +97,7 @@
 
 TEST(Answers, ServedOnceNeedsNoOther) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     const RequestId id = h.ask("a");
     ASSERT_EQ(h.all<Send>().size(), 1u);
     h.end(id, 0, Outcome::served);
@@ -108,7 +108,7 @@
 
 TEST(Answers, TimeOutAtTheDeadlineIsAnsweredAtOnce) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     const RequestId id = h.ask("a");
     h.now += 3s;
     h.end(id, 0, Outcome::timedOut);
@@ -128,7 +128,7 @@
 
 TEST(Answers, EveryRequestEndsOnceWhateverFails) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     for (int round = 0; round < 200; ++round) {
         const RequestId id = h.ask("x" + std::to_string(round % 9));
         int answers = static_cast<int>(h.all<Refuse>().size() + h.all<Fail>().size());
@@ -146,7 +146,7 @@
 
 TEST(Answers, ClientThatLeftIsOwedNothing) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     const RequestId id = h.ask("a");
     h.clientGone(id);
     EXPECT_EQ(h.all<Cancel>().size(), 1u);
@@ -169,7 +169,7 @@
 
 TEST(Effects, UnsafeIsNotRepeatedNorRefusedAfterItMayHaveRun) {
     Harness h(withEffect(Effect::unsafe));
-    h.usualList();
+    h.listBasicFleet();
     const RequestId id = h.ask("a");
     h.end(id, 0, Outcome::error);
     EXPECT_TRUE(h.all<Send>().empty());
@@ -179,7 +179,7 @@
 
 TEST(Effects, UnsafeMayGoOnWhenItNeverRan) {
     Harness h(withEffect(Effect::unsafe));
-    h.usualList();
+    h.listBasicFleet();
     const RequestId id = h.ask("a");
     h.end(id, 0, Outcome::noConnection);
     EXPECT_EQ(h.all<Send>().size(), 1u);
@@ -187,7 +187,7 @@
 
 TEST(Effects, UnsafeIsNeverSentTwiceAtOnce) {
     Harness h(withEffect(Effect::unsafe));
-    h.usualList();
+    h.listBasicFleet();
     h.ask("a");
     const auto timers = h.all<SetTimer>();
     h.now += 1s;
@@ -199,8 +199,8 @@
 
 TEST(Effects, KeyedStaysInItsZoneAndWindow) {
     Harness h(withEffect(Effect::keyed, DeduplicationScope::zone));
-    h.usualList();
-    h.growUp(3);
+    h.listBasicFleet();
+    h.warmUpFilter(3);
     const RequestId id = h.ask("a");
     const auto first = h.one<Send>();
     ASSERT_TRUE(first && startsWith(first->host, 'c'));
@@ -219,7 +219,7 @@
     Settings s = basicSettings();
     s.mayHedge = false;
     Harness h(s);
-    h.usualList();
+    h.listBasicFleet();
     const RequestId id = h.ask("a");
     const auto timers = h.all<SetTimer>();
     ASSERT_FALSE(timers.empty());
@@ -235,7 +235,7 @@
 
 TEST(Drains, NothingGoesToOrThroughADrainingHost) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     HostEntry draining = Harness::host("p1", Role::parent, 0, 20);
     draining.readiness = Readiness::draining;
     HostEntry gone = Harness::cache("c2");
@@ -253,8 +253,8 @@
 
 TEST(Drains, RetriesFollowTheListOfTheMoment) {
     Harness h;
-    h.usualList();
-    h.know("a");
+    h.listBasicFleet();
+    h.makeKnown("a");
     const RequestId id = h.ask("a");
     const auto first = h.one<Send>();
     ASSERT_TRUE(first);
@@ -284,8 +284,8 @@
 
 TEST(ColdHosts, CacheGetsNoMoreThanItsBudget) {
     Harness h;
-    h.usualList();
-    h.growUp(600);
+    h.listBasicFleet();
+    h.warmUpFilter(600);
     h.list({Harness::cache("c1", h.now), Harness::host("p1", Role::parent, 0, 20),
             Harness::host("p2", Role::parent, 0, 20)});
     // 0.2 of 5 transfers times 4 over 1.5 s is 6 s of sending time for all routers of the zone.
@@ -298,8 +298,8 @@
     settings.weights = WeightMeaning::none;
     settings.directUpstream = false;
     Harness h(settings);
-    h.usualList();
-    h.took = 300ms;
+    h.listBasicFleet();
+    h.attemptTime = 300ms;
     for (int i = 0; i < 300; ++i, h.now += 20ms)
         h.end(h.ask("warm" + std::to_string(i % 20), 0, 0, 0), 0, Outcome::served, CacheStatus::hit);
     h.list({Harness::cache("c1", h.now), Harness::cache("c2")}, false);
@@ -317,8 +317,8 @@
 
 TEST(ColdHosts, ParentBudgetCountsFillsAndIsSharedByAllRouters) {
     Harness h;
-    h.usualList();
-    h.growUp(600);
+    h.listBasicFleet();
+    h.warmUpFilter(600);
     h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20, h.now)});
     // 0.1 of 20 transfers times 2 over 1.5 s is 6 s of sending time, half of it for this router.
     const double work = sendSecondsSentTo(h, "p1", 1000, 1ms);
@@ -335,8 +335,8 @@
         Settings settings = basicSettings();
         settings.routers = kRouters;
         Harness h(settings, static_cast<std::uint64_t>(router) + 1);
-        h.usualList();
-        h.growUp(20);
+        h.listBasicFleet();
+        h.warmUpFilter(20);
         h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20, h.now)});
         for (int i = 0; i < 15; ++i) {
             const RequestId id = h.ask("cold" + std::to_string(i), 0, 1, 100);
@@ -355,7 +355,7 @@
 
 TEST(Purges, LimitTheAgeOfTheObjectOnly) {
     Harness h;
-    h.usualList();
+    h.listBasicFleet();
     h.purge("a", 7, 50ms);
     h.now += 200ms;
     h.ask("a");
@@ -375,7 +375,7 @@
     s.classes[1].freshFor = 8s;
     s.classes[1].staleFor = 10s;
     Harness h(s);
-    h.usualList();
+    h.listBasicFleet();
     h.purge("", 7, 0ms);
     h.ask("any", 0, 1, 50, 3s, 7);
     auto sent = h.one<Send>();
@@ -393,7 +393,7 @@
     s.classes[1].freshFor = 8s;
     s.classes[1].staleFor = 10s;
     Harness h(s);
-    h.usualList();
+    h.listBasicFleet();
     const RequestId id = h.ask("a");
     h.purge("a", 7, 10ms);
     h.now += 400ms;
--- a/tests/repository_test.cpp
+++ b/tests/repository_test.cpp
@@ -1,27 +1,28 @@
-// The repository front, with stand-ins for a repository server, its caches and the event bus.
+// Tests of the repository front, with stand-ins for a repository server, its caches and the event bus.
 #include "repository_server.hpp"
 
 namespace {
 
 using namespace lotuslead::testing;
 
-void indexesAndFilesAreServedAsTheSpecificationsSay() {
+void servesIndexesAndFilesByTheStandards() {
     Repository server(300'000);
-    Program program(repository(server, server), "LB_REPOSITORY");
+    Program program(repositoryConfiguration(server, server), "LB_REPOSITORY");
     const std::uint16_t port = program.port();
-    Connection c(port);  // one connection for all that does not end it
-    Got got = get(c, "/index/plugins.json");
-    assert(got.status == 200 && got.body == "version 1\n");
-    assert(fieldOf(got.head, "ETag") == "\"i1\"" && fieldOf(got.head, "Content-Type") == "application/json");
+    Connection c(port);  // reused by all requests that keep the connection open
+    Response response = get(c, "/index/plugins.json");
+    assert(response.status == 200 && response.body == "version 1\n");
+    assert(fieldOf(response.head, "ETag") == "\"i1\"" &&
+           fieldOf(response.head, "Content-Type") == "application/json");
     assert(get(c, "/index/%70lugins.json?x=1", "If-None-Match: \"i1\"\r\n").status == 304);
     assert(get(c, "/index/plugins.json", "If-Modified-Since: Tue, 01 Dec 2026 10:00:00 GMT\r\n").status ==
            304);
 
-    got = get(c, "/files/tool.bin");
-    assert(got.status == 200 && got.body == server.file);
+    response = get(c, "/files/tool.bin");
+    assert(response.status == 200 && response.body == server.file);
     assert(server.requests("/files/tool.bin") >= 5);  // in parts of 65,536 bytes
     const auto ranged = [&](const std::string& range, std::size_t first, std::size_t size) {
-        const Got part = get(c, "/files/tool.bin", "Range: bytes=" + range + "\r\n");
+        const Response part = get(c, "/files/tool.bin", "Range: bytes=" + range + "\r\n");
         return part.status == 206 && part.body == server.file.substr(first, size) &&
                fieldOf(part.head, "Content-Range") ==
                    "bytes " + std::to_string(first) + "-" + std::to_string(first + size - 1) + "/300000";
@@ -29,33 +30,33 @@
     assert(ranged("65530-65540", 65530, 11) && ranged("299999-", 299999, 1) &&
            ranged("-70000", 230000, 70000));
     assert(ranged("0-999999", 0, 300000));
-    got = get(c, "/files/tool.bin", "Range: bytes=300000-\r\n");
-    assert(got.status == 416 && fieldOf(got.head, "Content-Range") == "bytes */300000");
+    response = get(c, "/files/tool.bin", "Range: bytes=300000-\r\n");
+    assert(response.status == 416 && fieldOf(response.head, "Content-Range") == "bytes */300000");
     assert(get(c, "/files/tool.bin", "Range: bytes=5-9\r\nIf-Range: \"other\"\r\n").status == 200);
     assert(get(c, "/files/tool.bin", "Range: bytes=5-9\r\nIf-Range: \"f1\"\r\n").body.size() == 5);
     ask(c, "/files/tool.bin", "", "HEAD");
-    got = read(c, true);
-    assert(got.status == 200 && fieldOf(got.head, "Content-Length") == "300000");
+    response = read(c, true);
+    assert(response.status == 200 && fieldOf(response.head, "Content-Length") == "300000");
 
     assert(get(c, "/elsewhere").status == 404 && get(c, "/files/none").status == 404);
     ask(c, "/index/plugins.json", "", "DELETE");
-    got = read(c);
-    assert(got.status == 405 && fieldOf(got.head, "Allow") == "GET, HEAD");
-    got = get(c, "/index/broken");
-    assert(got.status == 502);
-    got = get(c, "/index/../secret");
-    assert(got.status == 400 && c.closed());
-    Connection wild(port), fat(port);
-    wild.send("nonsense\r\n\r\n");
-    assert(read(wild).status == 400 && wild.closed());
-    fat.send("GET /index/ HTTP/1.1\r\nHost: x\r\nFill: " + std::string(20'000, 'x'));
-    assert(read(fat).status == 431 && fat.closed());
+    response = read(c);
+    assert(response.status == 405 && fieldOf(response.head, "Allow") == "GET, HEAD");
+    response = get(c, "/index/broken");
+    assert(response.status == 502);
+    response = get(c, "/index/../secret");
+    assert(response.status == 400 && c.closed());
+    Connection malformed(port), oversized(port);
+    malformed.send("nonsense\r\n\r\n");
+    assert(read(malformed).status == 400 && malformed.closed());
+    oversized.send("GET /index/ HTTP/1.1\r\nHost: x\r\nFill: " + std::string(20'000, 'x'));
+    assert(read(oversized).status == 431 && oversized.closed());
 }
 
-// A close over bytes that were not read resets the connection, and takes back an answer that is under way.
-void aRefusalIsReadThoughItsBodyWasNot() {
+// Closing a connection with unread input resets it, and the client may lose the response; it must not.
+void aRejectionReachesAClientThatStillSends() {
     Repository server(1000);
-    Program program(repository(server, server), "LB_REPOSITORY");
+    Program program(repositoryConfiguration(server, server), "LB_REPOSITORY");
     const std::uint16_t port = program.port();
     constexpr int kTries = 20;
     int read413 = 0;
@@ -72,9 +73,9 @@
     assert(read413 == kTries);
 }
 
-// The server's close and the next request are both there when the gateway looks.
-void anIdleConnectionThatWasJustClosedIsNotUsed() {
-    Mark close, closed;
+// The server's close and the next request are both pending when the gateway resumes.
+void aClosedIdleConnectionIsNotReused() {
+    EventCounter close, closed;
     std::atomic<int> connections{0};
     Peer server([&](Connection& c) {
         const int here = ++connections;
@@ -84,9 +85,9 @@
         c.shut();
         closed.raise();
     });
-    json settings =
-        repository({host("cache-1", server.address()), host("parent-1", server.address(), "parent"),
-                    host("origin-1", server.address(), "origin")});
+    json settings = repositoryConfiguration({host("cache-1", server.address()),
+                                             host("parent-1", server.address(), "parent"),
+                                             host("origin-1", server.address(), "origin")});
     settings["settings"]["allowed"]["mostTries"] = 1;
     Program program(settings, "LB_REPOSITORY");
     const std::uint16_t port = program.port();
@@ -94,79 +95,81 @@
         Connection client(port);
         assert(get(client, "/elsewhere").status == 404);
         if (i > 1) {
-            program.stop();
+            program.suspend();
             close.raise();
             closed.await(i - 1);
         }
         ask(client, "/index/plugins.json");
-        if (i > 1) program.goOn();
-        const Got got = read(client);
-        assert(got.status == 200 && got.body == "here");
+        if (i > 1) program.resume();
+        const Response response = read(client);
+        assert(response.status == 200 && response.body == "here");
     }
     close.raise();
 }
 
-// What is open when the process must end is broken off or refused, and the client can tell.
-// What a server says unasked, as it may before it closes (RFC 9110, 15.5.9), is no answer to what comes next.
-void whatAServerSaysOfItselfIsNoAnswer() {
-    Mark say, said;
+// A server may send an unsolicited response before it closes (RFC 9110, 15.5.9). It must not be taken for the
+// answer to the next request.
+void anUnsolicitedResponseIsNotUsed() {
+    EventCounter sendUnsolicited, sentUnsolicited;
     std::atomic<int> connections{0};
     Peer server([&](Connection& c) {
         const bool first = ++connections == 1;
         while (!c.readHead().empty()) {
             c.send("HTTP/1.1 200 OK\r\nETag: \"a\"\r\nContent-Length: 4\r\n\r\nhere");
             if (!first) continue;
-            say.await(1);
+            sendUnsolicited.await(1);
             c.send("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n");
-            said.raise();
+            sentUnsolicited.raise();
         }
     });
-    json settings =
-        repository({host("cache-1", server.address()), host("parent-1", server.address(), "parent"),
-                    host("origin-1", server.address(), "origin")});
+    json settings = repositoryConfiguration({host("cache-1", server.address()),
+                                             host("parent-1", server.address(), "parent"),
+                                             host("origin-1", server.address(), "origin")});
     settings["settings"]["allowed"]["mostTries"] = 1;
     Program program(settings, "LB_REPOSITORY");
     Connection before(program.port()), after(program.port());
     for (Connection* c : {&before, &after}) assert(get(*c, "/elsewhere").status == 404);
     assert(get(before, "/index/plugins.json").status == 200);
-    program.stop();
+    program.suspend();
     ask(before, "/index/plugins.json");
-    say.raise();
-    said.await(1);
+    sendUnsolicited.raise();
+    sentUnsolicited.await(1);
     ask(after, "/index/plugins.json");
-    program.goOn();
+    program.resume();
     assert(read(before).status == 200);
     assert(read(after).status == 200);
 }
 
-// 304 says nothing to who holds no copy, or another one.
-void aCopyThatNobodyNamedIsNotUnmodified() {
+// A 304 without a matching If-None-Match is invalid; the request is retried.
+void anUnrequested304IsRetried() {
     std::atomic<int> asked{0};
     Peer server([&](Connection& c) {
         while (!c.readHead().empty())
             c.send(++asked % 2 == 1 ? "HTTP/1.1 304 Not Modified\r\nETag: \"b\"\r\n\r\n"
                                     : "HTTP/1.1 200 OK\r\nETag: \"c\"\r\nContent-Length: 4\r\n\r\nhere");
     });
-    Program program(repository({host("cache-1", server.address()), host("cache-2", server.address()),
-                                host("parent-1", server.address(), "parent"),
-                                host("origin-1", server.address(), "origin")}),
-                    "LB_REPOSITORY");
+    Program program(
+        repositoryConfiguration({host("cache-1", server.address()), host("cache-2", server.address()),
+                                 host("parent-1", server.address(), "parent"),
+                                 host("origin-1", server.address(), "origin")}),
+        "LB_REPOSITORY");
     Connection client(program.port());
     for (const char* known : {"", "If-None-Match: \"a\"\r\n"}) {
-        const Got got = get(client, "/index/plugins.json", known);
-        assert(got.status == 200 && got.body == "here");
+        const Response response = get(client, "/index/plugins.json", known);
+        assert(response.status == 200 && response.body == "here");
     }
     assert(asked == 4);
 }
 
-void whatIsOpenIsEndedBeforeSigkillMayCome() {
-    Mark asked, go;
+// When the process must stop, open requests are aborted or refused in a way that the client can see.
+void openRequestsEndBeforeSigkill() {
+    EventCounter asked, go;
     Repository server(4'000'000, [&](const std::string& path, const std::string& head) {
         if (path == "/files/tool.bin" && head.find("bytes=0-") != std::string::npos) return;
         asked.raise();
         go.await(1);
     });
-    json settings = repository(server, server);
+    json settings = repositoryConfiguration(server, server);
     settings["settings"]["allowed"]["mostTries"] = 1;
     Program program(settings, "LB_REPOSITORY");
     Connection index(program.port()), file(program.port());
@@ -175,26 +178,26 @@
     asked.await(2);
     const auto begin = std::chrono::steady_clock::now();
     program.signal(SIGTERM);
-    const Got refused = read(index), cut = read(file);
+    const Response refused = read(index), aborted = read(file);
     assert(refused.status == 503 || refused.status == 504);
-    assert(cut.status == 200 && !cut.whole);
+    assert(aborted.status == 200 && !aborted.complete);
     program.awaitLog("lotuslead: stopped, 0 requests open");
-    // The longest deadline, 9 s, counts as 3; with 0.7 s more, and a slow machine.
+    // The longest deadline, 9 s, counts as 3 s; plus 0.7 s, and slack for a slow machine.
     assert(std::chrono::steady_clock::now() - begin < 4300ms);
     assert(program.exitCode() == 0);
     go.raise();
 }
 
-// No index older than a purge once it was told, also while a large file is in transfer.
-void aPurgeMidFetchLeavesNoOldIndex() {
-    Mark fetching, inTransfer, purged;
+// Once a purge is known, no older index is served, also during the transfer of a large file.
+void aPurgeDuringAFetchLeavesNoOldIndex() {
+    EventCounter fetching, inTransfer, purged;
     Repository server(4'000'000, [&](const std::string& path, const std::string&) {
         if (path != "/index/plugins.json") return inTransfer.raise();
         fetching.raise();
-        if (fetching.count() == 1) purged.await(1);  // the first fetch is under way when the purge is told
+        if (fetching.count() == 1) purged.await(1);  // the first fetch is open when the purge arrives
     });
     Bus bus;
-    json settings = repository(server, server);
+    json settings = repositoryConfiguration(server, server);
     settings["bus"] = bus.address();
     Program program(settings, "LB_REPOSITORY");
     const std::uint16_t port = program.port();
@@ -202,7 +205,7 @@
     ask(download, "/files/tool.bin");
     inTransfer.await(1);
     ask(early, "/index/plugins.json");
-    // Behind the file on one connection: it is answered last, and must be no older for it.
+    // Pipelined behind the file: it is answered last and must not be outdated.
     ask(download, "/index/plugins.json");
     fetching.await(1);
     server.version = 2;
@@ -210,49 +213,50 @@
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
     bus.tell({{"ban", {{"url", "/index/plugins.json"}, {"ts", ms}}}});
     purged.raise();
-    Got got = read(early);
-    assert(got.status == 200 && got.body == "version 2\n");
+    Response response = read(early);
+    assert(response.status == 200 && response.body == "version 2\n");
     for (int i = 0; i < 20; ++i) {
         Connection c(port);
-        got = get(c, "/index/plugins.json");
-        assert(got.status == 200 && got.body == "version 2\n");
+        response = get(c, "/index/plugins.json");
+        assert(response.status == 200 && response.body == "version 2\n");
     }
-    got = read(download);
-    assert(got.status == 200 && got.whole && got.body == server.file);
-    got = read(download);
-    assert(got.status == 200 && got.body == "version 2\n");
+    response = read(download);
+    assert(response.status == 200 && response.complete && response.body == server.file);
+    response = read(download);
+    assert(response.status == 200 && response.body == "version 2\n");
 }
 
-void aDrainMidDownloadIsRefusedCleanly() {
-    Mark parts, drained;
-    Repository box(4'000'000, [&](const std::string&, const std::string&) {
+void aDrainDuringADownloadShowsAsIncomplete() {
+    EventCounter parts, drained;
+    Repository store(4'000'000, [&](const std::string&, const std::string&) {
         parts.raise();
         if (parts.count() == 2) drained.await(1);
     });
     Repository origin(10);
     Bus bus;
-    json settings = repository(box, origin);
+    json settings = repositoryConfiguration(store, origin);
     settings["bus"] = bus.address();
     Program program(settings, "LB_REPOSITORY");
     Connection download(program.port());
     ask(download, "/files/tool.bin");
     parts.await(2);
-    bus.tell(topology({host("cache-1", box.address(), "small", "draining")}));
+    bus.tell(topology({host("cache-1", store.address(), "small", "draining")}));
     drained.raise();
-    const Got got = read(download);
-    assert(got.status == 200 && !got.whole && got.body.size() == 2 * 65536);  // shows as incomplete
-    assert(got.body == box.file.substr(0, got.body.size()) && download.closed());
+    const Response response = read(download);
+    assert(response.status == 200 && !response.complete &&
+           response.body.size() == 2 * 65536);  // shows as incomplete
+    assert(response.body == store.file.substr(0, response.body.size()) && download.closed());
     Connection again(program.port());
-    const Got refused = get(again, "/files/tool.bin", "Range: bytes=131072-\r\n");
-    assert(refused.status == 503 && fieldOf(refused.head, "Retry-After") == "1" && refused.whole);
-    assert(get(again, "/index/plugins.json").status == 503);  // and the connection goes on
-    assert(parts.count() == 2);                               // nothing new went to the box
+    const Response refused = get(again, "/files/tool.bin", "Range: bytes=131072-\r\n");
+    assert(refused.status == 503 && fieldOf(refused.head, "Retry-After") == "1" && refused.complete);
+    assert(get(again, "/index/plugins.json").status == 503);  // the connection stays open
+    assert(parts.count() == 2);                               // no new request went to the draining store
 }
 
-void aSilentServerEndsAtTheDeadline() {
-    Mark over;
+void aSilentServerCausesATimeoutAtTheDeadline() {
+    EventCounter over;
     Repository server(10, [&](const std::string&, const std::string&) { over.await(1); });
-    json settings = repository(server, server);
+    json settings = repositoryConfiguration(server, server);
     for (json& category : settings["settings"]["categories"]) {
         category["aim"] = 200'000'000;
         category["hardLimit"] = 300'000'000;
@@ -266,48 +270,48 @@
     assert(program.log().find("repository connections=1") != std::string::npos);
 }
 
-void badClientsEndSoonAndKeepNobodyOut() {
+void badClientsAreClosedAndBlockNobody() {
     Repository server(10);
-    json settings = repository(server, server);
+    json settings = repositoryConfiguration(server, server);
     settings["limits"]["sockets"] = 192;  // 64 of them for clients
     Program program(settings, "LB_REPOSITORY");
     const std::uint16_t port = program.port();
     std::vector<std::unique_ptr<Connection>> idle;
-    for (int i = 0; i < 80; ++i) {  // each is served, though those before stay
+    for (int i = 0; i < 80; ++i) {  // each is served, though earlier clients stay connected
         idle.push_back(std::make_unique<Connection>(port));
         assert(get(*idle.back(), "/index/plugins.json").status == 200);
     }
     idle.resize(40);
     idle.erase(idle.begin(), idle.begin() + 30);
-    Connection greedy(port), usual(port);
+    Connection pipeliningClient(port), normalClient(port);
     std::string many;
     for (int i = 0; i < 3000; ++i) many += "GET /nothing HTTP/1.1\r\nHost: here\r\n\r\n";
-    greedy.send(many);
-    assert(get(usual, "/index/plugins.json").status == 200);
+    pipeliningClient.send(many);
+    assert(get(normalClient, "/index/plugins.json").status == 200);
     const auto begin = std::chrono::steady_clock::now();
     Connection silent(port), half(port);
     half.send("GET /index/plugins.json HTTP/1.1\r\nHo");
     assert(half.readHead().rfind("HTTP/1.1 408 ", 0) == 0);
     assert(silent.closed());
     assert(std::chrono::steady_clock::now() - begin < 6s);
-    assert(get(usual, "/index/plugins.json").status == 200);  // at rest it stays
+    assert(get(normalClient, "/index/plugins.json").status == 200);  // an idle connection stays open
     for (int i = 0; i < 3000; ++i) {
-        assert(greedy.readHead().rfind("HTTP/1.1 404 ", 0) == 0);
-        assert(greedy.exactly(10) == "Not Found\n");
+        assert(pipeliningClient.readHead().rfind("HTTP/1.1 404 ", 0) == 0);
+        assert(pipeliningClient.exactly(10) == "Not Found\n");
     }
 }
 
 }  // namespace
 
 int main() {
-    aRefusalIsReadThoughItsBodyWasNot();
-    anIdleConnectionThatWasJustClosedIsNotUsed();
-    whatAServerSaysOfItselfIsNoAnswer();
-    aCopyThatNobodyNamedIsNotUnmodified();
-    whatIsOpenIsEndedBeforeSigkillMayCome();
-    badClientsEndSoonAndKeepNobodyOut();
-    indexesAndFilesAreServedAsTheSpecificationsSay();
-    aPurgeMidFetchLeavesNoOldIndex();
-    aDrainMidDownloadIsRefusedCleanly();
-    aSilentServerEndsAtTheDeadline();
+    aRejectionReachesAClientThatStillSends();
+    aClosedIdleConnectionIsNotReused();
+    anUnsolicitedResponseIsNotUsed();
+    anUnrequested304IsRetried();
+    openRequestsEndBeforeSigkill();
+    badClientsAreClosedAndBlockNobody();
+    servesIndexesAndFilesByTheStandards();
+    aPurgeDuringAFetchLeavesNoOldIndex();
+    aDrainDuringADownloadShowsAsIncomplete();
+    aSilentServerCausesATimeoutAtTheDeadline();
 }
--- a/tests/scenarios.hpp
+++ b/tests/scenarios.hpp
@@ -34,7 +34,7 @@
 struct LateStore {
     Peer peer{nullptr, 0};
     Connection filler{peer.port()};
-    Mark connects, pulls;  // the first to connect is the filler
+    EventCounter connects, pulls;  // the first to connect is the filler
 
     void start() {
         const auto serve = store([this](Connection& c, const std::vector<std::string>& words) {
