--- a/src/agent/consensus.cpp
+++ b/src/agent/consensus.cpp
@@ -52,20 +52,20 @@
 };
 
 Consensus::Consensus(net::Loop& loop, const Member& self, const std::vector<Member>& members,
-                     const std::string& folder, const std::string& listen, const RaftRules& rules,
+                     const std::string& folder, const std::string& listen, const RaftOptions& rules,
                      config::Store& store, std::function<void()> changed)
     : loop_(loop),
       store_(store),
       changed_(std::move(changed)),
-      electionTimeout_(std::chrono::milliseconds{rules.electionMs}),
+      electionTimeout_(std::chrono::milliseconds{rules.electionTimeoutMs}),
       fsm_(stateMachineOf(*this)) {
     host_.emplace(RaftHost::Identity{self.id, self.raft, listen}, folder, fsm_);
     raft* core = &host_->core();
     if (!members.empty()) bootstrap(members);
     raft_set_pre_vote(core, true);
-    raft_set_election_timeout(core, rules.electionMs);
-    raft_set_heartbeat_timeout(core, rules.heartbeatMs);
-    raft_set_snapshot_threshold(core, rules.snapshotEvery);
+    raft_set_election_timeout(core, rules.electionTimeoutMs);
+    raft_set_heartbeat_timeout(core, rules.heartbeatIntervalMs);
+    raft_set_snapshot_threshold(core, rules.snapshotThreshold);
     // After a cut the one that was under way is sent again; libraft would wait for 30 s.
     raft_set_install_snapshot_timeout(core, kInstallAgainMs);
     host_->check(raft_start(core), "start");
@@ -119,7 +119,7 @@
 
 void Consensus::propose(const std::string& command, Done done) {
     // Nobody could say when it would be durable here; a leader that can write is on its way.
-    if (!takesProposals()) return done(Fate::refused, {});
+    if (!takesProposals()) return done(ProposalResult::refused, {});
     auto proposal = std::make_unique<Proposal>();
     proposal->request.data = proposal.get();
     proposal->owner = this;
@@ -131,32 +131,32 @@
                    [](struct raft_apply* request, int status, void* outcome) {
                        const std::unique_ptr<Proposal> ended(static_cast<Proposal*>(request->data));
                        if (status == 0)
-                           ended->owner->answer(ended->number, Fate::applied,
+                           ended->owner->answer(ended->number, ProposalResult::applied,
                                                 *static_cast<const config::Outcome*>(outcome));
                        else
-                           ended->owner->answer(ended->number, Fate::unknown, {});
+                           ended->owner->answer(ended->number, ProposalResult::unknown, {});
                    });
     if (result == 0) {
         static_cast<void>(proposal.release());  // the callback has it now
         return;
     }
     raft_free(buffer.base);
-    answer(proposal->number, Fate::refused, {});
+    answer(proposal->number, ProposalResult::refused, {});
 }
 
-void Consensus::answer(std::uint64_t number, Fate fate, const config::Outcome& outcome) {
+void Consensus::answer(std::uint64_t number, ProposalResult result, const config::Outcome& outcome) {
     const auto found = std::lower_bound(
         proposals_.begin(), proposals_.end(), number,
         [](const PendingProposal& one, std::uint64_t wanted) { return one.number < wanted; });
     if (found == proposals_.end() || found->number != number) return;  // it was overdue
     const Done done = std::move(found->done);
     proposals_.erase(found);
-    done(fate, outcome);
+    done(result, outcome);
 }
 
 void Consensus::answerOverdueProposals() {
     while (!proposals_.empty() && loop_.now() - proposals_.front().begunAt > kAnswerWithin)
-        answer(proposals_.front().number, Fate::unknown, {});
+        answer(proposals_.front().number, ProposalResult::unknown, {});
 }
 
 // A leader that cannot write holds up nobody who can.
@@ -193,14 +193,14 @@
     return static_cast<std::int64_t>(host_->nowMs() - host_->core().election_timer_start);
 }
 
-std::vector<Consensus::Seat> Consensus::members() {
-    std::vector<Seat> seats;
+std::vector<Consensus::ConfigurationMember> Consensus::members() {
+    std::vector<ConfigurationMember> members;
     const raft_configuration& configuration = host_->core().configuration;
     for (unsigned i = 0; i < configuration.n; ++i) {
         const raft_server& server = configuration.servers[i];
-        seats.push_back({server.id, server.address, roleOf(server.role)});
+        members.push_back({server.id, server.address, roleOf(server.role)});
     }
-    return seats;
+    return members;
 }
 
 void Consensus::change(int (*begin)(raft*, raft_change*, std::uint64_t, const char*), std::uint64_t id,
--- a/src/agent/consensus.hpp
+++ b/src/agent/consensus.hpp
@@ -19,21 +19,21 @@
     std::string control;  // address:port for the tool
 };
 
-struct RaftRules {
-    unsigned electionMs = 1000;     // a leader without a majority steps down after as long
-    unsigned heartbeatMs = 50;      // a follower learns within two of these what is agreed
-    unsigned snapshotEvery = 4096;  // commands
+struct RaftOptions {
+    unsigned electionTimeoutMs = 1000;  // a leader without a majority steps down after as long
+    unsigned heartbeatIntervalMs = 50;  // a follower learns within two of these what is agreed
+    unsigned snapshotThreshold = 4096;  // commands
 };
 
 class Consensus : private net::Handler {
 public:
-    enum class Fate {
+    enum class ProposalResult {
         applied,
         refused,  // it was not proposed; nothing has happened
         unknown,  // it may be applied yet, or never
     };
-    using Done = std::function<void(Fate, const config::Outcome&)>;
-    struct Seat {
+    using Done = std::function<void(ProposalResult, const config::Outcome&)>;
+    struct ConfigurationMember {
         std::uint64_t id = 0;
         std::string address;
         const char* role = "";  // voter, standby (receives, no vote), spare (neither)
@@ -43,7 +43,7 @@
     // `bootstrap`: the members of a cluster that is new; empty: it joins one that there is. A folder that has
     // been in use goes by what it holds.
     Consensus(net::Loop& loop, const Member& self, const std::vector<Member>& bootstrap,
-              const std::string& folder, const std::string& listen, const RaftRules& rules,
+              const std::string& folder, const std::string& listen, const RaftOptions& rules,
               config::Store& store, std::function<void()> changed);
     ~Consensus() override;
     Consensus(const Consensus&) = delete;
@@ -64,7 +64,7 @@
     // Since this agent last heard of a leader, or of its majority where it leads itself, at most.
     std::int64_t ageMs();
 
-    std::vector<Seat> members();
+    std::vector<ConfigurationMember> members();
     // One at a time, by the leader. `problem`: empty where it is done.
     using Changed = std::function<void(const std::string& problem)>;
     void add(std::uint64_t id, const std::string& address, Changed changed);
@@ -90,7 +90,7 @@
     std::uint32_t ready(std::uint32_t) override { return 0; }  // turn() follows in any case
     static raft_fsm stateMachineOf(Consensus& self);
     void bootstrap(const std::vector<Member>& members);
-    void answer(std::uint64_t number, Fate fate, const config::Outcome& outcome);
+    void answer(std::uint64_t number, ProposalResult result, const config::Outcome& outcome);
     void answerOverdueProposals();
     void handOverWhileStorageFails();
     void askForBarrier();
--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -23,12 +23,12 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
-Answer answerOf(Consensus::Fate fate, const config::Outcome& outcome) {
-    using Fate = Consensus::Fate;
+Answer answerOf(Consensus::ProposalResult result, const config::Outcome& outcome) {
+    using ProposalResult = Consensus::ProposalResult;
     using Status = config::Outcome::Status;
-    if (fate == Fate::refused)
+    if (result == ProposalResult::refused)
         return jsonAnswer(503, {{"word", "refused"}, {"why", "no leader that can write its log now"}});
-    if (fate == Fate::unknown)
+    if (result == ProposalResult::unknown)
         return jsonAnswer(503, {{"word", "unknown"}, {"why", "it may be applied yet, or never"}});
     json body = {{"word", config::nameOf(outcome.status)}, {"revision", outcome.revision}};
     if (!outcome.key.empty()) body["key"] = outcome.key;
@@ -193,14 +193,15 @@
 
 void Control::propose(const net::HttpHead& head, const config::Command& command, const Reply& reply) {
     if (!consensus_.leads()) return toLeader(head.target, reply);
-    consensus_.propose(
-        config::encode(command),
-        [reply](Consensus::Fate fate, const config::Outcome& outcome) { reply(answerOf(fate, outcome)); });
+    consensus_.propose(config::encode(command),
+                       [reply](Consensus::ProposalResult result, const config::Outcome& outcome) {
+                           reply(answerOf(result, outcome));
+                       });
 }
 
 void Control::transact(const net::HttpHead& head, const std::string& body, const Reply& reply) {
     if (!consensus_.leads()) return toLeader(head.target, reply);
-    if (!consensus_.takesProposals()) return reply(answerOf(Consensus::Fate::refused, {}));
+    if (!consensus_.takesProposals()) return reply(answerOf(Consensus::ProposalResult::refused, {}));
     const json text = json::parse(body, nullptr, false);
     config::Command command;
     try {
@@ -234,12 +235,12 @@
                       const Reply& reply) {
     if (rest.empty()) {
         json list = json::array();
-        for (const auto& seat : consensus_.members())
-            list.push_back({{"id", seat.id},
-                            {"raft", seat.address},
-                            {"role", seat.role},
-                            {"control", controlOf(seat.id)},
-                            {"leads", seat.id == consensus_.leader()}});
+        for (const auto& member : consensus_.members())
+            list.push_back({{"id", member.id},
+                            {"raft", member.address},
+                            {"role", member.role},
+                            {"control", controlOf(member.id)},
+                            {"leads", member.id == consensus_.leader()}});
         return reply(jsonAnswer(200, {{"members", list}, {"age_ms", consensus_.ageMs()}}));
     }
     const std::size_t slash = rest.find('/');
@@ -268,11 +269,12 @@
     }
     command.transaction.atMs = unixMs();
     // First where it is to be found, then its seat: whoever knows of the seat knows the way.
-    consensus_.propose(config::encode(command),
-                       [this, id, raft, done, reply](Consensus::Fate fate, const config::Outcome& outcome) {
-                           if (fate != Consensus::Fate::applied) return reply(answerOf(fate, outcome));
-                           consensus_.add(id, raft, done);
-                       });
+    consensus_.propose(
+        config::encode(command),
+        [this, id, raft, done, reply](Consensus::ProposalResult result, const config::Outcome& outcome) {
+            if (result != Consensus::ProposalResult::applied) return reply(answerOf(result, outcome));
+            consensus_.add(id, raft, done);
+        });
 }
 
 // ----- instances -----
@@ -313,11 +315,13 @@
         return reply({400, std::string(problem.what()) + "\n", {}});
     }
     command.transaction.atMs = unixMs();
-    consensus_.propose(config::encode(command), [reply](Consensus::Fate fate, const config::Outcome&) {
-        reply(fate == Consensus::Fate::applied   ? Answer{200, "agreed\n", {}}
-              : fate == Consensus::Fate::refused ? Answer{503, "not agreed\n", {}}
-                                                 : Answer{503, "unknown: it may be agreed on yet\n", {}});
-    });
+    consensus_.propose(config::encode(command),
+                       [reply](Consensus::ProposalResult result, const config::Outcome&) {
+                           reply(result == Consensus::ProposalResult::applied ? Answer{200, "agreed\n", {}}
+                                 : result == Consensus::ProposalResult::refused
+                                     ? Answer{503, "not agreed\n", {}}
+                                     : Answer{503, "unknown: it may be agreed on yet\n", {}});
+                       });
 }
 
 void Control::operate(const std::string& name, const std::string& what, const net::HttpHead& head,
--- a/src/agent/settings.cpp
+++ b/src/agent/settings.cpp
@@ -52,10 +52,10 @@
         result.raftListen = words(root, "raft_listen");
         settings::readEndpoint(result.raftListen, "raft_listen");
     }
-    whole("election_ms", 100, 60'000, result.raft.electionMs);
-    whole("heartbeat_ms", 10, 10'000, result.raft.heartbeatMs);
-    whole("snapshot_every", 16, 1'000'000, result.raft.snapshotEvery);
-    if (result.raft.heartbeatMs * 3 > result.raft.electionMs)
+    whole("election_ms", 100, 60'000, result.raft.electionTimeoutMs);
+    whole("heartbeat_ms", 10, 10'000, result.raft.heartbeatIntervalMs);
+    whole("snapshot_every", 16, 1'000'000, result.raft.snapshotThreshold);
+    if (result.raft.heartbeatIntervalMs * 3 > result.raft.electionTimeoutMs)
         throw Malformed("field 'heartbeat_ms' is more than a third of election_ms");
     std::set<std::uint64_t> ids;
     for (const json& item : need(root, "agents", root.contains("agents") && root["agents"].is_array())) {
--- a/src/agent/settings.hpp
+++ b/src/agent/settings.hpp
@@ -18,7 +18,7 @@
     bool join = false;                  // the cluster is there already, and is told of this agent by the tool
     std::optional<settings::Endpoint> bus;  // where gateways read boxes and purges
     std::string raftListen;  // where it listens for the other agents, if not at its own `raft` address
-    RaftRules raft;
+    RaftOptions raft;
 
     const Member& self() const;
 };
