--- a/src/agent/consensus.cpp
+++ b/src/agent/consensus.cpp
@@ -119,7 +119,7 @@
 
 void Consensus::propose(const std::string& command, Done done) {
     // Nobody could say when it would be durable here; a leader that can write is on its way.
-    if (!takesProposals()) return done(ProposalResult::refused, {});
+    if (!acceptsProposals()) return done(ProposalResult::refused, {});
     auto proposal = std::make_unique<Proposal>();
     proposal->request.data = proposal.get();
     proposal->owner = this;
@@ -161,7 +161,7 @@
 
 // A leader that cannot write holds up nobody who can.
 void Consensus::handOverWhileStorageFails() {
-    if (!leads() || handingOver_ || storageFailingFor() < kHandOverAfter || loop_.now() < handOverAgainAt_)
+    if (!isLeader() || handingOver_ || storageFailingFor() < kHandOverAfter || loop_.now() < handOverAgainAt_)
         return;
     handOverAgainAt_ = loop_.now() + 2 * electionTimeout_;
     transfer_.data = this;
@@ -176,7 +176,7 @@
 
 void Consensus::barrier(std::function<void(bool)> done) { reads_.push_back(std::move(done)); }
 
-bool Consensus::leads() { return raft_state(&host_->core()) == RAFT_LEADER; }
+bool Consensus::isLeader() { return raft_state(&host_->core()) == RAFT_LEADER; }
 
 std::uint64_t Consensus::leader() {
     raft_id id = 0;
@@ -185,11 +185,11 @@
     return id;
 }
 
-std::uint64_t Consensus::applied() { return raft_last_applied(&host_->core()); }
+std::uint64_t Consensus::lastAppliedIndex() { return raft_last_applied(&host_->core()); }
 
 // A follower starts its election timer anew whenever it hears from its leader; a leader, each time it has
 // found its majority.
-std::int64_t Consensus::ageMs() {
+std::int64_t Consensus::leaderContactAgeMs() {
     return static_cast<std::int64_t>(host_->nowMs() - host_->core().election_timer_start);
 }
 
@@ -241,14 +241,14 @@
 
 // libuv polls level by level, this loop waits for edges: what an edge may have missed waits this long at
 // most.
-net::Micros Consensus::nextTurn() const {
+net::Micros Consensus::nextPollTime() const {
     constexpr int kMostMs = 20;
     if (!reads_.empty()) return loop_.now();
     const int wait = uv_backend_timeout(&host_->loop());
     return loop_.now() + std::chrono::milliseconds(wait < 0 ? kMostMs : std::min(wait, kMostMs));
 }
 
-void Consensus::turn() {
+void Consensus::poll() {
     if (!reads_.empty()) askForBarrier();
     uv_run(&host_->loop(), UV_RUN_NOWAIT);
     answerOverdueProposals();
--- a/src/agent/consensus.hpp
+++ b/src/agent/consensus.hpp
@@ -54,15 +54,15 @@
     // in one turn share a barrier.
     void barrier(std::function<void(bool)> done);
 
-    bool leads();
+    bool isLeader();
     // False: what is proposed now is refused, since this agent cannot write its log.
-    bool takesProposals() const { return !host_->storage().failing() && !host_->storage().full(); }
+    bool acceptsProposals() const { return !host_->storage().failing() && !host_->storage().full(); }
     std::uint64_t leader();  // 0: none is known
-    std::uint64_t applied();
+    std::uint64_t lastAppliedIndex();
     // How long writes of this agent's log have failed; zero: they don't. Nothing is proposed meanwhile.
     std::chrono::milliseconds storageFailingFor() const { return host_->storage().failingFor(); }
     // Since this agent last heard of a leader, or of its majority where it leads itself, at most.
-    std::int64_t ageMs();
+    std::int64_t leaderContactAgeMs();
 
     std::vector<ConfigurationMember> members();
     // One at a time, by the leader. `problem`: empty where it is done.
@@ -71,8 +71,8 @@
     void promote(std::uint64_t id, Changed changed);  // after it has caught up
     void remove(std::uint64_t id, Changed changed);
 
-    net::Micros nextTurn() const;
-    void turn();  // runs what libuv has to do
+    net::Micros nextPollTime() const;
+    void poll();  // runs what libuv has to do
 
     // Makes this folder's the log of a cluster of its own, for good. Nothing else may run in it. Throws.
     static void recoverAlone(const Member& self, const std::string& folder);
--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -128,13 +128,13 @@
         json body = {{"revision", store_.revision()},
                      {"current", current},
                      {"leader", consensus_.leader()},
-                     {"age_ms", current ? 0 : consensus_.ageMs()},
+                     {"age_ms", current ? 0 : consensus_.leaderContactAgeMs()},
                      {"documents", documents(target)}};
         const bool one = target.path.size() > 8;
         reply(jsonAnswer(one && body["documents"].empty() ? 404 : 200, body));
     };
     if (!target.text("stale").empty()) return answer(false);
-    if (!consensus_.leads()) return toLeader(head.target, reply);
+    if (!consensus_.isLeader()) return toLeader(head.target, reply);
     consensus_.barrier([answer, reply](bool holds) {
         if (holds) return answer(true);
         reply({503, "this agent no longer leads\n", {}});
@@ -192,7 +192,7 @@
 }
 
 void Control::propose(const net::HttpHead& head, const config::Command& command, const Reply& reply) {
-    if (!consensus_.leads()) return toLeader(head.target, reply);
+    if (!consensus_.isLeader()) return toLeader(head.target, reply);
     consensus_.propose(config::encode(command),
                        [reply](Consensus::ProposalResult result, const config::Outcome& outcome) {
                            reply(answerOf(result, outcome));
@@ -200,8 +200,8 @@
 }
 
 void Control::transact(const net::HttpHead& head, const std::string& body, const Reply& reply) {
-    if (!consensus_.leads()) return toLeader(head.target, reply);
-    if (!consensus_.takesProposals()) return reply(answerOf(Consensus::ProposalResult::refused, {}));
+    if (!consensus_.isLeader()) return toLeader(head.target, reply);
+    if (!consensus_.acceptsProposals()) return reply(answerOf(Consensus::ProposalResult::refused, {}));
     const json text = json::parse(body, nullptr, false);
     config::Command command;
     try {
@@ -241,12 +241,12 @@
                             {"role", member.role},
                             {"control", controlOf(member.id)},
                             {"leads", member.id == consensus_.leader()}});
-        return reply(jsonAnswer(200, {{"members", list}, {"age_ms", consensus_.ageMs()}}));
+        return reply(jsonAnswer(200, {{"members", list}, {"age_ms", consensus_.leaderContactAgeMs()}}));
     }
     const std::size_t slash = rest.find('/');
     const std::uint64_t id = std::strtoull(rest.c_str(), nullptr, 10);
     if (id == 0) return reply({400, "an agent's id is a number above 0\n", {}});
-    if (!consensus_.leads()) return toLeader(head.target, reply);
+    if (!consensus_.isLeader()) return toLeader(head.target, reply);
     const auto done = [reply](const std::string& problem) {
         reply(problem.empty() ? Answer{200, "done\n", {}} : Answer{409, problem + "\n", {}});
     };
@@ -284,8 +284,8 @@
     if (const std::size_t slash = rest.find('/'); slash != std::string::npos)
         return operate(rest.substr(0, slash), rest.substr(slash + 1), head, reply);
     // Before the text is read, which takes long where it is large.
-    if (!consensus_.leads()) return toLeader(head.target, reply);
-    if (!consensus_.takesProposals()) return reply({503, "not agreed\n", {}});
+    if (!consensus_.isLeader()) return toLeader(head.target, reply);
+    if (!consensus_.acceptsProposals()) return reply({503, "not agreed\n", {}});
     const std::string key = kInstances + rest;
     config::Command command;
     config::Change& change = command.transaction.changes.emplace_back();
@@ -362,11 +362,11 @@
     }
     return {{"agent", configuration_.id},
             {"leader", consensus_.leader()},
-            {"applied", consensus_.applied()},
+            {"applied", consensus_.lastAppliedIndex()},
             {"revision", store_.revision()},
             {"documents", store_.size()},
             {"last_event", store_.lastEvent()},
-            {"age_ms", consensus_.ageMs()},
+            {"age_ms", consensus_.leaderContactAgeMs()},
             {"storage_failing_ms", consensus_.storageFailingFor().count()},
             {"instances", running}};
 }
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -81,8 +81,8 @@
                      static_cast<unsigned long long>(self.id), self.control.c_str(), self.raft.c_str());
         if (feed_) std::fprintf(stderr, "agent: gateways read at port %u\n", feed_->port());
         while (phase_ != Phase::stopped) {
-            loop_.turn(consensus_.nextTurn());
-            consensus_.turn();
+            loop_.turn(consensus_.nextPollTime());
+            consensus_.poll();
             if (phase_ == Phase::stopping && supervisor_.empty()) phase_ = Phase::stopped;
         }
         return 0;
