--- a/src/agent/consensus.cpp
+++ b/src/agent/consensus.cpp
@@ -48,7 +48,7 @@
 };
 struct Consensus::MemberChange {
     raft_change request{};
-    Changed changed;
+    ChangeCallback changed;
 };
 
 Consensus::Consensus(net::Loop& loop, const Member& self, const std::vector<Member>& members,
@@ -56,7 +56,7 @@
                      config::Store& store, std::function<void()> changed)
     : loop_(loop),
       store_(store),
-      changed_(std::move(changed)),
+      onStoreChanged_(std::move(changed)),
       electionTimeout_(std::chrono::milliseconds{rules.electionTimeoutMs}),
       fsm_(stateMachineOf(*this)) {
     host_.emplace(RaftHost::Identity{self.id, self.raft, listen}, folder, fsm_);
@@ -82,7 +82,7 @@
         auto& owner = *static_cast<Consensus*>(machine->data);
         owner.outcome_ = owner.store_.apply(textOf(*buffer));
         *result = &owner.outcome_;  // taken, if at all, before the next is applied
-        owner.loop_.post(owner.changed_);
+        owner.loop_.post(owner.onStoreChanged_);
         return 0;
     };
     fsm.snapshot = [](raft_fsm* machine, raft_buffer** buffers, unsigned* count) {
@@ -100,7 +100,7 @@
             return static_cast<int>(RAFT_MALFORMED);
         }
         raft_free(buffer->base);
-        owner.loop_.post(owner.changed_);
+        owner.loop_.post(owner.onStoreChanged_);
         return 0;
     };
     return fsm;
@@ -117,7 +117,7 @@
     if (made != RAFT_CANTBOOTSTRAP) host_->check(made, "bootstrap");
 }
 
-void Consensus::propose(const std::string& command, Done done) {
+void Consensus::propose(const std::string& command, ProposalCallback done) {
     // Nobody could say when it would be durable here; a leader that can write is on its way.
     if (!acceptsProposals()) return done(ProposalResult::refused, {});
     auto proposal = std::make_unique<Proposal>();
@@ -149,13 +149,13 @@
         proposals_.begin(), proposals_.end(), number,
         [](const PendingProposal& one, std::uint64_t wanted) { return one.number < wanted; });
     if (found == proposals_.end() || found->number != number) return;  // it was overdue
-    const Done done = std::move(found->done);
+    const ProposalCallback done = std::move(found->done);
     proposals_.erase(found);
     done(result, outcome);
 }
 
 void Consensus::answerOverdueProposals() {
-    while (!proposals_.empty() && loop_.now() - proposals_.front().begunAt > kAnswerWithin)
+    while (!proposals_.empty() && loop_.now() - proposals_.front().submittedAt > kAnswerWithin)
         answer(proposals_.front().number, ProposalResult::unknown, {});
 }
 
@@ -204,7 +204,7 @@
 }
 
 void Consensus::change(int (*begin)(raft*, raft_change*, std::uint64_t, const char*), std::uint64_t id,
-                       const std::string& address, Changed changed) {
+                       const std::string& address, ChangeCallback changed) {
     auto change = std::make_unique<MemberChange>();
     change->request.data = change.get();
     change->changed = std::move(changed);
@@ -223,17 +223,17 @@
                                               : raft_strerror(result));
 }
 
-void Consensus::add(std::uint64_t id, const std::string& address, Changed changed) {
+void Consensus::add(std::uint64_t id, const std::string& address, ChangeCallback changed) {
     change([](raft* r, raft_change* request, std::uint64_t i,
               const char* at) { return raft_add(r, request, i, at, request->cb); },
            id, address, std::move(changed));
 }
-void Consensus::promote(std::uint64_t id, Changed changed) {
+void Consensus::promote(std::uint64_t id, ChangeCallback changed) {
     change([](raft* r, raft_change* request, std::uint64_t i,
               const char*) { return raft_assign(r, request, i, RAFT_VOTER, request->cb); },
            id, "", std::move(changed));
 }
-void Consensus::remove(std::uint64_t id, Changed changed) {
+void Consensus::remove(std::uint64_t id, ChangeCallback changed) {
     change([](raft* r, raft_change* request, std::uint64_t i,
               const char*) { return raft_remove(r, request, i, request->cb); },
            id, "", std::move(changed));
--- a/src/agent/consensus.hpp
+++ b/src/agent/consensus.hpp
@@ -32,7 +32,7 @@
         refused,  // it was not proposed; nothing has happened
         unknown,  // it may be applied yet, or never
     };
-    using Done = std::function<void(ProposalResult, const config::Outcome&)>;
+    using ProposalCallback = std::function<void(ProposalResult, const config::Outcome&)>;
     struct ConfigurationMember {
         std::uint64_t id = 0;
         std::string address;
@@ -49,7 +49,7 @@
     Consensus(const Consensus&) = delete;
 
     // Only the leader can.
-    void propose(const std::string& command, Done done);
+    void propose(const std::string& command, ProposalCallback done);
     // True: from here on the store holds all that had been answered for when this was called. Reads that come
     // in one turn share a barrier.
     void barrier(std::function<void(bool)> done);
@@ -66,10 +66,10 @@
 
     std::vector<ConfigurationMember> members();
     // One at a time, by the leader. `problem`: empty where it is done.
-    using Changed = std::function<void(const std::string& problem)>;
-    void add(std::uint64_t id, const std::string& address, Changed changed);
-    void promote(std::uint64_t id, Changed changed);  // after it has caught up
-    void remove(std::uint64_t id, Changed changed);
+    using ChangeCallback = std::function<void(const std::string& problem)>;
+    void add(std::uint64_t id, const std::string& address, ChangeCallback changed);
+    void promote(std::uint64_t id, ChangeCallback changed);  // after it has caught up
+    void remove(std::uint64_t id, ChangeCallback changed);
 
     net::Micros nextPollTime() const;
     void poll();  // runs what libuv has to do
@@ -81,8 +81,8 @@
     struct Proposal;
     struct PendingProposal {
         std::uint64_t number = 0;
-        net::Micros begunAt{};
-        Done done;
+        net::Micros submittedAt{};
+        ProposalCallback done;
     };
     struct Barrier;
     struct MemberChange;
@@ -95,11 +95,11 @@
     void handOverWhileStorageFails();
     void askForBarrier();
     void change(int (*begin)(raft*, raft_change*, std::uint64_t, const char*), std::uint64_t id,
-                const std::string& address, Changed changed);
+                const std::string& address, ChangeCallback changed);
 
     net::Loop& loop_;
     config::Store& store_;
-    std::function<void()> changed_;
+    std::function<void()> onStoreChanged_;
     config::Outcome outcome_;  // of the command applied last
     std::vector<std::function<void(bool)>> reads_;
     net::Micros electionTimeout_;
