--- a/src/agent/consensus.cpp
+++ b/src/agent/consensus.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr unsigned kInstallAgainMs = 5000;
-constexpr auto kAnswerWithin = 5s;      // a proposal whose end is not known by then is answered so
-constexpr auto kHandOverAfter = 200ms;  // of failing writes
+constexpr unsigned kInstallSnapshotTimeoutMs = 5000;
+constexpr auto kProposalTimeout = 5s;  // a proposal whose end is not known by then is answered so
+constexpr auto kTransferAfterWriteFailures = 200ms;  // of failing writes
 
 // libraft stores entries and snapshots in words of eight bytes; JSON may end with blanks.
 raft_buffer bufferOf(std::string text) {
@@ -31,7 +31,7 @@
     return {static_cast<const char*>(buffer.base), buffer.len};
 }
 
-const char* roleOf(int role) {
+const char* nameOfRole(int role) {
     return role == RAFT_VOTER ? "voter" : role == RAFT_STANDBY ? "standby" : "spare";
 }
 
@@ -58,7 +58,7 @@
       store_(store),
       onStoreChanged_(std::move(changed)),
       electionTimeout_(std::chrono::milliseconds{rules.electionTimeoutMs}),
-      fsm_(stateMachineOf(*this)) {
+      fsm_(makeStateMachine(*this)) {
     host_.emplace(RaftHost::Identity{self.id, self.raft, listen}, folder, fsm_);
     raft* core = &host_->core();
     if (!members.empty()) bootstrap(members);
@@ -67,14 +67,14 @@
     raft_set_heartbeat_timeout(core, rules.heartbeatIntervalMs);
     raft_set_snapshot_threshold(core, rules.snapshotThreshold);
     // After a cut the one that was under way is sent again; libraft would wait for 30 s.
-    raft_set_install_snapshot_timeout(core, kInstallAgainMs);
+    raft_set_install_snapshot_timeout(core, kInstallSnapshotTimeoutMs);
     host_->check(raft_start(core), "start");
     handler_ = loop_.add(uv_backend_fd(&host_->loop()), EPOLLIN, *this);
 }
 
 Consensus::~Consensus() { loop_.remove(handler_, uv_backend_fd(&host_->loop())); }
 
-raft_fsm Consensus::stateMachineOf(Consensus& self) {
+raft_fsm Consensus::makeStateMachine(Consensus& self) {
     raft_fsm fsm{};
     fsm.version = 1;
     fsm.data = &self;
@@ -131,20 +131,21 @@
                    [](struct raft_apply* request, int status, void* outcome) {
                        const std::unique_ptr<Proposal> ended(static_cast<Proposal*>(request->data));
                        if (status == 0)
-                           ended->owner->answer(ended->number, ProposalResult::applied,
-                                                *static_cast<const config::Outcome*>(outcome));
+                           ended->owner->completeProposal(ended->number, ProposalResult::applied,
+                                                          *static_cast<const config::Outcome*>(outcome));
                        else
-                           ended->owner->answer(ended->number, ProposalResult::unknown, {});
+                           ended->owner->completeProposal(ended->number, ProposalResult::unknown, {});
                    });
     if (result == 0) {
         static_cast<void>(proposal.release());  // the callback has it now
         return;
     }
     raft_free(buffer.base);
-    answer(proposal->number, ProposalResult::refused, {});
+    completeProposal(proposal->number, ProposalResult::refused, {});
 }
 
-void Consensus::answer(std::uint64_t number, ProposalResult result, const config::Outcome& outcome) {
+void Consensus::completeProposal(std::uint64_t number, ProposalResult result,
+                                 const config::Outcome& outcome) {
     const auto found = std::lower_bound(
         proposals_.begin(), proposals_.end(), number,
         [](const PendingProposal& one, std::uint64_t wanted) { return one.number < wanted; });
@@ -154,27 +155,29 @@
     done(result, outcome);
 }
 
-void Consensus::answerOverdueProposals() {
-    while (!proposals_.empty() && loop_.now() - proposals_.front().submittedAt > kAnswerWithin)
-        answer(proposals_.front().number, ProposalResult::unknown, {});
+void Consensus::expireOverdueProposals() {
+    while (!proposals_.empty() && loop_.now() - proposals_.front().submittedAt > kProposalTimeout)
+        completeProposal(proposals_.front().number, ProposalResult::unknown, {});
 }
 
 // A leader that cannot write holds up nobody who can.
-void Consensus::handOverWhileStorageFails() {
-    if (!isLeader() || handingOver_ || storageFailingFor() < kHandOverAfter || loop_.now() < handOverAgainAt_)
+void Consensus::transferLeadershipWhileStorageFails() {
+    if (!isLeader() || transferPending_ || storageFailingFor() < kTransferAfterWriteFailures ||
+        loop_.now() < nextTransferAt_)
         return;
-    handOverAgainAt_ = loop_.now() + 2 * electionTimeout_;
-    transfer_.data = this;
-    const int result = raft_transfer(&host_->core(), &transfer_, 0, [](struct raft_transfer* transfer) {
-        static_cast<Consensus*>(transfer->data)->handingOver_ = false;
-    });
-    handingOver_ = result == 0;
+    nextTransferAt_ = loop_.now() + 2 * electionTimeout_;
+    transferRequest_.data = this;
+    const int result =
+        raft_transfer(&host_->core(), &transferRequest_, 0, [](struct raft_transfer* transfer) {
+            static_cast<Consensus*>(transfer->data)->transferPending_ = false;
+        });
+    transferPending_ = result == 0;
     std::fprintf(stderr, "agent: raft log: not written for %lld ms, %s\n",
                  static_cast<long long>(storageFailingFor().count()),
-                 handingOver_ ? "handing the lead over" : "and no other agent can take the lead");
+                 transferPending_ ? "handing the lead over" : "and no other agent can take the lead");
 }
 
-void Consensus::barrier(std::function<void(bool)> done) { reads_.push_back(std::move(done)); }
+void Consensus::barrier(std::function<void(bool)> done) { pendingReads_.push_back(std::move(done)); }
 
 bool Consensus::isLeader() { return raft_state(&host_->core()) == RAFT_LEADER; }
 
@@ -198,7 +201,7 @@
     const raft_configuration& configuration = host_->core().configuration;
     for (unsigned i = 0; i < configuration.n; ++i) {
         const raft_server& server = configuration.servers[i];
-        members.push_back({server.id, server.address, roleOf(server.role)});
+        members.push_back({server.id, server.address, nameOfRole(server.role)});
     }
     return members;
 }
@@ -217,9 +220,9 @@
         static_cast<void>(change.release());
         return;
     }
-    const char* told = raft_errmsg(&host_->core());
+    const char* message = raft_errmsg(&host_->core());
     change->changed(result == RAFT_CANTCHANGE ? "another change of members is under way"
-                    : told && *told           ? told
+                    : message && *message     ? message
                                               : raft_strerror(result));
 }
 
@@ -242,23 +245,24 @@
 // libuv polls level by level, this loop waits for edges: what an edge may have missed waits this long at
 // most.
 net::Micros Consensus::nextPollTime() const {
-    constexpr int kMostMs = 20;
-    if (!reads_.empty()) return loop_.now();
+    constexpr int kMaxPollIntervalMs = 20;
+    if (!pendingReads_.empty()) return loop_.now();
     const int wait = uv_backend_timeout(&host_->loop());
-    return loop_.now() + std::chrono::milliseconds(wait < 0 ? kMostMs : std::min(wait, kMostMs));
+    return loop_.now() +
+           std::chrono::milliseconds(wait < 0 ? kMaxPollIntervalMs : std::min(wait, kMaxPollIntervalMs));
 }
 
 void Consensus::poll() {
-    if (!reads_.empty()) askForBarrier();
+    if (!pendingReads_.empty()) submitBarrier();
     uv_run(&host_->loop(), UV_RUN_NOWAIT);
-    answerOverdueProposals();
-    handOverWhileStorageFails();
+    expireOverdueProposals();
+    transferLeadershipWhileStorageFails();
 }
 
-void Consensus::askForBarrier() {
+void Consensus::submitBarrier() {
     auto barrier = std::make_unique<Barrier>();
     barrier->request.data = barrier.get();
-    barrier->reads = std::exchange(reads_, {});
+    barrier->reads = std::exchange(pendingReads_, {});
     const auto ended = [](struct raft_barrier* request, int status) {
         const std::unique_ptr<Barrier> held(static_cast<Barrier*>(request->data));
         for (const auto& read : held->reads) read(status == 0);
--- a/src/agent/consensus.hpp
+++ b/src/agent/consensus.hpp
@@ -88,12 +88,12 @@
     struct MemberChange;
 
     std::uint32_t ready(std::uint32_t) override { return 0; }  // turn() follows in any case
-    static raft_fsm stateMachineOf(Consensus& self);
+    static raft_fsm makeStateMachine(Consensus& self);
     void bootstrap(const std::vector<Member>& members);
-    void answer(std::uint64_t number, ProposalResult result, const config::Outcome& outcome);
-    void answerOverdueProposals();
-    void handOverWhileStorageFails();
-    void askForBarrier();
+    void completeProposal(std::uint64_t number, ProposalResult result, const config::Outcome& outcome);
+    void expireOverdueProposals();
+    void transferLeadershipWhileStorageFails();
+    void submitBarrier();
     void change(int (*begin)(raft*, raft_change*, std::uint64_t, const char*), std::uint64_t id,
                 const std::string& address, ChangeCallback changed);
 
@@ -101,13 +101,13 @@
     config::Store& store_;
     std::function<void()> onStoreChanged_;
     config::Outcome outcome_;  // of the command applied last
-    std::vector<std::function<void(bool)>> reads_;
+    std::vector<std::function<void(bool)>> pendingReads_;
     net::Micros electionTimeout_;
     std::deque<PendingProposal> proposals_;  // that are not answered for, the oldest first
     std::uint64_t lastProposal_ = 0;
-    struct raft_transfer transfer_ {};
-    bool handingOver_ = false;
-    net::Micros handOverAgainAt_{};
+    struct raft_transfer transferRequest_ {};
+    bool transferPending_ = false;
+    net::Micros nextTransferAt_{};
     raft_fsm fsm_;
     std::optional<RaftHost> host_;  // ends first: its callbacks use all above
     net::Loop::HandlerId handler_ = 0;
