--- a/src/agent/consensus.cpp
+++ b/src/agent/consensus.cpp
@@ -59,8 +59,8 @@
       onStoreChanged_(std::move(changed)),
       electionTimeout_(std::chrono::milliseconds{rules.electionTimeoutMs}),
       fsm_(makeStateMachine(*this)) {
-    host_.emplace(RaftHost::Identity{self.id, self.raft, listen}, folder, fsm_);
-    raft* core = &host_->core();
+    node_.emplace(RaftNode::Identity{self.id, self.raft, listen}, folder, fsm_);
+    raft* core = &node_->core();
     if (!members.empty()) bootstrap(members);
     raft_set_pre_vote(core, true);
     raft_set_election_timeout(core, rules.electionTimeoutMs);
@@ -68,11 +68,11 @@
     raft_set_snapshot_threshold(core, rules.snapshotThreshold);
     // After a cut the one that was under way is sent again; libraft would wait for 30 s.
     raft_set_install_snapshot_timeout(core, kInstallSnapshotTimeoutMs);
-    host_->check(raft_start(core), "start");
-    handler_ = loop_.add(uv_backend_fd(&host_->loop()), EPOLLIN, *this);
+    node_->check(raft_start(core), "start");
+    handler_ = loop_.add(uv_backend_fd(&node_->loop()), EPOLLIN, *this);
 }
 
-Consensus::~Consensus() { loop_.remove(handler_, uv_backend_fd(&host_->loop())); }
+Consensus::~Consensus() { loop_.remove(handler_, uv_backend_fd(&node_->loop())); }
 
 raft_fsm Consensus::makeStateMachine(Consensus& self) {
     raft_fsm fsm{};
@@ -112,9 +112,9 @@
     raft_configuration_init(&all);
     for (const Member& member : members)
         raft_configuration_add(&all, member.id, member.raft.c_str(), RAFT_VOTER);
-    const int made = raft_bootstrap(&host_->core(), &all);
+    const int made = raft_bootstrap(&node_->core(), &all);
     raft_configuration_close(&all);
-    if (made != RAFT_CANTBOOTSTRAP) host_->check(made, "bootstrap");
+    if (made != RAFT_CANTBOOTSTRAP) node_->check(made, "bootstrap");
 }
 
 void Consensus::propose(const std::string& command, ProposalCallback done) {
@@ -127,7 +127,7 @@
     proposals_.push_back({proposal->number, loop_.now(), std::move(done)});
     raft_buffer buffer = bufferOf(command);
     const int result =
-        raft_apply(&host_->core(), &proposal->request, &buffer, 1,
+        raft_apply(&node_->core(), &proposal->request, &buffer, 1,
                    [](struct raft_apply* request, int status, void* outcome) {
                        const std::unique_ptr<Proposal> ended(static_cast<Proposal*>(request->data));
                        if (status == 0)
@@ -168,7 +168,7 @@
     nextTransferAt_ = loop_.now() + 2 * electionTimeout_;
     transferRequest_.data = this;
     const int result =
-        raft_transfer(&host_->core(), &transferRequest_, 0, [](struct raft_transfer* transfer) {
+        raft_transfer(&node_->core(), &transferRequest_, 0, [](struct raft_transfer* transfer) {
             static_cast<Consensus*>(transfer->data)->transferPending_ = false;
         });
     transferPending_ = result == 0;
@@ -179,26 +179,26 @@
 
 void Consensus::barrier(std::function<void(bool)> done) { pendingReads_.push_back(std::move(done)); }
 
-bool Consensus::isLeader() { return raft_state(&host_->core()) == RAFT_LEADER; }
+bool Consensus::isLeader() { return raft_state(&node_->core()) == RAFT_LEADER; }
 
 std::uint64_t Consensus::leader() {
     raft_id id = 0;
     const char* address = nullptr;
-    raft_leader(&host_->core(), &id, &address);
+    raft_leader(&node_->core(), &id, &address);
     return id;
 }
 
-std::uint64_t Consensus::lastAppliedIndex() { return raft_last_applied(&host_->core()); }
+std::uint64_t Consensus::lastAppliedIndex() { return raft_last_applied(&node_->core()); }
 
 // A follower starts its election timer anew whenever it hears from its leader; a leader, each time it has
 // found its majority.
 std::int64_t Consensus::leaderContactAgeMs() {
-    return static_cast<std::int64_t>(host_->nowMs() - host_->core().election_timer_start);
+    return static_cast<std::int64_t>(node_->nowMs() - node_->core().election_timer_start);
 }
 
 std::vector<Consensus::ConfigurationMember> Consensus::members() {
     std::vector<ConfigurationMember> members;
-    const raft_configuration& configuration = host_->core().configuration;
+    const raft_configuration& configuration = node_->core().configuration;
     for (unsigned i = 0; i < configuration.n; ++i) {
         const raft_server& server = configuration.servers[i];
         members.push_back({server.id, server.address, nameOfRole(server.role)});
@@ -215,12 +215,12 @@
         const std::unique_ptr<MemberChange> ended(static_cast<MemberChange*>(request->data));
         ended->changed(status == 0 ? "" : raft_strerror(status));
     };
-    const int result = begin(&host_->core(), &change->request, id, address.c_str());
+    const int result = begin(&node_->core(), &change->request, id, address.c_str());
     if (result == 0) {
         static_cast<void>(change.release());
         return;
     }
-    const char* message = raft_errmsg(&host_->core());
+    const char* message = raft_errmsg(&node_->core());
     change->changed(result == RAFT_CANTCHANGE ? "another change of members is under way"
                     : message && *message     ? message
                                               : raft_strerror(result));
@@ -247,14 +247,14 @@
 net::Micros Consensus::nextPollTime() const {
     constexpr int kMaxPollIntervalMs = 20;
     if (!pendingReads_.empty()) return loop_.now();
-    const int wait = uv_backend_timeout(&host_->loop());
+    const int wait = uv_backend_timeout(&node_->loop());
     return loop_.now() +
            std::chrono::milliseconds(wait < 0 ? kMaxPollIntervalMs : std::min(wait, kMaxPollIntervalMs));
 }
 
 void Consensus::poll() {
     if (!pendingReads_.empty()) submitBarrier();
-    uv_run(&host_->loop(), UV_RUN_NOWAIT);
+    uv_run(&node_->loop(), UV_RUN_NOWAIT);
     expireOverdueProposals();
     transferLeadershipWhileStorageFails();
 }
@@ -267,7 +267,7 @@
         const std::unique_ptr<Barrier> held(static_cast<Barrier*>(request->data));
         for (const auto& read : held->reads) read(status == 0);
     };
-    if (raft_barrier(&host_->core(), &barrier->request, ended) == 0)
+    if (raft_barrier(&node_->core(), &barrier->request, ended) == 0)
         static_cast<void>(barrier.release());
     else
         for (const auto& read : barrier->reads) read(false);
@@ -275,7 +275,7 @@
 
 void Consensus::recoverAlone(const Member& self, const std::string& folder) {
     raft_fsm none{};
-    RaftHost host({self.id, self.raft, {}}, folder, none);
+    RaftNode host({self.id, self.raft, {}}, folder, none);
     raft_configuration alone;
     raft_configuration_init(&alone);
     raft_configuration_add(&alone, self.id, self.raft.c_str(), RAFT_VOTER);
--- a/src/agent/consensus.hpp
+++ b/src/agent/consensus.hpp
@@ -56,11 +56,11 @@
 
     bool isLeader();
     // False: what is proposed now is refused, since this agent cannot write its log.
-    bool acceptsProposals() const { return !host_->storage().failing() && !host_->storage().full(); }
+    bool acceptsProposals() const { return !node_->storage().failing() && !node_->storage().full(); }
     std::uint64_t leader();  // 0: none is known
     std::uint64_t lastAppliedIndex();
     // How long writes of this agent's log have failed; zero: they don't. Nothing is proposed meanwhile.
-    std::chrono::milliseconds storageFailingFor() const { return host_->storage().failingFor(); }
+    std::chrono::milliseconds storageFailingFor() const { return node_->storage().failingFor(); }
     // Since this agent last heard of a leader, or of its majority where it leads itself, at most.
     std::int64_t leaderContactAgeMs();
 
@@ -109,7 +109,7 @@
     bool transferPending_ = false;
     net::Micros nextTransferAt_{};
     raft_fsm fsm_;
-    std::optional<RaftHost> host_;  // ends first: its callbacks use all above
+    std::optional<RaftNode> node_;  // ends first: its callbacks use all above
     net::Loop::HandlerId handler_ = 0;
 };
 
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -29,7 +29,7 @@
     return text.str();
 }
 
-std::string madeFolder(const AgentConfiguration& configuration, const char* name) {
+std::string ensureFolder(const AgentConfiguration& configuration, const char* name) {
     ::mkdir(configuration.folder.c_str(), 0755);
     std::string path = configuration.folder + "/" + name;
     if (::mkdir(path.c_str(), 0755) != 0 && errno != EEXIST)
@@ -39,7 +39,7 @@
 
 // A folder belongs to one agent of one cluster; in another it would bring that one's log along.
 void claimFolder(const AgentConfiguration& configuration) {
-    madeFolder(configuration, "raft");
+    ensureFolder(configuration, "raft");
     const std::string path = configuration.folder + "/cluster";
     const std::string mine = configuration.cluster + " " + std::to_string(configuration.id) + "\n";
     std::ifstream file(path);
@@ -65,10 +65,10 @@
         : configuration_(std::move(configuration)),
           signals_(watchSignals()),
           signalsId_(loop_.add(signals_.get(), EPOLLIN, *this)),
-          supervisor_(loop_, configuration_.program, madeFolder(configuration_, "instances")),
+          supervisor_(loop_, configuration_.program, ensureFolder(configuration_, "instances")),
           consensus_(loop_, configuration_.self(),
                      configuration_.join ? std::vector<Member>{} : configuration_.members,
-                     madeFolder(configuration_, "raft"), configuration_.raftListen, configuration_.raft,
+                     ensureFolder(configuration_, "raft"), configuration_.raftListen, configuration_.raft,
                      store_, [this] { changed(); }),
           control_(loop_, configuration_, store_, consensus_, supervisor_) {
         if (configuration_.bus) feed_.emplace(loop_, *configuration_.bus, store_, consensus_);
--- a/src/agent/raft_node.cpp
+++ b/src/agent/raft_node.cpp
@@ -17,27 +17,28 @@
 constexpr unsigned kConnectRetryMs = 250;
 constexpr mode_t kFolderMode = 0755;
 
-std::string madeFolder(const std::string& path) {
+std::string ensureFolder(const std::string& path) {
     if (::mkdir(path.c_str(), kFolderMode) != 0 && errno != EEXIST)
         throw std::system_error(errno, std::generic_category(), "make " + path);
     return path;
 }
 
-bool mayPass(int error) {
-    constexpr int kPassing[] = {ENOSPC, EDQUOT, EIO, EROFS, ENOMEM, ENFILE, EMFILE, EAGAIN, EBUSY};
-    return std::find(std::begin(kPassing), std::end(kPassing), error) != std::end(kPassing);
+bool isTransient(int error) {
+    constexpr int kTransientErrors[] = {ENOSPC, EDQUOT, EIO, EROFS, ENOMEM, ENFILE, EMFILE, EAGAIN, EBUSY};
+    return std::find(std::begin(kTransientErrors), std::end(kTransientErrors), error) !=
+           std::end(kTransientErrors);
 }
 
 }  // namespace
 
-RaftHost::RaftHost(const Identity& self, const std::string& folder, raft_fsm& fsm) {
+RaftNode::RaftNode(const Identity& self, const std::string& folder, raft_fsm& fsm) {
     uv_loop_init(&loop_);
     try {
         readStorage(folder);
-        begin(self, madeFolder(folder + "/transport"), fsm);
+        initialize(self, ensureFolder(folder + "/transport"), fsm);
     } catch (const std::system_error& problem) {
         closeLoop();
-        if (mayPass(problem.code().value())) throw StorageUnavailable(problem.what());
+        if (isTransient(problem.code().value())) throw StorageUnavailable(problem.what());
         throw;
     } catch (...) {
         closeLoop();
@@ -45,13 +46,13 @@
     }
 }
 
-void RaftHost::readStorage(const std::string& folder) {
+void RaftNode::readStorage(const std::string& folder) {
     const std::string logFolder = folder + "/log";
     makeLogFolder(folder, logFolder);
     storage_ = std::make_unique<RaftStorage>(loop_, logFolder);
 }
 
-void RaftHost::begin(const Identity& self, const std::string& folder, raft_fsm& fsm) {
+void RaftNode::initialize(const Identity& self, const std::string& folder, raft_fsm& fsm) {
     raft_io& io = io_.guarded.io;
     check(raft_uv_tcp_init(&transport_, &loop_), "transport");
     if (!self.listen.empty())
@@ -66,16 +67,16 @@
     check(result, "init");
 }
 
-RaftHost::~RaftHost() {
+RaftNode::~RaftNode() {
     core_.data = this;
-    raft_close(&core_, [](raft* core) { static_cast<RaftHost*>(core->data)->closed_ = true; });
+    raft_close(&core_, [](raft* core) { static_cast<RaftNode*>(core->data)->closed_ = true; });
     while (!closed_) uv_run(&loop_, UV_RUN_ONCE);
     raft_uv_close(&io_.guarded.io);
     raft_uv_tcp_close(&transport_);
     closeLoop();
 }
 
-void RaftHost::closeLoop() {
+void RaftNode::closeLoop() {
     uv_walk(
         &loop_,
         [](uv_handle_t* handle, void*) {
@@ -86,7 +87,7 @@
     uv_loop_close(&loop_);
 }
 
-void RaftHost::check(int result, const char* what) {
+void RaftNode::check(int result, const char* what) {
     if (result == 0) return;
     const char* told = core_.io != nullptr ? raft_errmsg(&core_) : io_.guarded.io.errmsg;
     throw std::runtime_error(std::string("raft, ") + what + ": " + raft_strerror(result) + " " +
--- a/src/agent/raft_node.hpp
+++ b/src/agent/raft_node.hpp
@@ -20,7 +20,7 @@
     using std::runtime_error::runtime_error;
 };
 
-class RaftHost {
+class RaftNode {
 public:
     struct Identity {
         std::uint64_t id = 0;
@@ -30,11 +30,11 @@
 
     // Reads the agent's state from `folder`, or makes it there. `fsm` outlives this. Throws std::system_error
     // where the folder fails, std::runtime_error otherwise.
-    RaftHost(const Identity& self, const std::string& folder, raft_fsm& fsm);
+    RaftNode(const Identity& self, const std::string& folder, raft_fsm& fsm);
     // Ends all that is under way; its callbacks run.
-    ~RaftHost();
-    RaftHost(const RaftHost&) = delete;
-    RaftHost& operator=(const RaftHost&) = delete;
+    ~RaftNode();
+    RaftNode(const RaftNode&) = delete;
+    RaftNode& operator=(const RaftNode&) = delete;
 
     raft& core() { return core_; }
     const raft& core() const { return core_; }
@@ -48,7 +48,7 @@
 
 private:
     void readStorage(const std::string& folder);
-    void begin(const Identity& self, const std::string& folder, raft_fsm& fsm);
+    void initialize(const Identity& self, const std::string& folder, raft_fsm& fsm);
     void closeLoop();
 
     uv_loop_t loop_{};
