--- a/src/agent/append_entries_guard.hpp
+++ b/src/agent/append_entries_guard.hpp
@@ -28,7 +28,7 @@
 
 namespace lotuslead::agent {
 
-struct GuardedIo {
+struct AppendEntriesGuard {
     raft_io io{};  // first: the core hands out its address, from which the guard is found again
 
     // Once the functions of `io` are in place, before raft_init.
@@ -38,25 +38,26 @@
         io.start = [](raft_io* self, unsigned ms, raft_io_tick_cb tick, raft_io_recv_cb receive) {
             of(self).receive_ = receive;
             return of(self).start_(self, ms, tick, [](raft_io* here, raft_message* message) {
-                GuardedIo& guarded = of(here);
-                guarded.handles_ = message->type == RAFT_IO_APPEND_ENTRIES;
-                if (guarded.handles_) passOver(*static_cast<raft*>(here->data), message->append_entries);
-                if (guarded.handles_)
-                    guarded.shown_ =
+                AppendEntriesGuard& guarded = of(here);
+                guarded.handlingAppendEntries_ = message->type == RAFT_IO_APPEND_ENTRIES;
+                if (guarded.handlingAppendEntries_)
+                    skipSnapshotEntries(*static_cast<raft*>(here->data), message->append_entries);
+                if (guarded.handlingAppendEntries_)
+                    guarded.lastMatchingIndex_ =
                         message->append_entries.prev_log_index + message->append_entries.n_entries;
                 guarded.receive_(here, message);
-                guarded.handles_ = false;
+                guarded.handlingAppendEntries_ = false;
             });
         };
         io.send = [](raft_io* self, raft_io_send* request, const raft_message* message,
                      raft_io_send_cb done) {
-            const GuardedIo& guarded = of(self);
-            if (!guarded.handles_ || message->type != RAFT_IO_APPEND_ENTRIES_RESULT ||
+            const AppendEntriesGuard& guarded = of(self);
+            if (!guarded.handlingAppendEntries_ || message->type != RAFT_IO_APPEND_ENTRIES_RESULT ||
                 message->append_entries_result.rejected != 0)
                 return guarded.send_(self, request, message, done);
             raft_message bounded = *message;
             raft_index& last = bounded.append_entries_result.last_log_index;
-            last = std::min(last, guarded.shown_);
+            last = std::min(last, guarded.lastMatchingIndex_);
             return guarded.send_(self, request, &bounded, done);
         };
     }
@@ -64,12 +65,12 @@
     // ----- its own; public only so that the layout is the standard one -----
 
     // Begins the request behind the follower's snapshot.
-    static void passOver(const raft& core, raft_append_entries& request) {
+    static void skipSnapshotEntries(const raft& core, raft_append_entries& request) {
         const raft_index snapshot = core.log.snapshot.last_index;
         if (request.prev_log_index >= snapshot || request.term < core.current_term) return;
-        const auto known =
+        const auto coveredEntries =
             static_cast<unsigned>(std::min<raft_index>(snapshot - request.prev_log_index, request.n_entries));
-        dropEntries(request, known);
+        dropEntries(request, coveredEntries);
         request.prev_log_index = snapshot;
         request.prev_log_term = core.log.snapshot.last_term;
     }
@@ -77,11 +78,11 @@
     static void dropEntries(raft_append_entries& request, unsigned count) {
         if (count == 0) return;
         // Their memory goes, too, unless one that stays shares it.
-        void* stays = count < request.n_entries ? request.entries[count].batch : nullptr;
+        void* keptBatch = count < request.n_entries ? request.entries[count].batch : nullptr;
         for (unsigned i = 0; i < count; ++i) {
             void* batch = request.entries[i].batch;
             const bool shared = i + 1 < count && request.entries[i + 1].batch == batch;
-            if (batch != stays && !shared) raft_free(batch);
+            if (batch != keptBatch && !shared) raft_free(batch);
         }
         request.n_entries -= count;
         if (request.n_entries == 0) {
@@ -91,14 +92,14 @@
             std::copy(request.entries + count, request.entries + count + request.n_entries, request.entries);
         }
     }
-    static GuardedIo& of(raft_io* io) { return *reinterpret_cast<GuardedIo*>(io); }
+    static AppendEntriesGuard& fromIo(raft_io* io) { return *reinterpret_cast<AppendEntriesGuard*>(io); }
 
     decltype(raft_io::start) start_ = nullptr;
     decltype(raft_io::send) send_ = nullptr;
     raft_io_recv_cb receive_ = nullptr;
-    bool handles_ = false;  // an AppendEntries, now
-    raft_index shown_ = 0;  // the last entry that it shows to match, if it is accepted
+    bool handlingAppendEntries_ = false;  // an AppendEntries, now
+    raft_index lastMatchingIndex_ = 0;    // the last entry that it shows to match, if it is accepted
 };
-static_assert(std::is_standard_layout_v<GuardedIo>);
+static_assert(std::is_standard_layout_v<AppendEntriesGuard>);
 
 }  // namespace lotuslead::agent
--- a/src/agent/raft_storage.cpp
+++ b/src/agent/raft_storage.cpp
@@ -387,7 +387,7 @@
 void RaftStorage::receive(raft_message* message) {
     if (message->type == RAFT_IO_TIMEOUT_NOW && failing()) return;
     if (message->type == RAFT_IO_APPEND_ENTRIES && full())
-        GuardedIo::dropEntries(message->append_entries, message->append_entries.n_entries);
+        AppendEntriesGuard::dropEntries(message->append_entries, message->append_entries.n_entries);
     receive_(&io_->guarded.io, message);
 }
 
--- a/src/agent/raft_storage.hpp
+++ b/src/agent/raft_storage.hpp
@@ -33,7 +33,7 @@
 
 // The core hands out the address of `guarded.io`, from which the storage is found again.
 struct StoredIo {
-    GuardedIo guarded{};
+    AppendEntriesGuard guarded{};
     RaftStorage* storage = nullptr;
 };
 static_assert(std::is_standard_layout_v<StoredIo>);
--- a/tests/raft_simulation.hpp
+++ b/tests/raft_simulation.hpp
@@ -47,7 +47,7 @@
         std::size_t durable = 0;  // of the entries
         std::optional<Snapshot> snapshot;
     };
-    using Applied = std::function<void(bool known, const config::Outcome&)>;
+    using Applied = std::function<void(bool coveredEntries, const config::Outcome&)>;
 
     class Server {
     public:
@@ -75,7 +75,7 @@
         // What a crash ends.
         struct Run {
             Server* server = nullptr;
-            agent::GuardedIo guarded;
+            agent::AppendEntriesGuard guarded;
             raft_fsm fsm{};
             struct raft raft {};
             config::Store store{config::Bounds{.history = 64, .events = 64}};
