--- a/src/agent/append_entries_guard.hpp
+++ b/src/agent/append_entries_guard.hpp
@@ -32,13 +32,13 @@
     raft_io io{};  // first: the core hands out its address, from which the guard is found again
 
     // Once the functions of `io` are in place, before raft_init.
-    void guard() {
+    void install() {
         start_ = io.start;
         send_ = io.send;
         io.start = [](raft_io* self, unsigned ms, raft_io_tick_cb tick, raft_io_recv_cb receive) {
-            of(self).receive_ = receive;
-            return of(self).start_(self, ms, tick, [](raft_io* here, raft_message* message) {
-                AppendEntriesGuard& guarded = of(here);
+            fromIo(self).receive_ = receive;
+            return fromIo(self).start_(self, ms, tick, [](raft_io* here, raft_message* message) {
+                AppendEntriesGuard& guarded = fromIo(here);
                 guarded.handlingAppendEntries_ = message->type == RAFT_IO_APPEND_ENTRIES;
                 if (guarded.handlingAppendEntries_)
                     skipSnapshotEntries(*static_cast<raft*>(here->data), message->append_entries);
@@ -51,7 +51,7 @@
         };
         io.send = [](raft_io* self, raft_io_send* request, const raft_message* message,
                      raft_io_send_cb done) {
-            const AppendEntriesGuard& guarded = of(self);
+            const AppendEntriesGuard& guarded = fromIo(self);
             if (!guarded.handlingAppendEntries_ || message->type != RAFT_IO_APPEND_ENTRIES_RESULT ||
                 message->append_entries_result.rejected != 0)
                 return guarded.send_(self, request, message, done);
--- a/src/agent/raft_node.cpp
+++ b/src/agent/raft_node.cpp
@@ -60,7 +60,7 @@
     check(raft_uv_init(&io, &loop_, folder.c_str(), &transport_), "transport");
     raft_uv_set_connect_retry_delay(&io, kConnectRetryMs);
     storage_->attach(io_);
-    io_.guarded.guard();
+    io_.guarded.install();
     // libraft's transport tries its folder out by writing to it.
     const int result = raft_init(&core_, &io, &fsm, self.id, self.address.c_str());
     if (result == RAFT_IOERR || result == RAFT_NOSPACE) throw StorageUnavailable(io.errmsg);
--- a/tests/raft_simulation.cpp
+++ b/tests/raft_simulation.cpp
@@ -65,7 +65,7 @@
     run_ = std::make_unique<Run>();
     run_->server = this;
     fill(run_->guarded.io);
-    run_->guarded.guard();
+    run_->guarded.install();
     run_->fsm.version = 1;
     run_->fsm.data = run_.get();
     run_->fsm.apply = [](raft_fsm* fsm, const raft_buffer* buffer, void** result) {
