--- a/src/agent/raft_import.cpp
+++ b/src/agent/raft_import.cpp
@@ -90,7 +90,7 @@
     raft_entry* entries = nullptr;
     std::size_t count = 0;
     check(io.load(&io, &term, &vote, &snapshot, &firstIndex, &entries, &count), "storage", io);
-    content.ballot = {term, vote};
+    content.termAndVote = {term, vote};
     if (snapshot != nullptr) content.snapshot = takeSnapshot(snapshot);
     content.firstIndex = firstIndex;
     content.entries = takeEntries(entries, count);
@@ -113,7 +113,7 @@
     entries.reserve(content.entries.size());
     for (const LogEntry& entry : content.entries) entries.push_back({entry.term, entry.type, entry.data});
     if (!entries.empty()) log.append(content.firstIndex, entries);
-    log.writeBallot(content.ballot);
+    log.writeTermAndVote(content.termAndVote);
 }
 
 void removeLibraftFiles(const fs::path& folder) {
--- a/src/agent/raft_log.cpp
+++ b/src/agent/raft_log.cpp
@@ -23,9 +23,9 @@
 
 constexpr std::uint64_t kSegmentMagic = 0x31474553464c4c4cULL;
 constexpr std::uint64_t kSnapshotMagic = 0x31504e53464c4c4cULL;
-constexpr std::uint64_t kBallotMagic = 0x3154424c464c4c4cULL;
+constexpr std::uint64_t kTermAndVoteMagic = 0x3154424c464c4c4cULL;
 constexpr std::uint64_t kSegmentBytes = 8 * 1024 * 1024;  // a segment that has as many is followed by another
-constexpr std::uint64_t kBallotSlotBytes = 4096;          // no block of a disk holds both slots
+constexpr std::uint64_t kTermAndVoteSlotBytes = 4096;     // no block of a disk holds both slots
 constexpr std::uint32_t kMostEntryBytes = 1U << 30;
 constexpr mode_t kFileMode = 0640;
 constexpr mode_t kFolderMode = 0755;
@@ -45,8 +45,8 @@
     std::uint32_t bytes = 0;
 };
 
-struct BallotSlot {
-    std::uint64_t magic = kBallotMagic;
+struct TermAndVoteSlot {
+    std::uint64_t magic = kTermAndVoteMagic;
     std::uint64_t version = 0;
     std::uint64_t term = 0;
     std::uint64_t vote = 0;
@@ -157,8 +157,8 @@
     return checksumOf(&header, offsetof(SegmentHeader, checksum));
 }
 
-std::uint64_t slotChecksum(const BallotSlot& slot) {
-    return checksumOf(&slot, offsetof(BallotSlot, checksum));
+std::uint64_t slotChecksum(const TermAndVoteSlot& slot) {
+    return checksumOf(&slot, offsetof(TermAndVoteSlot, checksum));
 }
 
 void putRecord(std::string& out, std::uint64_t index, const LogEntryView& entry) {
@@ -233,11 +233,11 @@
     return snapshot;
 }
 
-std::optional<BallotSlot> slotOf(std::string_view bytes) {
-    BallotSlot slot;
+std::optional<TermAndVoteSlot> slotOf(std::string_view bytes) {
+    TermAndVoteSlot slot;
     if (bytes.size() < sizeof slot) return {};
     std::memcpy(&slot, bytes.data(), sizeof slot);
-    if (slot.magic != kBallotMagic || slot.checksum != slotChecksum(slot)) return {};
+    if (slot.magic != kTermAndVoteMagic || slot.checksum != slotChecksum(slot)) return {};
     return slot;
 }
 
@@ -255,50 +255,51 @@
 
 RaftLog::~RaftLog() {
     closeSegment();
-    if (ballotFile_ >= 0) ::close(ballotFile_);
+    if (termAndVoteFile_ >= 0) ::close(termAndVoteFile_);
 }
 
 RaftLog::Content RaftLog::open() {
     Content content;
-    content.ballot = readBallot();
+    content.termAndVote = readTermAndVote();
     content.snapshot = readSnapshot(folder_);
     for (const std::uint64_t sequence : sequencesFound()) readSegment(sequence, content);
     reconcile(content);
     // Entries are written before the ballot only when a cluster is made.
     if (!content.entries.empty())
-        content.ballot.term = std::max(content.ballot.term, content.entries.back().term);
+        content.termAndVote.term = std::max(content.termAndVote.term, content.entries.back().term);
     return content;
 }
 
-Ballot RaftLog::readBallot() {
+TermAndVote RaftLog::readTermAndVote() {
     const std::string path = folder_ + "/ballot";
-    ballotFile_ = openFile(path, O_RDWR | O_CREAT);
-    check(ballotFile_, "open " + path);
+    termAndVoteFile_ = openFile(path, O_RDWR | O_CREAT);
+    check(termAndVoteFile_, "open " + path);
     const std::string bytes = readFile(path).value_or("");
     const std::string_view all = bytes;
-    const std::string_view first = all.substr(0, kBallotSlotBytes);
-    const std::string_view second = all.size() > kBallotSlotBytes ? all.substr(kBallotSlotBytes) : "";
+    const std::string_view first = all.substr(0, kTermAndVoteSlotBytes);
+    const std::string_view second =
+        all.size() > kTermAndVoteSlotBytes ? all.substr(kTermAndVoteSlotBytes) : "";
     const auto one = slotOf(first), other = slotOf(second);
     if (!one && !other) {
         // The very first write may have been torn; of two slots one has always been written whole.
         if (!allZero(first) && !allZero(second)) throw std::runtime_error("the ballot is damaged");
         return {};
     }
-    const BallotSlot& latest = !other || (one && one->version > other->version) ? *one : *other;
-    ballotVersion_ = latest.version;
+    const TermAndVoteSlot& latest = !other || (one && one->version > other->version) ? *one : *other;
+    termAndVoteVersion_ = latest.version;
     return {latest.term, latest.vote};
 }
 
-void RaftLog::writeBallot(const Ballot& ballot) {
-    BallotSlot slot{kBallotMagic, ballotVersion_ + 1, ballot.term, ballot.vote, 0};
+void RaftLog::writeTermAndVote(const TermAndVote& termAndVote) {
+    TermAndVoteSlot slot{kTermAndVoteMagic, termAndVoteVersion_ + 1, termAndVote.term, termAndVote.vote, 0};
     slot.checksum = slotChecksum(slot);
     std::string bytes;
     put(bytes, slot);
     const std::string path = folder_ + "/ballot";
-    writeAll(ballotFile_, bytes, slot.version % 2 * kBallotSlotBytes, path);
-    sync(ballotFile_, path);
-    if (ballotVersion_ == 0) syncFolder(folder_);
-    ballotVersion_ = slot.version;
+    writeAll(termAndVoteFile_, bytes, slot.version % 2 * kTermAndVoteSlotBytes, path);
+    sync(termAndVoteFile_, path);
+    if (termAndVoteVersion_ == 0) syncFolder(folder_);
+    termAndVoteVersion_ = slot.version;
 }
 
 std::string RaftLog::pathOf(const Segment& segment) const {
--- a/src/agent/raft_log.hpp
+++ b/src/agent/raft_log.hpp
@@ -24,7 +24,7 @@
 
 namespace lotuslead::agent {
 
-struct Ballot {
+struct TermAndVote {
     std::uint64_t term = 0;
     std::uint64_t vote = 0;  // zero: none in this term
 };
@@ -59,7 +59,7 @@
 class RaftLog {
 public:
     struct Content {
-        Ballot ballot;
+        TermAndVote termAndVote;
         std::optional<LogSnapshot> snapshot;
         std::uint64_t firstIndex = 1;  // of the entries
         std::vector<LogEntry> entries;
@@ -77,7 +77,7 @@
     // Once, first. Removes what a crash has left half done.
     Content open();
     // May run beside the calls below.
-    void writeBallot(const Ballot& ballot);
+    void writeTermAndVote(const TermAndVote& termAndVote);
     // Entries from `firstIndex` on, in place of those that are there from that index on.
     void append(std::uint64_t firstIndex, std::span<const LogEntryView> entries);
     // Entries before `keepFrom` may go afterwards.
@@ -100,7 +100,7 @@
     std::vector<std::uint64_t> sequencesFound() const;
     void readSegment(std::uint64_t sequence, Content& content);
     void reconcile(Content& content);
-    Ballot readBallot();
+    TermAndVote readTermAndVote();
     void beginSegment(std::uint64_t firstIndex);
     void storeSnapshotFile(const LogSnapshot& snapshot);
     void removeSegmentsBefore(std::uint64_t keepFrom);
@@ -108,8 +108,8 @@
     void closeSegment();
 
     std::string folder_;
-    int ballotFile_ = -1;
-    std::uint64_t ballotVersion_ = 0;
+    int termAndVoteFile_ = -1;
+    std::uint64_t termAndVoteVersion_ = 0;
     std::deque<Segment> segments_;  // by sequence; the last may be the open one
     std::uint64_t nextSequence_ = 1;
     int segmentFile_ = -1;          // of the open segment; -1: the next entries begin another one
--- a/src/agent/raft_storage.cpp
+++ b/src/agent/raft_storage.cpp
@@ -77,7 +77,7 @@
 };
 
 RaftStorage::RaftStorage(uv_loop_t& loop, const std::string& folder)
-    : loop_(loop), folder_(folder), log_(folder), content_(log_.open()), ballot_(content_.ballot) {
+    : loop_(loop), folder_(folder), log_(folder), content_(log_.open()), termAndVote_(content_.termAndVote) {
     nextIndex_ = content_.firstIndex + content_.entries.size();
     uv_timer_init(&loop_, &retryTimer_);
     uv_timer_init(&loop_, &withheldTimer_);
@@ -100,8 +100,10 @@
     io.recover = [](raft_io* self, const raft_configuration* configuration) {
         return of(self).recover(*configuration);
     };
-    io.set_term = [](raft_io* self, raft_term term) { return of(self).setBallot({term, 0}); };
-    io.set_vote = [](raft_io* self, raft_id id) { return of(self).setBallot({of(self).ballot_.term, id}); };
+    io.set_term = [](raft_io* self, raft_term term) { return of(self).setTermAndVote({term, 0}); };
+    io.set_vote = [](raft_io* self, raft_id id) {
+        return of(self).setTermAndVote({of(self).termAndVote_.term, id});
+    };
     io.append = [](raft_io* self, raft_io_append* request, const raft_entry* entries, unsigned count,
                    raft_io_append_cb done) { return of(self).append(request, entries, count, done); };
     io.truncate = [](raft_io* self, raft_index index) {
@@ -135,8 +137,8 @@
 int RaftStorage::load(raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* firstIndex,
                       raft_entry** entries, std::size_t* count) {
     const RaftLog::Content content = std::exchange(content_, {});
-    *term = ballot_.term;
-    *vote = ballot_.vote;
+    *term = termAndVote_.term;
+    *vote = termAndVote_.vote;
     *snapshot = content.snapshot ? forCore(*content.snapshot) : nullptr;
     *firstIndex = content.firstIndex;
     *count = content.entries.size();
@@ -166,32 +168,32 @@
 }
 
 int RaftStorage::bootstrap(const raft_configuration& configuration) {
-    if (content_.snapshot || !content_.entries.empty() || ballot_.term > 0) return RAFT_CANTBOOTSTRAP;
+    if (content_.snapshot || !content_.entries.empty() || termAndVote_.term > 0) return RAFT_CANTBOOTSTRAP;
     if (const int result = appendConfiguration(configuration, kBootstrapTerm); result != 0) return result;
-    return setBallot({kBootstrapTerm, 0});
+    return setTermAndVote({kBootstrapTerm, 0});
 }
 
 int RaftStorage::recover(const raft_configuration& configuration) {
-    return appendConfiguration(configuration, std::max(ballot_.term, kBootstrapTerm));
+    return appendConfiguration(configuration, std::max(termAndVote_.term, kBootstrapTerm));
 }
 
 // ----- term and vote -----
 
-int RaftStorage::setBallot(const Ballot& ballot) {
-    ballot_ = ballot;
-    ballotPending_ = true;
-    if (!writeBallot()) retryLater();
+int RaftStorage::setTermAndVote(const TermAndVote& termAndVote) {
+    termAndVote_ = termAndVote;
+    termAndVotePending_ = true;
+    if (!writeTermAndVote()) retryLater();
     return 0;
 }
 
-bool RaftStorage::writeBallot() {
+bool RaftStorage::writeTermAndVote() {
     try {
-        log_.writeBallot(ballot_);
+        log_.writeTermAndVote(termAndVote_);
     } catch (const std::exception& problem) {
         noteFailure(problem.what());
         return false;
     }
-    ballotPending_ = false;
+    termAndVotePending_ = false;
     if (waiting_.empty() && inHand_.empty()) noteSuccess();
     return true;
 }
@@ -281,7 +283,8 @@
     if (writing_ || closing_) return;
     if (inHand_.empty()) takeInHand();
     if (inHand_.empty()) return;
-    if (ballotPending_ && !writeBallot()) return retryLater();  // no entry outlives the term it was taken in
+    if (termAndVotePending_ && !writeTermAndVote())
+        return retryLater();  // no entry outlives the term it was taken in
     writeProblem_.clear();
     const int result = uv_queue_work(
         &loop_, &work_, [](uv_work_t* work) { static_cast<RaftStorage*>(work->data)->writeInHand(); },
@@ -337,7 +340,7 @@
         &retryTimer_,
         [](uv_timer_t* timer) {
             auto& self = *static_cast<RaftStorage*>(timer->data);
-            if (self.ballotPending_ && !self.writeBallot()) return self.retryLater();
+            if (self.termAndVotePending_ && !self.writeTermAndVote()) return self.retryLater();
             self.startWriting();
         },
         kRetryMs, 0);
@@ -367,7 +370,7 @@
     const bool asksForVotes = message->type == RAFT_IO_REQUEST_VOTE;
     // The answer to a leader that has been given up while its entries were being written.
     const bool toNobody = message->server_address == nullptr;
-    const bool withheld = toNobody || ballotPending_ || (asksForVotes && failing());
+    const bool withheld = toNobody || termAndVotePending_ || (asksForVotes && failing());
     if (!withheld) return transportSend_(&io_->guarded.io, request, message, done);
     withheldSends_.push_back({request, done});  // to the core like a message that was lost
     if (closing_) return 0;                     // then its end comes with all others
--- a/src/agent/raft_storage.hpp
+++ b/src/agent/raft_storage.hpp
@@ -55,7 +55,7 @@
 
     // Since the first of the writes that have failed without a success since; zero: writes do not fail.
     std::chrono::milliseconds failingFor() const;
-    bool failing() const { return failingSince_ != 0 || ballotPending_; }
+    bool failing() const { return failingSince_ != 0 || termAndVotePending_; }
     // More waits to be written than may.
     bool full() const { return unwrittenBytes_ > kMostUnwrittenBytes; }
     const Counters& counters() const { return counters_; }
@@ -99,9 +99,9 @@
     void receive(raft_message* message);
     void close(raft_io_close_cb done);
 
-    int setBallot(const Ballot& ballot);
+    int setTermAndVote(const TermAndVote& termAndVote);
     int appendConfiguration(const raft_configuration& configuration, std::uint64_t term);
-    bool writeBallot();
+    bool writeTermAndVote();
     void takeInHand();
     void startWriting();
     void writeInHand();    // on the pool's thread
@@ -118,8 +118,8 @@
     RaftLog log_;
     RaftLog::Content content_;  // as read, until the core has loaded it
     StoredIo* io_ = nullptr;
-    Ballot ballot_;
-    bool ballotPending_ = false;  // it is not durable yet
+    TermAndVote termAndVote_;
+    bool termAndVotePending_ = false;  // it is not durable yet
     std::uint64_t nextIndex_ = 1;
     std::deque<Job> waiting_;
     std::vector<Job> inHand_;  // taken from `waiting_`; read by the pool's thread while `writing_`
--- a/tests/raft_import_test.cpp
+++ b/tests/raft_import_test.cpp
@@ -93,8 +93,8 @@
     }
     for (int start = 0; start < 2; ++start) {
         const auto content = imported(folder);
-        EXPECT_EQ(content.ballot.term, 7U);
-        EXPECT_EQ(content.ballot.vote, 1U);
+        EXPECT_EQ(content.termAndVote.term, 7U);
+        EXPECT_EQ(content.termAndVote.vote, 1U);
         EXPECT_EQ(content.firstIndex, 1U);
         ASSERT_EQ(content.entries.size(), 1U);
         EXPECT_EQ(content.entries[0].type, RAFT_CHANGE);
@@ -112,15 +112,15 @@
     {
         RaftLog unfinished(folder.log() + ".new");
         unfinished.open();
-        unfinished.writeBallot({99, 2});
+        unfinished.writeTermAndVote({99, 2});
     }
-    EXPECT_EQ(imported(folder).ballot.term, 3U);
+    EXPECT_EQ(imported(folder).termAndVote.term, 3U);
 }
 
 TEST(RaftImport, AFolderThatIsNewBeginsEmpty) {
     TemporaryFolder folder;
     const auto content = imported(folder);
-    EXPECT_EQ(content.ballot.term, 0U);
+    EXPECT_EQ(content.termAndVote.term, 0U);
     EXPECT_TRUE(content.entries.empty());
 }
 
--- a/tests/raft_log_test.cpp
+++ b/tests/raft_log_test.cpp
@@ -73,7 +73,7 @@
 TEST(RaftLog, BeginsEmpty) {
     TemporaryFolder folder;
     const auto content = reopened(folder);
-    EXPECT_EQ(content.ballot.term, 0U);
+    EXPECT_EQ(content.termAndVote.term, 0U);
     EXPECT_EQ(content.firstIndex, 1U);
     EXPECT_TRUE(content.entries.empty());
     EXPECT_FALSE(content.snapshot);
@@ -86,20 +86,20 @@
         log.open();
         append(log, 1, {"a", ""});
         append(log, 3, {"c"}, 2);
-        log.writeBallot({2, 3});
+        log.writeTermAndVote({2, 3});
     }
     {
         RaftLog log(folder.path());
         log.open();
         append(log, 4, {"d"}, 5);
-        log.writeBallot({5, 0});
+        log.writeTermAndVote({5, 0});
     }
     const auto content = reopened(folder);
     EXPECT_EQ(dataOf(content), (Strings{"a", "", "c", "d"}));
     EXPECT_EQ(content.entries[2].term, 2U);
     EXPECT_EQ(content.entries[3].type, kCommand);
-    EXPECT_EQ(content.ballot.term, 5U);
-    EXPECT_EQ(content.ballot.vote, 0U);
+    EXPECT_EQ(content.termAndVote.term, 5U);
+    EXPECT_EQ(content.termAndVote.vote, 0U);
 }
 
 TEST(RaftLog, ReplacesATruncatedEnd) {
@@ -243,14 +243,14 @@
     {
         RaftLog log(folder.path());
         log.open();
-        log.writeBallot({3, 1});
-        log.writeBallot({4, 2});
+        log.writeTermAndVote({3, 1});
+        log.writeTermAndVote({4, 2});
     }
     flipByte(folder.path() + "/ballot", 20);  // the second one
     {
         const auto content = reopened(folder);
-        EXPECT_EQ(content.ballot.term, 3U);
-        EXPECT_EQ(content.ballot.vote, 1U);
+        EXPECT_EQ(content.termAndVote.term, 3U);
+        EXPECT_EQ(content.termAndVote.vote, 1U);
     }
     flipByte(folder.path() + "/ballot", 4096 + 20);
     RaftLog log(folder.path());
