--- a/src/agent/raft_log.cpp
+++ b/src/agent/raft_log.cpp
@@ -24,9 +24,10 @@
 constexpr std::uint64_t kSegmentMagic = 0x31474553464c4c4cULL;
 constexpr std::uint64_t kSnapshotMagic = 0x31504e53464c4c4cULL;
 constexpr std::uint64_t kTermAndVoteMagic = 0x3154424c464c4c4cULL;
-constexpr std::uint64_t kSegmentBytes = 8 * 1024 * 1024;  // a segment that has as many is followed by another
-constexpr std::uint64_t kTermAndVoteSlotBytes = 4096;     // no block of a disk holds both slots
-constexpr std::uint32_t kMostEntryBytes = 1U << 30;
+constexpr std::uint64_t kSegmentRolloverBytes =
+    8 * 1024 * 1024;                                   // a segment that has as many is followed by another
+constexpr std::uint64_t kTermAndVoteSlotBytes = 4096;  // no block of a disk holds both slots
+constexpr std::uint32_t kMaxEntryBytes = 1U << 30;
 constexpr mode_t kFileMode = 0640;
 constexpr mode_t kFolderMode = 0755;
 constexpr const char* kSegmentPrefix = "entries-";
@@ -128,7 +129,7 @@
 }
 
 template <class Value>
-void put(std::string& out, const Value& value) {
+void appendValue(std::string& out, const Value& value) {
     out.append(reinterpret_cast<const char*>(&value), sizeof value);
 }
 
@@ -161,9 +162,10 @@
     return checksumOf(&slot, offsetof(TermAndVoteSlot, checksum));
 }
 
-void putRecord(std::string& out, std::uint64_t index, const LogEntryView& entry) {
+void appendRecord(std::string& out, std::uint64_t index, const LogEntryView& entry) {
     const std::size_t begin = out.size();
-    put(out, RecordHeader{0, index, entry.term, entry.type, static_cast<std::uint32_t>(entry.data.size())});
+    appendValue(
+        out, RecordHeader{0, index, entry.term, entry.type, static_cast<std::uint32_t>(entry.data.size())});
     out += entry.data;
     const std::size_t summed = begin + sizeof(RecordHeader::checksum);
     const std::uint64_t checksum = checksumOf(out.data() + summed, out.size() - summed);
@@ -175,7 +177,7 @@
     RecordHeader header;
     if (bytes.size() < sizeof header) return {};
     std::memcpy(&header, bytes.data(), sizeof header);
-    if (header.index != index || header.bytes > kMostEntryBytes) return {};
+    if (header.index != index || header.bytes > kMaxEntryBytes) return {};
     const std::size_t whole = sizeof header + header.bytes;
     if (bytes.size() < whole) return {};
     const std::size_t summed = sizeof header.checksum;
@@ -188,20 +190,20 @@
 
 std::string encode(const LogSnapshot& snapshot) {
     std::string out;
-    put(out, kSnapshotMagic);
-    put(out, snapshot.index);
-    put(out, snapshot.term);
-    put(out, snapshot.configurationIndex);
-    put(out, static_cast<std::uint64_t>(snapshot.members.size()));
+    appendValue(out, kSnapshotMagic);
+    appendValue(out, snapshot.index);
+    appendValue(out, snapshot.term);
+    appendValue(out, snapshot.configurationIndex);
+    appendValue(out, static_cast<std::uint64_t>(snapshot.members.size()));
     for (const SnapshotMember& member : snapshot.members) {
-        put(out, member.id);
-        put(out, static_cast<std::int64_t>(member.role));
-        put(out, static_cast<std::uint64_t>(member.address.size()));
+        appendValue(out, member.id);
+        appendValue(out, static_cast<std::int64_t>(member.role));
+        appendValue(out, static_cast<std::uint64_t>(member.address.size()));
         out += member.address;
     }
-    put(out, static_cast<std::uint64_t>(snapshot.data.size()));
+    appendValue(out, static_cast<std::uint64_t>(snapshot.data.size()));
     out += snapshot.data;
-    put(out, checksumOf(out.data(), out.size()));
+    appendValue(out, checksumOf(out.data(), out.size()));
     return out;
 }
 
@@ -233,7 +235,7 @@
     return snapshot;
 }
 
-std::optional<TermAndVoteSlot> slotOf(std::string_view bytes) {
+std::optional<TermAndVoteSlot> decodeSlot(std::string_view bytes) {
     TermAndVoteSlot slot;
     if (bytes.size() < sizeof slot) return {};
     std::memcpy(&slot, bytes.data(), sizeof slot);
@@ -241,7 +243,7 @@
     return slot;
 }
 
-bool allZero(std::string_view bytes) {
+bool isAllZero(std::string_view bytes) {
     return std::all_of(bytes.begin(), bytes.end(), [](char c) { return c == '\0'; });
 }
 
@@ -262,8 +264,8 @@
     Content content;
     content.termAndVote = readTermAndVote();
     content.snapshot = readSnapshot(folder_);
-    for (const std::uint64_t sequence : sequencesFound()) readSegment(sequence, content);
-    reconcile(content);
+    for (const std::uint64_t sequence : listSequences()) readSegment(sequence, content);
+    reconcileWithSnapshot(content);
     // Entries are written before the ballot only when a cluster is made.
     if (!content.entries.empty())
         content.termAndVote.term = std::max(content.termAndVote.term, content.entries.back().term);
@@ -279,10 +281,10 @@
     const std::string_view first = all.substr(0, kTermAndVoteSlotBytes);
     const std::string_view second =
         all.size() > kTermAndVoteSlotBytes ? all.substr(kTermAndVoteSlotBytes) : "";
-    const auto one = slotOf(first), other = slotOf(second);
+    const auto one = decodeSlot(first), other = decodeSlot(second);
     if (!one && !other) {
         // The very first write may have been torn; of two slots one has always been written whole.
-        if (!allZero(first) && !allZero(second)) throw std::runtime_error("the ballot is damaged");
+        if (!isAllZero(first) && !isAllZero(second)) throw std::runtime_error("the ballot is damaged");
         return {};
     }
     const TermAndVoteSlot& latest = !other || (one && one->version > other->version) ? *one : *other;
@@ -294,7 +296,7 @@
     TermAndVoteSlot slot{kTermAndVoteMagic, termAndVoteVersion_ + 1, termAndVote.term, termAndVote.vote, 0};
     slot.checksum = slotChecksum(slot);
     std::string bytes;
-    put(bytes, slot);
+    appendValue(bytes, slot);
     const std::string path = folder_ + "/ballot";
     writeAll(termAndVoteFile_, bytes, slot.version % 2 * kTermAndVoteSlotBytes, path);
     sync(termAndVoteFile_, path);
@@ -308,7 +310,7 @@
     return folder_ + "/" + name;
 }
 
-std::vector<std::uint64_t> RaftLog::sequencesFound() const {
+std::vector<std::uint64_t> RaftLog::listSequences() const {
     std::vector<std::uint64_t> found;
     const std::unique_ptr<DIR, int (*)(DIR*)> listing(::opendir(folder_.c_str()), &::closedir);
     if (!listing) fail(errno, "list " + folder_);
@@ -327,11 +329,12 @@
     const std::string path = pathOf(segment);
     const std::string bytes = readFile(path).value_or("");
     SegmentHeader header;
-    const bool headed = bytes.size() >= sizeof header &&
-                        (std::memcpy(&header, bytes.data(), sizeof header), header.magic == kSegmentMagic) &&
-                        header.checksum == headerChecksum(header);
+    const bool hasValidHeader =
+        bytes.size() >= sizeof header &&
+        (std::memcpy(&header, bytes.data(), sizeof header), header.magic == kSegmentMagic) &&
+        header.checksum == headerChecksum(header);
     // Without a header none of its entries was acknowledged; a gap that it leaves is found below.
-    if (!headed) return removeFile(path);
+    if (!hasValidHeader) return removeFile(path);
     if (content.entries.empty()) content.firstIndex = header.firstIndex;
     const std::uint64_t next = content.firstIndex + content.entries.size();
     if (header.firstIndex > next || header.firstIndex < content.firstIndex)
@@ -348,7 +351,7 @@
 }
 
 // Entries count only where they continue the snapshot.
-void RaftLog::reconcile(Content& content) {
+void RaftLog::reconcileWithSnapshot(Content& content) {
     if (!content.snapshot) {
         if (content.firstIndex != 1) throw std::runtime_error("entries are there, but their snapshot is not");
         return;
@@ -368,41 +371,41 @@
     content.firstIndex = snapshot.index + 1;
 }
 
-void RaftLog::beginSegment(std::uint64_t firstIndex) {
+void RaftLog::openNewSegment(std::uint64_t firstIndex) {
     const Segment segment{nextSequence_, firstIndex, firstIndex - 1};
     const std::string path = pathOf(segment);
     const int fd = openFile(path, O_RDWR | O_CREAT | O_TRUNC);
     check(fd, "open " + path);
     closeSegment();
-    segmentFile_ = fd;
-    segmentEnd_ = 0;
-    segmentListed_ = false;
+    openSegmentFile_ = fd;
+    openSegmentBytes_ = 0;
+    segmentFolderSynced_ = false;
     segments_.push_back(segment);
     ++nextSequence_;
 }
 
 void RaftLog::append(std::uint64_t firstIndex, std::span<const LogEntryView> entries) {
-    const bool continues = segmentFile_ >= 0 && segments_.back().last + 1 == firstIndex;
-    if (!continues || segmentEnd_ >= kSegmentBytes) beginSegment(firstIndex);
+    const bool continues = openSegmentFile_ >= 0 && segments_.back().last + 1 == firstIndex;
+    if (!continues || openSegmentBytes_ >= kSegmentRolloverBytes) openNewSegment(firstIndex);
     std::string bytes;
-    if (segmentEnd_ == 0) {
+    if (openSegmentBytes_ == 0) {
         SegmentHeader header;
         header.firstIndex = firstIndex;
         header.checksum = headerChecksum(header);
-        put(bytes, header);
+        appendValue(bytes, header);
     }
     std::uint64_t index = firstIndex;
-    for (const LogEntryView& entry : entries) putRecord(bytes, index++, entry);
+    for (const LogEntryView& entry : entries) appendRecord(bytes, index++, entry);
     const std::string path = pathOf(segments_.back());
-    writeAll(segmentFile_, bytes, segmentEnd_, path);
-    sync(segmentFile_, path);
-    if (!segmentListed_) syncFolder(folder_);
-    segmentListed_ = true;
-    segmentEnd_ += bytes.size();
+    writeAll(openSegmentFile_, bytes, openSegmentBytes_, path);
+    sync(openSegmentFile_, path);
+    if (!segmentFolderSynced_) syncFolder(folder_);
+    segmentFolderSynced_ = true;
+    openSegmentBytes_ += bytes.size();
     segments_.back().last = index - 1;
 }
 
-void RaftLog::storeSnapshotFile(const LogSnapshot& snapshot) {
+void RaftLog::replaceSnapshotFile(const LogSnapshot& snapshot) {
     const std::string bytes = encode(snapshot);
     const std::string path = snapshotPath(folder_), next = path + ".new";
     {
@@ -416,12 +419,12 @@
 }
 
 void RaftLog::writeSnapshot(const LogSnapshot& snapshot, std::uint64_t keepFrom) {
-    storeSnapshotFile(snapshot);
+    replaceSnapshotFile(snapshot);
     removeSegmentsBefore(std::min(keepFrom, snapshot.index + 1));
 }
 
 void RaftLog::installSnapshot(const LogSnapshot& snapshot) {
-    storeSnapshotFile(snapshot);
+    replaceSnapshotFile(snapshot);
     removeAllSegments();
 }
 
@@ -450,8 +453,8 @@
 }
 
 void RaftLog::closeSegment() {
-    if (segmentFile_ >= 0) ::close(segmentFile_);
-    segmentFile_ = -1;
+    if (openSegmentFile_ >= 0) ::close(openSegmentFile_);
+    openSegmentFile_ = -1;
 }
 
 void RaftLog::syncFolder(const std::string& folder) {
--- a/src/agent/raft_log.hpp
+++ b/src/agent/raft_log.hpp
@@ -97,12 +97,12 @@
     };
 
     std::string pathOf(const Segment& segment) const;
-    std::vector<std::uint64_t> sequencesFound() const;
+    std::vector<std::uint64_t> listSequences() const;
     void readSegment(std::uint64_t sequence, Content& content);
-    void reconcile(Content& content);
+    void reconcileWithSnapshot(Content& content);
     TermAndVote readTermAndVote();
-    void beginSegment(std::uint64_t firstIndex);
-    void storeSnapshotFile(const LogSnapshot& snapshot);
+    void openNewSegment(std::uint64_t firstIndex);
+    void replaceSnapshotFile(const LogSnapshot& snapshot);
     void removeSegmentsBefore(std::uint64_t keepFrom);
     void removeAllSegments();
     void closeSegment();
@@ -112,9 +112,9 @@
     std::uint64_t termAndVoteVersion_ = 0;
     std::deque<Segment> segments_;  // by sequence; the last may be the open one
     std::uint64_t nextSequence_ = 1;
-    int segmentFile_ = -1;          // of the open segment; -1: the next entries begin another one
-    std::uint64_t segmentEnd_ = 0;  // bytes of the open segment that are durable
-    bool segmentListed_ = false;    // the folder has been synced since the open segment was made
+    int openSegmentFile_ = -1;            // of the open segment; -1: the next entries begin another one
+    std::uint64_t openSegmentBytes_ = 0;  // bytes of the open segment that are durable
+    bool segmentFolderSynced_ = false;    // the folder has been synced since the open segment was made
 };
 
 }  // namespace lotuslead::agent
