--- a/src/agent/consensus.hpp
+++ b/src/agent/consensus.hpp
@@ -56,7 +56,7 @@
 
     bool isLeader();
     // False: what is proposed now is refused, since this agent cannot write its log.
-    bool acceptsProposals() const { return !node_->storage().failing() && !node_->storage().full(); }
+    bool acceptsProposals() const { return !node_->storage().failing() && !node_->storage().backlogFull(); }
     std::uint64_t leader();  // 0: none is known
     std::uint64_t lastAppliedIndex();
     // How long writes of this agent's log have failed; zero: they don't. Nothing is proposed meanwhile.
--- a/src/agent/raft_node.hpp
+++ b/src/agent/raft_node.hpp
@@ -53,7 +53,7 @@
 
     uv_loop_t loop_{};
     raft_uv_transport transport_{};
-    StoredIo io_;
+    StorageIo io_;
     std::unique_ptr<RaftStorage> storage_;
     raft core_{};
     bool closed_ = false;
--- a/src/agent/raft_storage.cpp
+++ b/src/agent/raft_storage.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr std::uint64_t kRetryMs = 100;
-constexpr std::size_t kMostBatchBytes = std::size_t{16} << 20;  // of appends that are written together
+constexpr std::uint64_t kRetryDelayMs = 100;
+constexpr std::size_t kMaxBatchBytes = std::size_t{16} << 20;  // of appends that are written together
 constexpr std::uint64_t kBootstrapTerm = 1;
 
 raft_buffer copyOf(std::string_view bytes) {
@@ -51,7 +51,7 @@
 }
 
 // In memory that the core will free.
-raft_snapshot* forCore(const LogSnapshot& from) {
+raft_snapshot* makeRaftSnapshot(const LogSnapshot& from) {
     auto* snapshot = allocate<raft_snapshot>();
     snapshot->index = from.index;
     snapshot->term = from.term;
@@ -84,7 +84,7 @@
     work_.data = retryTimer_.data = withheldTimer_.data = this;
 }
 
-void RaftStorage::attach(StoredIo& stored) {
+void RaftStorage::attach(StorageIo& stored) {
     io_ = &stored;
     stored.storage = this;
     raft_io& io = stored.guarded.io;
@@ -92,40 +92,41 @@
     transportSend_ = io.send;
     transportClose_ = io.close;
     io.load = [](raft_io* self, raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* first,
-                 raft_entry** entries,
-                 std::size_t* count) { return of(self).load(term, vote, snapshot, first, entries, count); };
+                 raft_entry** entries, std::size_t* count) {
+        return fromIo(self).load(term, vote, snapshot, first, entries, count);
+    };
     io.bootstrap = [](raft_io* self, const raft_configuration* configuration) {
-        return of(self).bootstrap(*configuration);
+        return fromIo(self).bootstrap(*configuration);
     };
     io.recover = [](raft_io* self, const raft_configuration* configuration) {
-        return of(self).recover(*configuration);
+        return fromIo(self).recover(*configuration);
     };
-    io.set_term = [](raft_io* self, raft_term term) { return of(self).setTermAndVote({term, 0}); };
+    io.set_term = [](raft_io* self, raft_term term) { return fromIo(self).setTermAndVote({term, 0}); };
     io.set_vote = [](raft_io* self, raft_id id) {
-        return of(self).setTermAndVote({of(self).termAndVote_.term, id});
+        return fromIo(self).setTermAndVote({of(self).termAndVote_.term, id});
     };
     io.append = [](raft_io* self, raft_io_append* request, const raft_entry* entries, unsigned count,
-                   raft_io_append_cb done) { return of(self).append(request, entries, count, done); };
+                   raft_io_append_cb done) { return fromIo(self).append(request, entries, count, done); };
     io.truncate = [](raft_io* self, raft_index index) {
-        of(self).nextIndex_ = index;  // the next append replaces what is there
+        fromIo(self).nextIndex_ = index;  // the next append replaces what is there
         return 0;
     };
     io.snapshot_put = [](raft_io* self, unsigned trailing, raft_io_snapshot_put* request,
                          const raft_snapshot* snapshot, raft_io_snapshot_put_cb done) {
-        return of(self).putSnapshot(trailing, request, *snapshot, done);
+        return fromIo(self).putSnapshot(trailing, request, *snapshot, done);
     };
     io.snapshot_get = [](raft_io* self, raft_io_snapshot_get* request, raft_io_snapshot_get_cb done) {
-        return of(self).getSnapshot(request, done);
+        return fromIo(self).getSnapshot(request, done);
     };
     io.send = [](raft_io* self, raft_io_send* request, const raft_message* message, raft_io_send_cb done) {
-        return of(self).send(request, message, done);
+        return fromIo(self).send(request, message, done);
     };
     io.start = [](raft_io* self, unsigned ms, raft_io_tick_cb tick, raft_io_recv_cb handle) {
-        of(self).receive_ = handle;
-        return of(self).transportStart_(
-            self, ms, tick, [](raft_io* here, raft_message* message) { of(here).receive(message); });
+        fromIo(self).receive_ = handle;
+        return fromIo(self).transportStart_(
+            self, ms, tick, [](raft_io* here, raft_message* message) { fromIo(here).receive(message); });
     };
-    io.close = [](raft_io* self, raft_io_close_cb done) { of(self).close(done); };
+    io.close = [](raft_io* self, raft_io_close_cb done) { fromIo(self).close(done); };
 }
 
 std::chrono::milliseconds RaftStorage::failingFor() const {
@@ -139,7 +140,7 @@
     const RaftLog::Content content = std::exchange(content_, {});
     *term = termAndVote_.term;
     *vote = termAndVote_.vote;
-    *snapshot = content.snapshot ? forCore(*content.snapshot) : nullptr;
+    *snapshot = content.snapshot ? makeRaftSnapshot(*content.snapshot) : nullptr;
     *firstIndex = content.firstIndex;
     *count = content.entries.size();
     *entries = content.entries.empty() ? nullptr : allocate<raft_entry>(content.entries.size());
@@ -182,7 +183,7 @@
 int RaftStorage::setTermAndVote(const TermAndVote& termAndVote) {
     termAndVote_ = termAndVote;
     termAndVotePending_ = true;
-    if (!writeTermAndVote()) retryLater();
+    if (!writeTermAndVote()) scheduleRetry();
     return 0;
 }
 
@@ -190,11 +191,11 @@
     try {
         log_.writeTermAndVote(termAndVote_);
     } catch (const std::exception& problem) {
-        noteFailure(problem.what());
+        recordFailure(problem.what());
         return false;
     }
     termAndVotePending_ = false;
-    if (waiting_.empty() && inHand_.empty()) noteSuccess();
+    if (queue_.empty() && batch_.empty()) recordSuccess();
     return true;
 }
 
@@ -202,7 +203,7 @@
 
 int RaftStorage::append(raft_io_append* request, const raft_entry* entries, unsigned count,
                         raft_io_append_cb done) {
-    Job& job = waiting_.emplace_back();
+    PendingWrite& job = queue_.emplace_back();
     job.append = request;
     job.appended = done;
     job.entries = entries;
@@ -211,21 +212,21 @@
     for (unsigned i = 0; i < count; ++i) job.bytes += entries[i].buf.len;
     nextIndex_ += count;
     unwrittenBytes_ += job.bytes;
-    startWriting();
+    startNextWrite();
     return 0;
 }
 
 int RaftStorage::putSnapshot(unsigned trailing, raft_io_snapshot_put* request, const raft_snapshot& snapshot,
                              raft_io_snapshot_put_cb done) {
     const bool installs = trailing == 0;
-    Job& job = waiting_.emplace_back();
-    job.kind = installs ? Job::Kind::install : Job::Kind::snapshot;
+    PendingWrite& job = queue_.emplace_back();
+    job.kind = installs ? PendingWrite::Kind::install : PendingWrite::Kind::snapshot;
     job.put = request;
     job.stored = done;
     job.snapshot = copyOf(snapshot);
     job.keepFrom = snapshot.index >= trailing ? snapshot.index - trailing + 1 : 1;
     if (installs) nextIndex_ = snapshot.index + 1;
-    startWriting();
+    startNextWrite();
     return 0;
 }
 
@@ -251,7 +252,7 @@
             --self->storage->snapshotReads_;
             // The core takes status zero for a promise that there is a snapshot.
             if (self->snapshot)
-                self->done(self->request, forCore(*self->snapshot), 0);
+                self->done(self->request, makeRaftSnapshot(*self->snapshot), 0);
             else
                 self->done(self->request, nullptr, RAFT_IOERR);
             self->storage->closeTransportOnceIdle();
@@ -263,99 +264,101 @@
 }
 
 // Appends that wait together are written together; a snapshot alone.
-void RaftStorage::takeInHand() {
+void RaftStorage::takeBatch() {
     std::size_t bytes = 0;
-    while (!waiting_.empty() && bytes < kMostBatchBytes) {
-        const Job& next = waiting_.front();
-        if (!inHand_.empty()) {
-            const Job& last = inHand_.back();
-            const bool follows = last.kind == Job::Kind::append && next.kind == Job::Kind::append &&
+    while (!queue_.empty() && bytes < kMaxBatchBytes) {
+        const PendingWrite& next = queue_.front();
+        if (!batch_.empty()) {
+            const PendingWrite& last = batch_.back();
+            const bool follows = last.kind == PendingWrite::Kind::append &&
+                                 next.kind == PendingWrite::Kind::append &&
                                  last.firstIndex + last.count == next.firstIndex;
             if (!follows) return;
         }
         bytes += next.bytes;
-        inHand_.push_back(std::move(waiting_.front()));
-        waiting_.pop_front();
+        batch_.push_back(std::move(queue_.front()));
+        queue_.pop_front();
     }
 }
 
-void RaftStorage::startWriting() {
+void RaftStorage::startNextWrite() {
     if (writing_ || closing_) return;
-    if (inHand_.empty()) takeInHand();
-    if (inHand_.empty()) return;
+    if (batch_.empty()) takeBatch();
+    if (batch_.empty()) return;
     if (termAndVotePending_ && !writeTermAndVote())
-        return retryLater();  // no entry outlives the term it was taken in
-    writeProblem_.clear();
+        return scheduleRetry();  // no entry outlives the term it was taken in
+    writeError_.clear();
     const int result = uv_queue_work(
-        &loop_, &work_, [](uv_work_t* work) { static_cast<RaftStorage*>(work->data)->writeInHand(); },
-        [](uv_work_t* work, int) { static_cast<RaftStorage*>(work->data)->finishWriting(); });
+        &loop_, &work_, [](uv_work_t* work) { static_cast<RaftStorage*>(work->data)->writeBatch(); },
+        [](uv_work_t* work, int) { static_cast<RaftStorage*>(work->data)->finishWrite(); });
     writing_ = result == 0;
-    if (!writing_) retryLater();
+    if (!writing_) scheduleRetry();
 }
 
-void RaftStorage::writeInHand() {
+void RaftStorage::writeBatch() {
     try {
-        const Job& first = inHand_.front();
-        if (first.kind == Job::Kind::snapshot) return log_.writeSnapshot(first.snapshot, first.keepFrom);
-        if (first.kind == Job::Kind::install) return log_.installSnapshot(first.snapshot);
+        const PendingWrite& first = batch_.front();
+        if (first.kind == PendingWrite::Kind::snapshot)
+            return log_.writeSnapshot(first.snapshot, first.keepFrom);
+        if (first.kind == PendingWrite::Kind::install) return log_.installSnapshot(first.snapshot);
         std::vector<LogEntryView> entries;
-        for (const Job& job : inHand_)
+        for (const PendingWrite& job : batch_)
             for (unsigned i = 0; i < job.count; ++i) {
                 const raft_entry& entry = job.entries[i];
                 entries.push_back({entry.term, entry.type, bytesOf(entry.buf)});
             }
         log_.append(first.firstIndex, entries);
     } catch (const std::exception& problem) {
-        writeProblem_ = problem.what();
+        writeError_ = problem.what();
     }
 }
 
-void RaftStorage::finishWriting() {
+void RaftStorage::finishWrite() {
     writing_ = false;
-    if (writeProblem_.empty()) {
-        noteSuccess();
+    if (writeError_.empty()) {
+        recordSuccess();
         // A callback may ask for further jobs.
-        for (const Job& job : std::exchange(inHand_, {})) {
+        for (const PendingWrite& job : std::exchange(batch_, {})) {
             unwrittenBytes_ -= job.bytes;
             complete(job, 0);
         }
-        startWriting();
+        startNextWrite();
     } else {
-        noteFailure(writeProblem_);
-        retryLater();
+        recordFailure(writeError_);
+        scheduleRetry();
     }
     closeTransportOnceIdle();
 }
 
-void RaftStorage::complete(const Job& job, int status) {
-    if (job.kind == Job::Kind::append)
+void RaftStorage::complete(const PendingWrite& job, int status) {
+    if (job.kind == PendingWrite::Kind::append)
         job.appended(job.append, status);
     else
         job.stored(job.put, status);
 }
 
-void RaftStorage::retryLater() {
+void RaftStorage::scheduleRetry() {
     if (closing_) return;
     uv_timer_start(
         &retryTimer_,
         [](uv_timer_t* timer) {
             auto& self = *static_cast<RaftStorage*>(timer->data);
-            if (self.termAndVotePending_ && !self.writeTermAndVote()) return self.retryLater();
-            self.startWriting();
+            if (self.termAndVotePending_ && !self.writeTermAndVote()) return self.scheduleRetry();
+            self.startNextWrite();
         },
-        kRetryMs, 0);
+        kRetryDelayMs, 0);
 }
 
 // ----- failures, as operators see them -----
 
-void RaftStorage::noteFailure(const std::string& what) {
+void RaftStorage::recordFailure(const std::string& what) {
     ++counters_.failures;
     if (failingSince_ != 0) return;
     failingSince_ = uv_now(&loop_);
     std::fprintf(stderr, "agent: raft log: %s; trying again until it is written\n", what.c_str());
 }
 
-void RaftStorage::noteSuccess() {
+void RaftStorage::recordSuccess() {
     if (failingSince_ == 0) return;
     ++counters_.recoveries;
     std::fprintf(stderr, "agent: raft log: written again after %lld ms, %llu attempts failed so far\n",
@@ -369,8 +372,8 @@
 int RaftStorage::send(raft_io_send* request, const raft_message* message, raft_io_send_cb done) {
     const bool asksForVotes = message->type == RAFT_IO_REQUEST_VOTE;
     // The answer to a leader that has been given up while its entries were being written.
-    const bool toNobody = message->server_address == nullptr;
-    const bool withheld = toNobody || termAndVotePending_ || (asksForVotes && failing());
+    const bool noRecipient = message->server_address == nullptr;
+    const bool withheld = noRecipient || termAndVotePending_ || (asksForVotes && failing());
     if (!withheld) return transportSend_(&io_->guarded.io, request, message, done);
     withheldSends_.push_back({request, done});  // to the core like a message that was lost
     if (closing_) return 0;                     // then its end comes with all others
@@ -389,7 +392,7 @@
 
 void RaftStorage::receive(raft_message* message) {
     if (message->type == RAFT_IO_TIMEOUT_NOW && failing()) return;
-    if (message->type == RAFT_IO_APPEND_ENTRIES && full())
+    if (message->type == RAFT_IO_APPEND_ENTRIES && backlogFull())
         AppendEntriesGuard::dropEntries(message->append_entries, message->append_entries.n_entries);
     receive_(&io_->guarded.io, message);
 }
@@ -410,8 +413,8 @@
 void RaftStorage::closeTransportOnceIdle() {
     if (!closing_ || closed_ == nullptr || writing_ || snapshotReads_ > 0 || openTimers_ > 0) return;
     // The last first: each takes its entries off the end of the core's log.
-    for (; !waiting_.empty(); waiting_.pop_back()) complete(waiting_.back(), RAFT_CANCELED);
-    for (; !inHand_.empty(); inHand_.pop_back()) complete(inHand_.back(), RAFT_CANCELED);
+    for (; !queue_.empty(); queue_.pop_back()) complete(queue_.back(), RAFT_CANCELED);
+    for (; !batch_.empty(); batch_.pop_back()) complete(batch_.back(), RAFT_CANCELED);
     dropWithheldSends(RAFT_CANCELED);
     transportClose_(&io_->guarded.io, std::exchange(closed_, nullptr));
 }
--- a/src/agent/raft_storage.hpp
+++ b/src/agent/raft_storage.hpp
@@ -32,11 +32,11 @@
 class RaftStorage;
 
 // The core hands out the address of `guarded.io`, from which the storage is found again.
-struct StoredIo {
+struct StorageIo {
     AppendEntriesGuard guarded{};
     RaftStorage* storage = nullptr;
 };
-static_assert(std::is_standard_layout_v<StoredIo>);
+static_assert(std::is_standard_layout_v<StorageIo>);
 
 class RaftStorage {
 public:
@@ -51,20 +51,20 @@
     RaftStorage& operator=(const RaftStorage&) = delete;
 
     // Takes over the functions of `io` that store, once libraft's own are in place and before GuardedIo's.
-    void attach(StoredIo& io);
+    void attach(StorageIo& io);
 
     // Since the first of the writes that have failed without a success since; zero: writes do not fail.
     std::chrono::milliseconds failingFor() const;
     bool failing() const { return failingSince_ != 0 || termAndVotePending_; }
     // More waits to be written than may.
-    bool full() const { return unwrittenBytes_ > kMostUnwrittenBytes; }
+    bool backlogFull() const { return unwrittenBytes_ > kMaxUnwrittenBytes; }
     const Counters& counters() const { return counters_; }
 
 private:
-    static constexpr std::size_t kMostUnwrittenBytes = std::size_t{64} << 20;
+    static constexpr std::size_t kMaxUnwrittenBytes = std::size_t{64} << 20;
 
     // An append or a snapshot that the core waits for.
-    struct Job {
+    struct PendingWrite {
         enum class Kind { append, snapshot, install };
         Kind kind = Kind::append;
         raft_io_append* append = nullptr;
@@ -84,7 +84,7 @@
         raft_io_send_cb done;
     };
 
-    static RaftStorage& of(raft_io* io) { return *reinterpret_cast<StoredIo*>(io)->storage; }
+    static RaftStorage& fromIo(raft_io* io) { return *reinterpret_cast<StorageIo*>(io)->storage; }
 
     // The functions of raft_io.
     int load(raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* firstIndex,
@@ -102,14 +102,14 @@
     int setTermAndVote(const TermAndVote& termAndVote);
     int appendConfiguration(const raft_configuration& configuration, std::uint64_t term);
     bool writeTermAndVote();
-    void takeInHand();
-    void startWriting();
-    void writeInHand();    // on the pool's thread
-    void finishWriting();  // back on the loop's
-    static void complete(const Job& job, int status);
-    void noteFailure(const std::string& what);
-    void noteSuccess();
-    void retryLater();
+    void takeBatch();
+    void startNextWrite();
+    void writeBatch();   // on the pool's thread
+    void finishWrite();  // back on the loop's
+    static void complete(const PendingWrite& job, int status);
+    void recordFailure(const std::string& what);
+    void recordSuccess();
+    void scheduleRetry();
     void dropWithheldSends(int status);
     void closeTransportOnceIdle();
 
@@ -117,15 +117,15 @@
     std::string folder_;
     RaftLog log_;
     RaftLog::Content content_;  // as read, until the core has loaded it
-    StoredIo* io_ = nullptr;
+    StorageIo* io_ = nullptr;
     TermAndVote termAndVote_;
     bool termAndVotePending_ = false;  // it is not durable yet
     std::uint64_t nextIndex_ = 1;
-    std::deque<Job> waiting_;
-    std::vector<Job> inHand_;  // taken from `waiting_`; read by the pool's thread while `writing_`
+    std::deque<PendingWrite> queue_;
+    std::vector<PendingWrite> batch_;  // taken from `waiting_`; read by the pool's thread while `writing_`
     bool writing_ = false;
     std::size_t unwrittenBytes_ = 0;
-    std::string writeProblem_;  // of the attempt in hand; empty: it went well
+    std::string writeError_;  // of the attempt in hand; empty: it went well
     uv_work_t work_{};
     uv_timer_t retryTimer_{};
     uv_timer_t withheldTimer_{};
