--- a/src/agent/raft_import.cpp
+++ b/src/agent/raft_import.cpp
@@ -24,8 +24,8 @@
 
 namespace {
 
-constexpr std::uint64_t kLibraftFormat = 1;   // of its metadata files (raft/uv.h)
-constexpr std::uint64_t kForeignFormat = 64;  // one that libraft refuses to read
+constexpr std::uint64_t kLibraftFormat = 1;       // of its metadata files (raft/uv.h)
+constexpr std::uint64_t kUnsupportedFormat = 64;  // one that libraft refuses to read
 constexpr const char* kMetadataNames[] = {"metadata1", "metadata2"};
 
 void check(int result, const char* what, const raft_io& io) {
@@ -105,7 +105,7 @@
     return content;
 }
 
-void write(const RaftLog::Content& content, const std::string& logFolder) {
+void writeLog(const RaftLog::Content& content, const std::string& logFolder) {
     RaftLog log(logFolder);
     log.open();
     if (content.snapshot) log.installSnapshot(*content.snapshot);
@@ -123,8 +123,8 @@
     for (const fs::path& file : files) fs::remove(file);
 }
 
-void refuseOlderPrograms(const fs::path& folder) {
-    const std::array<std::uint64_t, 4> metadata{kForeignFormat, 1, 0, 0};
+void blockOlderVersions(const fs::path& folder) {
+    const std::array<std::uint64_t, 4> metadata{kUnsupportedFormat, 1, 0, 0};
     std::ofstream file(folder / kMetadataNames[0], std::ios::binary);
     file.write(reinterpret_cast<const char*>(metadata.data()), sizeof metadata);
     if (!file.flush()) throw std::system_error(errno, std::generic_category(), "write to " + folder.string());
@@ -132,16 +132,16 @@
 
 }  // namespace
 
-void makeLogFolder(const std::string& folder, const std::string& logFolder) {
+void createOrImportLog(const std::string& folder, const std::string& logFolder) {
     if (fs::exists(logFolder)) return;
     const std::string unfinished = logFolder + ".new";
     fs::remove_all(unfinished);
     const bool imports = holdsLibraftState(folder);
-    write(imports ? readLibraftFolder(folder) : RaftLog::Content{}, unfinished);
+    writeLog(imports ? readLibraftFolder(folder) : RaftLog::Content{}, unfinished);
     fs::rename(unfinished, logFolder);
     RaftLog::syncFolder(folder);
     if (imports) removeLibraftFiles(folder);
-    refuseOlderPrograms(folder);
+    blockOlderVersions(folder);
 }
 
 }  // namespace lotuslead::agent
--- a/src/agent/raft_node.cpp
+++ b/src/agent/raft_node.cpp
@@ -48,7 +48,7 @@
 
 void RaftNode::readStorage(const std::string& folder) {
     const std::string logFolder = folder + "/log";
-    makeLogFolder(folder, logFolder);
+    createOrImportLog(folder, logFolder);
     storage_ = std::make_unique<RaftStorage>(loop_, logFolder);
 }
 
--- a/tests/raft_import_test.cpp
+++ b/tests/raft_import_test.cpp
@@ -79,7 +79,7 @@
 };
 
 RaftLog::Content imported(const TemporaryFolder& folder) {
-    makeLogFolder(folder.path(), folder.log());
+    createOrImportLog(folder.path(), folder.log());
     RaftLog log(folder.log());
     return log.open();
 }
