--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::int64_t kMostHoldMs = 10'000;
+constexpr std::int64_t kMaxHoldMs = 10'000;
 constexpr net::CallServer::Limits kLimits{1024, 2 * config::kMaxTransactionBytes, std::chrono::seconds{15}};
 
 Answer jsonAnswer(int status, const json& body) { return {status, body.dump() + "\n", {}}; }
@@ -23,7 +23,7 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
-Answer answerOf(Consensus::ProposalResult result, const config::Outcome& outcome) {
+Answer proposalAnswer(Consensus::ProposalResult result, const config::Outcome& outcome) {
     using ProposalResult = Consensus::ProposalResult;
     using Status = config::Outcome::Status;
     if (result == ProposalResult::refused)
@@ -47,7 +47,7 @@
 }
 
 // Entries that changed something under the prefix.
-json listOf(const std::vector<const config::HistoryEntry*>& entries, const std::string& prefix) {
+json historyToJson(const std::vector<const config::HistoryEntry*>& entries, const std::string& prefix) {
     json list = json::array();
     for (const auto* entry : entries) {
         json one = toJson(*entry, prefix);
@@ -78,7 +78,7 @@
     const Target target(head.target);
     const auto under = [&](const std::string& prefix) { return target.path.rfind(prefix, 0) == 0; };
     if (target.path == "/status") return reply({200, status().dump(2) + "\n", {}});
-    if (target.path == "/config" && head.method == "POST") return transact(head, body, reply);
+    if (target.path == "/config" && head.method == "POST") return commitTransaction(head, body, reply);
     if (target.path == "/config" || under("/config/")) return readDocuments(head, target, reply);
     if (target.path == "/history") return history(target, reply);
     if (target.path == "/watch") return watch(target, std::move(reply));
@@ -89,7 +89,7 @@
     reply({404, "no such thing\n", {}});
 }
 
-std::string Control::controlOf(std::uint64_t agent) const {
+std::string Control::controlAddressOf(std::uint64_t agent) const {
     if (const auto* told = store_.find("agents/" + std::to_string(agent)))
         return told->value.value("control", "");
     for (const Member& m : configuration_.members)
@@ -97,9 +97,9 @@
     return {};
 }
 
-void Control::toLeader(const std::string& target, const Reply& reply) {
+void Control::redirectToLeader(const std::string& target, const Reply& reply) {
     const std::uint64_t leader = consensus_.leader();
-    const std::string control = leader == configuration_.id ? std::string{} : controlOf(leader);
+    const std::string control = leader == configuration_.id ? std::string{} : controlAddressOf(leader);
     if (control.empty()) return reply({503, "the agents have no leader now\n", {}});
     reply({307, "", {"Location", "http://" + control + target}});
 }
@@ -134,7 +134,7 @@
         reply(jsonAnswer(one && body["documents"].empty() ? 404 : 200, body));
     };
     if (!target.text("stale").empty()) return answer(false);
-    if (!consensus_.isLeader()) return toLeader(head.target, reply);
+    if (!consensus_.isLeader()) return redirectToLeader(head.target, reply);
     consensus_.barrier([answer, reply](bool holds) {
         if (holds) return answer(true);
         reply({503, "this agent no longer leads\n", {}});
@@ -144,7 +144,7 @@
 void Control::history(const Target& target, const Reply& reply) {
     const auto from = static_cast<config::Revision>(target.whole("from").value_or(0));
     const std::string prefix = target.text("prefix");
-    const json list = listOf(store_.retainedSince(from, prefix), prefix);
+    const json list = historyToJson(store_.retainedSince(from, prefix), prefix);
     const config::Revision oldest = store_.historyCompleteFrom(prefix) + 1;  // from it on all is held
     reply(jsonAnswer(200, {{"revision", store_.revision()}, {"oldest", oldest}, {"history", list}}));
 }
@@ -152,7 +152,7 @@
 void Control::watch(const Target& target, Reply reply) {
     const auto from = target.whole("from");
     if (!from || *from < 0) return reply({400, "'from' is not a revision\n", {}});
-    const std::int64_t hold = std::clamp<std::int64_t>(target.whole("hold").value_or(0), 0, kMostHoldMs);
+    const std::int64_t hold = std::clamp<std::int64_t>(target.whole("hold").value_or(0), 0, kMaxHoldMs);
     Watch watch{static_cast<config::Revision>(*from), target.text("prefix"), std::move(reply), {}};
     if (answerWatch(watch, hold == 0)) return;
     const auto at = watches_.insert(watches_.end(), std::move(watch));
@@ -164,7 +164,7 @@
 }
 
 // False: there is nothing to tell yet.
-bool Control::answerWatch(const Watch& watch, bool over) {
+bool Control::answerWatch(const Watch& watch, bool expired) {
     if (watch.from > store_.revision()) {
         watch.reply({503, "this agent is behind\n", {}});
         return true;
@@ -174,8 +174,8 @@
         watch.reply(jsonAnswer(410, {{"word", "compacted"}, {"revision", store_.revision()}}));
         return true;
     }
-    const json list = listOf(*behind, watch.prefix);
-    if (list.empty() && !over) return false;
+    const json list = historyToJson(*behind, watch.prefix);
+    if (list.empty() && !expired) return false;
     watch.reply(jsonAnswer(200, {{"revision", store_.revision()}, {"history", list}}));
     return true;
 }
@@ -192,16 +192,16 @@
 }
 
 void Control::propose(const net::HttpHead& head, const config::Command& command, const Reply& reply) {
-    if (!consensus_.isLeader()) return toLeader(head.target, reply);
+    if (!consensus_.isLeader()) return redirectToLeader(head.target, reply);
     consensus_.propose(config::encode(command),
                        [reply](Consensus::ProposalResult result, const config::Outcome& outcome) {
-                           reply(answerOf(result, outcome));
+                           reply(proposalAnswer(result, outcome));
                        });
 }
 
-void Control::transact(const net::HttpHead& head, const std::string& body, const Reply& reply) {
-    if (!consensus_.isLeader()) return toLeader(head.target, reply);
-    if (!consensus_.acceptsProposals()) return reply(answerOf(Consensus::ProposalResult::refused, {}));
+void Control::commitTransaction(const net::HttpHead& head, const std::string& body, const Reply& reply) {
+    if (!consensus_.isLeader()) return redirectToLeader(head.target, reply);
+    if (!consensus_.acceptsProposals()) return reply(proposalAnswer(Consensus::ProposalResult::refused, {}));
     const json text = json::parse(body, nullptr, false);
     config::Command command;
     try {
@@ -239,14 +239,14 @@
             list.push_back({{"id", member.id},
                             {"raft", member.address},
                             {"role", member.role},
-                            {"control", controlOf(member.id)},
+                            {"control", controlAddressOf(member.id)},
                             {"leads", member.id == consensus_.leader()}});
         return reply(jsonAnswer(200, {{"members", list}, {"age_ms", consensus_.leaderContactAgeMs()}}));
     }
     const std::size_t slash = rest.find('/');
     const std::uint64_t id = std::strtoull(rest.c_str(), nullptr, 10);
     if (id == 0) return reply({400, "an agent's id is a number above 0\n", {}});
-    if (!consensus_.isLeader()) return toLeader(head.target, reply);
+    if (!consensus_.isLeader()) return redirectToLeader(head.target, reply);
     const auto done = [reply](const std::string& problem) {
         reply(problem.empty() ? Answer{200, "done\n", {}} : Answer{409, problem + "\n", {}});
     };
@@ -272,7 +272,7 @@
     consensus_.propose(
         config::encode(command),
         [this, id, raft, done, reply](Consensus::ProposalResult result, const config::Outcome& outcome) {
-            if (result != Consensus::ProposalResult::applied) return reply(answerOf(result, outcome));
+            if (result != Consensus::ProposalResult::applied) return reply(proposalAnswer(result, outcome));
             consensus_.add(id, raft, done);
         });
 }
@@ -282,9 +282,9 @@
 void Control::instances(const net::HttpHead& head, const std::string& rest, const std::string& body,
                         const Reply& reply) {
     if (const std::size_t slash = rest.find('/'); slash != std::string::npos)
-        return operate(rest.substr(0, slash), rest.substr(slash + 1), head, reply);
+        return callOperatorAddress(rest.substr(0, slash), rest.substr(slash + 1), head, reply);
     // Before the text is read, which takes long where it is large.
-    if (!consensus_.isLeader()) return toLeader(head.target, reply);
+    if (!consensus_.isLeader()) return redirectToLeader(head.target, reply);
     if (!consensus_.acceptsProposals()) return reply({503, "not agreed\n", {}});
     const std::string key = kInstances + rest;
     config::Command command;
@@ -298,7 +298,8 @@
                             wanted["agent"].is_number_unsigned() && wanted.contains("configuration");
         if (!formed) return reply({400, "'agent' and 'configuration' are wanted\n", {}});
         const std::uint64_t agent = wanted["agent"];
-        if (controlOf(agent).empty()) return reply({400, "no agent " + std::to_string(agent) + "\n", {}});
+        if (controlAddressOf(agent).empty())
+            return reply({400, "no agent " + std::to_string(agent) + "\n", {}});
         change.value = json{{"agent", agent}, {"configuration", wanted["configuration"]}};
         try {
             settings::readConfiguration(
@@ -324,8 +325,8 @@
                        });
 }
 
-void Control::operate(const std::string& name, const std::string& what, const net::HttpHead& head,
-                      const Reply& reply) {
+void Control::callOperatorAddress(const std::string& name, const std::string& what, const net::HttpHead& head,
+                                  const Reply& reply) {
     const bool ready = what == "ready";
     if (!ready && what != "drain" && what != "undrain" && what != "replace")
         return reply({404, "no such thing\n", {}});
@@ -334,7 +335,7 @@
     if (!found) return reply({404, "no instance '" + name + "'\n", {}});
     const std::uint64_t agent = found->value.at("agent");
     if (agent != configuration_.id) {
-        const std::string control = controlOf(agent);
+        const std::string control = controlAddressOf(agent);
         if (control.empty()) return reply({503, "its agent is not known\n", {}});
         return reply({307, "", {"Location", "http://" + control + head.target}});
     }
--- a/src/agent/control.hpp
+++ b/src/agent/control.hpp
@@ -36,8 +36,8 @@
     void readDocuments(const net::HttpHead& head, const Target& target, const Reply& reply);
     void history(const Target& target, const Reply& reply);
     void watch(const Target& target, Reply reply);
-    bool answerWatch(const Watch& watch, bool over);
-    void transact(const net::HttpHead& head, const std::string& body, const Reply& reply);
+    bool answerWatch(const Watch& watch, bool expired);
+    void commitTransaction(const net::HttpHead& head, const std::string& body, const Reply& reply);
     void openSession(const net::HttpHead& head, const Reply& reply);
     void propose(const net::HttpHead& head, const config::Command& command, const Reply& reply);
     void members(const net::HttpHead& head, const std::string& rest, const std::string& body,
@@ -45,10 +45,10 @@
     void instances(const net::HttpHead& head, const std::string& rest, const std::string& body,
                    const Reply& reply);
     // What the door of one instance is asked, by the agent that runs it.
-    void operate(const std::string& name, const std::string& what, const net::HttpHead& head,
-                 const Reply& reply);
-    void toLeader(const std::string& target, const Reply& reply);
-    std::string controlOf(std::uint64_t agent) const;
+    void callOperatorAddress(const std::string& name, const std::string& what, const net::HttpHead& head,
+                             const Reply& reply);
+    void redirectToLeader(const std::string& target, const Reply& reply);
+    std::string controlAddressOf(std::uint64_t agent) const;
     nlohmann::json documents(const Target& target) const;
     nlohmann::json status();
 
