--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -75,7 +75,7 @@
 }
 
 void Control::handle(const net::HttpHead& head, const std::string& body, Reply reply) {
-    const Target target(head.target);
+    const RequestTarget target(head.target);
     const auto under = [&](const std::string& prefix) { return target.path.rfind(prefix, 0) == 0; };
     if (target.path == "/status") return reply({200, status().dump(2) + "\n", {}});
     if (target.path == "/config" && head.method == "POST") return commitTransaction(head, body, reply);
@@ -106,7 +106,7 @@
 
 // ----- the tree -----
 
-json Control::documents(const Target& target) const {
+json Control::documents(const RequestTarget& target) const {
     json list = json::array();
     const auto add = [&](const std::string& key, const config::Document& d) {
         list.push_back(
@@ -117,12 +117,12 @@
         const std::string key = target.path.substr(8);
         if (const auto* found = store_.find(key)) add(key, *found);
     } else {
-        store_.forEach(target.text("prefix"), add);
+        store_.forEach(target.parameter("prefix"), add);
     }
     return list;
 }
 
-void Control::readDocuments(const net::HttpHead& head, const Target& target, const Reply& reply) {
+void Control::readDocuments(const net::HttpHead& head, const RequestTarget& target, const Reply& reply) {
     if (head.method != "GET") return reply({405, "GET only; POST /config changes\n", {}});
     const auto answer = [this, target, reply](bool current) {
         json body = {{"revision", store_.revision()},
@@ -133,7 +133,7 @@
         const bool one = target.path.size() > 8;
         reply(jsonAnswer(one && body["documents"].empty() ? 404 : 200, body));
     };
-    if (!target.text("stale").empty()) return answer(false);
+    if (!target.parameter("stale").empty()) return answer(false);
     if (!consensus_.isLeader()) return redirectToLeader(head.target, reply);
     consensus_.barrier([answer, reply](bool holds) {
         if (holds) return answer(true);
@@ -141,19 +141,20 @@
     });
 }
 
-void Control::history(const Target& target, const Reply& reply) {
-    const auto from = static_cast<config::Revision>(target.whole("from").value_or(0));
-    const std::string prefix = target.text("prefix");
+void Control::history(const RequestTarget& target, const Reply& reply) {
+    const auto from = static_cast<config::Revision>(target.integerParameter("from").value_or(0));
+    const std::string prefix = target.parameter("prefix");
     const json list = historyToJson(store_.retainedSince(from, prefix), prefix);
     const config::Revision oldest = store_.historyCompleteFrom(prefix) + 1;  // from it on all is held
     reply(jsonAnswer(200, {{"revision", store_.revision()}, {"oldest", oldest}, {"history", list}}));
 }
 
-void Control::watch(const Target& target, Reply reply) {
-    const auto from = target.whole("from");
+void Control::watch(const RequestTarget& target, Reply reply) {
+    const auto from = target.integerParameter("from");
     if (!from || *from < 0) return reply({400, "'from' is not a revision\n", {}});
-    const std::int64_t hold = std::clamp<std::int64_t>(target.whole("hold").value_or(0), 0, kMaxHoldMs);
-    Watch watch{static_cast<config::Revision>(*from), target.text("prefix"), std::move(reply), {}};
+    const std::int64_t hold =
+        std::clamp<std::int64_t>(target.integerParameter("hold").value_or(0), 0, kMaxHoldMs);
+    Watch watch{static_cast<config::Revision>(*from), target.parameter("prefix"), std::move(reply), {}};
     if (answerWatch(watch, hold == 0)) return;
     const auto at = watches_.insert(watches_.end(), std::move(watch));
     at->timer = loop_.after(std::chrono::milliseconds{hold}, [this, at] {
--- a/src/agent/control.hpp
+++ b/src/agent/control.hpp
@@ -33,9 +33,9 @@
     };
 
     void handle(const net::HttpHead& head, const std::string& body, Reply reply);
-    void readDocuments(const net::HttpHead& head, const Target& target, const Reply& reply);
-    void history(const Target& target, const Reply& reply);
-    void watch(const Target& target, Reply reply);
+    void readDocuments(const net::HttpHead& head, const RequestTarget& target, const Reply& reply);
+    void history(const RequestTarget& target, const Reply& reply);
+    void watch(const RequestTarget& target, Reply reply);
     bool answerWatch(const Watch& watch, bool expired);
     void commitTransaction(const net::HttpHead& head, const std::string& body, const Reply& reply);
     void openSession(const net::HttpHead& head, const Reply& reply);
@@ -49,7 +49,7 @@
                              const Reply& reply);
     void redirectToLeader(const std::string& target, const Reply& reply);
     std::string controlAddressOf(std::uint64_t agent) const;
-    nlohmann::json documents(const Target& target) const;
+    nlohmann::json documents(const RequestTarget& target) const;
     nlohmann::json status();
 
     net::Loop& loop_;
--- a/src/agent/event_feed.cpp
+++ b/src/agent/event_feed.cpp
@@ -35,11 +35,12 @@
 }
 
 void EventFeed::handle(const net::HttpHead& head, net::CallServer::Reply reply) {
-    const Target target(head.target);
+    const RequestTarget target(head.target);
     if (target.path != "/bus/read") return reply({404, "no such thing\n", {}});
     if (head.method != "GET") return reply({405, "GET only\n", {}});
-    const std::int64_t from = target.whole("from").value_or(-1);
-    const std::int64_t hold = std::clamp<std::int64_t>(target.whole("hold").value_or(0), 0, kMostHoldMs);
+    const std::int64_t from = target.integerParameter("from").value_or(-1);
+    const std::int64_t hold =
+        std::clamp<std::int64_t>(target.integerParameter("hold").value_or(0), 0, kMostHoldMs);
     if (from < 0) return reply({400, "'from' is not a number\n", {}});
     ++counters_.reads;
     if (consensus_.leader() == 0) {
--- a/src/agent/request_target.hpp
+++ b/src/agent/request_target.hpp
@@ -10,27 +10,27 @@
 
 namespace lotuslead::agent {
 
-struct Target {
-    explicit Target(std::string_view text) {
+struct RequestTarget {
+    explicit RequestTarget(std::string_view text) {
         const std::size_t mark = text.find('?');
-        path = plain(text.substr(0, mark));
+        path = percentDecode(text.substr(0, mark));
         std::string_view rest = mark == std::string_view::npos ? std::string_view{} : text.substr(mark + 1);
         while (!rest.empty()) {
             const std::size_t end = rest.find('&');
             const std::string_view one = rest.substr(0, end);
             rest = end == std::string_view::npos ? std::string_view{} : rest.substr(end + 1);
             const std::size_t equals = one.find('=');
-            query[plain(one.substr(0, equals))] =
-                equals == std::string_view::npos ? "" : plain(one.substr(equals + 1));
+            query[percentDecode(one.substr(0, equals))] =
+                equals == std::string_view::npos ? "" : percentDecode(one.substr(equals + 1));
         }
     }
 
-    std::string text(const std::string& name) const {
+    std::string parameter(const std::string& name) const {
         const auto found = query.find(name);
         return found == query.end() ? std::string{} : found->second;
     }
-    std::optional<std::int64_t> whole(const std::string& name) const {
-        const std::string value = text(name);
+    std::optional<std::int64_t> integerParameter(const std::string& name) const {
+        const std::string value = parameter(name);
         std::int64_t number = 0;
         const auto read = std::from_chars(value.data(), value.data() + value.size(), number);
         if (value.empty() || read.ec != std::errc{} || read.ptr != value.data() + value.size()) return {};
@@ -41,7 +41,7 @@
     std::map<std::string, std::string> query;
 
 private:
-    static std::string plain(std::string_view text) {
+    static std::string percentDecode(std::string_view text) {
         std::string result;
         for (std::size_t i = 0; i < text.size(); ++i) {
             unsigned byte = 0;
