--- a/src/agent/event_feed.cpp
+++ b/src/agent/event_feed.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-constexpr std::int64_t kMostHoldMs = 5000;  // as the event bus has it
+constexpr std::int64_t kMaxHoldMs = 5000;  // as the event bus has it
 // Between two answers to those who wait. With many purges a second an answer for each would cost a gateway
 // several KB a second, most of it heads; this is small against the 1.9 s in which a purge must be
 // everywhere.
-constexpr net::Micros kGather = std::chrono::milliseconds{250};
-constexpr std::size_t kMostPages = 128;  // kept made, 128 KB each at most: an hour of 26 purges a second
+constexpr net::Micros kBatchInterval = std::chrono::milliseconds{250};
+constexpr std::size_t kMaxCachedPages = 128;  // kept made, 128 KB each at most: an hour of 26 purges a second
 constexpr net::CallServer::Limits kLimits{4096, 1024, std::chrono::seconds{8}, true};
 
 }  // namespace
@@ -31,7 +31,7 @@
 
 EventFeed::~EventFeed() {
     for (const Waiting& waiting : waiting_) loop_.cancel(waiting.timer);
-    if (gathering_) loop_.cancel(*gathering_);
+    if (batchTimer_) loop_.cancel(*batchTimer_);
 }
 
 void EventFeed::handle(const net::HttpHead& head, net::CallServer::Reply reply) {
@@ -40,7 +40,7 @@
     if (head.method != "GET") return reply({405, "GET only\n", {}});
     const std::int64_t from = target.integerParameter("from").value_or(-1);
     const std::int64_t hold =
-        std::clamp<std::int64_t>(target.integerParameter("hold").value_or(0), 0, kMostHoldMs);
+        std::clamp<std::int64_t>(target.integerParameter("hold").value_or(0), 0, kMaxHoldMs);
     if (from < 0) return reply({400, "'from' is not a number\n", {}});
     ++counters_.reads;
     if (consensus_.leader() == 0) {
@@ -64,39 +64,41 @@
 }
 
 void EventFeed::answer(std::int64_t from, const net::CallServer::Reply& reply) {
-    if (madeFrom_ != from || madeTo_ != store_.lastEvent()) {
-        made_ = page(from);
-        madeFrom_ = from;
-        madeTo_ = store_.lastEvent();
+    if (cachedFrom_ != from || cachedLast_ != store_.lastEvent()) {
+        cachedAnswer_ = page(from);
+        cachedFrom_ = from;
+        cachedLast_ = store_.lastEvent();
     }
-    reply({200, made_, {}});
+    reply({200, cachedAnswer_, {}});
 }
 
 std::string EventFeed::page(std::int64_t from) {
     const config::EventLog& log = store_.eventLog();
-    if (std::exchange(pagesOfLoad_, store_.loadCount()) != store_.loadCount()) pages_.clear();
-    if (const auto found = pages_.find(from); found != pages_.end()) return log.encodePage(found->second);
+    if (std::exchange(cachedLoadCount_, store_.loadCount()) != store_.loadCount()) cachedPages_.clear();
+    if (const auto found = cachedPages_.find(from); found != cachedPages_.end())
+        return log.encodePage(found->second);
     config::EventLog::Page page = log.read(from);
     std::string text = log.encodePage(page);
     if (!page.cacheable) return text;
-    pages_.emplace(from, std::move(page));
-    if (pages_.size() > kMostPages) pages_.erase(pages_.begin());  // the oldest events are asked for least
+    cachedPages_.emplace(from, std::move(page));
+    if (cachedPages_.size() > kMaxCachedPages)
+        cachedPages_.erase(cachedPages_.begin());  // the oldest events are asked for least
     return text;
 }
 
 void EventFeed::changed() {
-    madeFrom_ = -1;  // a restored store may hold other events under the same numbers
-    if (gathering_ || waiting_.empty()) return;
-    const net::Micros left = answeredAt_ + kGather - loop_.now();
+    cachedFrom_ = -1;  // a restored store may hold other events under the same numbers
+    if (batchTimer_ || waiting_.empty()) return;
+    const net::Micros left = lastAnsweredAt_ + kBatchInterval - loop_.now();
     if (left.count() <= 0) return answerWaiting();
-    gathering_ = loop_.after(left, [this] {
-        gathering_.reset();
+    batchTimer_ = loop_.after(left, [this] {
+        batchTimer_.reset();
         answerWaiting();
     });
 }
 
 void EventFeed::answerWaiting() {
-    answeredAt_ = loop_.now();
+    lastAnsweredAt_ = loop_.now();
     for (auto at = waiting_.begin(); at != waiting_.end();) {
         if (at->from >= store_.lastEvent()) {
             ++at;
--- a/src/agent/event_feed.hpp
+++ b/src/agent/event_feed.hpp
@@ -48,12 +48,12 @@
     std::list<Waiting> waiting_;
     // Most readers ask from one place: its answer is made once for all of them. So are full pages, for the
     // many that come back together.
-    std::int64_t madeFrom_ = -1, madeTo_ = -1;
-    std::string made_;
-    std::map<std::int64_t, config::EventLog::Page> pages_;  // by where they begin
-    std::uint64_t pagesOfLoad_ = 0;                         // Store::loads() when they were made
-    net::Micros answeredAt_{};                              // those who waited, last
-    std::optional<net::Loop::TimerKey> gathering_;
+    std::int64_t cachedFrom_ = -1, cachedLast_ = -1;
+    std::string cachedAnswer_;
+    std::map<std::int64_t, config::EventLog::Page> cachedPages_;  // by where they begin
+    std::uint64_t cachedLoadCount_ = 0;                           // Store::loads() when they were made
+    net::Micros lastAnsweredAt_{};                                // those who waited, last
+    std::optional<net::Loop::TimerKey> batchTimer_;
     Counters counters_;
     net::CallServer server_;
 };
