--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -346,9 +346,9 @@
                       begun ? "replacing\n" : "it does not run, is being replaced, or has no door\n",
                       {}});
     }
-    const auto door = supervisor_.door(name);
-    if (!door) return reply({409, "it has no operators' door\n", {}});
-    net::call(loop_, *door, head.method, "/" + what, std::chrono::seconds{2},
+    const auto operatorAddress = supervisor_.operatorAddress(name);
+    if (!operatorAddress) return reply({409, "it has no operators' door\n", {}});
+    net::call(loop_, *operatorAddress, head.method, "/" + what, std::chrono::seconds{2},
               [reply](int status, std::string body) {
                   reply(status != 0 ? Answer{status, std::move(body), {}}
                                     : Answer{503, "its door does not answer\n", {}});
--- a/src/agent/supervisor.cpp
+++ b/src/agent/supervisor.cpp
@@ -98,8 +98,8 @@
     process.runs = process.wanted.revision;
     process.stopping = false;
     process.startedAt = loop_.now();
-    process.door = settings::readConfiguration(process.wanted.configuration).operatorDoor;
-    process.pid = std::max<pid_t>(spawn(name, process, process.door), 0);
+    process.operatorAddress = settings::readConfiguration(process.wanted.configuration).operatorDoor;
+    process.pid = std::max<pid_t>(spawn(name, process, process.operatorAddress), 0);
     if (process.pid == 0) tryAgainLater(name, process);
 }
 
@@ -115,7 +115,7 @@
 }
 
 pid_t Supervisor::spawn(const std::string& name, Process& process,
-                        const std::optional<settings::Endpoint>& door) {
+                        const std::optional<settings::Endpoint>& operatorAddress) {
     hold(name, process, settings::readConfiguration(process.wanted.configuration).listen);
     const std::string base = folder_ + "/" + name;
     // All that the child needs is made before the fork.
@@ -125,7 +125,8 @@
         return -1;
     }
     ::mkdir(meeting.c_str(), 0700);
-    const std::string at = door ? door->host + ":" + std::to_string(door->port) : "";
+    const std::string at =
+        operatorAddress ? operatorAddress->host + ":" + std::to_string(operatorAddress->port) : "";
     constexpr int kSocket = 5;
     const int socket = process.socket.get();
     const pid_t agent = ::getpid();
@@ -170,12 +171,13 @@
 // Of an instance that runs, and is neither stopping nor being replaced.
 Supervisor::Replacement Supervisor::beginReplacement(const std::string& name, Process& process) {
     const auto configured = settings::readConfiguration(process.wanted.configuration).operatorDoor;
-    if (!process.door || !configured) return Replacement::impossible;
-    process.nextDoor = configured;
-    if (*process.door == *configured && ++process.nextDoor->port == 0) return Replacement::impossible;
+    if (!process.operatorAddress || !configured) return Replacement::impossible;
+    process.successorOperatorAddress = configured;
+    if (*process.operatorAddress == *configured && ++process.successorOperatorAddress->port == 0)
+        return Replacement::impossible;
     process.successorRuns = process.wanted.revision;
     process.successorServes = false;
-    process.successor = std::max<pid_t>(spawn(name, process, process.nextDoor), 0);
+    process.successor = std::max<pid_t>(spawn(name, process, process.successorOperatorAddress), 0);
     if (process.successor == 0) return Replacement::failed;
     awaitReady(name, process.successor, loop_.now() + kReadyWithin);
     return Replacement::begun;
@@ -188,7 +190,7 @@
     };
     Process* process = current();
     if (!process) return;
-    net::call(loop_, *process->nextDoor, "GET", "/ready", kAnswers,
+    net::call(loop_, *process->successorOperatorAddress, "GET", "/ready", kAnswers,
               [this, name, successor, until, current](int status, const std::string&) {
                   Process* asked = current();
                   if (!asked) return;
@@ -209,16 +211,17 @@
 void Supervisor::promote(Process& process) {
     process.pid = std::exchange(process.successor, 0);
     process.runs = process.successorRuns;
-    process.door = process.nextDoor;
+    process.operatorAddress = process.successorOperatorAddress;
     process.startedAt = loop_.now();
     process.pause = {};
 }
 
-std::optional<settings::Endpoint> Supervisor::door(const std::string& name) const {
+std::optional<settings::Endpoint> Supervisor::operatorAddress(const std::string& name) const {
     const auto found = processes_.find(name);
     if (found == processes_.end()) return std::nullopt;
-    return found->second.successorServes && found->second.successor != 0 ? found->second.nextDoor
-                                                                         : found->second.door;
+    return found->second.successorServes && found->second.successor != 0
+               ? found->second.successorOperatorAddress
+               : found->second.operatorAddress;
 }
 
 void Supervisor::stop(Process& process) {
--- a/src/agent/supervisor.hpp
+++ b/src/agent/supervisor.hpp
@@ -26,7 +26,7 @@
     // clients. False: it doesn't run, is being replaced already, or has no
     // operators' door that would tell.
     bool replace(const std::string& name);
-    std::optional<settings::Endpoint> door(const std::string& name) const;
+    std::optional<settings::Endpoint> operatorAddress(const std::string& name) const;
     bool empty() const { return processes_.empty(); }
 
     struct Status {
@@ -47,7 +47,7 @@
         // inherits it.
         net::Descriptor socket;
         settings::Endpoint listens;
-        std::optional<settings::Endpoint> door, nextDoor;
+        std::optional<settings::Endpoint> operatorAddress, successorOperatorAddress;
         pid_t successor = 0;
         std::uint64_t successorRuns = 0;
         bool successorServes = false;
@@ -68,7 +68,8 @@
     void attendAfter(net::Micros pause, const std::string& name, Process& process);
     Replacement beginReplacement(const std::string& name, Process& process);
     void start(const std::string& name, Process& process);
-    pid_t spawn(const std::string& name, Process& process, const std::optional<settings::Endpoint>& door);
+    pid_t spawn(const std::string& name, Process& process,
+                const std::optional<settings::Endpoint>& operatorAddress);
     void hold(const std::string& name, Process& process, const settings::Endpoint& at);
     void awaitReady(const std::string& name, pid_t successor, net::Micros until);
     void promote(Process& process);
