--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -92,7 +92,7 @@
     void changed() {
         if (store_.revision() != shownRevision_) {
             shownRevision_ = store_.revision();
-            if (phase_ == Phase::running) supervisor_.want(instancesOf(store_), configuration_.id);
+            if (phase_ == Phase::running) supervisor_.setInstances(instancesOf(store_), configuration_.id);
         }
         if (feed_) feed_->changed();
         control_.changed();
--- a/src/agent/supervisor.cpp
+++ b/src/agent/supervisor.cpp
@@ -21,26 +21,26 @@
 
 namespace {
 
-constexpr net::Micros kFirstPause = 200ms, kLongestPause = 5s;
-constexpr net::Micros kReadyWithin = 6s, kAskAgain = 100ms,
-                      kAnswers = 1s;  // of a successor
-constexpr net::Micros kWell = 10s;    // having run so long, it starts again without a pause
+constexpr net::Micros kMinRestartDelay = 200ms, kMaxRestartDelay = 5s;
+constexpr net::Micros kReadyTimeout = 6s, kReadyPollInterval = 100ms,
+                      kReadyCallTimeout = 1s;  // of a successor
+constexpr net::Micros kStableAfter = 10s;      // having run so long, it starts again without a pause
 
 // Under another name first: a process that reads it finds the old content or the new.
-bool writeWhole(const std::string& path, const std::string& content) {
-    const std::string fresh = path + ".new";
+bool writeAtomically(const std::string& path, const std::string& content) {
+    const std::string temporary = path + ".new";
     {
-        std::ofstream file(fresh, std::ios::trunc);
+        std::ofstream file(temporary, std::ios::trunc);
         file << content;
         file.close();
         if (!file) return false;
     }
-    return std::rename(fresh.c_str(), path.c_str()) == 0;
+    return std::rename(temporary.c_str(), path.c_str()) == 0;
 }
 
 }  // namespace
 
-void Supervisor::want(const std::map<std::string, Instance>& all, std::uint64_t self) {
+void Supervisor::setInstances(const std::map<std::string, Instance>& all, std::uint64_t self) {
     for (auto& [name, process] : processes_) {
         const auto found = all.find(name);
         process.keep = found != all.end() && found->second.agent == self;
@@ -50,7 +50,7 @@
         if (instance.agent != self) continue;
         const bool isNew = processes_.count(name) == 0;
         Process& process = processes_[name];
-        process.wanted = instance;
+        process.desired = instance;
         isNew ? start(name, process) : reconcile(name, process);
     }
     std::erase_if(processes_, [](const auto& entry) { return !entry.second.keep && entry.second.pid == 0; });
@@ -68,26 +68,26 @@
 // whatever ends that calls it again.
 void Supervisor::reconcile(const std::string& name, Process& process) {
     const bool busy = process.pid == 0 || process.stopping || process.successor != 0 || process.timer;
-    if (busy || process.runs == process.wanted.revision) return;
+    if (busy || process.runningRevision == process.desired.revision) return;
     switch (beginReplacement(name, process)) {
         case Replacement::begun:
             return;
         case Replacement::failed:
-            return tryAgainLater(name, process);
+            return scheduleRetry(name, process);
         case Replacement::impossible:
             return stop(process);  // the new one starts when the old one has drained
     }
 }
 
 // With pauses that grow, so that a configuration that can't be started is no busy loop.
-void Supervisor::tryAgainLater(const std::string& name, Process& process) {
-    process.pause = std::clamp(2 * process.pause, kFirstPause, kLongestPause);
-    attendAfter(process.pause, name, process);
+void Supervisor::scheduleRetry(const std::string& name, Process& process) {
+    process.restartDelay = std::clamp(2 * process.restartDelay, kMinRestartDelay, kMaxRestartDelay);
+    scheduleReconcile(process.restartDelay, name, process);
 }
 
-void Supervisor::attendAfter(net::Micros pause, const std::string& name, Process& process) {
+void Supervisor::scheduleReconcile(net::Micros restartDelay, const std::string& name, Process& process) {
     if (process.timer) loop_.cancel(*process.timer);
-    process.timer = loop_.after(pause, [this, name] {
+    process.timer = loop_.after(restartDelay, [this, name] {
         Process& again = processes_.at(name);
         again.timer.reset();
         again.pid == 0 ? start(name, again) : reconcile(name, again);
@@ -95,18 +95,18 @@
 }
 
 void Supervisor::start(const std::string& name, Process& process) {
-    process.runs = process.wanted.revision;
+    process.runningRevision = process.desired.revision;
     process.stopping = false;
     process.startedAt = loop_.now();
-    process.operatorAddress = settings::readConfiguration(process.wanted.configuration).operatorDoor;
+    process.operatorAddress = settings::readConfiguration(process.desired.configuration).operatorDoor;
     process.pid = std::max<pid_t>(spawn(name, process, process.operatorAddress), 0);
-    if (process.pid == 0) tryAgainLater(name, process);
+    if (process.pid == 0) scheduleRetry(name, process);
 }
 
-void Supervisor::hold(const std::string& name, Process& process, const settings::Endpoint& at) {
-    if (process.socket && process.listens == at) return;
+void Supervisor::openListener(const std::string& name, Process& process, const settings::Endpoint& at) {
+    if (process.socket && process.listenAddress == at) return;
     process.socket.reset();
-    process.listens = at;
+    process.listenAddress = at;
     try {
         process.socket = net::listenOn(at);
     } catch (const std::system_error& problem) {  // the instance says so itself, and ends
@@ -116,18 +116,18 @@
 
 pid_t Supervisor::spawn(const std::string& name, Process& process,
                         const std::optional<settings::Endpoint>& operatorAddress) {
-    hold(name, process, settings::readConfiguration(process.wanted.configuration).listen);
+    openListener(name, process, settings::readConfiguration(process.desired.configuration).listen);
     const std::string base = folder_ + "/" + name;
     // All that the child needs is made before the fork.
-    const std::string setting = base + ".json", log = base + ".log", meeting = base + ".tmp";
-    if (!writeWhole(setting, process.wanted.configuration)) {
+    const std::string configurationFile = base + ".json", log = base + ".log", handOverFolder = base + ".tmp";
+    if (!writeAtomically(configurationFile, process.desired.configuration)) {
         std::fprintf(stderr, "agent: cannot start %s: its configuration cannot be written\n", name.c_str());
         return -1;
     }
-    ::mkdir(meeting.c_str(), 0700);
+    ::mkdir(handOverFolder.c_str(), 0700);
     const std::string at =
         operatorAddress ? operatorAddress->host + ":" + std::to_string(operatorAddress->port) : "";
-    constexpr int kSocket = 5;
+    constexpr int kSocketDescriptor = 5;
     const int socket = process.socket.get();
     const pid_t agent = ::getpid();
     const pid_t pid = ::fork();
@@ -138,16 +138,17 @@
         ::prctl(PR_SET_PDEATHSIG,
                 SIGTERM);  // without its agent nobody would stop it
         if (::getppid() != agent) ::_exit(125);
-        ::setenv("LB_CONFIG", setting.c_str(), 1);
+        ::setenv("LB_CONFIG", configurationFile.c_str(), 1);
         ::setenv("LB_NAME", name.c_str(), 1);
-        ::setenv("TMPDIR", meeting.c_str(), 1);
+        ::setenv("TMPDIR", handOverFolder.c_str(), 1);
         at.empty() ? ::unsetenv("LB_OPERATOR") : ::setenv("LB_OPERATOR", at.c_str(), 1);
         ::unsetenv("LB_SOCKET_FD");
         if (socket >= 0) {
-            const bool passed =
-                socket == kSocket ? ::fcntl(socket, F_SETFD, 0) == 0 : ::dup2(socket, kSocket) == kSocket;
+            const bool passed = socket == kSocketDescriptor
+                                    ? ::fcntl(socket, F_SETFD, 0) == 0
+                                    : ::dup2(socket, kSocketDescriptor) == kSocketDescriptor;
             if (!passed) ::_exit(126);
-            ::setenv("LB_SOCKET_FD", std::to_string(kSocket).c_str(), 1);
+            ::setenv("LB_SOCKET_FD", std::to_string(kSocketDescriptor).c_str(), 1);
         }
         const int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
         if (out < 0 || ::dup2(out, STDOUT_FILENO) < 0 || ::dup2(out, STDERR_FILENO) < 0) ::_exit(126);
@@ -170,38 +171,38 @@
 
 // Of an instance that runs, and is neither stopping nor being replaced.
 Supervisor::Replacement Supervisor::beginReplacement(const std::string& name, Process& process) {
-    const auto configured = settings::readConfiguration(process.wanted.configuration).operatorDoor;
+    const auto configured = settings::readConfiguration(process.desired.configuration).operatorDoor;
     if (!process.operatorAddress || !configured) return Replacement::impossible;
     process.successorOperatorAddress = configured;
     if (*process.operatorAddress == *configured && ++process.successorOperatorAddress->port == 0)
         return Replacement::impossible;
-    process.successorRuns = process.wanted.revision;
-    process.successorServes = false;
+    process.successorRevision = process.desired.revision;
+    process.successorReady = false;
     process.successor = std::max<pid_t>(spawn(name, process, process.successorOperatorAddress), 0);
     if (process.successor == 0) return Replacement::failed;
-    awaitReady(name, process.successor, loop_.now() + kReadyWithin);
+    pollReadiness(name, process.successor, loop_.now() + kReadyTimeout);
     return Replacement::begun;
 }
 
-void Supervisor::awaitReady(const std::string& name, pid_t successor, net::Micros until) {
+void Supervisor::pollReadiness(const std::string& name, pid_t successor, net::Micros until) {
     const auto current = [this, name, successor]() -> Process* {
         const auto found = processes_.find(name);
         return found != processes_.end() && found->second.successor == successor ? &found->second : nullptr;
     };
     Process* process = current();
     if (!process) return;
-    net::call(loop_, *process->successorOperatorAddress, "GET", "/ready", kAnswers,
+    net::call(loop_, *process->successorOperatorAddress, "GET", "/ready", kReadyCallTimeout,
               [this, name, successor, until, current](int status, const std::string&) {
                   Process* asked = current();
                   if (!asked) return;
                   if (status == 200) {
-                      asked->successorServes = true;
+                      asked->successorReady = true;
                       ::kill(asked->pid, SIGTERM);
                   } else if (loop_.now() >= until) {
                       ::kill(successor, SIGKILL);
                   } else {
-                      loop_.after(kAskAgain,
-                                  [this, name, successor, until] { awaitReady(name, successor, until); });
+                      loop_.after(kReadyPollInterval,
+                                  [this, name, successor, until] { pollReadiness(name, successor, until); });
                   }
               });
 }
@@ -210,16 +211,16 @@
 // ends and is started again.
 void Supervisor::promote(Process& process) {
     process.pid = std::exchange(process.successor, 0);
-    process.runs = process.successorRuns;
+    process.runningRevision = process.successorRevision;
     process.operatorAddress = process.successorOperatorAddress;
     process.startedAt = loop_.now();
-    process.pause = {};
+    process.restartDelay = {};
 }
 
 std::optional<settings::Endpoint> Supervisor::operatorAddress(const std::string& name) const {
     const auto found = processes_.find(name);
     if (found == processes_.end()) return std::nullopt;
-    return found->second.successorServes && found->second.successor != 0
+    return found->second.successorReady && found->second.successor != 0
                ? found->second.successorOperatorAddress
                : found->second.operatorAddress;
 }
@@ -246,7 +247,7 @@
             if (process.stopping) continue;
             std::fprintf(stderr, "agent: the successor of %s has ended, the old process goes on\n",
                          name.c_str());
-            if (process.runs != process.wanted.revision) tryAgainLater(name, process);
+            if (process.runningRevision != process.desired.revision) scheduleRetry(name, process);
             continue;
         }
         if (process.successor != 0) {
@@ -262,16 +263,18 @@
             processes_.erase(found);
             continue;
         }
-        net::Micros pause{};
+        net::Micros restartDelay{};
         if (!told) {
             const int code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
             std::fprintf(stderr, "agent: %s ended with %d, starting again\n", name.c_str(), code);
             ++process.restarts;
-            const bool well = loop_.now() - process.startedAt > kWell;
-            process.pause = well ? kFirstPause : std::clamp(2 * process.pause, kFirstPause, kLongestPause);
-            pause = process.pause;
+            const bool stable = loop_.now() - process.startedAt > kStableAfter;
+            process.restartDelay =
+                stable ? kMinRestartDelay
+                       : std::clamp(2 * process.restartDelay, kMinRestartDelay, kMaxRestartDelay);
+            restartDelay = process.restartDelay;
         }
-        attendAfter(pause, name, process);
+        scheduleReconcile(restartDelay, name, process);
     }
 }
 
--- a/src/agent/supervisor.hpp
+++ b/src/agent/supervisor.hpp
@@ -19,7 +19,7 @@
     Supervisor(net::Loop& loop, std::string program, std::string folder)
         : loop_(loop), program_(std::move(program)), folder_(std::move(folder)) {}
 
-    void want(const std::map<std::string, Instance>& all, std::uint64_t self);
+    void setInstances(const std::map<std::string, Instance>& all, std::uint64_t self);
     void stopAll();
     void reap();  // after SIGCHLD
     // Starts a successor beside it, and ends the old process once that takes
@@ -38,22 +38,22 @@
 
 private:
     struct Process {
-        Instance wanted;
-        std::uint64_t runs = 0;  // the revision that runs
+        Instance desired;
+        std::uint64_t runningRevision = 0;  // the revision that runs
         bool keep = true;
         bool stopping = false;
         pid_t pid = 0;
         // The clients' socket is held here, so that each process of the instance
         // inherits it.
         net::Descriptor socket;
-        settings::Endpoint listens;
+        settings::Endpoint listenAddress;
         std::optional<settings::Endpoint> operatorAddress, successorOperatorAddress;
         pid_t successor = 0;
-        std::uint64_t successorRuns = 0;
-        bool successorServes = false;
+        std::uint64_t successorRevision = 0;
+        bool successorReady = false;
         int restarts = 0;
         net::Micros startedAt{};
-        net::Micros pause{};
+        net::Micros restartDelay{};
         std::optional<net::Loop::TimerKey> timer;
     };
 
@@ -64,14 +64,14 @@
     };
 
     void reconcile(const std::string& name, Process& process);
-    void tryAgainLater(const std::string& name, Process& process);
-    void attendAfter(net::Micros pause, const std::string& name, Process& process);
+    void scheduleRetry(const std::string& name, Process& process);
+    void scheduleReconcile(net::Micros restartDelay, const std::string& name, Process& process);
     Replacement beginReplacement(const std::string& name, Process& process);
     void start(const std::string& name, Process& process);
     pid_t spawn(const std::string& name, Process& process,
                 const std::optional<settings::Endpoint>& operatorAddress);
-    void hold(const std::string& name, Process& process, const settings::Endpoint& at);
-    void awaitReady(const std::string& name, pid_t successor, net::Micros until);
+    void openListener(const std::string& name, Process& process, const settings::Endpoint& at);
+    void pollReadiness(const std::string& name, pid_t successor, net::Micros until);
     void promote(Process& process);
     void stop(Process& process);
 
