--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -22,7 +22,7 @@
 using namespace lotuslead;
 using namespace lotuslead::agent;
 
-std::string contentsOf(const std::string& path) {
+std::string readFile(const std::string& path) {
     std::ifstream file(path);
     std::ostringstream text;
     if (!file || !(text << file.rdbuf())) throw settings::Malformed("cannot read '" + path + "'");
@@ -41,19 +41,19 @@
 void claimFolder(const AgentConfiguration& configuration) {
     ensureFolder(configuration, "raft");
     const std::string path = configuration.folder + "/cluster";
-    const std::string mine = configuration.cluster + " " + std::to_string(configuration.id) + "\n";
+    const std::string ownLine = configuration.cluster + " " + std::to_string(configuration.id) + "\n";
     std::ifstream file(path);
     std::ostringstream text;
     if (file) text << file.rdbuf();
-    std::string whose = text.str();
-    if (whose == mine) return;
-    if (!whose.empty() && whose.back() == '\n') {
-        whose.pop_back();
-        throw settings::Malformed("field 'folder': it belongs to cluster and agent '" + whose + "'");
+    std::string owner = text.str();
+    if (owner == ownLine) return;
+    if (!owner.empty() && owner.back() == '\n') {
+        owner.pop_back();
+        throw settings::Malformed("field 'folder': it belongs to cluster and agent '" + owner + "'");
     }
     // There is none, or the disk was full when it was written.
     std::ofstream claim(path);
-    claim << mine;
+    claim << ownLine;
     if (!claim.flush()) throw StorageUnavailable("cannot write '" + path + "'");
 }
 
@@ -64,7 +64,7 @@
     explicit Agent(AgentConfiguration configuration)
         : configuration_(std::move(configuration)),
           signals_(watchSignals()),
-          signalsId_(loop_.add(signals_.get(), EPOLLIN, *this)),
+          signalsHandler_(loop_.add(signals_.get(), EPOLLIN, *this)),
           supervisor_(loop_, configuration_.program, ensureFolder(configuration_, "instances")),
           consensus_(loop_, configuration_.self(),
                      configuration_.join ? std::vector<Member>{} : configuration_.members,
@@ -73,7 +73,7 @@
           control_(loop_, configuration_, store_, consensus_, supervisor_) {
         if (configuration_.bus) feed_.emplace(loop_, *configuration_.bus, store_, consensus_);
     }
-    ~Agent() override { loop_.remove(signalsId_, signals_.get()); }
+    ~Agent() override { loop_.remove(signalsHandler_, signals_.get()); }
 
     int run() {
         const Member& self = configuration_.self();
@@ -90,8 +90,8 @@
 
 private:
     void changed() {
-        if (store_.revision() != shownRevision_) {
-            shownRevision_ = store_.revision();
+        if (store_.revision() != suppliedRevision_) {
+            suppliedRevision_ = store_.revision();
             if (phase_ == Phase::running) supervisor_.setInstances(instancesOf(store_), configuration_.id);
         }
         if (feed_) feed_->changed();
@@ -118,10 +118,10 @@
     AgentConfiguration configuration_;
     net::Loop loop_;
     net::Descriptor signals_;
-    net::Loop::HandlerId signalsId_;
+    net::Loop::HandlerId signalsHandler_;
     Phase phase_ = Phase::running;
     config::Store store_;
-    config::Revision shownRevision_ = 0;
+    config::Revision suppliedRevision_ = 0;
     Supervisor supervisor_;
     Consensus consensus_;
     Control control_;
@@ -130,22 +130,22 @@
 
 // Until the folder can be read and written, or a signal says to end.
 bool waitForStorage() {
-    constexpr timespec kBetween{0, 250'000'000};
+    constexpr timespec kRetryInterval{0, 250'000'000};
     sigset_t set;
     sigemptyset(&set);
     for (const int number : {SIGTERM, SIGINT}) sigaddset(&set, number);
     sigprocmask(SIG_BLOCK, &set, nullptr);
-    return ::sigtimedwait(&set, nullptr, &kBetween) < 0;
+    return ::sigtimedwait(&set, nullptr, &kRetryInterval) < 0;
 }
 
 int run(const AgentConfiguration& configuration) {
-    bool told = false;
+    bool reported = false;
     do {
         try {
             claimFolder(configuration);
             return Agent(configuration).run();
         } catch (const StorageUnavailable& problem) {
-            if (!std::exchange(told, true))
+            if (!std::exchange(reported, true))
                 std::fprintf(stderr, "agent: its folder is not to be had: %s; trying again\n",
                              problem.what());
         }
@@ -156,16 +156,16 @@
 // For a majority that is lost for good. Any member that answers may be part of one.
 int recoverAlone(const AgentConfiguration& configuration) {
     net::Loop loop;
-    std::size_t reached = 0, asked = 0;
+    std::size_t reached = 0, pendingCalls = 0;
     for (const Member& m : configuration.members) {
-        ++asked;
+        ++pendingCalls;
         net::call(loop, settings::readEndpoint(m.control, "control"), "GET", "/status",
                   std::chrono::seconds{2}, [&](int status, const std::string&) {
                       reached += status != 0;
-                      --asked;
+                      --pendingCalls;
                   });
     }
-    while (asked > 0) loop.turn(loop.now() + std::chrono::milliseconds{100});
+    while (pendingCalls > 0) loop.turn(loop.now() + std::chrono::milliseconds{100});
     if (reached > 0) {
         std::fprintf(stderr,
                      "lotuslead_agent: %zu of %zu agents can be reached; stop those that are left, this one "
@@ -187,20 +187,20 @@
 }  // namespace
 
 // Exit codes: 0 stopped as told, 1 could not go on, 2 bad arguments or configuration.
-int main(int count, char** words) {
-    const std::string first = count > 1 ? words[1] : "";
+int main(int count, char** arguments) {
+    const std::string first = count > 1 ? arguments[1] : "";
     if (first == "--help" || first == "--version") {
         std::fputs(first == "--help" ? kUsage : "lotuslead_agent " LOTUSLEAD_VERSION "\n", stdout);
         return 0;
     }
-    const bool recovers = first == "--recover-alone";
-    if (count != (recovers ? 3 : 2)) {
+    const bool recoverAloneWanted = first == "--recover-alone";
+    if (count != (recoverAloneWanted ? 3 : 2)) {
         std::fputs(kUsage, stderr);
         return 2;
     }
     try {
-        const AgentConfiguration configuration = readAgentConfiguration(contentsOf(words[count - 1]));
-        if (!recovers) return run(configuration);
+        const AgentConfiguration configuration = readAgentConfiguration(readFile(arguments[count - 1]));
+        if (!recoverAloneWanted) return run(configuration);
         claimFolder(configuration);
         return recoverAlone(configuration);
     } catch (const settings::Malformed& problem) {
