--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -287,7 +287,7 @@
     // Before the text is read, which takes long where it is large.
     if (!consensus_.isLeader()) return redirectToLeader(head.target, reply);
     if (!consensus_.acceptsProposals()) return reply({503, "not agreed\n", {}});
-    const std::string key = kInstances + rest;
+    const std::string key = kInstancePrefix + rest;
     config::Command command;
     config::Change& change = command.transaction.changes.emplace_back();
     change.key = key;
@@ -332,7 +332,7 @@
     if (!ready && what != "drain" && what != "undrain" && what != "replace")
         return reply({404, "no such thing\n", {}});
     if (head.method != (ready ? "GET" : "POST")) return reply({405, "GET ready, POST the others\n", {}});
-    const auto* found = store_.find(kInstances + name);
+    const auto* found = store_.find(kInstancePrefix + name);
     if (!found) return reply({404, "no instance '" + name + "'\n", {}});
     const std::uint64_t agent = found->value.at("agent");
     if (agent != configuration_.id) {
--- a/src/agent/instances.hpp
+++ b/src/agent/instances.hpp
@@ -15,13 +15,13 @@
     std::string configuration;   // JSON text
 };
 
-inline constexpr const char* kInstances = "instances/";
+inline constexpr const char* kInstancePrefix = "instances/";
 
 inline std::map<std::string, Instance> instancesOf(const config::Store& store) {
     std::map<std::string, Instance> result;
-    store.forEach(kInstances, [&](const std::string& key, const config::Document& document) {
-        result[key.substr(std::string(kInstances).size())] = {document.value.at("agent"), document.revision,
-                                                              document.value.at("configuration").dump()};
+    store.forEach(kInstancePrefix, [&](const std::string& key, const config::Document& document) {
+        result[key.substr(std::string(kInstancePrefix).size())] = {
+            document.value.at("agent"), document.revision, document.value.at("configuration").dump()};
         return true;
     });
     return result;
--- a/src/agent/settings.cpp
+++ b/src/agent/settings.cpp
@@ -15,30 +15,30 @@
 AgentConfiguration readAgentConfiguration(const std::string& text) {
     const json root = json::parse(text, nullptr, false);
     if (!root.is_object()) throw Malformed("the configuration is no JSON object");
-    const std::set<std::string> known{"id",           "folder",         "program",    "cluster",
-                                      "agents",       "join",           "bus",        "election_ms",
-                                      "heartbeat_ms", "snapshot_every", "raft_listen"};
+    const std::set<std::string> knownFields{"id",           "folder",         "program",    "cluster",
+                                            "agents",       "join",           "bus",        "election_ms",
+                                            "heartbeat_ms", "snapshot_every", "raft_listen"};
     for (const auto& [key, value] : root.items())
-        if (known.count(key) == 0) throw Malformed("field '" + key + "' is not known");
-    const auto need = [](const json& object, const char* key, bool fits) -> const json& {
+        if (knownFields.count(key) == 0) throw Malformed("field '" + key + "' is not known");
+    const auto requireField = [](const json& object, const char* key, bool fits) -> const json& {
         if (!object.contains(key) || !fits)
             throw Malformed("field '" + std::string(key) + "' is missing or unusable");
         return object[key];
     };
     const auto words = [&](const json& object, const char* key) -> std::string {
-        return need(object, key,
-                    object.contains(key) && object[key].is_string() &&
-                        !object[key].get_ref<const std::string&>().empty());
+        return requireField(object, key,
+                            object.contains(key) && object[key].is_string() &&
+                                !object[key].get_ref<const std::string&>().empty());
     };
     const auto id = [&](const json& object) -> std::uint64_t {
-        return need(object, "id",
-                    object.contains("id") && object["id"].is_number_unsigned() && object["id"] > 0);
+        return requireField(object, "id",
+                            object.contains("id") && object["id"].is_number_unsigned() && object["id"] > 0);
     };
-    const auto whole = [&](const char* key, unsigned least, unsigned most, unsigned& into) {
+    const auto readBounded = [&](const char* key, unsigned min, unsigned max, unsigned& into) {
         if (!root.contains(key)) return;
-        if (!root[key].is_number_unsigned() || root[key] < least || root[key] > most)
-            throw Malformed("field '" + std::string(key) + "' is not within " + std::to_string(least) +
-                            " and " + std::to_string(most));
+        if (!root[key].is_number_unsigned() || root[key] < min || root[key] > max)
+            throw Malformed("field '" + std::string(key) + "' is not within " + std::to_string(min) +
+                            " and " + std::to_string(max));
         into = root[key];
     };
     AgentConfiguration result;
@@ -46,19 +46,20 @@
     result.folder = words(root, "folder");
     result.program = words(root, "program");
     if (root.contains("cluster")) result.cluster = words(root, "cluster");
-    if (root.contains("join")) result.join = need(root, "join", root["join"].is_boolean());
+    if (root.contains("join")) result.join = requireField(root, "join", root["join"].is_boolean());
     if (root.contains("bus")) result.bus = settings::readEndpoint(words(root, "bus"), "bus");
     if (root.contains("raft_listen")) {
         result.raftListen = words(root, "raft_listen");
         settings::readEndpoint(result.raftListen, "raft_listen");
     }
-    whole("election_ms", 100, 60'000, result.raft.electionTimeoutMs);
-    whole("heartbeat_ms", 10, 10'000, result.raft.heartbeatIntervalMs);
-    whole("snapshot_every", 16, 1'000'000, result.raft.snapshotThreshold);
+    readBounded("election_ms", 100, 60'000, result.raft.electionTimeoutMs);
+    readBounded("heartbeat_ms", 10, 10'000, result.raft.heartbeatIntervalMs);
+    readBounded("snapshot_every", 16, 1'000'000, result.raft.snapshotThreshold);
     if (result.raft.heartbeatIntervalMs * 3 > result.raft.electionTimeoutMs)
         throw Malformed("field 'heartbeat_ms' is more than a third of election_ms");
     std::set<std::uint64_t> ids;
-    for (const json& item : need(root, "agents", root.contains("agents") && root["agents"].is_array())) {
+    for (const json& item :
+         requireField(root, "agents", root.contains("agents") && root["agents"].is_array())) {
         if (!item.is_object()) throw Malformed("field 'agents' is not a list of objects");
         result.members.push_back({id(item), words(item, "raft"), words(item, "control")});
         settings::readEndpoint(result.members.back().raft, "raft");
