--- a/src/agent/raft_storage.cpp
+++ b/src/agent/raft_storage.cpp
@@ -103,7 +103,7 @@
     };
     io.set_term = [](raft_io* self, raft_term term) { return fromIo(self).setTermAndVote({term, 0}); };
     io.set_vote = [](raft_io* self, raft_id id) {
-        return fromIo(self).setTermAndVote({of(self).termAndVote_.term, id});
+        return fromIo(self).setTermAndVote({fromIo(self).termAndVote_.term, id});
     };
     io.append = [](raft_io* self, raft_io_append* request, const raft_entry* entries, unsigned count,
                    raft_io_append_cb done) { return fromIo(self).append(request, entries, count, done); };
