--- a/tests/raft_schedules.cpp
+++ b/tests/raft_schedules.cpp
@@ -22,8 +22,8 @@
 
 class Schedule {
 public:
-    explicit Schedule(std::uint64_t seed) : world_(seed % 2 ? 5 : 3, seed) {
-        world_.applied = [this](raft_id, std::uint64_t number, std::string_view command) {
+    explicit Schedule(std::uint64_t seed) : simulation_(seed % 2 ? 5 : 3, seed) {
+        simulation_.applied = [this](raft_id, std::uint64_t number, std::string_view command) {
             const auto [at, isNew] = log_.emplace(number, command);
             if (!isNew && at->second != command)
                 fault("two servers applied different commands as number " + std::to_string(number));
@@ -35,14 +35,14 @@
         for (std::size_t i = 0; i < clients_.size(); ++i) act(i);
         for (int i = 0; i < 12; ++i) {
             weather();
-            world_.runFor(200 + static_cast<int>(world_.below(600)));
+            simulation_.runFor(200 + static_cast<int>(simulation_.randomBelow(600)));
         }
         over_ = true;
-        world_.heal();
-        for (std::size_t i = 0; i < world_.size(); ++i) world_.server(i).start();
-        world_.runFor(8000);
+        simulation_.heal();
+        for (std::size_t i = 0; i < simulation_.size(); ++i) simulation_.server(i).start();
+        simulation_.runFor(8000);
         end();
-        result_.trace = world_.trace();
+        result_.trace = simulation_.trace();
         return result_;
     }
 
@@ -52,65 +52,68 @@
         std::string key;  // of the command that is being tried
     };
 
-    void fault(const std::string& what) {
-        if (result_.faults.size() < 5) result_.faults.push_back(what);
+    void fault(const std::string& action) {
+        if (result_.faults.size() < 5) result_.faults.push_back(action);
     }
 
     void weather() {
-        const std::size_t size = world_.size(), one = world_.below(size);
-        switch (world_.below(7)) {
+        const std::size_t size = simulation_.size(), one = simulation_.randomBelow(size);
+        switch (simulation_.randomBelow(7)) {
             case 0:
-                world_.heal();
+                simulation_.heal();
                 break;
             case 1:  // one way, or both
                 for (std::size_t other = 0; other < size; ++other) {
-                    if (world_.below(2)) world_.cut(one, other, true);
-                    if (world_.below(2)) world_.cut(other, one, true);
+                    if (simulation_.randomBelow(2)) simulation_.cut(one, other, true);
+                    if (simulation_.randomBelow(2)) simulation_.cut(other, one, true);
                 }
                 break;
             case 2: {  // a minority and a majority
                 const std::size_t other = (one + 1) % size;
                 for (std::size_t a = 0; a < size; ++a)
                     for (std::size_t b = 0; b < size; ++b)
-                        if ((a == one || a == other) != (b == one || b == other)) world_.cut(a, b, size > 3);
+                        if ((a == one || a == other) != (b == one || b == other))
+                            simulation_.cut(a, b, size > 3);
                 break;
             }
             case 3:
-                world_.weather(static_cast<int>(world_.below(30)), 10 + static_cast<int>(world_.below(150)));
+                simulation_.setNetworkFaults(static_cast<int>(simulation_.randomBelow(30)),
+                                             10 + static_cast<int>(simulation_.randomBelow(150)));
                 break;
             case 4:  // the leader, in the middle of whatever it does
                 for (std::size_t i = 0; i < size; ++i)
-                    if (world_.server(i).leads()) crash(i);
+                    if (simulation_.server(i).isLeader()) crash(i);
                 break;
             case 5:
                 crash(one);
                 break;
             default:
-                if (world_.below(3) == 0)
+                if (simulation_.randomBelow(3) == 0)
                     for (std::size_t i = 0; i < size; ++i) crash(i);
                 break;
         }
     }
     void crash(std::size_t i) {
-        if (!world_.server(i).runs()) return;
+        if (!simulation_.server(i).isRunning()) return;
         ++result_.crashes;
-        world_.server(i).crash();
-        world_.after(20 + static_cast<int>(world_.below(500)), [this, i] { world_.server(i).start(); });
+        simulation_.server(i).crash();
+        simulation_.after(20 + static_cast<int>(simulation_.randomBelow(500)),
+                          [this, i] { simulation_.server(i).start(); });
     }
 
     // A server that believes that it leads, not always the same, where there are two.
-    RaftWorld::Server* leader() {
-        std::vector<RaftWorld::Server*> all;
-        for (std::size_t i = 0; i < world_.size(); ++i)
-            if (world_.server(i).leads()) all.push_back(&world_.server(i));
-        return all.empty() ? nullptr : all[world_.below(all.size())];
+    RaftSimulation::Server* leader() {
+        std::vector<RaftSimulation::Server*> all;
+        for (std::size_t i = 0; i < simulation_.size(); ++i)
+            if (simulation_.server(i).isLeader()) all.push_back(&simulation_.server(i));
+        return all.empty() ? nullptr : all[simulation_.randomBelow(all.size())];
     }
 
     void act(std::size_t number) {
         Client& client = clients_[number];
-        const auto again = [this, number](int ms) { world_.after(ms, [this, number] { act(number); }); };
+        const auto again = [this, number](int ms) { simulation_.after(ms, [this, number] { act(number); }); };
         if (over_ && client.key.empty()) return;
-        RaftWorld::Server* server = leader();
+        RaftSimulation::Server* server = leader();
         if (!server) return again(20);
         if (client.session == 0) {
             const bool begun = server->propose(config::encode({0, 0, true, {}}),
@@ -121,7 +124,7 @@
             if (!begun) again(20);
             return;
         }
-        if (client.key.empty() && world_.below(3) == 0) return read(*server, again);
+        if (client.key.empty() && simulation_.randomBelow(3) == 0) return read(*server, again);
         if (client.key.empty()) {
             ++client.sequence;
             client.key = "files/" + std::to_string(number) + "-" + std::to_string(client.sequence);
@@ -139,10 +142,10 @@
                                                if (clients_[number].tries != attempt) return;
                                                if (known) answered(number, o);
                                                ++clients_[number].tries;
-                                               again(1 + static_cast<int>(world_.below(30)));
+                                               again(1 + static_cast<int>(simulation_.randomBelow(30)));
                                            });
         if (!begun) return again(20);
-        world_.after(400, [this, number, attempt, again] {
+        simulation_.after(400, [this, number, attempt, again] {
             if (clients_[number].tries != attempt) return;
             ++clients_[number].tries;
             again(1);
@@ -150,7 +153,7 @@
     }
     void answered(std::size_t number, const Outcome& outcome) {
         Client& client = clients_[number];
-        world_.note(outcome.revision);
+        simulation_.addToTrace(outcome.revision);
         if (outcome.status != Outcome::Status::done)
             fault(client.key + " was answered '" + config::nameOf(outcome.status) + "'");
         kept_.emplace(client.key, outcome.revision);
@@ -159,7 +162,7 @@
         client.key.clear();
     }
     template <class Again>
-    void read(RaftWorld::Server& server, Again again) {
+    void read(RaftSimulation::Server& server, Again again) {
         const config::Revision before = highest_;
         const bool begun = server.barrier([this, &server, before, again](bool holds) {
             if (holds) {
@@ -174,20 +177,21 @@
 
     void end() {
         std::string first;
-        for (std::size_t i = 0; i < world_.size(); ++i) {
-            const config::Store& store = world_.server(i).store();
+        for (std::size_t i = 0; i < simulation_.size(); ++i) {
+            const config::Store& store = simulation_.server(i).store();
             if (i == 0) first = store.dump();
             if (store.dump() != first) fault("the servers do not end with one state");
             for (const auto& [key, revision] : kept_) {
-                const auto* held = store.find(key);
-                if (!held || held->revision != revision) fault(key + " was answered for and is not there");
+                const auto* loaded = store.find(key);
+                if (!loaded || loaded->revision != revision)
+                    fault(key + " was answered for and is not there");
             }
         }
         for (const Client& client : clients_)
             if (!client.key.empty()) fault(client.key + " was never answered");
     }
 
-    RaftWorld world_;
+    RaftSimulation simulation_;
     Result result_;
     std::vector<Client> clients_;
     std::map<std::uint64_t, std::string> log_;
--- a/tests/raft_simulation.cpp
+++ b/tests/raft_simulation.cpp
@@ -17,7 +17,7 @@
     return text;
 }
 
-raft_entry* entriesOf(const std::vector<RaftWorld::Entry>& entries) {
+raft_entry* entriesOf(const std::vector<RaftSimulation::Entry>& entries) {
     if (entries.empty()) return nullptr;
     auto* all = static_cast<raft_entry*>(raft_calloc(entries.size(), sizeof(raft_entry)));
     for (std::size_t i = 0; i < entries.size(); ++i) {
@@ -28,13 +28,13 @@
     }
     return all;
 }
-std::vector<RaftWorld::Entry> copied(const raft_entry* entries, std::size_t count) {
-    std::vector<RaftWorld::Entry> all;
+std::vector<RaftSimulation::Entry> copyOf(const raft_entry* entries, std::size_t count) {
+    std::vector<RaftSimulation::Entry> all;
     for (std::size_t i = 0; i < count; ++i)
         all.push_back({entries[i].term, entries[i].type, textOf(entries[i].buf)});
     return all;
 }
-std::vector<std::pair<raft_id, int>> copied(const raft_configuration& from) {
+std::vector<std::pair<raft_id, int>> copyOf(const raft_configuration& from) {
     std::vector<std::pair<raft_id, int>> members;
     for (unsigned i = 0; i < from.n; ++i) members.emplace_back(from.servers[i].id, from.servers[i].role);
     return members;
@@ -45,23 +45,23 @@
         raft_configuration_add(&into, id, std::to_string(id).c_str(), role);
 }
 
-using Server = RaftWorld::Server;
+using Server = RaftSimulation::Server;
 
 }  // namespace
 
-void RaftWorld::Server::later(int ms, std::function<void(int)> what) {
+void RaftSimulation::Server::runLater(int ms, std::function<void(int)> action) {
     // Kept where a crash finds it: libraft waits for each callback before it lets go.
-    const auto shared = std::make_shared<std::function<void(int)>>(std::move(what));
+    const auto shared = std::make_shared<std::function<void(int)>>(std::move(action));
     if (run_->waiting.size() >= 64) std::erase_if(run_->waiting, [](const auto& one) { return !*one; });
     run_->waiting.push_back(shared);
-    world_.after(ms, [this, life = life_, shared] {
-        if (life == life_ && run_ && *shared) std::exchange(*shared, nullptr)(0);
+    simulation_.after(ms, [this, incarnation = incarnation_, shared] {
+        if (incarnation == incarnation_ && run_ && *shared) std::exchange(*shared, nullptr)(0);
     });
 }
 
-void RaftWorld::Server::start() {
+void RaftSimulation::Server::start() {
     if (run_) return;
-    ++life_;
+    ++incarnation_;
     run_ = std::make_unique<Run>();
     run_->server = this;
     fill(run_->guarded.io);
@@ -73,8 +73,8 @@
         const std::string command = textOf(*buffer);
         run.outcome = run.store.apply(command);
         *result = &run.outcome;
-        if (run.server->world_.applied)
-            run.server->world_.applied(run.server->id_, run.store.commandCount(), command);
+        if (run.server->simulation_.applied)
+            run.server->simulation_.applied(run.server->id_, run.store.commandCount(), command);
         return 0;
     };
     run_->fsm.snapshot = [](raft_fsm* fsm, raft_buffer** buffers, unsigned* count) {
@@ -92,7 +92,7 @@
     raft_configuration all;
     raft_configuration_init(&all);
     if (disk_.term == 0) {
-        for (raft_id id = 1; id <= world_.servers_.size(); ++id)
+        for (raft_id id = 1; id <= simulation_.servers_.size(); ++id)
             raft_configuration_add(&all, id, std::to_string(id).c_str(), RAFT_VOTER);
         raft_bootstrap(&run_->raft, &all);
     }
@@ -106,19 +106,19 @@
     raft_start(&run_->raft);
 }
 
-void RaftWorld::Server::crash() {
+void RaftSimulation::Server::crash() {
     if (!run_) return;
     // Of what was being written any part may have reached the disk, from its beginning on.
     const std::size_t written = disk_.entries.size();
-    if (written > disk_.durable) disk_.durable += world_.below(written - disk_.durable + 1);
+    if (written > disk_.durable) disk_.durable += simulation_.randomBelow(written - disk_.durable + 1);
     disk_.entries.resize(disk_.durable);
-    ++life_;
+    ++incarnation_;
     raft_close(&run_->raft, [](struct raft*) {});
     run_.reset();
 }
 
-bool RaftWorld::Server::propose(const std::string& command, Applied done) {
-    if (!leads()) return false;
+bool RaftSimulation::Server::propose(const std::string& command, Applied done) {
+    if (!isLeader()) return false;
     auto* proposal = new Proposal;
     proposal->request.data = proposal;
     proposal->done = std::move(done);
@@ -136,8 +136,8 @@
     return false;
 }
 
-bool RaftWorld::Server::barrier(std::function<void(bool)> done) {
-    if (!leads()) return false;
+bool RaftSimulation::Server::barrier(std::function<void(bool)> done) {
+    if (!isLeader()) return false;
     auto* barrier = new Barrier;
     barrier->request.data = barrier;
     barrier->done = std::move(done);
@@ -151,16 +151,16 @@
     return false;
 }
 
-void RaftWorld::Server::tickLater(unsigned ms) {
-    world_.after(static_cast<int>(ms), [this, ms, life = life_] {
-        if (life != life_ || !run_) return;
+void RaftSimulation::Server::scheduleTick(unsigned ms) {
+    simulation_.after(static_cast<int>(ms), [this, ms, incarnation = incarnation_] {
+        if (incarnation != incarnation_ || !run_) return;
         run_->tick(&run_->guarded.io);
-        tickLater(ms);
+        scheduleTick(ms);
     });
 }
 
 // In the order in which they were asked for.
-void RaftWorld::Server::finishAppend() {
+void RaftSimulation::Server::completeOldestAppend() {
     const Pending pending = run_->appends.front();
     run_->appends.pop_front();
     const raft_index last = std::min<raft_index>(pending.last, disk_.first + disk_.entries.size() - 1);
@@ -168,7 +168,7 @@
     pending.done(pending.request, 0);
 }
 
-void RaftWorld::Server::fill(raft_io& io) {
+void RaftSimulation::Server::fill(raft_io& io) {
     io.version = 1;
     io.data = run_.get();
     io.impl = run_.get();
@@ -189,15 +189,15 @@
         *vote = disk.vote;
         *snapshot = nullptr;
         if (disk.snapshot) {
-            auto* held = static_cast<raft_snapshot*>(raft_calloc(1, sizeof(raft_snapshot)));
-            held->index = disk.snapshot->index;
-            held->term = disk.snapshot->term;
-            held->configuration_index = disk.snapshot->configurationIndex;
-            lotuslead::testing::fill(held->configuration, disk.snapshot->members);
-            held->bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
-            *held->bufs = bufferOf(disk.snapshot->data);
-            held->n_bufs = 1;
-            *snapshot = held;
+            auto* loaded = static_cast<raft_snapshot*>(raft_calloc(1, sizeof(raft_snapshot)));
+            loaded->index = disk.snapshot->index;
+            loaded->term = disk.snapshot->term;
+            loaded->configuration_index = disk.snapshot->configurationIndex;
+            lotuslead::testing::fill(loaded->configuration, disk.snapshot->members);
+            loaded->bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
+            *loaded->bufs = bufferOf(disk.snapshot->data);
+            loaded->n_bufs = 1;
+            *snapshot = loaded;
         }
         *first = disk.first;
         *entries = entriesOf(disk.entries);
@@ -208,7 +208,7 @@
         Run& run = *static_cast<Run*>(self->impl);
         run.tick = tick;
         run.receive = receive;
-        run.server->tickLater(ms);
+        run.server->scheduleTick(ms);
         return 0;
     };
     io.bootstrap = [](raft_io* self, const raft_configuration* configuration) {
@@ -234,18 +234,18 @@
     };
     io.send = [](raft_io* self, raft_io_send* request, const raft_message* message, raft_io_send_cb done) {
         Server& server = *static_cast<Run*>(self->impl)->server;
-        server.world_.deliver(server.id_, *message);
-        server.later(1, [request, done](int status) { done(request, status); });
+        server.simulation_.deliver(server.id_, *message);
+        server.runLater(1, [request, done](int status) { done(request, status); });
         return 0;
     };
     io.append = [](raft_io* self, raft_io_append* request, const raft_entry* entries, unsigned count,
                    raft_io_append_cb done) {
         Run& run = *static_cast<Run*>(self->impl);
         Server& server = *run.server;
-        for (Entry& entry : copied(entries, count)) server.disk_.entries.push_back(std::move(entry));
+        for (Entry& entry : copyOf(entries, count)) server.disk_.entries.push_back(std::move(entry));
         run.appends.push_back({request, done, server.disk_.first + server.disk_.entries.size() - 1});
-        server.world_.after(server.world_.diskMs(), [&server, life = server.life_] {
-            if (life == server.life_ && server.run_) server.finishAppend();
+        server.simulation_.after(server.simulation_.diskMs(), [&server, incarnation = server.incarnation_] {
+            if (incarnation == server.incarnation_ && server.run_) server.completeOldestAppend();
         });
         return 0;
     };
@@ -261,91 +261,96 @@
                          const raft_snapshot* from, raft_io_snapshot_put_cb done) {
         Server& server = *static_cast<Run*>(self->impl)->server;
         Snapshot snapshot{
-            from->index, from->configuration_index, from->term, copied(from->configuration), {}};
+            from->index, from->configuration_index, from->term, copyOf(from->configuration), {}};
         for (unsigned i = 0; i < from->n_bufs; ++i) snapshot.data += textOf(from->bufs[i]);
-        server.later(5 + server.world_.diskMs(), [&server, snapshot, trailing, request, done](int status) {
-            if (status == 0) {
-                Disk& disk = server.disk_;
-                disk.snapshot = snapshot;
-                // What the snapshot replaces, but for the last ones of it; all where the log does not reach
-                // it.
-                const raft_index last = disk.first + disk.entries.size() - 1;
-                const raft_index upTo = trailing == 0 || last < snapshot.index
-                                            ? last
-                                            : (snapshot.index > trailing ? snapshot.index - trailing : 0);
-                if (upTo >= disk.first) {
-                    const auto gone = static_cast<std::size_t>(std::min(upTo, last) - disk.first + 1);
-                    disk.entries.erase(disk.entries.begin(),
-                                       disk.entries.begin() + static_cast<std::ptrdiff_t>(gone));
-                    disk.durable -= std::min(disk.durable, gone);
-                    disk.first += gone;
+        server.runLater(
+            5 + server.simulation_.diskMs(), [&server, snapshot, trailing, request, done](int status) {
+                if (status == 0) {
+                    Disk& disk = server.disk_;
+                    disk.snapshot = snapshot;
+                    // What the snapshot replaces, but for the last ones of it; all where the log does not
+                    // reach it.
+                    const raft_index last = disk.first + disk.entries.size() - 1;
+                    const raft_index lastRemoved =
+                        trailing == 0 || last < snapshot.index
+                            ? last
+                            : (snapshot.index > trailing ? snapshot.index - trailing : 0);
+                    if (lastRemoved >= disk.first) {
+                        const auto removed =
+                            static_cast<std::size_t>(std::min(lastRemoved, last) - disk.first + 1);
+                        disk.entries.erase(disk.entries.begin(),
+                                           disk.entries.begin() + static_cast<std::ptrdiff_t>(removed));
+                        disk.durable -= std::min(disk.durable, removed);
+                        disk.first += removed;
+                    }
+                    if (disk.entries.empty()) disk.first = snapshot.index + 1;
                 }
-                if (disk.entries.empty()) disk.first = snapshot.index + 1;
-            }
-            done(request, status);
-        });
+                done(request, status);
+            });
         return 0;
     };
     io.snapshot_get = [](raft_io* self, raft_io_snapshot_get* request, raft_io_snapshot_get_cb done) {
         Server& server = *static_cast<Run*>(self->impl)->server;
-        server.later(server.world_.diskMs(), [&server, request, done](int status) {
-            raft_snapshot* held = nullptr;
+        server.runLater(server.simulation_.diskMs(), [&server, request, done](int status) {
+            raft_snapshot* loaded = nullptr;
             if (status == 0) {
                 const Snapshot& snapshot = *server.disk_.snapshot;
-                held = static_cast<raft_snapshot*>(raft_calloc(1, sizeof(raft_snapshot)));
-                held->index = snapshot.index;
-                held->term = snapshot.term;
-                held->configuration_index = snapshot.configurationIndex;
-                lotuslead::testing::fill(held->configuration, snapshot.members);
-                held->bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
-                *held->bufs = bufferOf(snapshot.data);
-                held->n_bufs = 1;
+                loaded = static_cast<raft_snapshot*>(raft_calloc(1, sizeof(raft_snapshot)));
+                loaded->index = snapshot.index;
+                loaded->term = snapshot.term;
+                loaded->configuration_index = snapshot.configurationIndex;
+                lotuslead::testing::fill(loaded->configuration, snapshot.members);
+                loaded->bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
+                *loaded->bufs = bufferOf(snapshot.data);
+                loaded->n_bufs = 1;
             }
-            done(request, held, status);
+            done(request, loaded, status);
         });
         return 0;
     };
-    io.time = [](raft_io* self) { return static_cast<Run*>(self->impl)->server->world_.now_; };
+    io.time = [](raft_io* self) { return static_cast<Run*>(self->impl)->server->simulation_.now_; };
     io.random = [](raft_io* self, int least, int most) {
-        RaftWorld& world = static_cast<Run*>(self->impl)->server->world_;
-        return least + static_cast<int>(world.below(static_cast<std::uint64_t>(std::max(1, most - least))));
+        RaftSimulation& simulation = static_cast<Run*>(self->impl)->server->simulation_;
+        return least + static_cast<int>(
+                           simulation.randomBelow(static_cast<std::uint64_t>(std::max(1, most - least))));
     };
 }
 
-void RaftWorld::deliver(raft_id from, const raft_message& message) {
+void RaftSimulation::deliver(raft_id from, const raft_message& message) {
     const raft_id to = message.server_id;
     if (to == 0 || to > servers_.size() || cut_[from - 1][to - 1]) return;
-    if (static_cast<int>(below(100)) < lossInHundred_) return;
-    struct Carried {
+    if (static_cast<int>(randomBelow(100)) < lossPercent_) return;
+    struct InFlight {
         raft_message message;
         std::vector<Entry> entries;
         std::vector<std::pair<raft_id, int>> members;
         std::string data;
     };
-    auto carried = std::make_shared<Carried>();
-    carried->message = message;
+    auto inFlight = std::make_shared<InFlight>();
+    inFlight->message = message;
     if (message.type == RAFT_IO_APPEND_ENTRIES)
-        carried->entries = copied(message.append_entries.entries, message.append_entries.n_entries);
+        inFlight->entries = copyOf(message.append_entries.entries, message.append_entries.n_entries);
     if (message.type == RAFT_IO_INSTALL_SNAPSHOT) {
-        carried->members = copied(message.install_snapshot.conf);
-        carried->data = textOf(message.install_snapshot.data);
+        inFlight->members = copyOf(message.install_snapshot.conf);
+        inFlight->data = textOf(message.install_snapshot.data);
     }
-    after(1 + static_cast<int>(below(static_cast<std::uint64_t>(slowest_))), [this, from, to, carried] {
-        Server& server = *servers_[to - 1];
-        // Also what was under way when a link was cut is lost.
-        if (!server.run_ || cut_[from - 1][to - 1]) return;
-        raft_message message_ = carried->message;
-        const std::string address = std::to_string(from);
-        message_.server_id = from;
-        message_.server_address = address.c_str();
-        if (message_.type == RAFT_IO_APPEND_ENTRIES)
-            message_.append_entries.entries = entriesOf(carried->entries);
-        if (message_.type == RAFT_IO_INSTALL_SNAPSHOT) {
-            lotuslead::testing::fill(message_.install_snapshot.conf, carried->members);
-            message_.install_snapshot.data = bufferOf(carried->data);
-        }
-        server.run_->receive(&server.run_->guarded.io, &message_);
-    });
+    after(1 + static_cast<int>(randomBelow(static_cast<std::uint64_t>(maxDelayMs_))),
+          [this, from, to, inFlight] {
+              Server& server = *servers_[to - 1];
+              // Also what was under way when a link was cut is lost.
+              if (!server.run_ || cut_[from - 1][to - 1]) return;
+              raft_message delivered = inFlight->message;
+              const std::string address = std::to_string(from);
+              delivered.server_id = from;
+              delivered.server_address = address.c_str();
+              if (delivered.type == RAFT_IO_APPEND_ENTRIES)
+                  delivered.append_entries.entries = entriesOf(inFlight->entries);
+              if (delivered.type == RAFT_IO_INSTALL_SNAPSHOT) {
+                  lotuslead::testing::fill(delivered.install_snapshot.conf, inFlight->members);
+                  delivered.install_snapshot.data = bufferOf(inFlight->data);
+              }
+              server.run_->receive(&server.run_->guarded.io, &delivered);
+          });
 }
 
 }  // namespace lotuslead::testing
--- a/tests/raft_simulation.hpp
+++ b/tests/raft_simulation.hpp
@@ -25,7 +25,7 @@
 
 namespace lotuslead::testing {
 
-class RaftWorld {
+class RaftSimulation {
 public:
     struct Entry {
         raft_term term = 0;
@@ -51,11 +51,11 @@
 
     class Server {
     public:
-        Server(RaftWorld& world, raft_id id) : world_(world), id_(id) {}
+        Server(RaftSimulation& simulation, raft_id id) : simulation_(simulation), id_(id) {}
         ~Server() { crash(); }
 
-        bool runs() const { return run_ != nullptr; }
-        bool leads() const { return runs() && raft_state(&run_->raft) == RAFT_LEADER; }
+        bool isRunning() const { return run_ != nullptr; }
+        bool isLeader() const { return isRunning() && raft_state(&run_->raft) == RAFT_LEADER; }
         const config::Store& store() const { return run_->store; }
         raft_index applied() const { return raft_last_applied(&run_->raft); }
 
@@ -66,7 +66,7 @@
         bool barrier(std::function<void(bool)> done);
 
     private:
-        friend class RaftWorld;
+        friend class RaftSimulation;
         struct Pending {
             raft_io_append* request;
             raft_io_append_cb done;
@@ -95,74 +95,74 @@
         };
 
         void fill(raft_io& io);
-        void tickLater(unsigned ms);
-        void finishAppend();
+        void scheduleTick(unsigned ms);
+        void completeOldestAppend();
         // Runs this unless the server has crashed meanwhile; then with RAFT_CANCELED, at the crash.
-        void later(int ms, std::function<void(int status)> what);
+        void runLater(int ms, std::function<void(int status)> action);
 
-        RaftWorld& world_;
+        RaftSimulation& simulation_;
         raft_id id_;
         Disk disk_;
         std::unique_ptr<Run> run_;
-        std::uint64_t life_ = 0;
+        std::uint64_t incarnation_ = 0;
     };
 
-    RaftWorld(int size, std::uint64_t seed) : random_(seed) {
+    RaftSimulation(int size, std::uint64_t seed) : random_(seed) {
         for (int i = 0; i < size; ++i)
             servers_.push_back(std::make_unique<Server>(*this, static_cast<raft_id>(i + 1)));
         cut_.assign(static_cast<std::size_t>(size), std::vector<bool>(static_cast<std::size_t>(size), false));
         for (auto& server : servers_) server->start();
     }
-    ~RaftWorld() {
+    ~RaftSimulation() {
         for (auto& server : servers_) server->crash();
     }
 
     Server& server(std::size_t i) { return *servers_[i]; }
     std::size_t size() const { return servers_.size(); }
     raft_time now() const { return now_; }
-    std::uint64_t below(std::uint64_t bound) { return random_() % bound; }
+    std::uint64_t randomBelow(std::uint64_t bound) { return random_() % bound; }
     void cut(std::size_t from, std::size_t to, bool is) { cut_[from][to] = is; }
     void heal() {
         for (auto& row : cut_) row.assign(row.size(), false);
-        lossInHundred_ = 0;
-        slowest_ = 20;
+        lossPercent_ = 0;
+        maxDelayMs_ = 20;
     }
-    void weather(int lossInHundred, int slowestMs) {
-        lossInHundred_ = lossInHundred;
-        slowest_ = slowestMs;
+    void setNetworkFaults(int lossPercent, int maxDelayMs) {
+        lossPercent_ = lossPercent;
+        maxDelayMs_ = maxDelayMs;
     }
-    void after(int ms, std::function<void()> what) {
-        queue_.emplace(std::pair(now_ + static_cast<raft_time>(ms), ++number_), std::move(what));
+    void after(int ms, std::function<void()> action) {
+        events_.emplace(std::pair(now_ + static_cast<raft_time>(ms), ++eventNumber_), std::move(action));
     }
     void runFor(int ms) {
         const raft_time until = now_ + static_cast<raft_time>(ms);
-        while (!queue_.empty() && queue_.begin()->first.first <= until) {
-            now_ = queue_.begin()->first.first;
-            const auto what = std::move(queue_.begin()->second);
-            queue_.erase(queue_.begin());
+        while (!events_.empty() && events_.begin()->first.first <= until) {
+            now_ = events_.begin()->first.first;
+            const auto action = std::move(events_.begin()->second);
+            events_.erase(events_.begin());
             trace_ = combine(trace_, now_);
-            what();
+            action();
         }
         now_ = until;
     }
     // Two runs of one seed have the same.
     std::uint64_t trace() const { return trace_; }
-    void note(std::uint64_t what) { trace_ = combine(trace_, what); }
+    void addToTrace(std::uint64_t action) { trace_ = combine(trace_, action); }
 
     std::function<void(raft_id, std::uint64_t number, std::string_view command)>
         applied;  // each, by each server
 
 private:
-    int diskMs() { return static_cast<int>(below(8)); }
+    int diskMs() { return static_cast<int>(randomBelow(8)); }
     void deliver(raft_id from, const raft_message& message);
 
     std::mt19937_64 random_;
     std::vector<std::unique_ptr<Server>> servers_;
     std::vector<std::vector<bool>> cut_;
-    int lossInHundred_ = 0, slowest_ = 20;
+    int lossPercent_ = 0, maxDelayMs_ = 20;
     raft_time now_ = 1000;
-    std::uint64_t number_ = 0, trace_ = 0;
-    std::map<std::pair<raft_time, std::uint64_t>, std::function<void()>> queue_;
+    std::uint64_t eventNumber_ = 0, trace_ = 0;
+    std::map<std::pair<raft_time, std::uint64_t>, std::function<void()>> events_;
 };
 
 }  // namespace lotuslead::testing
