--- a/tests/raft_schedules.cpp
+++ b/tests/raft_schedules.cpp
@@ -17,46 +17,47 @@
 
 struct Result {
     std::uint64_t trace = 0, committed = 0, reads = 0, crashes = 0;
-    std::vector<std::string> faults;
+    std::vector<std::string> violations;
 };
 
 class Schedule {
 public:
     explicit Schedule(std::uint64_t seed) : simulation_(seed % 2 ? 5 : 3, seed) {
-        simulation_.applied = [this](raft_id, std::uint64_t number, std::string_view command) {
-            const auto [at, isNew] = log_.emplace(number, command);
+        simulation_.applied = [this](raft_id, std::uint64_t clientNumber, std::string_view command) {
+            const auto [at, isNew] = commandsByNumber_.emplace(clientNumber, command);
             if (!isNew && at->second != command)
-                fault("two servers applied different commands as number " + std::to_string(number));
+                reportViolation("two servers applied different commands as number " +
+                                std::to_string(clientNumber));
         };
     }
 
     Result run() {
         for (int i = 0; i < 3; ++i) clients_.push_back({});
-        for (std::size_t i = 0; i < clients_.size(); ++i) act(i);
+        for (std::size_t i = 0; i < clients_.size(); ++i) step(i);
         for (int i = 0; i < 12; ++i) {
-            weather();
+            injectFault();
             simulation_.runFor(200 + static_cast<int>(simulation_.randomBelow(600)));
         }
-        over_ = true;
+        stopping_ = true;
         simulation_.heal();
         for (std::size_t i = 0; i < simulation_.size(); ++i) simulation_.server(i).start();
         simulation_.runFor(8000);
-        end();
+        checkFinalState();
         result_.trace = simulation_.trace();
         return result_;
     }
 
 private:
     struct Client {
-        std::uint64_t session = 0, sequence = 0, tries = 0;
+        std::uint64_t session = 0, sequence = 0, attempts = 0;
         std::string key;  // of the command that is being tried
     };
 
-    void fault(const std::string& action) {
-        if (result_.faults.size() < 5) result_.faults.push_back(action);
+    void reportViolation(const std::string& violation) {
+        if (result_.violations.size() < 5) result_.violations.push_back(violation);
     }
 
-    void weather() {
+    void injectFault() {
         const std::size_t size = simulation_.size(), one = simulation_.randomBelow(size);
         switch (simulation_.randomBelow(7)) {
             case 0:
@@ -109,25 +110,27 @@
         return all.empty() ? nullptr : all[simulation_.randomBelow(all.size())];
     }
 
-    void act(std::size_t number) {
-        Client& client = clients_[number];
-        const auto again = [this, number](int ms) { simulation_.after(ms, [this, number] { act(number); }); };
-        if (over_ && client.key.empty()) return;
+    void step(std::size_t clientNumber) {
+        Client& client = clients_[clientNumber];
+        const auto retry = [this, clientNumber](int ms) {
+            simulation_.after(ms, [this, clientNumber] { step(clientNumber); });
+        };
+        if (stopping_ && client.key.empty()) return;
         RaftSimulation::Server* server = leader();
-        if (!server) return again(20);
+        if (!server) return retry(20);
         if (client.session == 0) {
-            const bool begun = server->propose(config::encode({0, 0, true, {}}),
-                                               [this, number, again](bool known, const Outcome& o) {
-                                                   if (known) clients_[number].session = o.revision;
-                                                   again(1);
-                                               });
-            if (!begun) again(20);
+            const bool proposed = server->propose(config::encode({0, 0, true, {}}),
+                                                  [this, clientNumber, retry](bool known, const Outcome& o) {
+                                                      if (known) clients_[clientNumber].session = o.revision;
+                                                      retry(1);
+                                                  });
+            if (!proposed) retry(20);
             return;
         }
-        if (client.key.empty() && simulation_.randomBelow(3) == 0) return read(*server, again);
+        if (client.key.empty() && simulation_.randomBelow(3) == 0) return read(*server, retry);
         if (client.key.empty()) {
             ++client.sequence;
-            client.key = "files/" + std::to_string(number) + "-" + std::to_string(client.sequence);
+            client.key = "files/" + std::to_string(clientNumber) + "-" + std::to_string(client.sequence);
         }
         // Whoever is applied twice finds its own document there.
         config::Command command{client.session,
@@ -136,77 +139,77 @@
                                 {{{client.key, 0}}, {{client.key, client.sequence}}, 0, ""}};
         // An answer that never comes must not hold the client up: it tries again elsewhere, with the same
         // words.
-        const std::uint64_t attempt = ++client.tries;
-        const bool begun = server->propose(config::encode(command),
-                                           [this, number, attempt, again](bool known, const Outcome& o) {
-                                               if (clients_[number].tries != attempt) return;
-                                               if (known) answered(number, o);
-                                               ++clients_[number].tries;
-                                               again(1 + static_cast<int>(simulation_.randomBelow(30)));
-                                           });
-        if (!begun) return again(20);
-        simulation_.after(400, [this, number, attempt, again] {
-            if (clients_[number].tries != attempt) return;
-            ++clients_[number].tries;
-            again(1);
+        const std::uint64_t attempt = ++client.attempts;
+        const bool proposed = server->propose(
+            config::encode(command), [this, clientNumber, attempt, retry](bool known, const Outcome& o) {
+                if (clients_[clientNumber].attempts != attempt) return;
+                if (known) answered(clientNumber, o);
+                ++clients_[clientNumber].attempts;
+                retry(1 + static_cast<int>(simulation_.randomBelow(30)));
+            });
+        if (!proposed) return retry(20);
+        simulation_.after(400, [this, clientNumber, attempt, retry] {
+            if (clients_[clientNumber].attempts != attempt) return;
+            ++clients_[clientNumber].attempts;
+            retry(1);
         });
     }
-    void answered(std::size_t number, const Outcome& outcome) {
-        Client& client = clients_[number];
+    void answered(std::size_t clientNumber, const Outcome& outcome) {
+        Client& client = clients_[clientNumber];
         simulation_.addToTrace(outcome.revision);
         if (outcome.status != Outcome::Status::done)
-            fault(client.key + " was answered '" + config::nameOf(outcome.status) + "'");
-        kept_.emplace(client.key, outcome.revision);
-        highest_ = std::max(highest_, outcome.revision);
+            reportViolation(client.key + " was answered '" + config::nameOf(outcome.status) + "'");
+        acknowledged_.emplace(client.key, outcome.revision);
+        highestRevision_ = std::max(highestRevision_, outcome.revision);
         ++result_.committed;
         client.key.clear();
     }
-    template <class Again>
-    void read(RaftSimulation::Server& server, Again again) {
-        const config::Revision before = highest_;
-        const bool begun = server.barrier([this, &server, before, again](bool holds) {
+    template <class Retry>
+    void read(RaftSimulation::Server& server, Retry retry) {
+        const config::Revision before = highestRevision_;
+        const bool proposed = server.barrier([this, &server, before, retry](bool holds) {
             if (holds) {
                 ++result_.reads;
                 if (server.store().revision() < before)
-                    fault("a read behind a barrier was older than an answer");
+                    reportViolation("a read behind a barrier was older than an answer");
             }
-            again(1);
+            retry(1);
         });
-        if (!begun) again(20);
+        if (!proposed) retry(20);
     }
 
-    void end() {
+    void checkFinalState() {
         std::string first;
         for (std::size_t i = 0; i < simulation_.size(); ++i) {
             const config::Store& store = simulation_.server(i).store();
             if (i == 0) first = store.dump();
-            if (store.dump() != first) fault("the servers do not end with one state");
-            for (const auto& [key, revision] : kept_) {
+            if (store.dump() != first) reportViolation("the servers do not end with one state");
+            for (const auto& [key, revision] : acknowledged_) {
                 const auto* loaded = store.find(key);
                 if (!loaded || loaded->revision != revision)
-                    fault(key + " was answered for and is not there");
+                    reportViolation(key + " was answered for and is not there");
             }
         }
         for (const Client& client : clients_)
-            if (!client.key.empty()) fault(client.key + " was never answered");
+            if (!client.key.empty()) reportViolation(client.key + " was never answered");
     }
 
     RaftSimulation simulation_;
     Result result_;
     std::vector<Client> clients_;
-    std::map<std::uint64_t, std::string> log_;
-    std::map<std::string, config::Revision> kept_;
-    config::Revision highest_ = 0;
-    bool over_ = false;
+    std::map<std::uint64_t, std::string> commandsByNumber_;
+    std::map<std::string, config::Revision> acknowledged_;
+    config::Revision highestRevision_ = 0;
+    bool stopping_ = false;
 };
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argumentCount, char** arguments) {
     std::uint64_t seeds = 0, first = 1;
-    for (int i = 1; i + 1 < count; i += 2) {
-        if (std::string(words[i]) == "--seeds") seeds = std::strtoull(words[i + 1], nullptr, 10);
-        if (std::string(words[i]) == "--first") first = std::strtoull(words[i + 1], nullptr, 10);
+    for (int i = 1; i + 1 < argumentCount; i += 2) {
+        if (std::string(arguments[i]) == "--seeds") seeds = std::strtoull(arguments[i + 1], nullptr, 10);
+        if (std::string(arguments[i]) == "--first") first = std::strtoull(arguments[i + 1], nullptr, 10);
     }
     if (seeds == 0) {
         std::fprintf(stderr, "raft_schedules --seeds N --first S\n");
@@ -217,11 +220,11 @@
     for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
         Result one = Schedule(seed).run();
         // Each hundredth is played twice, and each that fails: a run that can't be had again proves little.
-        if (seed % 100 == 0 || !one.faults.empty())
-            if (Schedule(seed).run().trace != one.trace) one.faults.push_back("it does not replay");
-        for (const std::string& fault : one.faults)
-            std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), fault.c_str());
-        failed += !one.faults.empty();
+        if (seed % 100 == 0 || !one.violations.empty())
+            if (Schedule(seed).run().trace != one.trace) one.violations.push_back("it does not replay");
+        for (const std::string& violation : one.violations)
+            std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), violation.c_str());
+        failed += !one.violations.empty();
         all.committed += one.committed;
         all.reads += one.reads;
         all.crashes += one.crashes;
