--- a/tests/audit_raft.cpp
+++ b/tests/audit_raft.cpp
@@ -137,7 +137,7 @@
     }
     void noteCrashes() {
         for (int id = 1; id <= agents_; ++id) {
-            const auto status = cluster_.endedByItself(id);
+            const auto status = cluster_.takeUnexpectedExit(id);
             if (!status) continue;
             ++crashed_;
             std::printf("agent %d has ended by itself, wait status %d:\n%s\n", id, *status,
--- a/tests/raft_cluster.hpp
+++ b/tests/raft_cluster.hpp
@@ -134,7 +134,7 @@
         host_ = "127." + std::to_string(128 + (pid >> 14) % 64) + "." + std::to_string((pid >> 7) % 128) +
                 "." + std::to_string(1 + pid % 128);
         for (int id = 1; id <= size_; ++id) members_.push_back(seat(id));
-        for (int id = 1; id <= size_; ++id) relay.open(id, raft(id), inner(id));
+        for (int id = 1; id <= size_; ++id) relay.open(id, raft(id), raftListen(id));
         for (int id = 1; id <= size_; ++id) start(id);
     }
     ~Cluster() {
@@ -145,7 +145,7 @@
         std::filesystem::remove_all(folder_);
     }
     std::string raft(int id) const { return host_ + ":" + std::to_string(9000 + id); }
-    std::string inner(int id) const { return host_ + ":" + std::to_string(9300 + id); }
+    std::string raftListen(int id) const { return host_ + ":" + std::to_string(9300 + id); }
     std::string control(int id) const { return host_ + ":" + std::to_string(9100 + id); }
     std::string bus(int id) const { return host_ + ":" + std::to_string(9200 + id); }
     std::string folder(int id) const { return folder_ + "/" + std::to_string(id); }
@@ -159,7 +159,7 @@
         if (id > size_) agents.push_back(seat(id));
         json file = {{"id", id},           {"folder", folder(id)}, {"program", "/bin/true"},
                      {"agents", agents},   {"bus", bus(id)},       {"join", join},
-                     {"election_ms", 200}, {"heartbeat_ms", 40},   {"raft_listen", inner(id)}};
+                     {"election_ms", 200}, {"heartbeat_ms", 40},   {"raft_listen", raftListen(id)}};
         file.update(more_);
         return file;
     }
@@ -185,7 +185,7 @@
     }
     bool runs(int id) const { return pids_.count(id) != 0; }
     // Once: the wait status of an agent that has ended without having been killed.
-    std::optional<int> endedByItself(int id) {
+    std::optional<int> takeUnexpectedExit(int id) {
         int status = 0;
         if (!runs(id) || ::waitpid(pids_.at(id), &status, WNOHANG) != pids_.at(id)) return {};
         pids_.erase(id);
--- a/tests/shared_configuration_test.cpp
+++ b/tests/shared_configuration_test.cpp
@@ -165,7 +165,7 @@
         ::pclose(pipe);
         return text;
     };
-    cluster.relay.open(4, cluster.raft(4), cluster.inner(4));
+    cluster.relay.open(4, cluster.raft(4), cluster.raftListen(4));
     cluster.start(4, true);
     assert(ctl("members add 4 " + cluster.raft(4) + " " + cluster.control(4)) == "done\n");
     // Whichever agent answers: it hears of it soon.
@@ -183,7 +183,7 @@
     const int dead = leader == 3 ? 2 : 3;
     cluster.kill(dead);
     must(client, putting("files/a", "still"));
-    cluster.relay.open(5, cluster.raft(5), cluster.inner(5));
+    cluster.relay.open(5, cluster.raft(5), cluster.raftListen(5));
     cluster.start(5, true);
     const std::string replaced =
         ctl("members replace " + std::to_string(dead) + " 5 " + cluster.raft(5) + " " + cluster.control(5));
