--- a/tests/raft_cluster.hpp
+++ b/tests/raft_cluster.hpp
@@ -18,16 +18,16 @@
 
 class Relay {
 public:
-    static constexpr int kMost = 8;
+    static constexpr int kMaxAgentId = 8;
 
     ~Relay() {
-        over_ = true;
+        stopping_ = true;
         for (auto& thread : threads_) thread.join();
-        for (auto& thread : pumps_) thread.join();
+        for (auto& thread : forwarders_) thread.join();
     }
     // What comes to this address of agent `to` goes on to the other one.
-    void open(int to, const std::string& at, const std::string& onwards) {
-        threads_.emplace_back([this, to, at, onwards] { accept(to, at, onwards); });
+    void open(int to, const std::string& at, const std::string& destination) {
+        threads_.emplace_back([this, to, at, destination] { accept(to, at, destination); });
     }
     // What `from` has to say does not reach `to`. Bytes under way wait, as on a network that loses packets.
     void cut(int from, int to, bool is) { cut_[from][to] = is; }
@@ -40,7 +40,7 @@
     std::uint64_t bytes() const { return bytes_; }  // passed on, in all directions
 
 private:
-    static int connected(const std::string& address, bool listens) {
+    static int openSocket(const std::string& address, bool listens) {
         sockaddr_in at{};
         at.sin_family = AF_INET;
         const std::size_t colon = address.find(':');
@@ -50,9 +50,9 @@
         const int yes = 1;
         ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
         const auto* where = reinterpret_cast<const sockaddr*>(&at);
-        const bool good = listens ? ::bind(fd, where, sizeof at) == 0 && ::listen(fd, 64) == 0
-                                  : ::connect(fd, where, sizeof at) == 0;
-        if (good) return fd;
+        const bool connected = listens ? ::bind(fd, where, sizeof at) == 0 && ::listen(fd, 64) == 0
+                                       : ::connect(fd, where, sizeof at) == 0;
+        if (connected) return fd;
         ::close(fd);
         return -1;
     }
@@ -60,44 +60,44 @@
         pollfd waits{fd, POLLIN, 0};
         return ::poll(&waits, 1, ms) > 0;
     }
-    void accept(int to, const std::string& at, const std::string& onwards) {
-        const int listening = connected(at, true);
+    void accept(int to, const std::string& at, const std::string& destination) {
+        const int listening = openSocket(at, true);
         assert(listening >= 0);
-        while (!over_) {
+        while (!stopping_) {
             if (!readable(listening, 20)) continue;
             const int fd = ::accept4(listening, nullptr, nullptr, SOCK_CLOEXEC);
             if (fd < 0) continue;
             const std::lock_guard lock(mutex_);
-            pumps_.emplace_back([this, fd, to, onwards] { pump(fd, to, onwards); });
+            forwarders_.emplace_back([this, fd, to, destination] { forward(fd, to, destination); });
         }
         ::close(listening);
     }
-    void pump(int in, int to, const std::string& onwards) {
+    void forward(int in, int to, const std::string& destination) {
         std::array<std::uint64_t, 2> preamble{};
-        std::size_t got = 0;
-        while (!over_ && got < sizeof preamble) {
+        std::size_t received = 0;
+        while (!stopping_ && received < sizeof preamble) {
             if (!readable(in, 20)) continue;
-            const ssize_t some =
-                ::recv(in, reinterpret_cast<char*>(preamble.data()) + got, sizeof preamble - got, 0);
+            const ssize_t some = ::recv(in, reinterpret_cast<char*>(preamble.data()) + received,
+                                        sizeof preamble - received, 0);
             if (some <= 0) break;
-            got += static_cast<std::size_t>(some);
+            received += static_cast<std::size_t>(some);
         }
         const auto from = static_cast<int>(preamble[1]);
         int out = -1;
-        if (got == sizeof preamble && from > 0 && from < kMost) {
-            while (!over_ && cut_[from][to]) std::this_thread::sleep_for(5ms);
-            out = connected(onwards, false);
+        if (received == sizeof preamble && from > 0 && from < kMaxAgentId) {
+            while (!stopping_ && cut_[from][to]) std::this_thread::sleep_for(5ms);
+            out = openSocket(destination, false);
         }
-        bool good =
+        bool connected =
             out >= 0 && ::send(out, preamble.data(), sizeof preamble, MSG_NOSIGNAL) == sizeof preamble;
         std::string chunk(65536, '\0');
-        while (good && !over_) {
+        while (connected && !stopping_) {
             if (cut_[from][to]) {
                 std::this_thread::sleep_for(5ms);
                 continue;
             }
             if (readable(out, 0)) {  // nothing is ever said this way: the other end has gone
-                good = false;
+                connected = false;
                 break;
             }
             if (!readable(in, 10)) continue;
@@ -105,19 +105,19 @@
             const ssize_t some = ::recv(in, chunk.data(), chunk.size(), 0);
             if (some <= 0) break;
             if (const int ms = delayMs_; ms > 0) std::this_thread::sleep_for(std::chrono::milliseconds{ms});
-            good = ::send(out, chunk.data(), static_cast<std::size_t>(some), MSG_NOSIGNAL) == some;
+            connected = ::send(out, chunk.data(), static_cast<std::size_t>(some), MSG_NOSIGNAL) == some;
             bytes_ += static_cast<std::uint64_t>(some);
         }
         if (out >= 0) ::close(out);
         ::close(in);
     }
 
-    std::atomic<bool> over_{false};
-    std::array<std::array<std::atomic<bool>, kMost>, kMost> cut_{};
+    std::atomic<bool> stopping_{false};
+    std::array<std::array<std::atomic<bool>, kMaxAgentId>, kMaxAgentId> cut_{};
     std::atomic<int> delayMs_{0};
     std::atomic<std::uint64_t> bytes_{0};
     std::mutex mutex_;
-    std::vector<std::thread> threads_, pumps_;
+    std::vector<std::thread> threads_, forwarders_;
 };
 
 class Cluster {
@@ -126,14 +126,14 @@
 
     // `variables`: set for the agent of that id.
     explicit Cluster(int size, json more = json::object(), Variables variables = {})
-        : size_(size), more_(std::move(more)), variables_(std::move(variables)) {
+        : size_(size), extraSettings_(std::move(more)), variables_(std::move(variables)) {
         char folder[] = "/tmp/lotuslead-raft-XXXXXX";
         folder_ = ::mkdtemp(folder);
         // The agents must know each other's ports beforehand: an address of this process's own has all free.
         const int pid = ::getpid();
         host_ = "127." + std::to_string(128 + (pid >> 14) % 64) + "." + std::to_string((pid >> 7) % 128) +
                 "." + std::to_string(1 + pid % 128);
-        for (int id = 1; id <= size_; ++id) members_.push_back(seat(id));
+        for (int id = 1; id <= size_; ++id) members_.push_back(memberSettings(id));
         for (int id = 1; id <= size_; ++id) relay.open(id, raft(id), raftListen(id));
         for (int id = 1; id <= size_; ++id) start(id);
     }
@@ -153,14 +153,14 @@
         std::ifstream in(folder(id) + ".log");
         return {std::istreambuf_iterator<char>(in), {}};
     }
-    json seat(int id) const { return {{"id", id}, {"raft", raft(id)}, {"control", control(id)}}; }
+    json memberSettings(int id) const { return {{"id", id}, {"raft", raft(id)}, {"control", control(id)}}; }
     json settings(int id, bool join = false) const {
         json agents = members_;
-        if (id > size_) agents.push_back(seat(id));
+        if (id > size_) agents.push_back(memberSettings(id));
         json file = {{"id", id},           {"folder", folder(id)}, {"program", "/bin/true"},
                      {"agents", agents},   {"bus", bus(id)},       {"join", join},
                      {"election_ms", 200}, {"heartbeat_ms", 40},   {"raft_listen", raftListen(id)}};
-        file.update(more_);
+        file.update(extraSettings_);
         return file;
     }
     void start(int id, bool join = false) {
@@ -225,7 +225,7 @@
 
 private:
     int size_;
-    json more_;
+    json extraSettings_;
     Variables variables_;
     std::string folder_, host_;
     std::vector<json> members_;
