--- a/tests/agent_changes_test.cpp
+++ b/tests/agent_changes_test.cpp
@@ -8,12 +8,13 @@
 
 using namespace lotuslead::testing;
 
-constexpr auto kCheckWithin = 1s;  // no gap is as long
-constexpr auto kBetweenChecks = 20ms;
-constexpr int kPutsWithoutRoom = 150;
-constexpr std::size_t kPadding = 200'000;  // with so many puts more than two of libraft's segments of 8 MB
-constexpr const char* kFirstDoor = ":15000";
-constexpr int kSecondDoorPort = 15001;
+constexpr auto kCheckTimeout = 1s;  // no gap is as long
+constexpr auto kCheckInterval = 20ms;
+constexpr int kPutsWhileDiskFull = 150;
+constexpr std::size_t kPaddingBytes =
+    200'000;  // with so many puts more than two of libraft's segments of 8 MB
+constexpr const char* kOperatorPortSuffix = ":15000";
+constexpr int kSuccessorOperatorPort = 15001;
 
 std::uint16_t freePort() { return Peer(nullptr).port(); }
 
@@ -30,21 +31,21 @@
 
 private:
     void run() {
-        while (!over_) {
+        while (!stopping_) {
             Connection client(port_);
-            client.waitAtMost(kCheckWithin);
+            client.waitAtMost(kCheckTimeout);
             client.sendResp({"CHECK", "1", ""});
             ++(client.readResp().empty() ? unanswered_ : answered_);
-            std::this_thread::sleep_for(kBetweenChecks);
+            std::this_thread::sleep_for(kCheckInterval);
         }
     }
     void end() {
-        over_ = true;
+        stopping_ = true;
         if (thread_.joinable()) thread_.join();
     }
 
     std::uint16_t port_;
-    std::atomic<bool> over_{false};
+    std::atomic<bool> stopping_{false};
     std::atomic<int> answered_{0}, unanswered_{0};
     std::thread thread_;
 };
@@ -53,7 +54,7 @@
     explicit Instance(const Agents& agents, const std::vector<json>& stores = {})
         : agents_(agents), port(freePort()) {
         settings = configuration(stores);
-        settings["operator"] = agents.host() + kFirstDoor;
+        settings["operator"] = agents.host() + kOperatorPortSuffix;
         settings["listen"] = "127.0.0.1:" + std::to_string(port);
     }
     void put(int megabytes) {
@@ -79,12 +80,12 @@
 };
 
 // A change of another instance, or of the same one, while a successor starts and the old process drains.
-void aChangeDuringAReplacementLeavesNoGap() {
+void checksAreAnsweredWhileAReplacementIsChanged() {
     Agents agents;
     agents.awaitLeader();
-    Mark pulled, may;
+    Mark pulled, release;
     Fleet fleet;
-    Peer slow(store(servingWhenTold(pulled, may, "bytes")));
+    Peer slow(store(servingWhenTold(pulled, release, "bytes")));
     Instance gate(agents, fleet.with({host("cache-1", slow.address())}));
     gate.put(192);
     gate.awaitReady();
@@ -100,7 +101,7 @@
     gate.put(128);
     gate.put(160);
     std::this_thread::sleep_for(2s);
-    may.raise();
+    release.raise();
     assert((client.readResp() == std::vector<std::string>{"1", "SERVED", "-", "bytes"}));
     gate.awaitRunning(pid);
     gate.awaitReady();
@@ -112,7 +113,7 @@
 }
 
 // The configuration that was agreed on comes into force though its first process could not start.
-void aSuccessorThatEndsIsStartedAgain() {
+void aSuccessorThatExitsIsRestarted() {
     Agents agents;
     agents.awaitLeader();
     Instance gate(agents);
@@ -122,7 +123,7 @@
     const std::uint64_t before = gate.status()["revision"];
     {
         // The successor's door is taken: it ends.
-        Listening taken(agents.host(), kSecondDoorPort);
+        OccupiedPort occupied(agents.host(), kSuccessorOperatorPort);
         gate.put(96);
         agents.awaitLog(2, "the successor of gate-1 has ended");
     }
@@ -131,7 +132,7 @@
     gate.awaitReady();
 }
 
-void aForkThatFailsIsTriedAgain() {
+void aFailedForkIsRetried() {
     Agents agents(faultVariables("fork=EAGAIN:1:1:1"));
     agents.awaitLeader();
     Instance gate(agents);
@@ -142,17 +143,17 @@
 
 // No room on any agent's disk for a while: what is agreed on once there is room again holds, and the agents
 // need nobody's hand.
-void agentsGoOnOnceThereIsRoomAgain() {
+void agentsRecoverAfterAFullDisk() {
     FaultSwitch faults;
     Agents agents(faults.variables("fallocate=ENOSPC:1;pwrite=ENOSPC:1;sync=EIO:1"));
     agents.awaitLeader();
     json padded = configuration({});
-    padded["padding"] = std::string(kPadding, 'x');
+    padded["padding"] = std::string(kPaddingBytes, 'x');
     const std::string big = agents.file("big.json", padded);
     assert(agents.ctl("put gate-0 1 " + big) == "agreed\n");
     faults.set(true);
     // Until the prepared segments are used up.
-    for (int i = 1; i <= kPutsWithoutRoom; ++i) agents.ctl("put gate-0 1 " + big);
+    for (int i = 1; i <= kPutsWhileDiskFull; ++i) agents.ctl("put gate-0 1 " + big);
     std::this_thread::sleep_for(2s);
     faults.set(false);
     for (int i = 0; i < kPatience; ++i, std::this_thread::sleep_for(1s))
@@ -163,13 +164,13 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
     const Story stories[] = {
-        {"change-during-replacement", aChangeDuringAReplacementLeavesNoGap},
-        {"successor-ends", aSuccessorThatEndsIsStartedAgain},
-        {"fork-fails", aForkThatFailsIsTriedAgain},
-        {"no-room", agentsGoOnOnceThereIsRoomAgain},
+        {"change-during-replacement", checksAreAnsweredWhileAReplacementIsChanged},
+        {"successor-ends", aSuccessorThatExitsIsRestarted},
+        {"fork-fails", aFailedForkIsRetried},
+        {"no-room", agentsRecoverAfterAFullDisk},
     };
-    playStories(stories, count, words);
+    playStories(stories, count, arguments);
     return 0;
 }
--- a/tests/agent_test.cpp
+++ b/tests/agent_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace lotuslead::testing;
 
-void instancesRunWhereAgreedAndOutliveALeader() {
+void instancesRunOnTheirAgentsAcrossALeaderCrash() {
     Agents agents;
     const auto leads = [](const json& s) { return s["leader"] > 0; };
     const auto runs = [](const std::string& name) {
@@ -44,7 +44,7 @@
     // missed.
     const int leader = agents.status(1)["leader"];
     const int other = leader % 3 + 1;
-    agents.end(leader, SIGKILL);
+    agents.stop(leader, SIGKILL);
     agents.await(other, [&](const json& s) { return s["leader"] > 0 && s["leader"] != leader; });
     assert(agents.ctl("delete gate-" + std::to_string(other), other) == "agreed\n");
     agents.await(other,
@@ -53,10 +53,10 @@
     agents.await(leader,
                  [&](const json& s) { return !s["instances"].contains("gate-" + std::to_string(other)); });
     agents.await(leader, runs("gate-" + std::to_string(leader)));
-    assert(agents.end(leader, SIGTERM) == 0);
+    assert(agents.stop(leader, SIGTERM) == 0);
 }
 
-void anInstanceIsDrainedAndReplacedFromTheTool() {
+void anInstanceIsDrainedAndReplacedByTheTool() {
     Agents agents;
     for (int id = 1; id <= 3; ++id) agents.await(id, [](const json& s) { return s["leader"] > 0; });
     json settings = configuration({});
@@ -95,10 +95,10 @@
     const std::string log = agents.log(2, "gate-1");
     assert(log.find("leaving to a successor") != log.rfind("leaving to a successor"));
     // What can't be used is refused, and the process stays.
-    json taken = settings;
-    taken["bus"] = "nowhere";
+    json occupied = settings;
+    occupied["bus"] = "nowhere";
     pid = agents.status(2)["instances"]["gate-1"]["pid"];
-    assert(agents.ctl("put gate-1 2 " + agents.file("bad.json", taken)).find("field 'bus'") !=
+    assert(agents.ctl("put gate-1 2 " + agents.file("bad.json", occupied)).find("field 'bus'") !=
            std::string::npos);
     assert(agents.status(2)["instances"]["gate-1"]["pid"] == pid);
 }
@@ -106,6 +106,6 @@
 }  // namespace
 
 int main() {
-    anInstanceIsDrainedAndReplacedFromTheTool();
-    instancesRunWhereAgreedAndOutliveALeader();
+    anInstanceIsDrainedAndReplacedByTheTool();
+    instancesRunOnTheirAgentsAcrossALeaderCrash();
 }
--- a/tests/agents.hpp
+++ b/tests/agents.hpp
@@ -16,9 +16,9 @@
 }
 
 // Holds an address, so that nobody else can listen on it.
-class Listening {
+class OccupiedPort {
 public:
-    Listening(const std::string& host, int port) : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    OccupiedPort(const std::string& host, int port) : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
         sockaddr_in at{};
         at.sin_family = AF_INET;
         at.sin_port = htons(static_cast<std::uint16_t>(port));
@@ -27,8 +27,8 @@
             ::bind(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0 && ::listen(fd_, 1) == 0;
         assert(up);
     }
-    ~Listening() { ::close(fd_); }
-    Listening(const Listening&) = delete;
+    ~OccupiedPort() { ::close(fd_); }
+    OccupiedPort(const OccupiedPort&) = delete;
 
 private:
     int fd_;
@@ -51,7 +51,7 @@
         for (int id = 1; id <= 3; ++id) start(id);
     }
     ~Agents() {
-        for (int id = 1; id <= 3; ++id) end(id, SIGTERM);
+        for (int id = 1; id <= 3; ++id) stop(id, SIGTERM);
         run("rm -r " + folder_);
     }
     void start(int id) {
@@ -66,7 +66,7 @@
         ::execl(LOTUSLEAD_AGENT, LOTUSLEAD_AGENT, (base + ".json").c_str(), nullptr);
         ::_exit(127);
     }
-    int end(int id, int signal) {
+    int stop(int id, int signal) {
         if (pids_[id] == 0) return 0;
         int status = 0;
         ::kill(pids_[id], signal);
@@ -93,9 +93,9 @@
         std::abort();
     }
     std::string control(int id) const { return host_ + ":" + std::to_string(9100 + id); }
-    std::string ctl(const std::string& words, int id = 0) const {
+    std::string ctl(const std::string& arguments, int id = 0) const {
         const std::string agents = id > 0 ? control(id) : control(1) + "," + control(2) + "," + control(3);
-        return run(std::string(LOTUSLEAD_CTL) + " --agents " + agents + " " + words);
+        return run(std::string(LOTUSLEAD_CTL) + " --agents " + agents + " " + arguments);
     }
     json status(int id) const {
         const std::string text = ctl("status", id);
