--- a/tests/shared_configuration_test.cpp
+++ b/tests/shared_configuration_test.cpp
@@ -13,11 +13,11 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
-json putting(const std::string& key, const json& value) {
+json putTransaction(const std::string& key, const json& value) {
     return {{"do", {{{"key", key}, {"value", value}}}}};
 }
 
-int connectedTo(const std::string& address) {
+int connectTo(const std::string& address) {
     const std::size_t colon = address.find(':');
     sockaddr_in to{};
     to.sin_family = AF_INET;
@@ -29,7 +29,7 @@
     return fd;
 }
 
-void must(const ctl::Client& client, const json& transaction) {
+void commitOrFail(const ctl::Client& client, const json& transaction) {
     const auto answer = client.commit(transaction);
     if (answer.status != 200) std::fprintf(stderr, "%d %s\n", answer.status, answer.body.c_str());
     assert(answer.status == 200);
@@ -44,7 +44,7 @@
     return file;
 }
 
-json boxOf(const std::string& name, const std::string& address, const char* type) {
+json boxDocument(const std::string& name, const std::string& address, const char* type) {
     json box = host(name, address, type);
     box.erase("name");
     return box;
@@ -56,13 +56,15 @@
 void aPurgeReachesBothSidesOfAPartition() {
     Cluster cluster(3);
     const int leader = cluster.awaitLeader();
-    const int lonely = leader % 3 + 1, third = lonely % 3 + 1;
+    const int isolated = leader % 3 + 1, third = isolated % 3 + 1;
     Repository server(100'000);
     const auto client = cluster.client(leader);
-    must(client, putting("boxes/cache-1", boxOf("cache-1", server.address(), "small")));
-    must(client, putting("boxes/parent-1", boxOf("parent-1", server.address(), "parent")));
-    must(client, putting("boxes/origin-1", boxOf("origin-1", server.address(), "origin")));
-    cluster.await(lonely, [](const json& s) { return s["last_event"] == 3; });
+    commitOrFail(client, putTransaction("boxes/cache-1", boxDocument("cache-1", server.address(), "small")));
+    commitOrFail(client,
+                 putTransaction("boxes/parent-1", boxDocument("parent-1", server.address(), "parent")));
+    commitOrFail(client,
+                 putTransaction("boxes/origin-1", boxDocument("origin-1", server.address(), "origin")));
+    cluster.await(isolated, [](const json& s) { return s["last_event"] == 3; });
     char folder[] = "/tmp/lotuslead-shared-XXXXXX";
     const std::string disk = ::mkdtemp(folder);
     std::ofstream(disk + "/disk.json") << json{{"repository",
@@ -73,7 +75,7 @@
     {
         Program a(gatewayFile(cluster, {leader, third}), "LB_REPOSITORY");
         // Keeps copies of its own, and begins at the agent that will be cut off.
-        Program b(gatewayFile(cluster, {lonely, third}), "LB_REPOSITORY", 1024,
+        Program b(gatewayFile(cluster, {isolated, third}), "LB_REPOSITORY", 1024,
                   {{"LB_DISK", disk + "/disk.json"}});
         b.awaitLog(" segments at ");
         for (int i = 0; i < 4; ++i)
@@ -82,11 +84,11 @@
                 assert(get(c, "/index/plugins.json").body == "version 1\n");
             }
         for (const int id : {leader, third}) {
-            cluster.relay.cut(id, lonely, true);
-            cluster.relay.cut(lonely, id, true);
+            cluster.relay.cut(id, isolated, true);
+            cluster.relay.cut(isolated, id, true);
         }
         server.version = 2;
-        must(client, putting("purges/object//index/plugins.json", {{"ts", unixMs()}}));
+        commitOrFail(client, putTransaction("purges/object//index/plugins.json", {{"ts", unixMs()}}));
         const auto purged = std::chrono::steady_clock::now();
         // Behind a leader that heard the purge: at once, within the limit of 500 ms.
         std::this_thread::sleep_for(500ms);
@@ -110,15 +112,16 @@
                      static_cast<long long>(500 + last), static_cast<long long>(passed));
         if (500 + last > 2400) {
             b.awaitCounters(" bus ");
-            std::fprintf(stderr, "%s\n%s\n", b.log().c_str(), cluster.log(lonely).c_str());
+            std::fprintf(stderr, "%s\n%s\n", b.log().c_str(), cluster.log(isolated).c_str());
         }
         assert(500 + last <= 2400);
         // A box that comes now is known to both, also behind the agent that was cut off, once the links are
         // back.
-        must(client, putting("boxes/cache-2", boxOf("cache-2", server.address(), "small")));
+        commitOrFail(client,
+                     putTransaction("boxes/cache-2", boxDocument("cache-2", server.address(), "small")));
         cluster.relay.heal();
         const auto healed = std::chrono::steady_clock::now();
-        cluster.await(lonely, [](const json& s) { return s["last_event"] == 5; });
+        cluster.await(isolated, [](const json& s) { return s["last_event"] == 5; });
         std::fprintf(stderr, "the agent that was cut off had all %lld ms after the links came back\n",
                      static_cast<long long>(std::chrono::duration_cast<std::chrono::milliseconds>(
                                                 std::chrono::steady_clock::now() - healed)
@@ -128,20 +131,21 @@
 }
 
 // A gateway goes on with the next agent, and asks for what it lacks by number: no purge is lost in between.
-void aLostAgentCostsNoPurge() {
+void noPurgeIsLostWithAnAgent() {
     Cluster cluster(3);
     cluster.awaitLeader();
     Repository server(1000);
     const auto client = cluster.client(2);
     for (const char* type : {"small", "parent", "origin"})
-        must(client, putting(std::string("boxes/") + type, boxOf("x", server.address(), type)));
+        commitOrFail(client,
+                     putTransaction(std::string("boxes/") + type, boxDocument("x", server.address(), type)));
     cluster.await(1, [](const json& s) { return s["last_event"] == 3; });
     Program gateway(gatewayFile(cluster, {1, 2, 3}), "LB_REPOSITORY");
     Connection c(gateway.port());
     assert(get(c, "/index/plugins.json").status == 200);
     cluster.kill(1);
-    must(client, putting("purges/object//index/plugins.json", {{"ts", unixMs()}}));
-    must(client, putting("purges/group/5", {{"ts", unixMs()}}));
+    commitOrFail(client, putTransaction("purges/object//index/plugins.json", {{"ts", unixMs()}}));
+    commitOrFail(client, putTransaction("purges/group/5", {{"ts", unixMs()}}));
     for (int i = 0; i < 400; ++i, std::this_thread::sleep_for(10ms)) {
         gateway.signal(SIGUSR1);
         if (gateway.log().find("events=5") != std::string::npos) return;
@@ -151,11 +155,11 @@
 }
 
 // In service: a fourth agent joins, catches up, gets a vote; a dead one is replaced by one command.
-void membersComeAndGo() {
+void membersAreAddedPromotedAndReplaced() {
     Cluster cluster(3, {{"snapshot_every", 16}});
     cluster.awaitLeader();
     const auto client = cluster.client();
-    for (int i = 0; i < 60; ++i) must(client, putting("files/a", i));
+    for (int i = 0; i < 60; ++i) commitOrFail(client, putTransaction("files/a", i));
     const auto all = cluster.control(1) + "," + cluster.control(2) + "," + cluster.control(3);
     const auto ctl = [&](const std::string& words) {
         const std::string command = std::string(LOTUSLEAD_CTL) + " --agents " + all + " " + words + " 2>&1";
@@ -182,7 +186,7 @@
     const int leader = cluster.awaitLeader();
     const int dead = leader == 3 ? 2 : 3;
     cluster.kill(dead);
-    must(client, putting("files/a", "still"));
+    commitOrFail(client, putTransaction("files/a", "still"));
     cluster.relay.open(5, cluster.raft(5), cluster.raftListen(5));
     cluster.start(5, true);
     const std::string replaced =
@@ -195,11 +199,11 @@
     cluster.start(dead);
     std::this_thread::sleep_for(1500ms);
     assert(cluster.leader() == leader);
-    must(client, putting("files/a", "undisturbed"));
+    commitOrFail(client, putTransaction("files/a", "undisturbed"));
     assert(cluster.status(leader)["applied"] > before["applied"]);
 }
 
-json askFeed(Connection& reader, std::int64_t from) {
+json readFeed(Connection& reader, std::int64_t from) {
     reader.send("GET /bus/read?from=" + std::to_string(from) + "&hold=2000 HTTP/1.1\r\nHost: agent\r\n\r\n");
     const std::string head = reader.readHead();
     assert(head.rfind("HTTP/1.1 200 ", 0) == 0 && head.find("Connection: close") == std::string::npos);
@@ -207,44 +211,44 @@
 }
 
 // Readers ask again and again on one connection, and of many purges in a row several come with one answer.
-void theFeedKeepsConnectionsAndGathersEvents() {
+void theFeedKeepsConnectionsAndBatchesEvents() {
     constexpr int kPurges = 40;
     Cluster cluster(1);
     cluster.awaitLeader();
     const auto client = cluster.client();
-    must(client, putting("purges/object/first", {{"ts", unixMs()}}));
-    Connection reader(connectedTo(cluster.bus(1)));
-    assert(askFeed(reader, 0)["offset"] == 1);
+    commitOrFail(client, putTransaction("purges/object/first", {{"ts", unixMs()}}));
+    Connection reader(connectTo(cluster.bus(1)));
+    assert(readFeed(reader, 0)["offset"] == 1);
     std::thread writer([&] {
         for (int i = 0; i < kPurges; ++i) {
-            must(client, putting("purges/object/o" + std::to_string(i), {{"ts", unixMs()}}));
+            commitOrFail(client, putTransaction("purges/object/o" + std::to_string(i), {{"ts", unixMs()}}));
             std::this_thread::sleep_for(20ms);
         }
     });
     std::int64_t from = 1;
     int answers = 0;
-    for (; from < kPurges + 1; ++answers) from = askFeed(reader, from)["offset"];
+    for (; from < kPurges + 1; ++answers) from = readFeed(reader, from)["offset"];
     writer.join();
     assert(answers <= kPurges / 4);
     // Whoever sends more while its answer is due has broken the form.
-    Connection hasty(connectedTo(cluster.bus(1)));
+    Connection hasty(connectTo(cluster.bus(1)));
     const std::string ask = "GET /bus/read?from=41&hold=2000 HTTP/1.1\r\nHost: agent\r\n\r\n";
     hasty.send(ask + ask);
     assert(hasty.closed());
 }
 
 // Many purges push neither an operator's change nor its revision out of what `history` tells of all.
-void purgesLeaveTheHistoryOfOtherChanges() {
+void purgesDoNotEvictTheHistoryOfOtherChanges() {
     constexpr int kPurges = 4200;  // the history of purges holds 4,096 transactions
     Cluster cluster(1);
     cluster.awaitLeader();
     const auto client = cluster.client();
-    must(client, putting("files/a", "kept"));
+    commitOrFail(client, putTransaction("files/a", "kept"));
     std::vector<std::thread> writers;
     for (int w = 0; w < 8; ++w)
         writers.emplace_back([&, w] {
             for (int i = w; i < kPurges; i += 8) {
-                const json change = putting("purges/object/o" + std::to_string(i), {{"ts", unixMs()}});
+                const json change = putTransaction("purges/object/o" + std::to_string(i), {{"ts", unixMs()}});
                 const auto answer =
                     ctl::Client::callAgent(cluster.control(1), "POST", "/config", change.dump());
                 assert(answer && answer->status == 200);
@@ -254,16 +258,16 @@
     const auto told = ctl::Client::callAgent(cluster.control(1), "GET", "/history");
     assert(told && json::parse(told->body)["history"][0]["changes"][0]["key"] == "files/a");
     // That a document was changed late says nothing of where its history begins, by which `diff` goes.
-    must(client, putting("files/late", 1));
+    commitOrFail(client, putTransaction("files/late", 1));
     const auto late = ctl::Client::callAgent(cluster.control(1), "GET", "/history?from=5&prefix=files/late");
     assert(late && json::parse(late->body)["oldest"] == 1);
 }
 
 // A majority lost for good: the command refuses while anybody answers, and then goes on with one log alone.
-void aLostMajorityIsLeftBehindDeliberately() {
+void oneAgentRecoversAloneAfterALostMajority() {
     Cluster cluster(3);
     cluster.awaitLeader();
-    must(cluster.client(), putting("files/a", "kept"));
+    commitOrFail(cluster.client(), putTransaction("files/a", "kept"));
     for (int id = 1; id <= 3; ++id) cluster.await(id, [](const json& s) { return s["revision"] == 1; });
     const auto recover = [&] {
         return std::system(
@@ -278,7 +282,7 @@
     assert(recover() == 0);
     cluster.start(1);
     cluster.await(1, [](const json& s) { return s["leader"] == 1 && s["revision"] == 1; });
-    must(cluster.client(), putting("files/a", "alone"));
+    commitOrFail(cluster.client(), putTransaction("files/a", "alone"));
 }
 
 void anotherClustersFolderIsRefused() {
@@ -302,10 +306,10 @@
 
 int main() {
     anotherClustersFolderIsRefused();
-    theFeedKeepsConnectionsAndGathersEvents();
-    purgesLeaveTheHistoryOfOtherChanges();
-    aLostAgentCostsNoPurge();
+    theFeedKeepsConnectionsAndBatchesEvents();
+    purgesDoNotEvictTheHistoryOfOtherChanges();
+    noPurgeIsLostWithAnAgent();
     aPurgeReachesBothSidesOfAPartition();
-    membersComeAndGo();
-    aLostMajorityIsLeftBehindDeliberately();
+    membersAreAddedPromotedAndReplaced();
+    oneAgentRecoversAloneAfterALostMajority();
 }
