--- a/tests/audit_raft.cpp
+++ b/tests/audit_raft.cpp
@@ -27,8 +27,8 @@
 
 constexpr int kAgents = 5, kAgentsWithFolderFaults = 3;
 constexpr int kWriters = 3, kReaders = 2, kListLength = 200;
-constexpr auto kLedAgainWithin = 10s;
-constexpr double kShortestFault = 0.1, kLongestFault = 30;  // seconds
+constexpr auto kNewLeaderTimeout = 10s;
+constexpr double kMinFaultSeconds = 0.1, kMaxFaultSeconds = 30;  // seconds
 
 // One rule a kind of call, each of which a round may leave out. Every second call or each one.
 constexpr const char* kFolderRules[] = {"fallocate=ENOSPC:1", "pwrite=ENOSPC:1", "pwrite=EIO:-2",
@@ -41,19 +41,19 @@
     return all;
 }
 
-std::int64_t microsNow() {
+std::int64_t monotonicUs() {
     return std::chrono::duration_cast<std::chrono::microseconds>(
                std::chrono::steady_clock::now().time_since_epoch())
-        .count();
+        .argumentCount();
 }
 
 // One operation on a list. An append has an id; a read has what it saw.
 struct Operation {
-    std::int64_t begun = 0, ended = 0;
+    std::int64_t beginUs = 0, endUs = 0;
     std::string list;
     std::string id;  // empty: a read
     std::vector<std::string> seen;
-    enum class End { done, conflict, unknown, gone } end = End::unknown;
+    enum class Result { done, conflict, unknown, gone } result = Result::unknown;
 };
 
 class Audit {
@@ -63,31 +63,31 @@
           agents_(folderFaults ? kAgentsWithFolderFaults : kAgents),
           folderFaults_(folderFaults),
           random_(seed),
-          cluster_(agents_, {{"snapshot_every", 40}}, [this](int id) { return variablesOf(id); }) {}
+          cluster_(agents_, {{"snapshot_every", 40}}, [this](int id) { return environmentOf(id); }) {}
 
     int run() {
         cluster_.awaitLeader();
         std::vector<std::thread> clients;
         for (int i = 0; i < kWriters; ++i) clients.emplace_back([this, i] { write(i); });
         for (int i = 0; i < kReaders; ++i) clients.emplace_back([this, i] { read(i); });
-        for (int i = 1; i <= agents_; ++i) clients.emplace_back([this, i] { follow(i); });
-        for (int i = 0; i < rounds_; ++i) folderFaults_ ? roundWithFolderFaults() : round();
-        rest();
+        for (int i = 1; i <= agents_; ++i) clients.emplace_back([this, i] { watchAgent(i); });
+        for (int i = 0; i < rounds_; ++i) folderFaults_ ? runRoundWithFolderFaults() : runRound();
+        healAndAwaitLeader();
         std::this_thread::sleep_for(1500ms);
-        over_ = true;
+        stopping_ = true;
         for (auto& thread : clients) thread.join();
-        check();
+        checkHistory();
         const bool enough = committed_ >= static_cast<std::uint64_t>(rounds_) * 3;
         if (!enough) std::printf("too little was committed to mean anything\n");
         std::printf(
             "reads=%llu unknown=%llu conflicts=%llu leaders_killed=%d all_killed=%d splits=%d one_way=%d\n",
             static_cast<unsigned long long>(reads_), static_cast<unsigned long long>(unknown_),
             static_cast<unsigned long long>(conflicts_), killedLeaders_, killedAll_, splits_, oneWay_);
-        if (folderFaults_ && !ledAgainMs_.empty()) {
-            std::sort(ledAgainMs_.begin(), ledAgainMs_.end());
+        if (folderFaults_ && !leaderlessMs_.empty()) {
+            std::sort(leaderlessMs_.begin(), leaderlessMs_.end());
             std::printf("without a leader after the last fault of a round: median %lld ms, worst %lld ms\n",
-                        static_cast<long long>(ledAgainMs_[ledAgainMs_.size() / 2]),
-                        static_cast<long long>(ledAgainMs_.back()));
+                        static_cast<long long>(leaderlessMs_[leaderlessMs_.size() / 2]),
+                        static_cast<long long>(leaderlessMs_.back()));
         }
         std::printf("rounds=%d committed=%llu lost=%llu twice=%llu disordered=%llu nonlinear=%llu", rounds_,
                     static_cast<unsigned long long>(committed_), static_cast<unsigned long long>(lost_),
@@ -101,7 +101,7 @@
 private:
     // ----- faults -----
 
-    Program::Variables variablesOf(int id) const {
+    Program::Variables environmentOf(int id) const {
         if (!folderFaults_) return {};
         return folders_[static_cast<std::size_t>(id)].variables(folderRules());
     }
@@ -110,12 +110,12 @@
         for (int id = 1; id <= agents_; ++id)
             if (!cluster_.runs(id)) cluster_.start(id);
     }
-    void rest() {
+    void healAndAwaitLeader() {
         heal();
         cluster_.awaitLeader();
     }
     // Folders fail, the usual troubles come beside that, and then all is well again.
-    void roundWithFolderFaults() {
+    void runRoundWithFolderFaults() {
         const int failing = 1 + static_cast<int>(random_() % static_cast<unsigned>(agents_));
         const int first = static_cast<int>(random_() % static_cast<unsigned>(agents_));
         std::string mask;
@@ -123,19 +123,19 @@
         for (int i = 0; i < failing; ++i)
             folders_[static_cast<std::size_t>(1 + (first + i) % agents_)].set(true, 0, mask);
         const double part = std::uniform_real_distribution<double>(0, 1)(random_);
-        const double seconds = kShortestFault * std::pow(kLongestFault / kShortestFault, part);
+        const double seconds = kMinFaultSeconds * std::pow(kMaxFaultSeconds / kMinFaultSeconds, part);
         const auto until = std::chrono::steady_clock::now() + std::chrono::duration<double>(seconds);
-        trouble();
+        injectFault();
         heal();
         std::this_thread::sleep_until(until);
         for (int id = 1; id <= agents_; ++id) folders_[static_cast<std::size_t>(id)].set(false);
-        noteCrashes();
+        recordCrashes();
         heal();
-        awaitLeaderAgain();
-        hold(50, 250);
-        noteCrashes();
+        measureLeaderlessTime();
+        pauseRandomly(50, 250);
+        recordCrashes();
     }
-    void noteCrashes() {
+    void recordCrashes() {
         for (int id = 1; id <= agents_; ++id) {
             const auto status = cluster_.takeUnexpectedExit(id);
             if (!status) continue;
@@ -144,10 +144,10 @@
                         cluster_.log(id).c_str());
         }
     }
-    void awaitLeaderAgain() {
+    void measureLeaderlessTime() {
         const auto begin = std::chrono::steady_clock::now();
         while (cluster_.leader() == 0) {
-            if (std::chrono::steady_clock::now() - begin > kLedAgainWithin) {
+            if (std::chrono::steady_clock::now() - begin > kNewLeaderTimeout) {
                 ++stuck_;
                 cluster_.awaitLeader();
                 return;
@@ -155,50 +155,51 @@
             std::this_thread::sleep_for(5ms);
         }
         const auto waited = std::chrono::steady_clock::now() - begin;
-        ledAgainMs_.push_back(std::chrono::duration_cast<std::chrono::milliseconds>(waited).count());
+        leaderlessMs_.push_back(
+            std::chrono::duration_cast<std::chrono::milliseconds>(waited).argumentCount());
     }
-    void hold(int least, int most) {
+    void pauseRandomly(int least, int most) {
         std::this_thread::sleep_for(std::chrono::milliseconds{
             least + static_cast<int>(random_() % static_cast<unsigned>(most - least))});
     }
     void split(std::vector<int> some) {
         for (int a = 1; a <= agents_; ++a)
             for (int b = 1; b <= agents_; ++b) {
-                const bool inA = std::count(some.begin(), some.end(), a) > 0;
-                const bool inB = std::count(some.begin(), some.end(), b) > 0;
+                const bool inA = std::argumentCount(some.begin(), some.end(), a) > 0;
+                const bool inB = std::argumentCount(some.begin(), some.end(), b) > 0;
                 if (inA != inB) cluster_.relay.cut(a, b, true);
             }
     }
-    void round() {
-        trouble();
-        rest();
-        hold(50, 250);
+    void runRound() {
+        injectFault();
+        healAndAwaitLeader();
+        pauseRandomly(50, 250);
     }
-    void trouble() {
+    void injectFault() {
         const int leader = cluster_.leader();
         const int other = 1 + static_cast<int>(random_() % static_cast<unsigned>(agents_));
         switch (random_() % 6) {
             case 0:  // the leader with one other, against three
                 ++splits_;
                 if (leader != 0) split({leader, leader % agents_ + 1});
-                hold(300, 900);
+                pauseRandomly(300, 900);
                 break;
             case 1:  // two who do not lead
                 ++splits_;
                 split({other, other % agents_ + 1});
-                hold(200, 600);
+                pauseRandomly(200, 600);
                 break;
             case 2:  // nobody hears the leader, or it hears nobody
                 ++oneWay_;
                 for (int id = 1; id <= kAgents && leader != 0; ++id)
                     random_() % 2 ? cluster_.relay.cut(leader, id, true)
                                   : cluster_.relay.cut(id, leader, true);
-                hold(200, 800);
+                pauseRandomly(200, 800);
                 break;
             case 3:  // mid-write: clients never rest
                 ++killedLeaders_;
                 if (leader != 0) cluster_.kill(leader);
-                hold(150, 600);
+                pauseRandomly(150, 600);
                 break;
             case 4:
                 if (random_() % 2 == 0) {
@@ -208,11 +209,11 @@
                     cluster_.kill(other);
                     cluster_.kill(other % agents_ + 1);
                 }
-                hold(20, 200);
+                pauseRandomly(20, 200);
                 break;
             default:
                 cluster_.relay.delay(5 + static_cast<int>(random_() % 60));
-                hold(200, 500);
+                pauseRandomly(200, 500);
                 break;
         }
     }
@@ -230,14 +231,14 @@
         return body["documents"].empty() ? json{{"revision", 0}, {"value", json::array()}}
                                          : body["documents"][0];
     }
-    void note(Operation operation) {
+    void recordOperation(Operation operation) {
         const std::lock_guard lock(mutex_);
         operations_.push_back(std::move(operation));
     }
     void write(int writer) {
-        std::uint64_t session = 0, sequence = 0, count = 0;
+        std::uint64_t session = 0, sequence = 0, argumentCount = 0;
         std::mt19937_64 random(static_cast<std::uint64_t>(writer) + 100);
-        while (!over_) {
+        while (!stopping_) {
             const auto client =
                 cluster_.client(1 + static_cast<int>(random() % static_cast<unsigned>(agents_)));
             if (session == 0) {
@@ -249,17 +250,17 @@
                 session = json::parse(opened.body)["revision"];
                 sequence = 0;
             }
-            const std::uint64_t list = list_;
+            const std::uint64_t list = currentList_;
             const auto before = fetch(client, listOf(list));
             if (!before) continue;
             if ((*before)["value"].size() >= kListLength) {
                 std::uint64_t expected = list;
-                list_.compare_exchange_strong(expected, list + 1);
+                currentList_.compare_exchange_strong(expected, list + 1);
                 continue;
             }
             Operation operation;
             operation.list = listOf(list);
-            operation.id = std::to_string(writer) + "-" + std::to_string(++count);
+            operation.id = std::to_string(writer) + "-" + std::to_string(++argumentCount);
             json after = (*before)["value"];
             after.push_back(operation.id);
             const json transaction = {
@@ -267,39 +268,39 @@
                 {"do", {{{"key", operation.list}, {"value", after}}}},
                 {"session", session},
                 {"sequence", ++sequence}};
-            operation.begun = microsNow();
+            operation.beginUs = monotonicUs();
             const auto answer = client.commit(transaction);  // tried again until it is answered for
-            operation.ended = microsNow();
+            operation.endUs = monotonicUs();
             const json body = json::parse(answer.body, nullptr, false);
             const std::string word = body.is_object() ? body.value("word", "") : "";
-            operation.end = answer.status == 200                              ? Operation::End::done
-                            : word == "conflict"                              ? Operation::End::conflict
-                            : word == "session gone" || word == "out of turn" ? Operation::End::gone
-                                                                              : Operation::End::unknown;
-            if (operation.end == Operation::End::gone) session = 0;
-            note(std::move(operation));
+            operation.result = answer.status == 200                              ? Operation::Result::done
+                               : word == "conflict"                              ? Operation::Result::conflict
+                               : word == "session gone" || word == "out of turn" ? Operation::Result::gone
+                                                                                 : Operation::Result::unknown;
+            if (operation.result == Operation::Result::gone) session = 0;
+            recordOperation(std::move(operation));
         }
     }
     void read(int reader) {
         std::mt19937_64 random(static_cast<std::uint64_t>(reader) + 200);
-        while (!over_) {
+        while (!stopping_) {
             const auto client =
                 cluster_.client(1 + static_cast<int>(random() % static_cast<unsigned>(agents_)));
             Operation operation;
-            operation.list = listOf(list_);
-            operation.begun = microsNow();
+            operation.list = listOf(currentList_);
+            operation.beginUs = monotonicUs();
             const auto found = fetch(client, operation.list);
-            operation.ended = microsNow();
+            operation.endUs = monotonicUs();
             if (!found) continue;
             for (const json& id : (*found)["value"]) operation.seen.push_back(id);
-            operation.end = Operation::End::done;
-            note(std::move(operation));
+            operation.result = Operation::Result::done;
+            recordOperation(std::move(operation));
         }
     }
     // One agent's own word on what was changed, in order, whoever leads.
-    void follow(int agent) {
+    void watchAgent(int agent) {
         std::uint64_t from = 0;
-        while (!over_) {
+        while (!stopping_) {
             const auto response =
                 ctl::Client::callAgent(cluster_.control(agent), "GET",
                                        "/watch?from=" + std::to_string(from) + "&hold=200&prefix=files/");
@@ -313,7 +314,7 @@
                 const std::uint64_t revision = past["revision"];
                 disordered_ += revision <= from;
                 from = std::max(from, revision);
-                const auto [at, isNew] = history_.emplace(revision, past["changes"]);
+                const auto [at, isNew] = changesByRevision_.emplace(revision, past["changes"]);
                 if (!isNew && at->second != past["changes"]) ++disordered_;
             }
             from = std::max<std::uint64_t>(from, body["revision"]);
@@ -322,25 +323,25 @@
 
     // ----- the checker -----
 
-    void check() {
+    void checkHistory() {
         const auto client = cluster_.client();
         std::map<std::string, std::vector<std::string>> final;
-        for (std::uint64_t list = 0; list <= list_; ++list)
+        for (std::uint64_t list = 0; list <= currentList_; ++list)
             for (int i = 0; i < 100; ++i) {
                 const auto found = fetch(client, listOf(list));
                 if (!found) continue;
                 for (const json& id : (*found)["value"]) final[listOf(list)].push_back(id);
                 break;
             }
-        std::map<std::string, std::map<std::string, std::size_t>> places;
+        std::map<std::string, std::map<std::string, std::size_t>> positions;
         for (const auto& [list, ids] : final)
             for (std::size_t i = 0; i < ids.size(); ++i) {
-                const auto [at, isNew] = places[list].emplace(ids[i], i + 1);
+                const auto [at, isNew] = positions[list].emplace(ids[i], i + 1);
                 twice_ += !isNew;
             }
         std::map<std::string, std::vector<std::pair<const Operation*, std::size_t>>> placed;
         for (const Operation& o : operations_) {
-            const auto& where = places[o.list];
+            const auto& where = positions[o.list];
             if (o.id.empty()) {
                 ++reads_;
                 const auto& all = final[o.list];
@@ -352,33 +353,33 @@
             }
             const auto found = where.find(o.id);
             const bool there = found != where.end();
-            if (o.end == Operation::End::done) {
+            if (o.result == Operation::Result::done) {
                 ++committed_;
                 lost_ += !there;
             }
-            conflicts_ += o.end == Operation::End::conflict;
-            unknown_ += o.end == Operation::End::unknown;
+            conflicts_ += o.result == Operation::Result::conflict;
+            unknown_ += o.result == Operation::Result::unknown;
             // A session is never given up here: who hears so can't tell what became of the command.
-            if (o.end == Operation::End::gone) ++twice_;
+            if (o.result == Operation::Result::gone) ++twice_;
             // Told that another was first, and yet applied: the answer was to a second try.
-            if (o.end == Operation::End::conflict && there) ++twice_;
+            if (o.result == Operation::Result::conflict && there) ++twice_;
             if (there) placed[o.list].emplace_back(&o, found->second);
         }
         // What ended before another began must not stand behind it. A read stands behind the append that it
         // saw last, so it may share that one's place.
         for (auto& [list, all] : placed) {
             std::vector<std::pair<std::int64_t, std::size_t>> ends;
-            for (const auto& [o, place] : all)
-                if (o->end != Operation::End::unknown) ends.emplace_back(o->ended, place);
+            for (const auto& [o, position] : all)
+                if (o->result != Operation::Result::unknown) ends.emplace_back(o->endUs, position);
             std::sort(ends.begin(), ends.end());
             std::sort(all.begin(), all.end(),
-                      [](const auto& a, const auto& b) { return a.first->begun < b.first->begun; });
+                      [](const auto& a, const auto& b) { return a.first->beginUs < b.first->beginUs; });
             std::size_t next = 0, highest = 0;
-            for (const auto& [o, place] : all) {
-                for (; next < ends.size() && ends[next].first < o->begun; ++next)
+            for (const auto& [o, position] : all) {
+                for (; next < ends.size() && ends[next].first < o->beginUs; ++next)
                     highest = std::max(highest, ends[next].second);
                 const bool isRead = o->id.empty();
-                nonlinear_ += isRead ? place < highest : place <= highest;
+                nonlinear_ += isRead ? position < highest : position <= highest;
             }
         }
     }
@@ -386,15 +387,15 @@
     int rounds_, agents_;
     bool folderFaults_;
     std::array<FaultSwitch, kAgentsWithFolderFaults + 1> folders_;  // by the agent's id
-    std::vector<std::int64_t> ledAgainMs_;
+    std::vector<std::int64_t> leaderlessMs_;
     int stuck_ = 0, crashed_ = 0;
     std::mt19937_64 random_;
     Cluster cluster_;
-    std::atomic<bool> over_{false};
-    std::atomic<std::uint64_t> list_{0};
+    std::atomic<bool> stopping_{false};
+    std::atomic<std::uint64_t> currentList_{0};
     std::mutex mutex_;
     std::vector<Operation> operations_;
-    std::map<std::uint64_t, json> history_;
+    std::map<std::uint64_t, json> changesByRevision_;
     std::uint64_t committed_ = 0, lost_ = 0, twice_ = 0, disordered_ = 0, nonlinear_ = 0;
     std::uint64_t reads_ = 0, unknown_ = 0, conflicts_ = 0;
     int killedLeaders_ = 0, killedAll_ = 0, splits_ = 0, oneWay_ = 0;
@@ -402,15 +403,15 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argumentCount, char** arguments) {
     int rounds = 0;
     std::uint64_t seed = 0;
     bool folderFaults = false;
-    for (int i = 1; i < count; ++i) {
-        const std::string word = words[i];
+    for (int i = 1; i < argumentCount; ++i) {
+        const std::string word = arguments[i];
         if (word == "--folder-faults") folderFaults = true;
-        if (word == "--rounds" && i + 1 < count) rounds = std::atoi(words[i + 1]);
-        if (word == "--seed" && i + 1 < count) seed = std::strtoull(words[i + 1], nullptr, 10);
+        if (word == "--rounds" && i + 1 < argumentCount) rounds = std::atoi(arguments[i + 1]);
+        if (word == "--seed" && i + 1 < argumentCount) seed = std::strtoull(arguments[i + 1], nullptr, 10);
     }
     if (rounds <= 0) {
         std::fprintf(stderr, "audit_raft --rounds N --seed S [--folder-faults]\n");
