--- a/bench/raft.cpp
+++ b/bench/raft.cpp
@@ -17,7 +17,7 @@
 
 json put(const std::string& key, const json& value) { return {{"key", key}, {"value", value}}; }
 
-double writesOf(const Cluster& cluster, int leader, int threads, int batch, int each) {
+double writesPerSecond(const Cluster& cluster, int leader, int threads, int batch, int each) {
     std::vector<std::thread> all;
     std::atomic<int> done{0};
     const auto begin = Clock::now();
@@ -37,7 +37,7 @@
 }
 
 // Instances put by 8 clients, as the agents of before know it.
-double putsOf(const std::string& leader) {
+double putsPerSecond(const std::string& leader) {
     const std::string body = json{{"agent", 3}, {"configuration", configuration({})}}.dump();
     std::atomic<int> done{0};
     std::vector<std::thread> all;
@@ -87,7 +87,7 @@
                 if (r && json::parse(r->body)["leader"] == id)
                     leader = host + ":" + std::to_string(9100 + id);
             }
-        base = putsOf(leader);
+        base = putsPerSecond(leader);
         for (const pid_t pid : pids) ::kill(pid, SIGKILL), ::waitpid(pid, nullptr, 0);
         std::filesystem::remove_all(path);
         std::printf("previous agent, 3, 8 clients: %.0f writes a second (1.00)\n", base);
@@ -95,11 +95,11 @@
     Cluster cluster(3, {{"election_ms", 1000}, {"heartbeat_ms", 100}});
     const int leader = cluster.awaitLeader();
     if (base > 0) {
-        const double rate = putsOf(cluster.control(leader));
+        const double rate = putsPerSecond(cluster.control(leader));
         std::printf("3 agents, the same: %.0f writes a second (%.2f)\n", rate, rate / base);
     }
     for (const auto& [threads, batch] : {std::pair{1, 1}, {8, 1}, {32, 1}, {8, 10}, {8, 100}}) {
-        const double rate = writesOf(cluster, leader, threads, batch, batch == 1 ? 100 : 30);
+        const double rate = writesPerSecond(cluster, leader, threads, batch, batch == 1 ? 100 : 30);
         std::printf("3 agents, %2d clients, %3d documents a transaction: %8.0f documents a second", threads,
                     batch, rate);
         if (base > 0) std::printf(" (%.2f)", rate / base);
