--- a/tests/audit_raft.cpp
+++ b/tests/audit_raft.cpp
@@ -44,7 +44,7 @@
 std::int64_t monotonicUs() {
     return std::chrono::duration_cast<std::chrono::microseconds>(
                std::chrono::steady_clock::now().time_since_epoch())
-        .argumentCount();
+        .count();
 }
 
 // One operation on a list. An append has an id; a read has what it saw.
@@ -155,8 +155,7 @@
             std::this_thread::sleep_for(5ms);
         }
         const auto waited = std::chrono::steady_clock::now() - begin;
-        leaderlessMs_.push_back(
-            std::chrono::duration_cast<std::chrono::milliseconds>(waited).argumentCount());
+        leaderlessMs_.push_back(std::chrono::duration_cast<std::chrono::milliseconds>(waited).count());
     }
     void pauseRandomly(int least, int most) {
         std::this_thread::sleep_for(std::chrono::milliseconds{
@@ -165,8 +164,8 @@
     void split(std::vector<int> some) {
         for (int a = 1; a <= agents_; ++a)
             for (int b = 1; b <= agents_; ++b) {
-                const bool inA = std::argumentCount(some.begin(), some.end(), a) > 0;
-                const bool inB = std::argumentCount(some.begin(), some.end(), b) > 0;
+                const bool inA = std::count(some.begin(), some.end(), a) > 0;
+                const bool inB = std::count(some.begin(), some.end(), b) > 0;
                 if (inA != inB) cluster_.relay.cut(a, b, true);
             }
     }
--- a/tests/raft_schedules.cpp
+++ b/tests/raft_schedules.cpp
@@ -23,11 +23,11 @@
 class Schedule {
 public:
     explicit Schedule(std::uint64_t seed) : simulation_(seed % 2 ? 5 : 3, seed) {
-        simulation_.applied = [this](raft_id, std::uint64_t clientNumber, std::string_view command) {
-            const auto [at, isNew] = commandsByNumber_.emplace(clientNumber, command);
+        simulation_.applied = [this](raft_id, std::uint64_t commandNumber, std::string_view command) {
+            const auto [at, isNew] = commandsByNumber_.emplace(commandNumber, command);
             if (!isNew && at->second != command)
                 reportViolation("two servers applied different commands as number " +
-                                std::to_string(clientNumber));
+                                std::to_string(commandNumber));
         };
     }
 
