--- a/tests/audit_raft.cpp
+++ b/tests/audit_raft.cpp
@@ -235,7 +235,7 @@
         operations_.push_back(std::move(operation));
     }
     void write(int writer) {
-        std::uint64_t session = 0, sequence = 0, argumentCount = 0;
+        std::uint64_t session = 0, sequence = 0, appendCount = 0;
         std::mt19937_64 random(static_cast<std::uint64_t>(writer) + 100);
         while (!stopping_) {
             const auto client =
@@ -259,7 +259,7 @@
             }
             Operation operation;
             operation.list = listOf(list);
-            operation.id = std::to_string(writer) + "-" + std::to_string(++argumentCount);
+            operation.id = std::to_string(writer) + "-" + std::to_string(++appendCount);
             json after = (*before)["value"];
             after.push_back(operation.id);
             const json transaction = {
