--- a/src/agent/append_entries_guard.hpp
+++ b/src/agent/append_entries_guard.hpp
@@ -1,21 +1,21 @@
-// Keeps libraft 0.15 from counting entries that nobody has compared.
+// Works around two faults of libraft 0.15 in the handling of AppendEntries requests.
 //
-// A follower answers an AppendEntries with the end of its log (`last_log_index`). Raft means: the last entry
-// that this request has shown to match (prev_log_index and the entries behind it; Ongaro and Ousterhout, "In
-// search of an understandable consensus algorithm", figure 2). Where the request brought nothing new, such as
-// a heartbeat, libraft answers with the end of the whole log all the same. Entries of an older term that lie
-// behind, and that a new leader has not overwritten yet, then count as copies of the new leader's: it may
-// take for agreed what no majority has, and never sends them to that follower again. `raft_schedules` finds
-// both without this guard.
+// First, a follower's reply reports the end of its log (`last_log_index`). In Raft this is the last entry
+// that the request has proved to match: prev_log_index plus the request's entries (Ongaro and Ousterhout,
+// "In search of an understandable consensus algorithm", figure 2). If the request carries nothing new, as a
+// heartbeat does, libraft reports the end of the whole log instead. Entries of an older term behind the
+// matching part, which the new leader has not overwritten yet, are then counted as replicas of the new
+// leader's entries: the leader may commit entries that no majority has, and never sends them to that
+// follower again. `raft_schedules` finds both failures without this guard.
 //
-// And a request that begins before the follower's own snapshot is refused by libraft, since the term there is
-// not held any more. Where the leader's snapshot is older than the follower's, both refuse each other for
-// ever. What a snapshot holds was agreed on and is the same everywhere, so that much of the request is passed
-// over.
+// Second, libraft rejects a request that begins before the follower's own snapshot, because the term at
+// that index is no longer known. If the leader's snapshot is older than the follower's, leader and follower
+// reject each other forever. Everything in a snapshot is committed and the same on all agents, so the guard
+// skips that part of the request.
 //
-// The guard stands between the core and its I/O: while a request is handled, an answer goes out with no more
-// than that request has shown. Answers that follow a write are right as they are, since the write begins at
-// the first entry that differs and cuts off all behind. Used on the loop's thread, like the core.
+// The guard wraps the core's raft_io: while a request is being handled, a reply reports no more than the
+// request has proved. Replies that follow a write need no correction, since the write begins at the first
+// differing entry and truncates everything behind it. Used on the loop's thread only, like the core.
 #pragma once
 
 #include <algorithm>
@@ -29,9 +29,9 @@
 namespace lotuslead::agent {
 
 struct AppendEntriesGuard {
-    raft_io io{};  // first: the core hands out its address, from which the guard is found again
+    raft_io io{};  // first member: the core passes its address, from which the guard is recovered
 
-    // Once the functions of `io` are in place, before raft_init.
+    // Wraps the functions of `io`. Call after they are set and before raft_init.
     void install() {
         start_ = io.start;
         send_ = io.send;
@@ -62,9 +62,9 @@
         };
     }
 
-    // ----- its own; public only so that the layout is the standard one -----
+    // ----- internal; public only to keep the standard layout -----
 
-    // Begins the request behind the follower's snapshot.
+    // Makes the request begin right after the follower's snapshot.
     static void skipSnapshotEntries(const raft& core, raft_append_entries& request) {
         const raft_index snapshot = core.log.snapshot.last_index;
         if (request.prev_log_index >= snapshot || request.term < core.current_term) return;
@@ -74,10 +74,10 @@
         request.prev_log_index = snapshot;
         request.prev_log_term = core.log.snapshot.last_term;
     }
-    // Frees the first `count` entries; the others move up.
+    // Frees the first `count` entries and moves the others up.
     static void dropEntries(raft_append_entries& request, unsigned count) {
         if (count == 0) return;
-        // Their memory goes, too, unless one that stays shares it.
+        // Frees a batch's memory unless a remaining entry shares it.
         void* keptBatch = count < request.n_entries ? request.entries[count].batch : nullptr;
         for (unsigned i = 0; i < count; ++i) {
             void* batch = request.entries[i].batch;
@@ -97,8 +97,8 @@
     decltype(raft_io::start) start_ = nullptr;
     decltype(raft_io::send) send_ = nullptr;
     raft_io_recv_cb receive_ = nullptr;
-    bool handlingAppendEntries_ = false;  // an AppendEntries, now
-    raft_index lastMatchingIndex_ = 0;    // the last entry that it shows to match, if it is accepted
+    bool handlingAppendEntries_ = false;  // the message being handled is an AppendEntries
+    raft_index lastMatchingIndex_ = 0;  // the last entry that the request proves to match, if it is accepted
 };
 static_assert(std::is_standard_layout_v<AppendEntriesGuard>);
 
--- a/src/agent/consensus.cpp
+++ b/src/agent/consensus.cpp
@@ -13,10 +13,11 @@
 namespace {
 
 constexpr unsigned kInstallSnapshotTimeoutMs = 5000;
-constexpr auto kProposalTimeout = 5s;  // a proposal whose end is not known by then is answered so
-constexpr auto kTransferAfterWriteFailures = 200ms;  // of failing writes
+constexpr auto kProposalTimeout = 5s;  // a proposal without an outcome by then is reported as unknown
+// leadership is transferred once writes have failed for this long
+constexpr auto kTransferAfterWriteFailures = 200ms;
 
-// libraft stores entries and snapshots in words of eight bytes; JSON may end with blanks.
+// libraft stores entries and snapshots in words of eight bytes. Trailing blanks are valid after JSON.
 raft_buffer bufferOf(std::string text) {
     text.resize((text.size() + 7) / 8 * 8, ' ');
     raft_buffer buffer{};
@@ -66,7 +67,7 @@
     raft_set_election_timeout(core, rules.electionTimeoutMs);
     raft_set_heartbeat_timeout(core, rules.heartbeatIntervalMs);
     raft_set_snapshot_threshold(core, rules.snapshotThreshold);
-    // After a cut the one that was under way is sent again; libraft would wait for 30 s.
+    // After an interrupted connection the snapshot is sent again; libraft's default would wait for 30 s.
     raft_set_install_snapshot_timeout(core, kInstallSnapshotTimeoutMs);
     node_->check(raft_start(core), "start");
     handler_ = loop_.add(uv_backend_fd(&node_->loop()), EPOLLIN, *this);
@@ -81,7 +82,7 @@
     fsm.apply = [](raft_fsm* machine, const raft_buffer* buffer, void** result) {
         auto& owner = *static_cast<Consensus*>(machine->data);
         owner.outcome_ = owner.store_.apply(textOf(*buffer));
-        *result = &owner.outcome_;  // taken, if at all, before the next is applied
+        *result = &owner.outcome_;  // read before the next command is applied, if at all
         owner.loop_.post(owner.onStoreChanged_);
         return 0;
     };
@@ -106,7 +107,7 @@
     return fsm;
 }
 
-// Does nothing but on the very first start.
+// Only has an effect on the first start.
 void Consensus::bootstrap(const std::vector<Member>& members) {
     raft_configuration all;
     raft_configuration_init(&all);
@@ -118,7 +119,7 @@
 }
 
 void Consensus::propose(const std::string& command, ProposalCallback done) {
-    // Nobody could say when it would be durable here; a leader that can write is on its way.
+    // The entry could not become durable here; another agent is about to take over leadership.
     if (!acceptsProposals()) return done(ProposalResult::refused, {});
     auto proposal = std::make_unique<Proposal>();
     proposal->request.data = proposal.get();
@@ -137,7 +138,7 @@
                            ended->owner->completeProposal(ended->number, ProposalResult::unknown, {});
                    });
     if (result == 0) {
-        static_cast<void>(proposal.release());  // the callback has it now
+        static_cast<void>(proposal.release());  // now owned by the callback
         return;
     }
     raft_free(buffer.base);
@@ -149,7 +150,7 @@
     const auto found = std::lower_bound(
         proposals_.begin(), proposals_.end(), number,
         [](const PendingProposal& one, std::uint64_t wanted) { return one.number < wanted; });
-    if (found == proposals_.end() || found->number != number) return;  // it was overdue
+    if (found == proposals_.end() || found->number != number) return;  // already reported as unknown
     const ProposalCallback done = std::move(found->done);
     proposals_.erase(found);
     done(result, outcome);
@@ -160,7 +161,7 @@
         completeProposal(proposals_.front().number, ProposalResult::unknown, {});
 }
 
-// A leader that cannot write holds up nobody who can.
+// A leader that cannot write its log must not block agents that can.
 void Consensus::transferLeadershipWhileStorageFails() {
     if (!isLeader() || transferPending_ || storageFailingFor() < kTransferAfterWriteFailures ||
         loop_.now() < nextTransferAt_)
@@ -190,8 +191,8 @@
 
 std::uint64_t Consensus::lastAppliedIndex() { return raft_last_applied(&node_->core()); }
 
-// A follower starts its election timer anew whenever it hears from its leader; a leader, each time it has
-// found its majority.
+// A follower restarts its election timer whenever it hears from the leader; a leader does so each time it
+// has contact with a majority.
 std::int64_t Consensus::leaderContactAgeMs() {
     return static_cast<std::int64_t>(node_->nowMs() - node_->core().election_timer_start);
 }
@@ -242,8 +243,8 @@
            id, "", std::move(changed));
 }
 
-// libuv polls level by level, this loop waits for edges: what an edge may have missed waits this long at
-// most.
+// libuv polls level-triggered, but this loop is edge-triggered: an edge that was missed is picked up after
+// the maximum interval.
 net::Micros Consensus::nextPollTime() const {
     constexpr int kMaxPollIntervalMs = 20;
     if (!pendingReads_.empty()) return loop_.now();
--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -46,7 +46,7 @@
     return {{"revision", entry.revision}, {"at", entry.atMs}, {"by", entry.author}, {"changes", changes}};
 }
 
-// Entries that changed something under the prefix.
+// Lists the entries that changed something under the prefix.
 json historyToJson(const std::vector<const config::HistoryEntry*>& entries, const std::string& prefix) {
     json list = json::array();
     for (const auto* entry : entries) {
@@ -104,7 +104,7 @@
     reply({307, "", {"Location", "http://" + control + target}});
 }
 
-// ----- the tree -----
+// ----- documents -----
 
 json Control::documents(const RequestTarget& target) const {
     json list = json::array();
@@ -145,7 +145,8 @@
     const auto from = static_cast<config::Revision>(target.integerParameter("from").value_or(0));
     const std::string prefix = target.parameter("prefix");
     const json list = historyToJson(store_.retainedSince(from, prefix), prefix);
-    const config::Revision oldest = store_.historyCompleteFrom(prefix) + 1;  // from it on all is held
+    // first revision of the complete history
+    const config::Revision oldest = store_.historyCompleteFrom(prefix) + 1;
     reply(jsonAnswer(200, {{"revision", store_.revision()}, {"oldest", oldest}, {"history", list}}));
 }
 
@@ -164,7 +165,7 @@
     });
 }
 
-// False: there is nothing to tell yet.
+// Returns false if there is nothing to report yet.
 bool Control::answerWatch(const Watch& watch, bool expired) {
     if (watch.from > store_.revision()) {
         watch.reply({503, "this agent is behind\n", {}});
@@ -269,7 +270,8 @@
         return reply({400, std::string(problem.what()) + "\n", {}});
     }
     command.transaction.atMs = unixMs();
-    // First where it is to be found, then its seat: whoever knows of the seat knows the way.
+    // Store the control address before the membership change: any agent that sees the member can then
+    // redirect to it.
     consensus_.propose(
         config::encode(command),
         [this, id, raft, done, reply](Consensus::ProposalResult result, const config::Outcome& outcome) {
@@ -284,7 +286,7 @@
                         const Reply& reply) {
     if (const std::size_t slash = rest.find('/'); slash != std::string::npos)
         return callOperatorAddress(rest.substr(0, slash), rest.substr(slash + 1), head, reply);
-    // Before the text is read, which takes long where it is large.
+    // Checked before the body is parsed, which takes long for a large one.
     if (!consensus_.isLeader()) return redirectToLeader(head.target, reply);
     if (!consensus_.acceptsProposals()) return reply({503, "not agreed\n", {}});
     const std::string key = kInstancePrefix + rest;
@@ -304,7 +306,7 @@
         change.value = json{{"agent", agent}, {"configuration", wanted["configuration"]}};
         try {
             settings::readConfiguration(
-                wanted["configuration"].dump());  // a bad one would only end at its start
+                wanted["configuration"].dump());  // an invalid one would only fail when the instance starts
         } catch (const settings::Malformed& problem) {
             return reply({400, std::string("bad configuration: ") + problem.what() + "\n", {}});
         }
--- a/src/agent/control.hpp
+++ b/src/agent/control.hpp
@@ -1,5 +1,5 @@
-// What the tool asks of an agent: the tree, its history, members and instances. Changes and current reads are
-// the leader's; another agent names it (307).
+// HTTP control address of an agent: documents, history, members and instances. Changes and linearizable
+// reads are served by the leader; other agents redirect to it (307).
 #pragma once
 
 #include <list>
@@ -21,7 +21,7 @@
             Consensus& consensus, Supervisor& supervisor);
     ~Control();
 
-    void changed();  // the store is: watches are answered
+    void changed();  // call when the store has changed; answers pending watches
 
 private:
     using Reply = net::CallServer::Reply;
@@ -44,7 +44,7 @@
                  const Reply& reply);
     void instances(const net::HttpHead& head, const std::string& rest, const std::string& body,
                    const Reply& reply);
-    // What the door of one instance is asked, by the agent that runs it.
+    // Forwards a request to the operator address of an instance; served by the agent that runs it.
     void callOperatorAddress(const std::string& name, const std::string& what, const net::HttpHead& head,
                              const Reply& reply);
     void redirectToLeader(const std::string& target, const Reply& reply);
--- a/src/agent/event_feed.cpp
+++ b/src/agent/event_feed.cpp
@@ -9,12 +9,13 @@
 
 namespace {
 
-constexpr std::int64_t kMaxHoldMs = 5000;  // as the event bus has it
-// Between two answers to those who wait. With many purges a second an answer for each would cost a gateway
-// several KB a second, most of it heads; this is small against the 1.9 s in which a purge must be
-// everywhere.
+constexpr std::int64_t kMaxHoldMs = 5000;  // the event bus's limit
+// Minimum interval between two rounds of answers to held requests. With many purges per second, answering
+// each event separately would cost every gateway several KB per second, mostly for headers. The interval is
+// small compared with the 1.9 s within which a purge must reach all gateways.
 constexpr net::Micros kBatchInterval = std::chrono::milliseconds{250};
-constexpr std::size_t kMaxCachedPages = 128;  // kept made, 128 KB each at most: an hour of 26 purges a second
+// at most 128 KB each; enough for one hour of 26 purges per second
+constexpr std::size_t kMaxCachedPages = 128;
 constexpr net::CallServer::Limits kLimits{4096, 1024, std::chrono::seconds{8}, true};
 
 }  // namespace
@@ -57,7 +58,7 @@
     at->timer = loop_.after(std::chrono::milliseconds{hold}, [this, at] {
         const Waiting ended = std::move(*at);
         waiting_.erase(at);
-        // Without a leader meanwhile nothing can be said of what was not told.
+        // Without a leader, events may be missing here, so this must not look like "no events".
         if (consensus_.leader() == 0) return ended.reply({503, "this agent knows of no leader now\n", {}});
         answer(ended.from, ended.reply);
     });
@@ -82,12 +83,12 @@
     if (!page.cacheable) return text;
     cachedPages_.emplace(from, std::move(page));
     if (cachedPages_.size() > kMaxCachedPages)
-        cachedPages_.erase(cachedPages_.begin());  // the oldest events are asked for least
+        cachedPages_.erase(cachedPages_.begin());  // the oldest events are requested least
     return text;
 }
 
 void EventFeed::changed() {
-    cachedFrom_ = -1;  // a restored store may hold other events under the same numbers
+    cachedFrom_ = -1;  // a restored store may have other events under the same offsets
     if (batchTimer_ || waiting_.empty()) return;
     const net::Micros left = lastAnsweredAt_ + kBatchInterval - loop_.now();
     if (left.count() <= 0) return answerWaiting();
--- a/src/agent/event_feed.hpp
+++ b/src/agent/event_feed.hpp
@@ -1,5 +1,5 @@
-// The event feed: boxes and purges as agreed, in the form of the event bus, for gateways. An agent that knows
-// of no leader, or is behind the reader, answers 503, so that the reader goes to another.
+// Serves boxes and purges to gateways in the event bus's format. An agent that knows no leader, or is
+// behind the reader's offset, answers 503, so that the reader goes to another agent.
 #pragma once
 
 #include <list>
@@ -24,8 +24,8 @@
               Consensus& consensus);
     ~EventFeed();
 
-    // The store is: those who wait are answered, at once after a pause and else together with what comes
-    // soon.
+    // Call when the store has changed. Answers held requests at once if the last round is long enough ago,
+    // and else together with the events of the rest of the interval.
     void changed();
     std::uint16_t port() const { return server_.port(); }
     const Counters& counters() const { return counters_; }
@@ -46,13 +46,13 @@
     const config::Store& store_;
     Consensus& consensus_;
     std::list<Waiting> waiting_;
-    // Most readers ask from one place: its answer is made once for all of them. So are full pages, for the
-    // many that come back together.
+    // Most readers are at the same offset, so their answer is built once. Full pages are cached as well,
+    // for the many readers that reconnect at the same time.
     std::int64_t cachedFrom_ = -1, cachedLast_ = -1;
     std::string cachedAnswer_;
-    std::map<std::int64_t, config::EventLog::Page> cachedPages_;  // by where they begin
-    std::uint64_t cachedLoadCount_ = 0;                           // Store::loads() when they were made
-    net::Micros lastAnsweredAt_{};                                // those who waited, last
+    std::map<std::int64_t, config::EventLog::Page> cachedPages_;  // by start offset
+    std::uint64_t cachedLoadCount_ = 0;  // Store::loadCount() when the pages were built
+    net::Micros lastAnsweredAt_{};       // time of the last round of answers to held requests
     std::optional<net::Loop::TimerKey> batchTimer_;
     Counters counters_;
     net::CallServer server_;
--- a/src/agent/instances.hpp
+++ b/src/agent/instances.hpp
@@ -1,4 +1,4 @@
-// The instances among the documents that the agents agree on.
+// Reads the configured gateway instances from the replicated documents.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 struct Instance {
     std::uint64_t agent = 0;
-    std::uint64_t revision = 0;  // grows with every change of this instance
+    std::uint64_t revision = 0;  // increases with every change of this instance
     std::string configuration;   // JSON text
 };
 
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -1,4 +1,5 @@
-// One agent: agrees with the others on the shared configuration, serves it, and runs instances as agreed.
+// The agent's program: takes part in consensus on the shared configuration, serves it, and runs the
+// instances that are assigned to this agent.
 #include <sys/stat.h>
 
 #include <cerrno>
@@ -37,7 +38,7 @@
     return path;
 }
 
-// A folder belongs to one agent of one cluster; in another it would bring that one's log along.
+// Ties the folder to one agent of one cluster. Used by another, it would bring along the wrong Raft log.
 void claimFolder(const AgentConfiguration& configuration) {
     ensureFolder(configuration, "raft");
     const std::string path = configuration.folder + "/cluster";
@@ -51,7 +52,7 @@
         owner.pop_back();
         throw settings::Malformed("field 'folder': it belongs to cluster and agent '" + owner + "'");
     }
-    // There is none, or the disk was full when it was written.
+    // No claim yet, or a partial one because the disk was full.
     std::ofstream claim(path);
     claim << ownLine;
     if (!claim.flush()) throw StorageUnavailable("cannot write '" + path + "'");
@@ -111,7 +112,7 @@
             phase_ = Phase::stopping;
             supervisor_.stopAll();
         });
-        supervisor_.reap();  // several children may have ended by one signal
+        supervisor_.reap();  // one signal may stand for several ended children
         return 0;
     }
 
@@ -128,7 +129,7 @@
     std::optional<EventFeed> feed_;
 };
 
-// Until the folder can be read and written, or a signal says to end.
+// Waits before the next attempt to use the folder; returns false if a signal asks to stop.
 bool waitForStorage() {
     constexpr timespec kRetryInterval{0, 250'000'000};
     sigset_t set;
@@ -153,7 +154,8 @@
     return 0;
 }
 
-// For a majority that is lost for good. Any member that answers may be part of one.
+// For a cluster whose majority is permanently lost. Refuses if any member answers, since that one might
+// belong to a majority.
 int recoverAlone(const AgentConfiguration& configuration) {
     net::Loop loop;
     std::size_t reached = 0, pendingCalls = 0;
@@ -186,7 +188,7 @@
 
 }  // namespace
 
-// Exit codes: 0 stopped as told, 1 could not go on, 2 bad arguments or configuration.
+// Exit codes: 0 stopped by a signal, 1 failure, 2 bad arguments or configuration.
 int main(int count, char** arguments) {
     const std::string first = count > 1 ? arguments[1] : "";
     if (first == "--help" || first == "--version") {
--- a/src/agent/raft_import.cpp
+++ b/src/agent/raft_import.cpp
@@ -11,7 +11,7 @@
 #include <system_error>
 #include <vector>
 
-extern "C" {  // libraft's headers don't say so themselves
+extern "C" {  // libraft's headers do not declare C linkage
 #include <raft.h>
 #include <raft/uv.h>
 }
@@ -24,8 +24,8 @@
 
 namespace {
 
-constexpr std::uint64_t kLibraftFormat = 1;       // of its metadata files (raft/uv.h)
-constexpr std::uint64_t kUnsupportedFormat = 64;  // one that libraft refuses to read
+constexpr std::uint64_t kLibraftFormat = 1;       // format number in its metadata files (raft/uv.h)
+constexpr std::uint64_t kUnsupportedFormat = 64;  // a format number that libraft refuses to read
 constexpr const char* kMetadataNames[] = {"metadata1", "metadata2"};
 
 void check(int result, const char* what, const raft_io& io) {
--- a/src/agent/raft_log.cpp
+++ b/src/agent/raft_log.cpp
@@ -25,8 +25,8 @@
 constexpr std::uint64_t kSnapshotMagic = 0x31504e53464c4c4cULL;
 constexpr std::uint64_t kTermAndVoteMagic = 0x3154424c464c4c4cULL;
 constexpr std::uint64_t kSegmentRolloverBytes =
-    8 * 1024 * 1024;                                   // a segment that has as many is followed by another
-constexpr std::uint64_t kTermAndVoteSlotBytes = 4096;  // no block of a disk holds both slots
+    8 * 1024 * 1024;  // a segment of at least this size is followed by a new one
+constexpr std::uint64_t kTermAndVoteSlotBytes = 4096;  // the slots never share a disk block
 constexpr std::uint32_t kMaxEntryBytes = 1U << 30;
 constexpr mode_t kFileMode = 0640;
 constexpr mode_t kFolderMode = 0755;
@@ -64,7 +64,7 @@
 
 std::uint64_t checksumOf(const void* bytes, std::size_t size) { return XXH3_64bits(bytes, size); }
 
-// A descriptor that closes itself.
+// Closes the file descriptor on destruction.
 class ScopedFile {
 public:
     explicit ScopedFile(int fd) : fd_(fd) {}
@@ -103,7 +103,7 @@
     check(result, "sync " + path);
 }
 
-// Empty where there is no such file.
+// Returns nothing if the file does not exist.
 std::optional<std::string> readFile(const std::string& path) {
     const ScopedFile file(openFile(path, O_RDONLY));
     if (file.get() < 0 && errno == ENOENT) return {};
@@ -133,7 +133,7 @@
     out.append(reinterpret_cast<const char*>(&value), sizeof value);
 }
 
-// Reads values one after another; throws at the end of the bytes.
+// Reads consecutive values; throws at the end of the bytes.
 class ByteReader {
 public:
     explicit ByteReader(std::string_view bytes) : bytes_(bytes) {}
@@ -172,7 +172,8 @@
     std::memcpy(out.data() + begin, &checksum, sizeof checksum);
 }
 
-// The record that the bytes begin with; empty where none is whole and the expected one.
+// Takes the first record off the bytes. Returns nothing unless it is complete, intact and has the expected
+// index.
 std::optional<LogEntry> takeRecord(std::string_view& bytes, std::uint64_t index) {
     RecordHeader header;
     if (bytes.size() < sizeof header) return {};
@@ -266,7 +267,7 @@
     content.snapshot = readSnapshot(folder_);
     for (const std::uint64_t sequence : listSequences()) readSegment(sequence, content);
     reconcileWithSnapshot(content);
-    // Entries are written before the ballot only when a cluster is made.
+    // Only when a cluster is created are entries written before the term.
     if (!content.entries.empty())
         content.termAndVote.term = std::max(content.termAndVote.term, content.entries.back().term);
     return content;
@@ -283,7 +284,7 @@
         all.size() > kTermAndVoteSlotBytes ? all.substr(kTermAndVoteSlotBytes) : "";
     const auto one = decodeSlot(first), other = decodeSlot(second);
     if (!one && !other) {
-        // The very first write may have been torn; of two slots one has always been written whole.
+        // Only the very first write can leave no valid slot; after it one of the two is always intact.
         if (!isAllZero(first) && !isAllZero(second)) throw std::runtime_error("the ballot is damaged");
         return {};
     }
@@ -333,7 +334,8 @@
         bytes.size() >= sizeof header &&
         (std::memcpy(&header, bytes.data(), sizeof header), header.magic == kSegmentMagic) &&
         header.checksum == headerChecksum(header);
-    // Without a header none of its entries was acknowledged; a gap that it leaves is found below.
+    // Entries are only acknowledged after the header is durable. If acknowledged entries follow in a later
+    // segment, the gap is detected below.
     if (!hasValidHeader) return removeFile(path);
     if (content.entries.empty()) content.firstIndex = header.firstIndex;
     const std::uint64_t next = content.firstIndex + content.entries.size();
@@ -350,7 +352,7 @@
     segments_.push_back(segment);
 }
 
-// Entries count only where they continue the snapshot.
+// Drops the entries unless they continue the snapshot.
 void RaftLog::reconcileWithSnapshot(Content& content) {
     if (!content.snapshot) {
         if (content.firstIndex != 1) throw std::runtime_error("entries are there, but their snapshot is not");
@@ -365,7 +367,7 @@
     const bool adjoins = any && content.firstIndex == snapshot.index + 1;
     if (adjoins || (includes && content.entries[snapshot.index - content.firstIndex].term == snapshot.term))
         return;
-    // The process has ended within an install.
+    // The process ended during the installation of the snapshot.
     removeAllSegments();
     content.entries.clear();
     content.firstIndex = snapshot.index + 1;
@@ -434,7 +436,7 @@
     return decodeSnapshot(*bytes);
 }
 
-// From the front: a later segment may replace entries of an earlier one. The open one stays.
+// Oldest first, because later segments may replace entries of earlier ones. The last segment stays.
 void RaftLog::removeSegmentsBefore(std::uint64_t keepFrom) {
     while (segments_.size() > 1 && segments_.front().last < keepFrom) {
         removeFile(pathOf(segments_.front()));
@@ -442,7 +444,7 @@
     }
 }
 
-// From the end: whatever a crash leaves is a beginning of the log, which open() compares with the snapshot.
+// Newest first, so that a crash leaves a prefix of the log, which open() compares with the snapshot.
 void RaftLog::removeAllSegments() {
     closeSegment();
     while (!segments_.empty()) {
--- a/src/agent/raft_log.hpp
+++ b/src/agent/raft_log.hpp
@@ -1,17 +1,19 @@
-// The durable part of an agent's Raft state: term and vote, log entries, the last snapshot. Files only; it
-// knows neither libraft nor threads, clocks or retries.
+// Durable storage of an agent's Raft state: term and vote, log entries, and the last snapshot. Deals with
+// files only; independent of libraft, threads, clocks and retries.
 //
-// The folder holds
+// Files in the folder:
 //
-//     ballot             term and vote, in two slots that are written in turn, so that one is always whole
-//     entries-SEQUENCE   a segment: a header with the index of its first entry, then records with consecutive
-//                        indexes. Segments are read by their sequence; one that begins at or before the end
-//                        of those before it replaces their entries from there on (a truncated log).
+//     ballot             term and vote, in two slots that are written alternately, so that one is
+//                        always intact
+//     entries-SEQUENCE   a segment: a header with the index of its first entry, then records with
+//                        consecutive indexes. Segments are read in order of sequence. One that begins
+//                        at or before the end of the previous ones replaces their entries from there on
+//                        (a truncated log).
 //     snapshot           the last snapshot, replaced by rename
 //
-// Every header, record, slot and snapshot has a checksum. What a call has returned from is on the disk. A
-// call that throws may be repeated with the same arguments: it writes the same bytes to the same place once
-// more, which is also what a sync that has failed requires, since its pages count as clean afterwards.
+// Headers, records, slots and snapshots have checksums. When a call returns, its data is durable. A call that
+// throws may be repeated with the same arguments: it writes the same bytes to the same place again. This is
+// also needed after a failed sync, because the kernel then marks the unwritten pages as clean.
 #pragma once
 
 #include <cstdint>
@@ -26,7 +28,7 @@
 
 struct TermAndVote {
     std::uint64_t term = 0;
-    std::uint64_t vote = 0;  // zero: none in this term
+    std::uint64_t vote = 0;  // zero: no vote in this term
 };
 
 struct LogEntry {
@@ -35,7 +37,7 @@
     std::string data;
 };
 
-// An entry whose bytes somebody else keeps.
+// A log entry whose data is owned by the caller.
 struct LogEntryView {
     std::uint64_t term = 0;
     std::uint16_t type = 0;
@@ -49,7 +51,7 @@
 };
 
 struct LogSnapshot {
-    std::uint64_t index = 0;  // of the last entry that it includes
+    std::uint64_t index = 0;  // of the last included entry
     std::uint64_t term = 0;
     std::uint64_t configurationIndex = 0;
     std::vector<SnapshotMember> members;
@@ -61,39 +63,39 @@
     struct Content {
         TermAndVote termAndVote;
         std::optional<LogSnapshot> snapshot;
-        std::uint64_t firstIndex = 1;  // of the entries
+        std::uint64_t firstIndex = 1;  // of the first element of `entries`
         std::vector<LogEntry> entries;
     };
 
-    // Makes the folder where there is none.
+    // Creates the folder if it does not exist.
     explicit RaftLog(std::string folder);
     ~RaftLog();
     RaftLog(const RaftLog&) = delete;
     RaftLog& operator=(const RaftLog&) = delete;
 
-    // Every call throws std::system_error where the system fails, std::runtime_error where the content cannot
-    // be trusted.
+    // All functions throw std::system_error on I/O errors and std::runtime_error if the stored data is
+    // invalid.
 
-    // Once, first. Removes what a crash has left half done.
+    // Call once, before all others. Removes incomplete files of a crashed process.
     Content open();
-    // May run beside the calls below.
+    // Safe to call concurrently with the functions below.
     void writeTermAndVote(const TermAndVote& termAndVote);
-    // Entries from `firstIndex` on, in place of those that are there from that index on.
+    // Writes entries from `firstIndex` on, replacing any existing ones from that index on.
     void append(std::uint64_t firstIndex, std::span<const LogEntryView> entries);
-    // Entries before `keepFrom` may go afterwards.
+    // Entries before `keepFrom` may be removed afterwards.
     void writeSnapshot(const LogSnapshot& snapshot, std::uint64_t keepFrom);
-    // For a follower whose log the snapshot replaces: every entry goes afterwards.
+    // Stores a snapshot received from the leader and removes all entries.
     void installSnapshot(const LogSnapshot& snapshot);
-    // Safe beside the other calls; empty where none was written.
+    // Safe to call concurrently with the other functions; returns nothing if there is no snapshot.
     static std::optional<LogSnapshot> readSnapshot(const std::string& folder);
-    // Makes durable which files a folder has.
+    // Makes the folder's directory entries durable.
     static void syncFolder(const std::string& folder);
 
 private:
     struct Segment {
         std::uint64_t sequence = 0;
         std::uint64_t first = 0;
-        std::uint64_t last = 0;  // first - 1: it has no entries
+        std::uint64_t last = 0;  // first - 1 if the segment is empty
     };
 
     std::string pathOf(const Segment& segment) const;
@@ -110,11 +112,11 @@
     std::string folder_;
     int termAndVoteFile_ = -1;
     std::uint64_t termAndVoteVersion_ = 0;
-    std::deque<Segment> segments_;  // by sequence; the last may be the open one
+    std::deque<Segment> segments_;  // in order of sequence; the last one may be open for writing
     std::uint64_t nextSequence_ = 1;
-    int openSegmentFile_ = -1;            // of the open segment; -1: the next entries begin another one
-    std::uint64_t openSegmentBytes_ = 0;  // bytes of the open segment that are durable
-    bool segmentFolderSynced_ = false;    // the folder has been synced since the open segment was made
+    int openSegmentFile_ = -1;            // -1: the next append opens a new segment
+    std::uint64_t openSegmentBytes_ = 0;  // durable bytes of the open segment
+    bool segmentFolderSynced_ = false;    // the folder has been synced since the open segment was created
 };
 
 }  // namespace lotuslead::agent
--- a/src/agent/raft_node.cpp
+++ b/src/agent/raft_node.cpp
@@ -61,7 +61,7 @@
     raft_uv_set_connect_retry_delay(&io, kConnectRetryMs);
     storage_->attach(io_);
     io_.guarded.install();
-    // libraft's transport tries its folder out by writing to it.
+    // libraft's transport tests the folder by writing to it.
     const int result = raft_init(&core_, &io, &fsm, self.id, self.address.c_str());
     if (result == RAFT_IOERR || result == RAFT_NOSPACE) throw StorageUnavailable(io.errmsg);
     check(result, "init");
--- a/src/agent/raft_node.hpp
+++ b/src/agent/raft_node.hpp
@@ -1,4 +1,5 @@
-// libraft's core with what it runs on: a libuv loop, libraft's transport and timers, and our storage.
+// A libraft core with all it needs: a libuv loop, libraft's transport and timers, and this project's
+// storage.
 #pragma once
 
 #include <memory>
@@ -14,7 +15,7 @@
 
 namespace lotuslead::agent {
 
-// The agent's folder cannot be read or written now; it may be later.
+// The agent's folder cannot be read or written at the moment, but a retry may succeed.
 class StorageUnavailable : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
@@ -24,14 +25,14 @@
 public:
     struct Identity {
         std::uint64_t id = 0;
-        std::string address;  // where the other agents reach it
-        std::string listen;   // where it listens, if not there
+        std::string address;  // advertised to the other agents
+        std::string listen;   // if it differs from `address`
     };
 
-    // Reads the agent's state from `folder`, or makes it there. `fsm` outlives this. Throws std::system_error
-    // where the folder fails, std::runtime_error otherwise.
+    // Loads the agent's state from `folder`, or creates it. `fsm` must outlive this object. Throws
+    // StorageUnavailable if a retry may help, std::runtime_error or std::system_error otherwise.
     RaftNode(const Identity& self, const std::string& folder, raft_fsm& fsm);
-    // Ends all that is under way; its callbacks run.
+    // Cancels all pending operations and runs their callbacks.
     ~RaftNode();
     RaftNode(const RaftNode&) = delete;
     RaftNode& operator=(const RaftNode&) = delete;
@@ -43,7 +44,7 @@
     const RaftStorage& storage() const { return *storage_; }
     std::uint64_t nowMs() { return io_.guarded.io.time(&io_.guarded.io); }
 
-    // Throws with libraft's words for a result that is not zero.
+    // Throws std::runtime_error with libraft's message if `result` is not zero.
     void check(int result, const char* what);
 
 private:
--- a/src/agent/raft_storage.cpp
+++ b/src/agent/raft_storage.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::uint64_t kRetryDelayMs = 100;
-constexpr std::size_t kMaxBatchBytes = std::size_t{16} << 20;  // of appends that are written together
+constexpr std::size_t kMaxBatchBytes = std::size_t{16} << 20;  // of appends that are combined into one write
 constexpr std::uint64_t kBootstrapTerm = 1;
 
 raft_buffer copyOf(std::string_view bytes) {
@@ -50,7 +50,7 @@
     return snapshot;
 }
 
-// In memory that the core will free.
+// Allocated with raft_malloc, since the core frees it.
 raft_snapshot* makeRaftSnapshot(const LogSnapshot& from) {
     auto* snapshot = allocate<raft_snapshot>();
     snapshot->index = from.index;
@@ -108,7 +108,7 @@
     io.append = [](raft_io* self, raft_io_append* request, const raft_entry* entries, unsigned count,
                    raft_io_append_cb done) { return fromIo(self).append(request, entries, count, done); };
     io.truncate = [](raft_io* self, raft_index index) {
-        fromIo(self).nextIndex_ = index;  // the next append replaces what is there
+        fromIo(self).nextIndex_ = index;  // the next append replaces entries from this index on
         return 0;
     };
     io.snapshot_put = [](raft_io* self, unsigned trailing, raft_io_snapshot_put* request,
@@ -133,7 +133,7 @@
     return std::chrono::milliseconds{failingSince_ == 0 ? 0 : uv_now(&loop_) - failingSince_ + 1};
 }
 
-// ----- what the core asks for at its start -----
+// ----- startup -----
 
 int RaftStorage::load(raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* firstIndex,
                       raft_entry** entries, std::size_t* count) {
@@ -250,7 +250,7 @@
         [](uv_work_t* work, int) {
             const std::unique_ptr<SnapshotRead> self(static_cast<SnapshotRead*>(work->data));
             --self->storage->snapshotReads_;
-            // The core takes status zero for a promise that there is a snapshot.
+            // With status zero the core expects a snapshot.
             if (self->snapshot)
                 self->done(self->request, makeRaftSnapshot(*self->snapshot), 0);
             else
@@ -263,7 +263,7 @@
     return 0;
 }
 
-// Appends that wait together are written together; a snapshot alone.
+// Combines consecutive queued appends into one batch; a snapshot forms a batch of its own.
 void RaftStorage::takeBatch() {
     std::size_t bytes = 0;
     while (!queue_.empty() && bytes < kMaxBatchBytes) {
@@ -286,7 +286,7 @@
     if (batch_.empty()) takeBatch();
     if (batch_.empty()) return;
     if (termAndVotePending_ && !writeTermAndVote())
-        return scheduleRetry();  // no entry outlives the term it was taken in
+        return scheduleRetry();  // entries must not become durable before their term
     writeError_.clear();
     const int result = uv_queue_work(
         &loop_, &work_, [](uv_work_t* work) { static_cast<RaftStorage*>(work->data)->writeBatch(); },
@@ -317,7 +317,7 @@
     writing_ = false;
     if (writeError_.empty()) {
         recordSuccess();
-        // A callback may ask for further jobs.
+        // A callback may queue further writes.
         for (const PendingWrite& job : std::exchange(batch_, {})) {
             unwrittenBytes_ -= job.bytes;
             complete(job, 0);
@@ -349,7 +349,7 @@
         kRetryDelayMs, 0);
 }
 
-// ----- failures, as operators see them -----
+// ----- failure reporting -----
 
 void RaftStorage::recordFailure(const std::string& what) {
     ++counters_.failures;
@@ -371,12 +371,12 @@
 
 int RaftStorage::send(raft_io_send* request, const raft_message* message, raft_io_send_cb done) {
     const bool asksForVotes = message->type == RAFT_IO_REQUEST_VOTE;
-    // The answer to a leader that has been given up while its entries were being written.
+    // A reply to a former leader, which libraft has forgotten while its entries were being written.
     const bool noRecipient = message->server_address == nullptr;
     const bool withheld = noRecipient || termAndVotePending_ || (asksForVotes && failing());
     if (!withheld) return transportSend_(&io_->guarded.io, request, message, done);
-    withheldSends_.push_back({request, done});  // to the core like a message that was lost
-    if (closing_) return 0;                     // then its end comes with all others
+    withheldSends_.push_back({request, done});  // to the core this looks like a lost message
+    if (closing_) return 0;                     // close() cancels it with all others
     uv_timer_start(
         &withheldTimer_,
         [](uv_timer_t* timer) {
@@ -397,7 +397,7 @@
     receive_(&io_->guarded.io, message);
 }
 
-// ----- the end -----
+// ----- shutdown -----
 
 void RaftStorage::close(raft_io_close_cb done) {
     closing_ = true;
@@ -412,7 +412,7 @@
 
 void RaftStorage::closeTransportOnceIdle() {
     if (!closing_ || closed_ == nullptr || writing_ || snapshotReads_ > 0 || openTimers_ > 0) return;
-    // The last first: each takes its entries off the end of the core's log.
+    // Newest first: each cancelled append removes its entries from the end of the core's log.
     for (; !queue_.empty(); queue_.pop_back()) complete(queue_.back(), RAFT_CANCELED);
     for (; !batch_.empty(); batch_.pop_back()) complete(batch_.back(), RAFT_CANCELED);
     dropWithheldSends(RAFT_CANCELED);
--- a/src/agent/raft_storage.hpp
+++ b/src/agent/raft_storage.hpp
@@ -1,20 +1,20 @@
-// Stands behind libraft's raft_io (its published interface) in place of libraft's own files, and never
-// reports a failed write to the core: an append, a snapshot or a vote that the disk does not take is kept and
-// tried again.
+// Implements the storage functions of libraft's raft_io in place of libraft's own back end, and never
+// reports a failed write to the core: an append, a snapshot or a vote that cannot be written is kept and
+// retried.
 //
-// libraft 0.15 does not outlive a failed write. A failed append leaves its files unusable for the life of the
-// process, and the leader's log shorter than what it counts as sent, so that it sends a snapshot that does
-// not exist (a null pointer); a failed vote makes the core unavailable for good.
+// libraft 0.15 does not survive a failed write. After a failed append its files are unusable until the
+// process restarts, and the leader's log is shorter than what it counts as sent, so that it tries to send a
+// snapshot that does not exist (a null pointer). After a failed vote the core stays unavailable.
 //
-// What the core may conclude, and when:
-//   - An append or a snapshot is complete when it is durable. Until then it waits, in order.
-//   - A term and a vote count for the core at once. Until they are durable no message leaves this agent, so
-//   nobody
-//     can have heard of a vote that a restart would forget.
-//   - While writes fail this agent asks for no votes and takes no leadership that is handed to it.
-//   - A follower with too much unwritten takes requests without their entries; the leader sends them again.
+// Guarantees towards the core:
+//   - An append or a snapshot is completed when it is durable. Until then it is queued, in order.
+//   - A term and a vote take effect in the core at once. Until they are durable no message is sent, so no
+//     other agent can learn of a vote that would be lost in a restart.
+//   - While writes fail, this agent requests no votes and ignores leadership transfers to it.
+//   - A follower whose backlog of writes is full receives requests without their entries; the leader
+//     sends the entries again.
 //
-// Files are written on libuv's thread pool, one job at a time; all else is the loop's thread.
+// Files are written on libuv's thread pool, one batch at a time; everything else runs on the loop's thread.
 #pragma once
 
 #include <uv.h>
@@ -31,7 +31,7 @@
 
 class RaftStorage;
 
-// The core hands out the address of `guarded.io`, from which the storage is found again.
+// The core passes the address of `guarded.io`, from which the storage is recovered.
 struct StorageIo {
     AppendEntriesGuard guarded{};
     RaftStorage* storage = nullptr;
@@ -41,35 +41,36 @@
 class RaftStorage {
 public:
     struct Counters {
-        std::uint64_t failures = 0;    // attempts at writing that failed
-        std::uint64_t recoveries = 0;  // times that writing went on after failures
+        std::uint64_t failures = 0;    // failed write attempts
+        std::uint64_t recoveries = 0;  // how often writes succeeded again after failures
     };
 
-    // Reads the folder. Throws as RaftLog does.
+    // Reads the folder. Throws like RaftLog::open.
     RaftStorage(uv_loop_t& loop, const std::string& folder);
     RaftStorage(const RaftStorage&) = delete;
     RaftStorage& operator=(const RaftStorage&) = delete;
 
-    // Takes over the functions of `io` that store, once libraft's own are in place and before GuardedIo's.
+    // Replaces the storage functions of `io`. Call after libraft has set its own and before
+    // AppendEntriesGuard::install.
     void attach(StorageIo& io);
 
-    // Since the first of the writes that have failed without a success since; zero: writes do not fail.
+    // Time since the first of the current series of failed writes; zero if writes succeed.
     std::chrono::milliseconds failingFor() const;
     bool failing() const { return failingSince_ != 0 || termAndVotePending_; }
-    // More waits to be written than may.
+    // More data is queued than allowed.
     bool backlogFull() const { return unwrittenBytes_ > kMaxUnwrittenBytes; }
     const Counters& counters() const { return counters_; }
 
 private:
     static constexpr std::size_t kMaxUnwrittenBytes = std::size_t{64} << 20;
 
-    // An append or a snapshot that the core waits for.
+    // An append or a snapshot whose completion the core waits for.
     struct PendingWrite {
         enum class Kind { append, snapshot, install };
         Kind kind = Kind::append;
         raft_io_append* append = nullptr;
         raft_io_append_cb appended = nullptr;
-        const raft_entry* entries = nullptr;  // the core keeps them until the append is complete
+        const raft_entry* entries = nullptr;  // owned by the core until the append completes
         unsigned count = 0;
         std::uint64_t firstIndex = 0;
         std::size_t bytes = 0;
@@ -86,7 +87,7 @@
 
     static RaftStorage& fromIo(raft_io* io) { return *reinterpret_cast<StorageIo*>(io)->storage; }
 
-    // The functions of raft_io.
+    // Implementations of the raft_io functions.
     int load(raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* firstIndex,
              raft_entry** entries, std::size_t* count);
     int bootstrap(const raft_configuration& configuration);
@@ -104,8 +105,8 @@
     bool writeTermAndVote();
     void takeBatch();
     void startNextWrite();
-    void writeBatch();   // on the pool's thread
-    void finishWrite();  // back on the loop's
+    void writeBatch();   // on a thread of the pool
+    void finishWrite();  // on the loop's thread
     static void complete(const PendingWrite& job, int status);
     void recordFailure(const std::string& what);
     void recordSuccess();
@@ -116,22 +117,22 @@
     uv_loop_t& loop_;
     std::string folder_;
     RaftLog log_;
-    RaftLog::Content content_;  // as read, until the core has loaded it
+    RaftLog::Content content_;  // as loaded, until passed on to the core
     StorageIo* io_ = nullptr;
     TermAndVote termAndVote_;
-    bool termAndVotePending_ = false;  // it is not durable yet
+    bool termAndVotePending_ = false;  // not durable yet
     std::uint64_t nextIndex_ = 1;
     std::deque<PendingWrite> queue_;
-    std::vector<PendingWrite> batch_;  // taken from `waiting_`; read by the pool's thread while `writing_`
+    std::vector<PendingWrite> batch_;  // taken from `queue_`; read on the pool's thread while `writing_`
     bool writing_ = false;
     std::size_t unwrittenBytes_ = 0;
-    std::string writeError_;  // of the attempt in hand; empty: it went well
+    std::string writeError_;  // of the current attempt; empty on success
     uv_work_t work_{};
     uv_timer_t retryTimer_{};
     uv_timer_t withheldTimer_{};
     std::vector<WithheldSend> withheldSends_;
-    int snapshotReads_ = 0;           // under way
-    std::uint64_t failingSince_ = 0;  // on the loop's clock, in ms
+    int snapshotReads_ = 0;           // in progress
+    std::uint64_t failingSince_ = 0;  // loop time in ms; zero: not failing
     Counters counters_;
     bool closing_ = false;
     int openTimers_ = 2;
--- a/src/agent/request_target.hpp
+++ b/src/agent/request_target.hpp
@@ -1,4 +1,4 @@
-// A request's target, taken apart: path and query (RFC 3986 3.3 and 3.4), with their escapes undone.
+// Parses an HTTP request target into path and query parameters (RFC 3986 3.3 and 3.4), percent-decoded.
 #pragma once
 
 #include <charconv>
--- a/src/agent/settings.hpp
+++ b/src/agent/settings.hpp
@@ -1,4 +1,4 @@
-// An agent's file: JSON, checked whole.
+// An agent's configuration file: JSON, fully validated on reading.
 #pragma once
 
 #include <optional>
@@ -13,17 +13,17 @@
 struct AgentConfiguration {
     std::uint64_t id = 0;
     std::string folder, program;
-    std::string cluster = "lotuslead";  // a folder of another cluster is not touched
-    std::vector<Member> members;        // this one among them; those of the first start
-    bool join = false;                  // the cluster is there already, and is told of this agent by the tool
-    std::optional<settings::Endpoint> bus;  // where gateways read boxes and purges
-    std::string raftListen;  // where it listens for the other agents, if not at its own `raft` address
+    std::string cluster = "lotuslead";      // the folder of another cluster is refused
+    std::vector<Member> members;            // initial members, including this agent
+    bool join = false;                      // join an existing cluster, to which the tool adds this agent
+    std::optional<settings::Endpoint> bus;  // event feed for gateways
+    std::string raftListen;  // Raft listen address, if it differs from the member's `raft` address
     RaftOptions raft;
 
     const Member& self() const;
 };
 
-// Throws settings::Malformed, with the field named.
+// Throws settings::Malformed, whose message names the field.
 AgentConfiguration readAgentConfiguration(const std::string& text);
 
 }  // namespace lotuslead::agent
--- a/src/agent/supervisor.cpp
+++ b/src/agent/supervisor.cpp
@@ -23,10 +23,11 @@
 
 constexpr net::Micros kMinRestartDelay = 200ms, kMaxRestartDelay = 5s;
 constexpr net::Micros kReadyTimeout = 6s, kReadyPollInterval = 100ms,
-                      kReadyCallTimeout = 1s;  // of a successor
-constexpr net::Micros kStableAfter = 10s;      // having run so long, it starts again without a pause
+                      kReadyCallTimeout = 1s;  // per call to the successor's /ready
+// after running this long, an instance restarts with the minimum delay
+constexpr net::Micros kStableAfter = 10s;
 
-// Under another name first: a process that reads it finds the old content or the new.
+// Replaces the file by rename, so that readers see either the old or the new content.
 bool writeAtomically(const std::string& path, const std::string& content) {
     const std::string temporary = path + ".new";
     {
@@ -64,8 +65,8 @@
     std::erase_if(processes_, [](const auto& entry) { return entry.second.pid == 0; });
 }
 
-// Brings what runs in line with what is wanted. Where something is under way already it does nothing:
-// whatever ends that calls it again.
+// Brings the running process in line with the desired instance. Does nothing while another operation is in
+// progress, since each operation calls this again when it ends.
 void Supervisor::reconcile(const std::string& name, Process& process) {
     const bool busy = process.pid == 0 || process.stopping || process.successor != 0 || process.timer;
     if (busy || process.runningRevision == process.desired.revision) return;
@@ -75,11 +76,11 @@
         case Replacement::failed:
             return scheduleRetry(name, process);
         case Replacement::impossible:
-            return stop(process);  // the new one starts when the old one has drained
+            return stop(process);  // the new process starts after the old one has drained
     }
 }
 
-// With pauses that grow, so that a configuration that can't be started is no busy loop.
+// With exponential backoff, so that an instance that cannot start does not cause a busy loop.
 void Supervisor::scheduleRetry(const std::string& name, Process& process) {
     process.restartDelay = std::clamp(2 * process.restartDelay, kMinRestartDelay, kMaxRestartDelay);
     scheduleReconcile(process.restartDelay, name, process);
@@ -109,7 +110,7 @@
     process.listenAddress = at;
     try {
         process.socket = net::listenOn(at);
-    } catch (const std::system_error& problem) {  // the instance says so itself, and ends
+    } catch (const std::system_error& problem) {  // the instance reports the error itself and exits
         std::fprintf(stderr, "agent: %s: %s\n", name.c_str(), problem.what());
     }
 }
@@ -118,7 +119,7 @@
                         const std::optional<settings::Endpoint>& operatorAddress) {
     openListener(name, process, settings::readConfiguration(process.desired.configuration).listen);
     const std::string base = folder_ + "/" + name;
-    // All that the child needs is made before the fork.
+    // Everything that the child needs is allocated before the fork.
     const std::string configurationFile = base + ".json", log = base + ".log", handOverFolder = base + ".tmp";
     if (!writeAtomically(configurationFile, process.desired.configuration)) {
         std::fprintf(stderr, "agent: cannot start %s: its configuration cannot be written\n", name.c_str());
@@ -136,7 +137,7 @@
         sigemptyset(&none);
         sigprocmask(SIG_SETMASK, &none, nullptr);
         ::prctl(PR_SET_PDEATHSIG,
-                SIGTERM);  // without its agent nobody would stop it
+                SIGTERM);  // nobody would stop the process without its agent
         if (::getppid() != agent) ::_exit(125);
         ::setenv("LB_CONFIG", configurationFile.c_str(), 1);
         ::setenv("LB_NAME", name.c_str(), 1);
@@ -159,8 +160,8 @@
     return pid;
 }
 
-// The doors of an instance's processes take turns: the configured address, and
-// the port after it.
+// The processes of an instance alternate between two operator addresses: the configured one, and the same
+// host with the next port.
 bool Supervisor::replace(const std::string& name) {
     const auto found = processes_.find(name);
     if (found == processes_.end()) return false;
@@ -169,7 +170,7 @@
     return beginReplacement(name, process) == Replacement::begun;
 }
 
-// Of an instance that runs, and is neither stopping nor being replaced.
+// The instance must be running, and neither stopping nor being replaced.
 Supervisor::Replacement Supervisor::beginReplacement(const std::string& name, Process& process) {
     const auto configured = settings::readConfiguration(process.desired.configuration).operatorDoor;
     if (!process.operatorAddress || !configured) return Replacement::impossible;
@@ -207,8 +208,8 @@
               });
 }
 
-// The old process has ended. Where the successor does not serve yet it will, or
-// ends and is started again.
+// Called when the old process has ended. If the successor is not ready yet, it will be, or it exits and is
+// restarted.
 void Supervisor::promote(Process& process) {
     process.pid = std::exchange(process.successor, 0);
     process.runningRevision = process.successorRevision;
--- a/src/agent/supervisor.hpp
+++ b/src/agent/supervisor.hpp
@@ -1,4 +1,4 @@
-// Keeps the instances of this agent running: starts, restarts and stops them.
+// Runs this agent's instances as child processes: starts, restarts, replaces and stops them.
 #pragma once
 
 #include <sys/types.h>
@@ -22,9 +22,9 @@
     void setInstances(const std::map<std::string, Instance>& all, std::uint64_t self);
     void stopAll();
     void reap();  // after SIGCHLD
-    // Starts a successor beside it, and ends the old process once that takes
-    // clients. False: it doesn't run, is being replaced already, or has no
-    // operators' door that would tell.
+    // Starts a successor process, and stops the old one as soon as the successor is ready. Returns false if
+    // the instance is not running, is already being replaced, or has no operator address to poll for
+    // readiness.
     bool replace(const std::string& name);
     std::optional<settings::Endpoint> operatorAddress(const std::string& name) const;
     bool empty() const { return processes_.empty(); }
@@ -39,12 +39,11 @@
 private:
     struct Process {
         Instance desired;
-        std::uint64_t runningRevision = 0;  // the revision that runs
+        std::uint64_t runningRevision = 0;  // of the configuration that the process was started with
         bool keep = true;
         bool stopping = false;
         pid_t pid = 0;
-        // The clients' socket is held here, so that each process of the instance
-        // inherits it.
+        // The listening socket is kept here, so that every process of the instance inherits it.
         net::Descriptor socket;
         settings::Endpoint listenAddress;
         std::optional<settings::Endpoint> operatorAddress, successorOperatorAddress;
@@ -59,8 +58,8 @@
 
     enum class Replacement {
         begun,
-        failed,      // no process was to be had; it may be tried again
-        impossible,  // without an operators' door nobody tells when the successor serves
+        failed,      // no process could be started; retry
+        impossible,  // no operator address to tell when the successor is ready
     };
 
     void reconcile(const std::string& name, Process& process);
--- a/src/config/event_log.cpp
+++ b/src/config/event_log.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kObjectPrefix = "purges/object/", kGroupPrefix = "purges/group/";
 
-// A JSON string. Keys are printable; most hold nothing that must be escaped.
+// Appends a JSON string. Keys are printable, and most need no escaping, which this path is optimized for.
 void appendQuoted(std::string& text, const std::string& key) {
     if (key.find_first_of("\"\\") != std::string::npos) {
         text += json(key).dump();
@@ -22,7 +22,7 @@
     text += '"';
 }
 
-// An event as the event bus tells it.
+// Converts an event to the event bus's format.
 json toBusEvent(const Event& event) {
     if (event.isPurge()) {
         json ban = {{"ts", event.purgedAtMs}};
@@ -81,7 +81,7 @@
         page.batch += toBusEvent(events_[static_cast<std::size_t>(page.endOffset - baseOffset())]).dump();
         ++page.endOffset;
     }
-    const bool isEmpty = page.endOffset == from;  // as long as nothing has come
+    const bool isEmpty = page.endOffset == from;  // no event has arrived since `from`
     page.cacheable = !listFirst && !isEmpty && (page.endOffset < last_ || page.endOffset % kPageEvents == 0);
     return page;
 }
@@ -140,7 +140,7 @@
         event.key = row.at(1);
         if (event.isPurge()) event.purgedAtMs = recordedAtMs = row.at(2).at("ts");
         if (!event.isPurge() && row.size() > 2) event.box = row.at(2);
-        event.recordedAtMs = recordedAtMs;  // the nearest that this form tells
+        event.recordedAtMs = recordedAtMs;  // format 2 stores no times: the nearest known earlier one
         Revision created = 0;
         if (event.isPurge()) {
             const json& documents = snapshot.at("documents");
--- a/src/config/event_log.hpp
+++ b/src/config/event_log.hpp
@@ -1,5 +1,6 @@
-// The log of what gateways read: changes of boxes and purges, numbered without gaps. Events are kept by time,
-// so that a reader that was cut off for as long finds all it missed, and are read in pages of bounded size.
+// Log of the changes of boxes and purges that gateways read, numbered without gaps. A box is the document
+// of one store's server (`boxes/NAME`). Events are retained by age, so that a reader that was disconnected
+// for less than that time misses nothing, and are read in pages of bounded size.
 #pragma once
 
 #include <cstdint>
@@ -22,12 +23,12 @@
 }
 
 struct Event {
-    std::int64_t offset = 0;        // from 1 up, by the log
-    std::int64_t recordedAtMs = 0;  // Unix milliseconds, by the clock of the commands
-    Revision revision = 0;          // of the transaction
+    std::int64_t offset = 0;        // assigned by the log, starting at 1
+    std::int64_t recordedAtMs = 0;  // Unix milliseconds, taken from the commands' timestamps
+    Revision revision = 0;          // of the transaction that caused it
     std::string key;
-    std::int64_t purgedAtMs = 0;        // of a purge, Unix milliseconds
-    std::optional<nlohmann::json> box;  // none at a change of a box: it is removed
+    std::int64_t purgedAtMs = 0;        // Unix milliseconds; purges only
+    std::optional<nlohmann::json> box;  // empty if the box was removed, and for purges
 
     bool isPurge() const { return hasPrefix(key, kPurgePrefix); }
 };
@@ -36,49 +37,51 @@
 public:
     struct Bounds {
         std::int64_t retentionMs =
-            std::int64_t{2} * 3600 * 1000;  // an hour's cut, and as much again to come back in
-        std::size_t minEvents = 16'384;     // events that are kept however old they are
-        std::size_t maxEvents = 400'000;    // and never more than that: 4 hours of 26 purges a second
+            std::int64_t{2} * 3600 * 1000;  // covers an outage of one hour, and one more hour to reconnect
+        std::size_t minEvents = 16'384;     // retained regardless of age
+        std::size_t maxEvents = 400'000;    // hard limit: about 4 hours of 26 purges per second
     };
-    // Far under what a reader takes, so that neither side is held up by one page.
+    // Far below the largest answer that a reader accepts, so that one page delays neither side.
     static constexpr std::size_t kPageBytes = std::size_t{128} * 1024;
-    // A page ends at a multiple of these: readers that began anywhere soon ask for the same ones.
+    // Pages end at multiples of this offset, so that readers that started at different offsets soon request
+    // the same pages.
     static constexpr std::int64_t kPageEvents = 1024;
 
-    // Some of the events in the form of the event bus, with commas between them.
+    // Consecutive events in the event bus's format, separated by commas.
     struct Page {
-        std::int64_t endOffset = 0;  // the last one's number
+        std::int64_t endOffset = 0;  // offset of the last event in the page
         std::string batch;
-        bool cacheable = false;  // who asks again gets the same, whatever happens meanwhile
+        bool cacheable = false;  // the page for the same start offset will never change
     };
 
     explicit EventLog(const Bounds& bounds) : bounds_(bounds) {}
 
     void append(Event event);
-    // Takes out the oldest event, if it has outlived its time or its room; none: all stay.
+    // Removes and returns the oldest event if it is older than the retention time or exceeds the size
+    // limit. Returns nothing if all events stay.
     std::optional<Event> removeExpired(std::int64_t nowMs);
 
     std::int64_t last() const { return last_; }
     std::size_t size() const { return events_.size(); }
     const std::deque<Event>& events() const { return events_; }
 
-    // `{"offset":N,"last":L,"batch":[...]}`: what follows `from`, about so many bytes at most. N is the
-    // number to go on from, L the last one there is. Where some of what follows is not held any more, the
-    // whole list of boxes comes first, as of the events that are gone.
+    // Returns `{"offset":N,"last":L,"batch":[...]}` with the events after `from`, about `bytes` in size. N
+    // is the offset to continue from, L the offset of the newest event. If some of the requested events
+    // have expired, the batch begins with the full list of boxes as of the last expired event.
     std::string page(std::int64_t from, std::size_t bytes = kPageBytes) const {
         return encodePage(read(from, bytes));
     }
     Page read(std::int64_t from, std::size_t bytes = kPageBytes) const;
     std::string encodePage(const Page& page) const;
 
-    // `createdAt`: the revision at which the document that an event's transaction wrote was made; 0: it is
-    // another one's by now, or gone.
+    // Returns the revision at which the document written by the event's transaction was created, or 0 if
+    // that document has been deleted or overwritten since.
     using CreationRevisionOf = std::function<Revision(const Event&)>;
     std::string dump(const CreationRevisionOf& creationRevisionOf) const;
     using RestoredCallback = std::function<void(const Event&, Revision createdRevision)>;
     void load(const nlohmann::json& dumped,
-              const RestoredCallback& restored);  // throws where it is not of that form
-    // The form of snapshots before this one had numbers, keys and values only.
+              const RestoredCallback& restored);  // throws if `dumped` has another format
+    // Loads snapshot format 2, whose events had offsets, keys and values only.
     void loadFormat2(const nlohmann::json& snapshot, const RestoredCallback& restored);
 
 private:
@@ -87,7 +90,7 @@
     Bounds bounds_;
     std::deque<Event> events_;
     std::int64_t last_ = 0;
-    std::map<std::string, nlohmann::json> baseBoxes_;  // as of the event before the first that is held
+    std::map<std::string, nlohmann::json> baseBoxes_;  // boxes as of the event before the first retained one
 };
 
 }  // namespace lotuslead::config
--- a/src/config/history.cpp
+++ b/src/config/history.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kChangeOverheadBytes = 64;  // beside its key and its value
+constexpr std::size_t kChangeOverheadBytes = 64;  // added to the sizes of key and value
 
 std::size_t sizeOf(const HistoryEntry& entry) {
     std::size_t bytes = 0;
--- a/src/config/history.hpp
+++ b/src/config/history.hpp
@@ -1,4 +1,4 @@
-// Changes that were made, latest last: bounded by their number and by their size.
+// History of applied changes, oldest first, bounded by number and size.
 #pragma once
 
 #include <cstdint>
@@ -10,22 +10,22 @@
 
 namespace lotuslead::config {
 
-using Revision = std::uint64_t;  // of the whole tree; grows by one with each transaction that changes it
+using Revision = std::uint64_t;  // of the whole tree; incremented by each transaction that changes it
 
 struct Change {
     std::string key;
-    std::optional<nlohmann::json> value;  // none: the document goes
+    std::optional<nlohmann::json> value;  // empty: the document is deleted
 };
 
 nlohmann::json changesToJson(const std::vector<Change>& changes);
-// Throws nlohmann::json::exception where it is not of that form.
+// Throws nlohmann::json::exception if the list has another format.
 std::vector<Change> changesFromJson(const nlohmann::json& list);
 
-// One transaction, as it was applied.
+// One applied transaction.
 struct HistoryEntry {
     Revision revision = 0;
-    std::int64_t atMs = 0;  // Unix milliseconds, by the agent that proposed it
-    std::string author;     // who asked
+    std::int64_t atMs = 0;  // Unix milliseconds, set by the agent that proposed it
+    std::string author;     // as given by the client
     std::vector<Change> changes;
 };
 
@@ -33,20 +33,20 @@
 public:
     struct Bounds {
         std::size_t entries = 0;
-        std::size_t bytes = 0;  // about what the entries take
+        std::size_t bytes = 0;  // approximate memory of the entries
     };
 
     explicit History(const Bounds& bounds) : bounds_(bounds) {}
 
-    // The last entry always stays, however large.
+    // The newest entry is always retained, whatever its size.
     void add(HistoryEntry entry);
     const std::deque<HistoryEntry>& entries() const { return entries_; }
-    // All behind this revision is held.
+    // All entries with a greater revision are retained.
     Revision completeFrom() const { return completeFrom_; }
     void setCompleteFrom(Revision revision) { completeFrom_ = revision; }
 
     nlohmann::json toJson() const;
-    void fromJson(const nlohmann::json& list);  // throws as changesFromJson does
+    void fromJson(const nlohmann::json& list);  // throws like changesFromJson
 
 private:
     Bounds bounds_;
--- a/src/config/store.cpp
+++ b/src/config/store.cpp
@@ -10,12 +10,13 @@
 
 namespace {
 
-constexpr int kCommandFormat = 2;   // those of before have no number
-constexpr int kSnapshotFormat = 3;  // likewise; the second one kept purges among the documents
+constexpr int kCommandFormat = 2;  // unversioned commands of version 0.1 have no "form"
+// unversioned snapshots have none either; format 2 kept purges among the documents
+constexpr int kSnapshotFormat = 3;
 
 constexpr std::string_view kInstancePrefix = "instances/";
 
-// The agents' commands of before, which knew instances only.
+// Reads a command of version 0.1, which supported instances only.
 Transaction readUnversionedCommand(const json& text) {
     Transaction result;
     Change& change = result.changes.emplace_back();
@@ -97,7 +98,7 @@
     try {
         command = read(text);
     } catch (const std::exception&) {
-        // It is in the log of every agent alike, so each passes over it.
+        // The entry is in every agent's log, so all agents skip it alike.
         return {Outcome::Status::unreadable, revision_, {}};
     }
     if (command.opensSession) return openSession();
@@ -112,7 +113,7 @@
     return session.outcome = applyTransaction(command.transaction);
 }
 
-// Named by the number of its command, which no other ever has.
+// The command's number is the session's id: it is unique.
 Outcome Store::openSession() {
     if (sessions_.size() >= bounds_.sessions)
         sessions_.erase(
@@ -133,7 +134,7 @@
     for (const Change& c : transaction.changes) {
         const Document* held = find(c.key);
         if (!c.value && !held) continue;
-        // Two operators' purges may come in either order: the later one holds.
+        // Two operators' purges may arrive in either order: the one with the later time wins.
         if (c.value && held && hasPrefix(c.key, kPurgePrefix) &&
             purgeTimeMs(*c.value) <= purgeTimeMs(held->value))
             continue;
@@ -158,7 +159,7 @@
         document.value = *change.value;
         document.revision = revision_;
     }
-    if (isPurge && !change.value) return;  // that a purge's record goes is no news to anybody
+    if (isPurge && !change.value) return;  // removing a purge's document is no event for readers
     if (!isPurge && !hasPrefix(change.key, kBoxPrefix)) return;
     Event event;
     event.recordedAtMs = clockMs_;
@@ -218,8 +219,8 @@
     return result;
 }
 
-// Purges are the bulk of it. They stand in the log only, each with its document, and are written without a
-// tree of values in between, which would take most of the time.
+// Purges are the bulk of a snapshot. They are stored in the event log only, each with its document, and
+// written without an intermediate JSON tree, which would take most of the time.
 std::string Store::dump() const {
     json documents = json::object(), sessions = json::object();
     for (const auto& [key, d] : documents_)
@@ -288,7 +289,7 @@
             s.at(0), s.at(1), {static_cast<Outcome::Status>(s.at(2).get<int>()), s.at(3), s.at(4)}};
 }
 
-// The agents' snapshots of version 0.1, which knew instances only.
+// Loads a snapshot of version 0.1, which supported instances only.
 void Store::loadUnversioned(const json& snapshot) {
     revision_ = snapshot.at("revision");
     history_.setCompleteFrom(revision_);
@@ -301,7 +302,8 @@
             i.at("revision")};
 }
 
-// It held one history for all, and purges beyond the log's, which no gateway could read any more.
+// Format 2 had one history for all changes, and kept documents of purges whose events had already expired;
+// those are dropped.
 void Store::loadFormat2(const json& snapshot) {
     revision_ = snapshot.at("revision");
     commandCount_ = snapshot.at("commands");
--- a/src/config/store.hpp
+++ b/src/config/store.hpp
@@ -1,6 +1,7 @@
-// What the agents agree on: a tree of documents with revisions, its history, the sessions of clients, and the
-// view that gateways read. A state machine: the same commands in the same order give the same state and the
-// same answers on every agent. No I/O and no clock: times come with the commands. Used on one thread.
+// The replicated state machine of the agents: a tree of documents with revisions, its history, the clients'
+// sessions, and the event log that gateways read. Applying the same commands in the same order gives the
+// same state and the same outcomes on every agent. Does no I/O and reads no clock: timestamps come with the
+// commands. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -19,18 +20,18 @@
 
 struct Condition {
     std::string key;
-    Revision revision = 0;  // that the document has; zero: it is not there
+    Revision revision = 0;  // required revision of the document; zero: it must not exist
 };
 struct Transaction {
     std::vector<Condition> conditions;
     std::vector<Change> changes;
-    std::int64_t atMs = 0;  // Unix milliseconds, by the agent that proposed it; events expire by it
-    std::string author;     // who asked; for people to read only
+    std::int64_t atMs = 0;  // Unix milliseconds, set by the proposing agent; expires events
+    std::string author;     // as given by the client; informational only
 };
 struct Command {
-    // Zero: none, and a command that is tried again may be applied again.
+    // Zero: no session, so a retried command may be applied twice.
     std::uint64_t session = 0;
-    std::uint64_t sequence = 0;  // of the session, from 1 up
+    std::uint64_t sequence = 0;  // within the session, starting at 1
     bool opensSession = false;
     Transaction transaction;
 };
@@ -39,11 +40,11 @@
 
 struct Outcome {
     enum class Status {
-        done,           // `revision` is the tree's behind it, or the number of the session that was opened
-        conflict,       // a condition does not hold: `key` has `revision` now
-        sessionGone,    // the session is not known any more: whether the command was applied can't be told
-        staleSequence,  // the session has gone on: the answer to this one was taken already
-        unreadable,     // no command of a form that this version knows; nothing was done
+        done,           // `revision` is the tree's new revision, or the id of the opened session
+        conflict,       // a condition failed: `key` is at `revision` now
+        sessionGone,    // the session was evicted: whether the command was applied is unknown
+        staleSequence,  // a later command of the session has been applied already
+        unreadable,     // the command's format is unknown; nothing was changed
     };
     Status status = Status::done;
     Revision revision = 0;
@@ -54,14 +55,14 @@
 
 struct Document {
     nlohmann::json value;
-    Revision revision = 0;  // of the transaction that wrote it
+    Revision revision = 0;  // of the transaction that wrote it last
     Revision createdRevision = 0;
 };
 
 struct Bounds {
-    History::Bounds history{4096, std::size_t{16} << 20};  // of all but purges
+    History::Bounds history{4096, std::size_t{16} << 20};  // all changes but purges
     History::Bounds purgeHistory{4096, std::size_t{4} << 20};
-    EventLog::Bounds events;  // a purge's document goes with the event that told it
+    EventLog::Bounds events;  // a purge's document expires with its event
     std::size_t sessions = 1024;
 };
 
@@ -75,40 +76,41 @@
 
     Outcome apply(std::string_view command);
 
-    // Snapshots, in a form with a number. load() throws std::exception where it is of none that is known, and
-    // then changes nothing.
+    // Snapshots carry a format number. load() throws std::exception if the format is unknown, and then
+    // leaves the store unchanged.
     std::string dump() const;
     void load(std::string_view text);
 
     Revision revision() const { return revision_; }
     const Document* find(const std::string& key) const;
-    // In the order of keys; false ends it.
+    // Visits documents in key order until `visit` returns false.
     void forEach(const std::string& prefix,
                  const std::function<bool(const std::string&, const Document&)>& visit) const;
     std::size_t size() const { return documents_.size(); }
     std::size_t sessions() const { return sessions_.size(); }
-    std::uint64_t commandCount() const { return commandCount_; }  // applied, the refused ones too
+    std::uint64_t commandCount() const { return commandCount_; }  // applied commands, including rejected ones
 
-    // What was changed under this prefix behind this revision, by revision; nothing where some of it is not
-    // held any more. Purges have a history of their own: many a second, they would push out all others.
+    // Returns the changes under `prefix` after `revision`, in order of revision, or nothing if some of them
+    // have been evicted. Purges have a history of their own: they are so frequent that they would evict all
+    // other changes.
     [[nodiscard]] std::optional<std::vector<const HistoryEntry*>> changesSince(
         Revision revision, std::string_view prefix = {}) const;
-    // As that, but what is held of it, however little: a history whose beginning is gone does not hide the
-    // other.
+    // Like changesSince, but returns whatever is retained: evicted purges do not hide other changes, nor
+    // the other way round.
     std::vector<const HistoryEntry*> retainedSince(Revision revision, std::string_view prefix) const;
-    // All changes under this prefix behind this revision are held.
+    // All changes under `prefix` with a greater revision are retained.
     Revision historyCompleteFrom(std::string_view prefix) const;
 
-    // What gateways read: changes of boxes and purges.
+    // Changes of boxes and purges, as gateways read them.
     const EventLog& eventLog() const { return log_; }
-    // How often load() has replaced all: events may be others under the same numbers then.
+    // Number of calls of load() so far. After one, offsets may denote other events.
     std::uint64_t loadCount() const { return loadCount_; }
     std::int64_t lastEvent() const { return log_.last(); }
 
 private:
     struct Session {
         std::uint64_t sequence = 0;
-        std::uint64_t lastUsedCommand = 0;  // number of the command
+        std::uint64_t lastUsedCommand = 0;  // number of the last command that used the session
         Outcome outcome;
     };
 
@@ -120,16 +122,16 @@
     Outcome openSession();
     void restorePurgeDocument(const Event& event, Revision createdRevision);
     void loadUnversioned(const nlohmann::json& snapshot);
-    void loadDocuments(const nlohmann::json& documents);  // all but purges
+    void loadDocuments(const nlohmann::json& documents);  // skips purges
     void loadSessions(const nlohmann::json& sessions);
     void loadFormat2(const nlohmann::json& snapshot);
 
     Bounds bounds_;
     std::map<std::string, Document> documents_;
     Revision revision_ = 0;
-    std::uint64_t commandCount_ = 0;  // applied
+    std::uint64_t commandCount_ = 0;  // commands applied so far
     std::uint64_t loadCount_ = 0;
-    std::int64_t clockMs_ = 0;  // the latest that a transaction told; it never goes back
+    std::int64_t clockMs_ = 0;  // latest timestamp of all transactions; never decreases
     History history_, purgeHistory_;
     std::map<std::uint64_t, Session> sessions_;
     EventLog log_;
--- a/src/config/validation.hpp
+++ b/src/config/validation.hpp
@@ -1,4 +1,5 @@
-// What may be proposed: keys, sizes, and each document by the one decoder (`src/settings`). No I/O.
+// Validation of transactions before they are proposed: keys, sizes, and the contents of each document, by
+// the decoders in `src/settings`. Does no I/O.
 #pragma once
 
 #include <string>
@@ -8,15 +9,15 @@
 
 namespace lotuslead::config {
 
-inline constexpr std::size_t kMaxKeyBytes = 512;              // bytes
-inline constexpr std::size_t kMaxChanges = 1000;              // of a transaction
-inline constexpr std::size_t kMaxTransactionBytes = 1 << 20;  // bytes, as it is proposed
+inline constexpr std::size_t kMaxKeyBytes = 512;  // bytes
+inline constexpr std::size_t kMaxChanges = 1000;  // per transaction; the same limit applies to conditions
+inline constexpr std::size_t kMaxTransactionBytes = 1 << 20;  // of the encoded command
 
-// Throws settings::Malformed with the field, and the key, named.
+// Throws settings::Malformed, whose message names the key and the field.
 void validate(const Transaction& transaction);
 
-// `{"if":[{"key":K,"revision":N}],"do":[{"key":K,"value":V}]}`; without `value` the document goes. Throws as
-// check does, which it calls.
+// Reads `{"if":[{"key":K,"revision":N}],"do":[{"key":K,"value":V}]}`; a change without `value` deletes the
+// document. Validates the result. Throws settings::Malformed.
 Transaction readTransaction(const nlohmann::json& text);
 
 }  // namespace lotuslead::config
--- a/src/ctl/client.cpp
+++ b/src/ctl/client.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr auto kChangeTimeout = 15s;  // for a change; an election takes one to three
+constexpr auto kChangeTimeout = 15s;  // an election takes 1 to 3 s
 constexpr auto kRetryDelay = 200ms;
 
 }  // namespace
@@ -78,10 +78,10 @@
             response = callAgent(agent, method, target, body);
         }
         if (!response) continue;
-        // A refusal does not undo what an agent before may have begun.
+        // A later agent's refusal says nothing about a change that an earlier agent may have started.
         const bool begun = last.body.rfind("unknown", 0) == 0 && response->status == 503;
         if (!begun) last = std::move(*response);
-        // Sent on twice: the leader has changed in between, and the next agent may know better.
+        // Redirected twice: the leader has changed meanwhile, and the next agent may know the new one.
         if (last.status < 500 && last.status != 307) break;
     }
     return last;
@@ -101,7 +101,7 @@
         } else {
             answer = callAny("POST", "/config", transaction.dump());
         }
-        // Refused or lost: the same words again, which the session makes harmless.
+        // Refused or lost: the session makes it safe to send the same request again.
         if (answer.status != 0 && answer.status != 503 && answer.status != 307) return answer;
         std::this_thread::sleep_for(kRetryDelay);
     }
--- a/src/ctl/client.hpp
+++ b/src/ctl/client.hpp
@@ -1,5 +1,5 @@
-// Calls to agents, as a tool makes them: blocking, one connection a call, on to the next agent where one
-// fails.
+// Blocking HTTP client for the agents' control addresses. Opens one connection per call, and goes on to the
+// next agent when one fails.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -19,20 +19,22 @@
     explicit Client(std::vector<std::string> agents) : agents_(std::move(agents)) {}
 
     const std::vector<std::string>& agents() const { return agents_; }
-    // Nothing where it can't be reached or breaks off.
+    // Returns nothing if the agent cannot be reached or the connection breaks.
     static std::optional<Response> callAgent(const std::string& agent, const std::string& method,
                                              const std::string& target, const std::string& body = {});
-    // Any agent will do: one that can't answer names the one that can. Answers of 500 and above, and none,
-    // lead to the next agent; that may do a change twice, unless it carries a session.
+    // Sends the request to any agent, following a redirect to the agent that can serve it. Goes on to the
+    // next agent if there is no answer or its status is 500 or above; a change without a session may then
+    // be applied twice.
     Response callAny(const std::string& method, const std::string& target,
                      const std::string& body = {}) const;
-    // A change within a session: tried until it is answered for, applied once at most.
+    // Commits a transaction within a new session, retrying until it is answered. It is applied at most
+    // once.
     Response commit(nlohmann::json transaction) const;
 
 private:
     std::vector<std::string> agents_;
 };
 
-std::string percentEncode(const std::string& text);  // for a target (RFC 3986 2.1)
+std::string percentEncode(const std::string& text);  // for use in a request target (RFC 3986 2.1)
 
 }  // namespace lotuslead::ctl
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,6 +1,6 @@
-// lotusleadctl: talks to the agents' control fronts.
-// Exit codes: 0 done; 1 it could not be done, or no agent answers; 2 bad arguments, or refused as malformed;
-// 3 a condition did not hold: somebody else was first.
+// lotusleadctl: command-line client for the agents' control addresses.
+// Exit codes: 0 success; 1 failure, or no agent answered; 2 bad arguments, or rejected as malformed;
+// 3 a condition failed because somebody else made a change first.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <cstdlib>
@@ -38,7 +38,7 @@
     return kFailed;
 }
 
-// For calls whose answers are plain lines.
+// For calls that answer with plain text.
 int printResponse(const Response& response) {
     if (response.status != 200) return printError(response.body), kFailed;
     std::fputs(response.body.c_str(), stdout);
@@ -86,7 +86,7 @@
     return exitCodeOf(response);
 }
 
-// A document goes onto the screen whole; lists a line each.
+// Prints a single document in full, and a list with one line per document.
 int get(const Client& client, const Arguments& a) {
     const std::string stale = a.stale ? "stale=1" : "";
     const Response response =
@@ -122,7 +122,7 @@
     return json::parse(response.body).at("documents").at(0);
 }
 
-// The document in an editor; put back only if nobody else has changed it meanwhile.
+// Opens the document in an editor and writes it back unless it has been changed meanwhile.
 int edit(const Client& client, const Arguments& a) {
     const auto before = fetchDocument(client, a.key);
     char path[] = "/tmp/lotusleadctl-XXXXXX.json";
@@ -197,7 +197,7 @@
     }
 }
 
-// What a document was behind a revision, and what it is: lines that differ.
+// Prints the differences between a document at a revision and its current value.
 int diff(const Client& client, const Arguments& a) {
     const Response response = client.callAny("GET", "/history?prefix=" + percentEncode(a.key));
     if (response.status != 200) return printError(response.body);
