--- a/bench/raft.cpp
+++ b/bench/raft.cpp
@@ -1,6 +1,6 @@
-// Agents measured as real processes on loopback: writes and reads a second, time without a leader, fan-out to
-// gateways, size on disk. bench_raft [writes|leaderless|fanout|size ...]; all without a word. With
-// LOTUSLEAD_OLD_AGENT naming an agent's program of before, its writes are the baseline.
+// Benchmark of agents as real processes on loopback: writes and reads per second, time without a leader,
+// fan-out to gateways, size on disk. bench_raft [writes|leaderless|fanout|size ...]; without arguments it
+// runs all. If LOTUSLEAD_OLD_AGENT names the program of an earlier agent, its writes are the baseline.
 #include <algorithm>
 #include <chrono>
 #include <cstdlib>
@@ -36,7 +36,7 @@
     return done / since(begin);
 }
 
-// Instances put by 8 clients, as the agents of before know it.
+// Puts of instances by 8 clients, which earlier agents support as well.
 double putsPerSecond(const std::string& leader) {
     const std::string body = json{{"agent", 3}, {"configuration", configuration({})}}.dump();
     std::atomic<int> done{0};
--- a/tests/agent_changes_test.cpp
+++ b/tests/agent_changes_test.cpp
@@ -1,5 +1,5 @@
-// Replacements of a gateway's process that other events cross: further changes, a successor that fails, a
-// fork that fails.
+// Replacement of a gateway process while other events interfere: further changes, a successor that exits, a
+// failed fork, a full disk.
 #include "agents.hpp"
 #include "faults.hpp"
 #include "moments.hpp"
@@ -8,17 +8,16 @@
 
 using namespace lotuslead::testing;
 
-constexpr auto kCheckTimeout = 1s;  // no gap is as long
+constexpr auto kCheckTimeout = 1s;  // longer than any expected gap in service
 constexpr auto kCheckInterval = 20ms;
 constexpr int kPutsWhileDiskFull = 150;
-constexpr std::size_t kPaddingBytes =
-    200'000;  // with so many puts more than two of libraft's segments of 8 MB
+constexpr std::size_t kPaddingBytes = 200'000;  // all puts together exceed two log segments of 8 MB
 constexpr const char* kOperatorPortSuffix = ":15000";
 constexpr int kSuccessorOperatorPort = 15001;
 
 std::uint16_t freePort() { return Peer(nullptr).port(); }
 
-// Asks for the gateway's health, each time on a new connection, until it is ended.
+// Sends health checks to the gateway, each on a new connection, until stopped.
 class HealthChecks {
 public:
     explicit HealthChecks(std::uint16_t port) : port_(port), thread_([this] { run(); }) {}
@@ -79,7 +78,8 @@
     json settings;
 };
 
-// A change of another instance, or of the same one, while a successor starts and the old process drains.
+// Other changes, of the same instance and of others, arrive while the successor starts and the old process
+// drains. No health check may go unanswered.
 void checksAreAnsweredWhileAReplacementIsChanged() {
     Agents agents;
     agents.awaitLeader();
@@ -91,7 +91,7 @@
     gate.awaitReady();
     const int pid = gate.status()["pid"];
     Connection client(gate.port);
-    call(client, "1");  // the old process stays until this is answered
+    call(client, "1");  // the old process drains until this call is answered
     pulled.await(1);
     HealthChecks checks(gate.port);
     gate.put(96);
@@ -112,7 +112,7 @@
     assert(gate.status()["restarts"] == 0);
 }
 
-// The configuration that was agreed on comes into force though its first process could not start.
+// The committed configuration takes effect although its first process could not start.
 void aSuccessorThatExitsIsRestarted() {
     Agents agents;
     agents.awaitLeader();
@@ -122,7 +122,7 @@
     const int pid = gate.status()["pid"];
     const std::uint64_t before = gate.status()["revision"];
     {
-        // The successor's door is taken: it ends.
+        // The successor's operator address is in use, so it exits.
         OccupiedPort occupied(agents.host(), kSuccessorOperatorPort);
         gate.put(96);
         agents.awaitLog(2, "the successor of gate-1 has ended");
@@ -141,8 +141,8 @@
     gate.awaitReady();
 }
 
-// No room on any agent's disk for a while: what is agreed on once there is room again holds, and the agents
-// need nobody's hand.
+// The disks of all agents are full for a while. Once there is room again, new changes are committed without
+// an operator's help.
 void agentsRecoverAfterAFullDisk() {
     FaultSwitch faults;
     Agents agents(faults.variables("fallocate=ENOSPC:1;pwrite=ENOSPC:1;sync=EIO:1"));
@@ -152,7 +152,7 @@
     const std::string big = agents.file("big.json", padded);
     assert(agents.ctl("put gate-0 1 " + big) == "agreed\n");
     faults.set(true);
-    // Until the prepared segments are used up.
+    // More data than two log segments hold, so that preallocated segments would be used up, too.
     for (int i = 1; i <= kPutsWhileDiskFull; ++i) agents.ctl("put gate-0 1 " + big);
     std::this_thread::sleep_for(2s);
     faults.set(false);
--- a/tests/agent_test.cpp
+++ b/tests/agent_test.cpp
@@ -1,4 +1,4 @@
-// Three agents and the command-line tool, as an operator uses them.
+// Runs three agents and exercises them with the command-line tool, as an operator does.
 #include "agents.hpp"
 
 namespace {
@@ -15,14 +15,13 @@
     };
     for (int id = 1; id <= 3; ++id) agents.await(id, leads);
     const std::string good = agents.file("good.json", configuration({}));
-    // Through an agent that doesn't lead the tool is sent on to the one that
-    // does.
+    // Agents that are not the leader redirect the tool to it.
     for (int id = 1; id <= 3; ++id)
         assert(agents.ctl("put gate-" + std::to_string(id) + " " + std::to_string(id) + " " + good, 1) ==
                "agreed\n");
     for (int id = 1; id <= 3; ++id) agents.await(id, runs("gate-" + std::to_string(id)));
 
-    // An instance that dies is started again.
+    // An instance that crashes is restarted.
     const int pid = agents.status(2)["instances"]["gate-2"]["pid"];
     ::kill(pid, SIGKILL);
     agents.await(2, [&](const json& s) {
@@ -30,7 +29,7 @@
         return gate["phase"] == "running" && gate["pid"] != pid && gate["restarts"] == 1;
     });
 
-    // What can't be used is refused before it is agreed.
+    // An invalid configuration is rejected before it is proposed.
     json wrong = configuration({});
     wrong["listen"] = "nowhere";
     const std::string bad = agents.file("bad.json", wrong);
@@ -40,8 +39,7 @@
     assert(agents.ctl("put gate-9 7 " + good) == "lotusleadctl: no agent 7\n");
     assert(agents.ctl("delete gate-9") == "lotusleadctl: no instance 'gate-9'\n");
 
-    // The leader is killed: the other two go on, and it learns later what it has
-    // missed.
+    // The leader is killed: the other two go on, and it catches up after its restart.
     const int leader = agents.status(1)["leader"];
     const int other = leader % 3 + 1;
     agents.stop(leader, SIGKILL);
@@ -66,7 +64,8 @@
     const auto says = [&](const std::string& command, const std::string& text) {
         std::string said;
         for (int i = 0; i < kPatience * 20; ++i, std::this_thread::sleep_for(50ms))
-            if ((said = agents.ctl(command, 1)) == text) return;  // sent on to the agent that runs it
+            if ((said = agents.ctl(command, 1)) == text)
+                return;  // redirected to the agent that runs the instance
         std::fprintf(stderr, "%s: %s\n", command.c_str(), said.c_str());
         std::abort();
     };
@@ -76,8 +75,7 @@
     says("undrain gate-1", "serving\n");
     assert(agents.ctl("drain gate-9") == "lotusleadctl: no instance 'gate-9'\n");
 
-    // A new process takes over, by hand and with a new configuration; nothing is
-    // started again.
+    // A new process takes over, on request and for a new configuration; this does not count as a restart.
     int pid = agents.status(2)["instances"]["gate-1"]["pid"];
     const auto replaced = [&](const json& s) {
         const json& gate = s["instances"]["gate-1"];
@@ -94,7 +92,7 @@
     says("ready gate-1", "serving\n");
     const std::string log = agents.log(2, "gate-1");
     assert(log.find("leaving to a successor") != log.rfind("leaving to a successor"));
-    // What can't be used is refused, and the process stays.
+    // An invalid configuration is rejected, and the running process stays.
     json occupied = settings;
     occupied["bus"] = "nowhere";
     pid = agents.status(2)["instances"]["gate-1"]["pid"];
--- a/tests/agents.hpp
+++ b/tests/agents.hpp
@@ -1,4 +1,4 @@
-// Three agents on loopback, and the command-line tool.
+// Test fixture: three agents on loopback, and the command-line tool.
 #pragma once
 
 #include <sys/prctl.h>
@@ -15,7 +15,7 @@
     return text;
 }
 
-// Holds an address, so that nobody else can listen on it.
+// Listens on an address, so that nobody else can.
 class OccupiedPort {
 public:
     OccupiedPort(const std::string& host, int port) : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -36,12 +36,12 @@
 
 class Agents {
 public:
-    // `variables`: set for the agents, and so for what they run.
+    // `variables`: environment of the agents and of the instances that they run.
     explicit Agents(Program::Variables variables = {}) : variables_(std::move(variables)) {
         char folder[] = "/tmp/lotuslead-test-XXXXXX";
         folder_ = ::mkdtemp(folder);
-        // The agents must know each other's ports beforehand: an address of this
-        // process's own has all free.
+        // The agents need each other's ports in advance. All ports are free on an address derived from the
+        // process id.
         const int pid = ::getpid();
         host_ = "127." + std::to_string(64 + (pid >> 14) % 64) + "." + std::to_string((pid >> 7) % 128) +
                 "." + std::to_string(1 + pid % 128);
@@ -60,7 +60,7 @@
             << json{{"id", id}, {"folder", base}, {"program", LOTUSLEAD_PROGRAM}, {"agents", members_}};
         pids_[id] = ::fork();
         if (pids_[id] != 0) return;
-        ::prctl(PR_SET_PDEATHSIG, SIGTERM);  // also when an assert ends this story
+        ::prctl(PR_SET_PDEATHSIG, SIGTERM);  // also after a failed assertion of the test
         for (const auto& [name, value] : variables_) ::setenv(name.c_str(), value.c_str(), 1);
         if (!std::freopen((base + ".log").c_str(), "a", stderr)) ::_exit(126);
         ::execl(LOTUSLEAD_AGENT, LOTUSLEAD_AGENT, (base + ".json").c_str(), nullptr);
@@ -82,7 +82,7 @@
         std::ifstream in(folder_ + "/" + std::to_string(id) + "/instances/" + instance + ".log");
         return {std::istreambuf_iterator<char>(in), {}};
     }
-    // Until the agent's own log has this text.
+    // Waits until the agent's own log contains the text.
     void awaitLog(int id, const std::string& text) const {
         for (int i = 0; i < kPatience * 20; ++i, std::this_thread::sleep_for(50ms)) {
             std::ifstream in(folder_ + "/" + std::to_string(id) + ".log");
@@ -101,7 +101,7 @@
         const std::string text = ctl("status", id);
         return json::parse(text.substr(text.find('\n') + 1), nullptr, false);
     }
-    // What is agreed and started comes soon, but not at once.
+    // Committed changes are applied and started with a delay: waits until the status satisfies `holds`.
     void await(int id, const std::function<bool(const json&)>& holds) const {
         for (int i = 0; i < kPatience * 20; ++i, std::this_thread::sleep_for(50ms)) {
             const json now = status(id);
--- a/tests/audit_raft.cpp
+++ b/tests/audit_raft.cpp
@@ -1,15 +1,15 @@
-// Five agents as real processes, their links through a relay that is cut, delayed and healed by seed, agents
-// killed and started again. Clients append to lists and read them throughout; afterwards a checker proves
-// that nothing answered for is lost, nothing was applied in spite of another answer, all agents tell the same
-// history, and reads were linearizable.
+// Runs five agents as real processes whose links pass through a relay. Links are cut, delayed and healed,
+// and agents killed and restarted, in an order given by a seed. Clients append to lists and read them
+// throughout. Afterwards a checker verifies that no acknowledged append is lost, that none was applied
+// against its answer, that all agents report the same history, and that the operations were linearizable.
 //
-//   audit_raft --rounds N --seed S     last line: rounds=N committed=... lost=... twice=... disordered=...
-//   nonlinear=...
+//   audit_raft --rounds N --seed S
+//   last line: rounds=N committed=... lost=... twice=... disordered=... nonlinear=...
 //
-// With --folder-faults there are three agents, and in each round the folders of one, two or all three of them
-// fail beside the other troubles: fallocate, writes, syncs, renames, opens, removals, by seed and for 0.1 to
-// 30 s. The last line then ends with stuck=... (rounds in which no agent led 10 s after the last fault was
-// over) and crashed=... (agents that ended by themselves).
+// With --folder-faults there are three agents, and in each round the folders of one, two or all three of
+// them fail in addition: fallocate, writes, syncs, renames, opens and removals, chosen by the seed, for 0.1
+// to 30 s. The last line then ends with stuck=... (rounds without a leader 10 s after the last fault ended)
+// and crashed=... (agents that exited unexpectedly).
 #include <algorithm>
 #include <array>
 #include <chrono>
@@ -28,9 +28,10 @@
 constexpr int kAgents = 5, kAgentsWithFolderFaults = 3;
 constexpr int kWriters = 3, kReaders = 2, kListLength = 200;
 constexpr auto kNewLeaderTimeout = 10s;
-constexpr double kMinFaultSeconds = 0.1, kMaxFaultSeconds = 30;  // seconds
+constexpr double kMinFaultSeconds = 0.1, kMaxFaultSeconds = 30;  // chosen on a logarithmic scale
 
-// One rule a kind of call, each of which a round may leave out. Every second call or each one.
+// One rule per system call and error; each round enables a random subset. A rule fails every call or every
+// second one.
 constexpr const char* kFolderRules[] = {"fallocate=ENOSPC:1", "pwrite=ENOSPC:1", "pwrite=EIO:-2",
                                         "sync=EIO:1",         "rename=EIO:1",    "open_file=EIO:1",
                                         "unlink=EIO:1"};
@@ -47,11 +48,11 @@
         .count();
 }
 
-// One operation on a list. An append has an id; a read has what it saw.
+// An operation on a list: an append has an id, a read has the ids that it returned.
 struct Operation {
     std::int64_t beginUs = 0, endUs = 0;
     std::string list;
-    std::string id;  // empty: a read
+    std::string id;  // empty for a read
     std::vector<std::string> seen;
     enum class Result { done, conflict, unknown, gone } result = Result::unknown;
 };
@@ -114,7 +115,7 @@
         heal();
         cluster_.awaitLeader();
     }
-    // Folders fail, the usual troubles come beside that, and then all is well again.
+    // Makes folders fail, injects another fault meanwhile, and then heals everything.
     void runRoundWithFolderFaults() {
         const int failing = 1 + static_cast<int>(random_() % static_cast<unsigned>(agents_));
         const int first = static_cast<int>(random_() % static_cast<unsigned>(agents_));
@@ -178,24 +179,24 @@
         const int leader = cluster_.leader();
         const int other = 1 + static_cast<int>(random_() % static_cast<unsigned>(agents_));
         switch (random_() % 6) {
-            case 0:  // the leader with one other, against three
+            case 0:  // the leader and one other agent in a minority
                 ++splits_;
                 if (leader != 0) split({leader, leader % agents_ + 1});
                 pauseRandomly(300, 900);
                 break;
-            case 1:  // two who do not lead
+            case 1:  // two other agents in a minority
                 ++splits_;
                 split({other, other % agents_ + 1});
                 pauseRandomly(200, 600);
                 break;
-            case 2:  // nobody hears the leader, or it hears nobody
+            case 2:  // links from or to the leader cut in one direction each
                 ++oneWay_;
                 for (int id = 1; id <= kAgents && leader != 0; ++id)
                     random_() % 2 ? cluster_.relay.cut(leader, id, true)
                                   : cluster_.relay.cut(id, leader, true);
                 pauseRandomly(200, 800);
                 break;
-            case 3:  // mid-write: clients never rest
+            case 3:  // during writes: clients never pause
                 ++killedLeaders_;
                 if (leader != 0) cluster_.kill(leader);
                 pauseRandomly(150, 600);
@@ -221,7 +222,7 @@
 
     static std::string listOf(std::uint64_t number) { return "files/list-" + std::to_string(number); }
 
-    // Nothing: no answer that claims to be current came.
+    // Returns nothing unless an agent gave a linearizable answer.
     std::optional<json> fetch(const ctl::Client& client, const std::string& key) {
         const auto response = client.callAny("GET", "/config/" + key);
         if (response.status != 200 && response.status != 404) return {};
@@ -268,7 +269,7 @@
                 {"session", session},
                 {"sequence", ++sequence}};
             operation.beginUs = monotonicUs();
-            const auto answer = client.commit(transaction);  // tried again until it is answered for
+            const auto answer = client.commit(transaction);  // retried until answered
             operation.endUs = monotonicUs();
             const json body = json::parse(answer.body, nullptr, false);
             const std::string word = body.is_object() ? body.value("word", "") : "";
@@ -296,7 +297,7 @@
             recordOperation(std::move(operation));
         }
     }
-    // One agent's own word on what was changed, in order, whoever leads.
+    // Follows the changes as this agent reports them, whether it is the leader or not.
     void watchAgent(int agent) {
         std::uint64_t from = 0;
         while (!stopping_) {
@@ -320,7 +321,7 @@
         }
     }
 
-    // ----- the checker -----
+    // ----- checker -----
 
     void checkHistory() {
         const auto client = cluster_.client();
@@ -358,14 +359,15 @@
             }
             conflicts_ += o.result == Operation::Result::conflict;
             unknown_ += o.result == Operation::Result::unknown;
-            // A session is never given up here: who hears so can't tell what became of the command.
+            // No session is evicted in this test; with this answer the outcome of the command would be
+            // unknown.
             if (o.result == Operation::Result::gone) ++twice_;
-            // Told that another was first, and yet applied: the answer was to a second try.
+            // Answered with a conflict but applied: the answer belongs to a second application.
             if (o.result == Operation::Result::conflict && there) ++twice_;
             if (there) placed[o.list].emplace_back(&o, found->second);
         }
-        // What ended before another began must not stand behind it. A read stands behind the append that it
-        // saw last, so it may share that one's place.
+        // An operation that ended before another began must not come after it in the list. A read comes
+        // right after the last append that it saw, so it may have the same position.
         for (auto& [list, all] : placed) {
             std::vector<std::pair<std::int64_t, std::size_t>> ends;
             for (const auto& [o, position] : all)
--- a/tests/config_store_test.cpp
+++ b/tests/config_store_test.cpp
@@ -1,4 +1,5 @@
-// The agreed state: transactions, sessions, history, the served view and its forms, without any consensus.
+// The replicated state machine without consensus: transactions, sessions, history, the event log and the
+// stored formats.
 #include <gtest/gtest.h>
 
 #include "config/validation.hpp"
@@ -38,7 +39,7 @@
     both.conditions.pop_back();
     EXPECT_EQ(apply(store, both).revision, 1U);
     EXPECT_EQ(store.find("files/x")->revision, store.find("files/z")->revision);
-    // What changes nothing has no revision.
+    // A transaction that changes nothing gets no revision of its own.
     EXPECT_EQ(apply(store, {{}, {{"files/none", {}}}, 0, ""}).revision, 1U);
 }
 
@@ -48,7 +49,7 @@
     const Transaction counted = put("files/n", 1, {{"files/n", 0}});
     const Outcome first = apply(store, counted, id, 1);
     EXPECT_EQ(first.status, Status::done);
-    EXPECT_EQ(apply(store, counted, id, 1), first);  // else it were a conflict now
+    EXPECT_EQ(apply(store, counted, id, 1), first);  // applying it again would be a conflict
     Store other;
     other.load(store.dump());
     EXPECT_EQ(apply(other, counted, id, 1), first);
@@ -65,7 +66,8 @@
     apply(store, put("files/a", 1), a, 1);
     const auto d = session(store);
     EXPECT_EQ(store.sessions(), 3U);
-    EXPECT_EQ(apply(store, put("files/b", 1), b, 1).status, Status::sessionGone);  // the least recently used
+    EXPECT_EQ(apply(store, put("files/b", 1), b, 1).status,
+              Status::sessionGone);  // the least recently used session was evicted
     EXPECT_EQ(apply(store, put("files/a", 1), a, 1).status, Status::done);
     EXPECT_NE(c, d);
 }
@@ -98,13 +100,13 @@
     apply(store, put("files/a", 1));
     apply(store, put("purges/object//index/a", {{"ts", 100}}));
     apply(store, put("purges/group/17", {{"ts", 200}}));
-    apply(store, put("purges/group/17", {{"ts", 150}}));  // an earlier one is no news
+    apply(store, put("purges/group/17", {{"ts", 150}}));  // an earlier purge time is no event
     apply(store, {{}, {{"boxes/s-1", {}}}, 0, ""});
     const json all = json::parse(store.eventLog().page(0));
     EXPECT_EQ(numbersOf(all), (std::vector<std::int64_t>{1, 2, 3, 4}));
     EXPECT_EQ(all["batch"][1]["ban"], (json{{"url", "/index/a"}, {"ts", 100}}));
     EXPECT_EQ(all["batch"][2]["ban"], (json{{"tag", 17}, {"ts", 200}}));
-    const auto read = settings::readBatch(all);  // as a gateway reads it
+    const auto read = settings::readBatch(all);  // decoded like in a gateway
     EXPECT_EQ(read.offset, 4);
     EXPECT_EQ(read.events[0].stores[0].address, "127.0.0.1:1");
     EXPECT_EQ(read.events[3].stores[0].readiness, Readiness::gone);
@@ -112,7 +114,7 @@
     EXPECT_EQ(store.find("purges/group/17")->value["ts"], 200);
 }
 
-// Whoever asks from before what is held gets the whole list first, and ends where all others do.
+// A reader whose offset has expired gets the full list first, and ends with the same boxes as all others.
 TEST(ConfigStore, AnOldReaderGetsTheWholeListAndEndsWithTheSameBoxes) {
     Bounds bounds;
     bounds.events.minEvents = bounds.events.maxEvents = 5;
@@ -162,7 +164,7 @@
     return {{}, {{"purges/object/" + object, json{{"ts", atMs}}}}, atMs, "operator"};
 }
 
-// All that a reader gets that asks page by page, as a gateway does.
+// Collects all events page by page, like a gateway.
 struct ReadInPages {
     std::vector<settings::BusEvent> events;
     std::size_t pages = 0, largest = 0;
@@ -199,7 +201,7 @@
     }
 }
 
-// A reader that gateways of before have takes no more than 1 MiB: what the default page may never pass.
+// Earlier gateways accept answers of at most 1 MiB, which the default page must not exceed.
 TEST(EventLog, DefaultPagesFitAnyReader) {
     Store store;
     for (int i = 1; i <= 20'000; ++i)
@@ -209,10 +211,11 @@
     EXPECT_LT(read.largest, std::size_t{512} * 1024);
 }
 
-// Pages end where those of other readers end, so that one answer serves all; what is settled never changes.
+// Pages of different readers end at the same offsets, so that one cached answer serves all. A cacheable
+// page never changes.
 TEST(EventLog, PagesOfManyReadersMeet) {
     Store store;
-    EXPECT_FALSE(store.eventLog().read(0).cacheable);  // there may be events yet
+    EXPECT_FALSE(store.eventLog().read(0).cacheable);  // more events may follow
     for (int i = 1; i <= 1024; ++i) apply(store, purgeAt("o" + std::to_string(i), i));
     EXPECT_TRUE(store.eventLog().read(0).cacheable);
     EXPECT_FALSE(store.eventLog().read(1024).cacheable);
@@ -228,7 +231,8 @@
     EXPECT_GT(store.eventLog().read(4096).endOffset, last.endOffset);
 }
 
-// 13 purges a second for three hours: whoever was away for one hour finds each of them, numbered on.
+// 13 purges per second for three hours: a reader that was disconnected for one hour finds each of them,
+// numbered without gaps.
 TEST(EventLog, KeepsAnHoursPurgesForWhoWasCutOff) {
     constexpr std::int64_t kPerSecond = 13, kHour = 3600, kStartMs = 1'764'576'000'000;
     Store store;
@@ -241,7 +245,7 @@
     ASSERT_EQ(read.events.size(), static_cast<std::size_t>(kHour * kPerSecond));
     EXPECT_EQ(read.events.front().offset, cutAt + 1);
     EXPECT_FALSE(read.events.front().isList);
-    // Two hours are kept, and no more: documents go with their events.
+    // No more than two hours are retained: documents expire with their events.
     EXPECT_LE(store.eventLog().size(), static_cast<std::size_t>(2 * kHour * kPerSecond + 1));
     EXPECT_EQ(store.size(), store.eventLog().size());
 }
@@ -253,11 +257,11 @@
     apply(store, purgeAt("kept", 1000));
     apply(store, purgeAt("gone", 1100));
     apply(store, purgeAt("kept", 1900));
-    apply(store, purgeAt("other", 2500));  // by now the first two events have outlived their second
+    apply(store, purgeAt("other", 2500));  // both first events are older than the retention time of 1 s now
     EXPECT_TRUE(store.find("purges/object/kept"));
     EXPECT_FALSE(store.find("purges/object/gone"));
     EXPECT_EQ(store.eventLog().size(), 2U);
-    // A clock that goes back brings nothing back and drops nothing more.
+    // A clock that goes back neither restores nor expires anything.
     apply(store, purgeAt("early", 1500));
     EXPECT_TRUE(store.find("purges/object/kept"));
     EXPECT_EQ(store.eventLog().size(), 3U);
@@ -295,9 +299,9 @@
         ASSERT_TRUE(one->changesSince(0, "files/"));
         EXPECT_EQ(one->changesSince(0, "files/")->front()->changes.front().key, "files/a");
         EXPECT_FALSE(one->changesSince(0, "purges/"));
-        EXPECT_FALSE(one->changesSince(0, ""));  // of all changes some are gone
+        EXPECT_FALSE(one->changesSince(0, ""));  // some of all changes are gone
         ASSERT_EQ(one->retainedSince(0, "").size(),
-                  12U);  // what is left of both: two of files, ten of purges
+                  12U);  // retained of both histories: two entries of files, ten of purges
         EXPECT_EQ(one->retainedSince(0, "").front()->changes.front().key, "files/a");
         ASSERT_TRUE(one->changesSince(92, "purges/object/"));
         EXPECT_EQ(one->changesSince(100, "")->size(), 2U);
@@ -305,7 +309,8 @@
     }
 }
 
-// Written by the program before the event log: one history for all, purges among the documents.
+// A snapshot written by the version before the event log: one history for all changes, purges among the
+// documents.
 TEST(ConfigStore, ReadsTheSecondFormOfSnapshots) {
     Store store;
     store.load(R"({"form":2,"revision":4,"commands":5,
@@ -323,12 +328,12 @@
     EXPECT_EQ(store.revision(), 4U);
     EXPECT_EQ(store.find("files/a")->value, 7);
     EXPECT_EQ(store.find("purges/object/told")->createdRevision, 3U);
-    EXPECT_FALSE(store.find("purges/object/untold"));  // no gateway could read of it any more
+    EXPECT_FALSE(store.find("purges/object/untold"));  // its event had expired
     EXPECT_EQ(store.changesSince(1, "files/")->size(), 1U);
     EXPECT_EQ(store.changesSince(1, "purges/")->size(), 1U);
     EXPECT_FALSE(store.changesSince(0, "files/"));
     EXPECT_EQ(numbersOf(json::parse(store.eventLog().page(0))), (std::vector<std::int64_t>{7, 8, 9, 10}));
-    EXPECT_EQ(apply(store, put("files/a", 8), 5, 1).revision, 4U);  // the session's answer of before
+    EXPECT_EQ(apply(store, put("files/a", 8), 5, 1).revision, 4U);  // the session's stored outcome
     EXPECT_EQ(apply(store, put("files/a", 8), 5, 2).revision, 5U);
     Store other;
     other.load(store.dump());
@@ -340,13 +345,13 @@
     const std::string old = R"({"verb":"put","name":"gate-1","agent":2,"configuration":"{\"a\":1}"})";
     EXPECT_EQ(store.apply(old).status, Status::done);
     EXPECT_EQ(store.find("instances/gate-1")->value, (json{{"agent", 2}, {"configuration", {{"a", 1}}}}));
-    store.apply(R"({"verb":"remove","name":"gate-1"}   )");  // commands were filled up with blanks
+    store.apply(R"({"verb":"remove","name":"gate-1"}   )");  // commands were padded with blanks
     EXPECT_EQ(store.size(), 0U);
     store.load(R"({"revision":9,"instances":{"g":{"agent":1,"revision":4,"configuration":"{}"}}}  )");
     EXPECT_EQ(store.revision(), 9U);
     EXPECT_EQ(store.find("instances/g")->revision, 4U);
     const std::string before = store.dump();
-    EXPECT_THROW(store.load(R"({"form":3})"), std::exception);  // nothing else in it
+    EXPECT_THROW(store.load(R"({"form":3})"), std::exception);  // all other fields are missing
     EXPECT_THROW(store.load(R"({"form":4})"), std::exception);
     EXPECT_THROW(store.load("{"), std::exception);
     EXPECT_EQ(store.dump(), before);
--- a/tests/raft_cluster.hpp
+++ b/tests/raft_cluster.hpp
@@ -1,6 +1,6 @@
-// Agents as real processes on loopback, whose links among each other pass a relay of the test's own that can
-// cut each direction of each pair. libraft opens one connection a direction and begins it with its version
-// and its id, 8 bytes each; by these the relay knows whose it is.
+// Agents as real processes on loopback. The Raft links between them pass through a relay that can cut each
+// direction of each link. libraft opens one connection per direction and begins it with its version and its
+// id, 8 bytes each, which tell the relay the sender.
 #pragma once
 
 #include <fcntl.h>
@@ -25,11 +25,12 @@
         for (auto& thread : threads_) thread.join();
         for (auto& thread : forwarders_) thread.join();
     }
-    // What comes to this address of agent `to` goes on to the other one.
+    // Forwards connections to `at`, the advertised address of agent `to`, to `destination`.
     void open(int to, const std::string& at, const std::string& destination) {
         threads_.emplace_back([this, to, at, destination] { accept(to, at, destination); });
     }
-    // What `from` has to say does not reach `to`. Bytes under way wait, as on a network that loses packets.
+    // Blocks traffic from agent `from` to agent `to`. Bytes in flight wait, as in a network that loses
+    // packets.
     void cut(int from, int to, bool is) { cut_[from][to] = is; }
     void heal() {
         for (auto& row : cut_)
@@ -37,7 +38,7 @@
         delayMs_ = 0;
     }
     void delay(int ms) { delayMs_ = ms; }
-    std::uint64_t bytes() const { return bytes_; }  // passed on, in all directions
+    std::uint64_t bytes() const { return bytes_; }  // forwarded, in all directions
 
 private:
     static int openSocket(const std::string& address, bool listens) {
@@ -96,7 +97,7 @@
                 std::this_thread::sleep_for(5ms);
                 continue;
             }
-            if (readable(out, 0)) {  // nothing is ever said this way: the other end has gone
+            if (readable(out, 0)) {  // the receiver never sends data: it has closed the connection
                 connected = false;
                 break;
             }
@@ -124,12 +125,13 @@
 public:
     using Variables = std::function<Program::Variables(int id)>;
 
-    // `variables`: set for the agent of that id.
+    // `variables`: environment of the agent with that id.
     explicit Cluster(int size, json more = json::object(), Variables variables = {})
         : size_(size), extraSettings_(std::move(more)), variables_(std::move(variables)) {
         char folder[] = "/tmp/lotuslead-raft-XXXXXX";
         folder_ = ::mkdtemp(folder);
-        // The agents must know each other's ports beforehand: an address of this process's own has all free.
+        // The agents need each other's ports in advance. All ports are free on an address derived from the
+        // process id.
         const int pid = ::getpid();
         host_ = "127." + std::to_string(128 + (pid >> 14) % 64) + "." + std::to_string((pid >> 7) % 128) +
                 "." + std::to_string(1 + pid % 128);
@@ -184,7 +186,7 @@
         pids_.erase(id);
     }
     bool runs(int id) const { return pids_.count(id) != 0; }
-    // Once: the wait status of an agent that has ended without having been killed.
+    // Returns the wait status of an agent that exited without being killed, once.
     std::optional<int> takeUnexpectedExit(int id) {
         int status = 0;
         if (!runs(id) || ::waitpid(pids_.at(id), &status, WNOHANG) != pids_.at(id)) return {};
@@ -202,7 +204,7 @@
         const auto response = ctl::Client::callAgent(control(id), "GET", "/status");
         return response ? json::parse(response->body) : json();
     }
-    // Who leads by its own word, and was found so last; 0: nobody.
+    // Id of an agent that reports itself as leader; 0: none.
     int leader() const {
         for (int id = 1; id <= size_; ++id)
             if (const json s = status(id); s.is_object() && s["leader"] == id) return id;
--- a/tests/raft_import_test.cpp
+++ b/tests/raft_import_test.cpp
@@ -1,4 +1,4 @@
-// An agent's folder of before, with libraft's own files, is taken over once and as a whole.
+// A folder of an earlier version, with libraft's own files, is imported once and completely.
 #include "agent/raft_import.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
 
 constexpr const char* kAddress = "127.0.0.1:9001";
 
-// libraft's back end on a folder, as agents of before had it.
+// libraft's own back end on a folder, as earlier versions used it.
 class LibraftFolder {
 public:
     explicit LibraftFolder(const std::string& folder) {
@@ -124,7 +124,7 @@
     EXPECT_TRUE(content.entries.empty());
 }
 
-// It would begin with an empty log there, and forget what it had acknowledged.
+// It would start with an empty log there and forget acknowledged entries.
 TEST(RaftImport, AProgramOfBeforeRefusesTheFolder) {
     TemporaryFolder folder;
     imported(folder);
--- a/tests/raft_log_test.cpp
+++ b/tests/raft_log_test.cpp
@@ -1,5 +1,5 @@
-// The agents' log on disk: what was written is there after an end at any moment, what was replaced is not,
-// and what cannot be trusted is refused.
+// The Raft log's files: acknowledged writes survive a crash at any point, replaced entries do not come
+// back, and invalid data is rejected.
 #include "agent/raft_log.hpp"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
     }
     ~TemporaryFolder() { fs::remove_all(path_); }
     const std::string& path() const { return path_; }
-    // In the order in which they were written.
+    // In the order in which they were created.
     std::vector<fs::path> segments() const {
         std::vector<fs::path> found;
         for (const auto& entry : fs::directory_iterator(path_))
@@ -194,7 +194,7 @@
     EXPECT_EQ(dataOf(content), Strings{"j"});
 }
 
-// The snapshot is there already, the entries that it replaces are still there.
+// The snapshot is stored already, but the entries that it replaces have not been removed yet.
 TEST(RaftLog, FinishesAnInstallThatWasCutShort) {
     for (const std::uint64_t index : {2U, 9U}) {
         TemporaryFolder folder, other;
@@ -246,7 +246,7 @@
         log.writeTermAndVote({3, 1});
         log.writeTermAndVote({4, 2});
     }
-    flipByte(folder.path() + "/ballot", 20);  // the second one
+    flipByte(folder.path() + "/ballot", 20);  // the slot of the second write
     {
         const auto content = reopened(folder);
         EXPECT_EQ(content.termAndVote.term, 3U);
--- a/tests/raft_schedules.cpp
+++ b/tests/raft_schedules.cpp
@@ -1,6 +1,6 @@
-// Thousands of seeded schedules in one process: a cluster in memory, clients with sessions, faults; after
-// each event the state machines are compared, at the end nothing answered for may be missing. Any seed
-// replays exactly.
+// Runs thousands of seeded schedules in one process: a simulated cluster, clients with sessions, and
+// faults. The state machines are compared after each applied command, and at the end no acknowledged write
+// may be missing. Any seed can be replayed exactly.
 //
 //   raft_schedules --seeds N --first S    last line: seeds=N committed=... reads=... crashes=... failed=...
 #include <cstdio>
@@ -50,7 +50,7 @@
 private:
     struct Client {
         std::uint64_t session = 0, sequence = 0, attempts = 0;
-        std::string key;  // of the command that is being tried
+        std::string key;  // of the command in progress
     };
 
     void reportViolation(const std::string& violation) {
@@ -63,13 +63,13 @@
             case 0:
                 simulation_.heal();
                 break;
-            case 1:  // one way, or both
+            case 1:  // links of one server, in one or both directions
                 for (std::size_t other = 0; other < size; ++other) {
                     if (simulation_.randomBelow(2)) simulation_.cut(one, other, true);
                     if (simulation_.randomBelow(2)) simulation_.cut(other, one, true);
                 }
                 break;
-            case 2: {  // a minority and a majority
+            case 2: {  // a partition into minority and majority
                 const std::size_t other = (one + 1) % size;
                 for (std::size_t a = 0; a < size; ++a)
                     for (std::size_t b = 0; b < size; ++b)
@@ -81,7 +81,7 @@
                 simulation_.setNetworkFaults(static_cast<int>(simulation_.randomBelow(30)),
                                              10 + static_cast<int>(simulation_.randomBelow(150)));
                 break;
-            case 4:  // the leader, in the middle of whatever it does
+            case 4:  // crash of the leader at an arbitrary point
                 for (std::size_t i = 0; i < size; ++i)
                     if (simulation_.server(i).isLeader()) crash(i);
                 break;
@@ -102,7 +102,7 @@
                           [this, i] { simulation_.server(i).start(); });
     }
 
-    // A server that believes that it leads, not always the same, where there are two.
+    // A server that considers itself leader. There may be several; then a random one of them.
     RaftSimulation::Server* leader() {
         std::vector<RaftSimulation::Server*> all;
         for (std::size_t i = 0; i < simulation_.size(); ++i)
@@ -132,13 +132,13 @@
             ++client.sequence;
             client.key = "files/" + std::to_string(clientNumber) + "-" + std::to_string(client.sequence);
         }
-        // Whoever is applied twice finds its own document there.
+        // A command that is applied twice finds its own document and fails the condition.
         config::Command command{client.session,
                                 client.sequence,
                                 false,
                                 {{{client.key, 0}}, {{client.key, client.sequence}}, 0, ""}};
-        // An answer that never comes must not hold the client up: it tries again elsewhere, with the same
-        // words.
+        // A lost answer must not block the client: it repeats the same command, possibly with another
+        // server.
         const std::uint64_t attempt = ++client.attempts;
         const bool proposed = server->propose(
             config::encode(command), [this, clientNumber, attempt, retry](bool known, const Outcome& o) {
@@ -219,7 +219,8 @@
     std::uint64_t failed = 0;
     for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
         Result one = Schedule(seed).run();
-        // Each hundredth is played twice, and each that fails: a run that can't be had again proves little.
+        // Every hundredth seed and each failed one is run twice: a failure that cannot be replayed proves
+        // little.
         if (seed % 100 == 0 || !one.violations.empty())
             if (Schedule(seed).run().trace != one.trace) one.violations.push_back("it does not replay");
         for (const std::string& violation : one.violations)
--- a/tests/raft_simulation.cpp
+++ b/tests/raft_simulation.cpp
@@ -24,7 +24,7 @@
         all[i].term = entries[i].term;
         all[i].type = entries[i].type;
         all[i].buf = bufferOf(entries[i].data);
-        all[i].batch = all[i].buf.base;  // each its own
+        all[i].batch = all[i].buf.base;  // each entry has its own allocation
     }
     return all;
 }
@@ -50,7 +50,7 @@
 }  // namespace
 
 void RaftSimulation::Server::runLater(int ms, std::function<void(int)> action) {
-    // Kept where a crash finds it: libraft waits for each callback before it lets go.
+    // Kept reachable for a crash: libraft waits for every callback before it closes.
     const auto shared = std::make_shared<std::function<void(int)>>(std::move(action));
     if (run_->waiting.size() >= 64) std::erase_if(run_->waiting, [](const auto& one) { return !*one; });
     run_->waiting.push_back(shared);
@@ -108,7 +108,7 @@
 
 void RaftSimulation::Server::crash() {
     if (!run_) return;
-    // Of what was being written any part may have reached the disk, from its beginning on.
+    // Any prefix of the pending writes may have reached the disk.
     const std::size_t written = disk_.entries.size();
     if (written > disk_.durable) disk_.durable += simulation_.randomBelow(written - disk_.durable + 1);
     disk_.entries.resize(disk_.durable);
@@ -159,7 +159,7 @@
     });
 }
 
-// In the order in which they were asked for.
+// Appends complete in order of submission.
 void RaftSimulation::Server::completeOldestAppend() {
     const Pending pending = run_->appends.front();
     run_->appends.pop_front();
@@ -175,7 +175,7 @@
     io.init = [](raft_io*, raft_id, const char*) { return 0; };
     io.close = [](raft_io* self, raft_io_close_cb done) {
         Run& run = *static_cast<Run*>(self->impl);
-        // The last first: each takes its entries off the end of the core's log.
+        // Newest first: each cancelled append removes its entries from the end of the core's log.
         for (; !run.appends.empty(); run.appends.pop_back())
             run.appends.back().done(run.appends.back().request, RAFT_CANCELED);
         for (const auto& one : std::exchange(run.waiting, {}))
@@ -268,8 +268,8 @@
                 if (status == 0) {
                     Disk& disk = server.disk_;
                     disk.snapshot = snapshot;
-                    // What the snapshot replaces, but for the last ones of it; all where the log does not
-                    // reach it.
+                    // Removes the entries that the snapshot replaces, except the trailing ones; all of them
+                    // if the log ends before the snapshot.
                     const raft_index last = disk.first + disk.entries.size() - 1;
                     const raft_index lastRemoved =
                         trailing == 0 || last < snapshot.index
@@ -337,7 +337,7 @@
     after(1 + static_cast<int>(randomBelow(static_cast<std::uint64_t>(maxDelayMs_))),
           [this, from, to, inFlight] {
               Server& server = *servers_[to - 1];
-              // Also what was under way when a link was cut is lost.
+              // Messages in flight are lost, too, when the link is cut.
               if (!server.run_ || cut_[from - 1][to - 1]) return;
               raft_message delivered = inFlight->message;
               const std::string address = std::to_string(from);
--- a/tests/raft_simulation.hpp
+++ b/tests/raft_simulation.hpp
@@ -1,7 +1,7 @@
-// A cluster in memory: libraft's core and the agents' state machine on a network, disks and a clock that a
-// seed drives. One thread; every event has its time and comes from one queue, so a seed always gives the same
-// run. Messages are delayed, overtake one another, are lost and cut off in one direction; disks are slow, and
-// a crash takes back any part of what was not acknowledged yet.
+// A simulated cluster: libraft's core and the agents' state machine on a network, disks and a clock that
+// are driven by a seed. Single-threaded; all events come from one time-ordered queue, so that a seed always
+// gives the same run. Messages are delayed, reordered, lost, or cut off in one direction. Disks are slow,
+// and a crash loses any part of what was not acknowledged yet.
 #pragma once
 
 extern "C" {
@@ -38,13 +38,13 @@
         std::vector<std::pair<raft_id, int>> members;
         std::string data;
     };
-    // What outlives a crash.
+    // State that survives a crash.
     struct Disk {
         raft_term term = 0;
         raft_id vote = 0;
-        raft_index first = 1;  // of the entries
+        raft_index first = 1;  // index of the first entry
         std::vector<Entry> entries;
-        std::size_t durable = 0;  // of the entries
+        std::size_t durable = 0;  // number of durable entries
         std::optional<Snapshot> snapshot;
     };
     using Applied = std::function<void(bool coveredEntries, const config::Outcome&)>;
@@ -61,7 +61,7 @@
 
         void start();
         void crash();
-        // False: not proposed.
+        // Returns false if the command was not proposed.
         bool propose(const std::string& command, Applied done);
         bool barrier(std::function<void(bool)> done);
 
@@ -72,7 +72,7 @@
             raft_io_append_cb done;
             raft_index last;
         };
-        // What a crash ends.
+        // State that a crash destroys.
         struct Run {
             Server* server = nullptr;
             agent::AppendEntriesGuard guarded;
@@ -83,7 +83,8 @@
             raft_io_tick_cb tick = nullptr;
             raft_io_recv_cb receive = nullptr;
             std::deque<Pending> appends;
-            std::vector<std::shared_ptr<std::function<void(int)>>> waiting;  // what a close must still call
+            std::vector<std::shared_ptr<std::function<void(int)>>>
+                waiting;  // callbacks that a close must still run
         };
         struct Proposal {
             struct raft_apply request {};
@@ -97,7 +98,7 @@
         void fill(raft_io& io);
         void scheduleTick(unsigned ms);
         void completeOldestAppend();
-        // Runs this unless the server has crashed meanwhile; then with RAFT_CANCELED, at the crash.
+        // Runs the action after the delay with status 0, or at a crash before that with RAFT_CANCELED.
         void runLater(int ms, std::function<void(int status)> action);
 
         RaftSimulation& simulation_;
@@ -145,12 +146,12 @@
         }
         now_ = until;
     }
-    // Two runs of one seed have the same.
+    // Hash of the run: two runs of the same seed have the same value.
     std::uint64_t trace() const { return trace_; }
     void addToTrace(std::uint64_t action) { trace_ = combine(trace_, action); }
 
     std::function<void(raft_id, std::uint64_t number, std::string_view command)>
-        applied;  // each, by each server
+        applied;  // called for every command that a server applies
 
 private:
     int diskMs() { return static_cast<int>(randomBelow(8)); }
--- a/tests/shared_configuration_test.cpp
+++ b/tests/shared_configuration_test.cpp
@@ -1,5 +1,5 @@
-// Gateways that read boxes and purges from agents, through partitions and lost agents; and the agents'
-// membership.
+// Gateways that read boxes and purges from agents, during partitions and after agents are lost; and changes
+// of the agents' membership.
 #include "raft_cluster.hpp"
 #include "repository_server.hpp"
 
@@ -35,7 +35,7 @@
     assert(answer.status == 200);
 }
 
-// The front's file, without a box of its own: all comes from the agents.
+// A gateway configuration without boxes: all come from the agents.
 json gatewayFile(const Cluster& cluster, std::initializer_list<int> agents) {
     json file = repository({});
     file["known"] = {{"offset", 0}, {"batch", json::array()}};
@@ -50,9 +50,9 @@
     return box;
 }
 
-// Two gateways on two agents, one of them cut off with a minority: each serves what was told before the cut,
-// and no index from before a purge once the purge was agreed on and the cut-off agent's election timeout has
-// passed.
+// Two gateways read from two agents, one of which is cut off in a minority. Each gateway serves what it had
+// before the partition, but no index from before a purge once the purge is committed and the isolated
+// agent's election timeout has passed.
 void aPurgeReachesBothSidesOfAPartition() {
     Cluster cluster(3);
     const int leader = cluster.awaitLeader();
@@ -74,7 +74,7 @@
                                                  {"purge_slack_ms", 0}}}};
     {
         Program a(gatewayFile(cluster, {leader, third}), "LB_REPOSITORY");
-        // Keeps copies of its own, and begins at the agent that will be cut off.
+        // Has a disk tier, and reads first from the agent that will be isolated.
         Program b(gatewayFile(cluster, {isolated, third}), "LB_REPOSITORY", 1024,
                   {{"LB_DISK", disk + "/disk.json"}});
         b.awaitLog(" segments at ");
@@ -90,14 +90,14 @@
         server.version = 2;
         commitOrFail(client, putTransaction("purges/object//index/plugins.json", {{"ts", unixMs()}}));
         const auto purged = std::chrono::steady_clock::now();
-        // Behind a leader that heard the purge: at once, within the limit of 500 ms.
+        // Reading from the majority's side: within the limit of 500 ms.
         std::this_thread::sleep_for(500ms);
         {
             Connection c(a.port());
             assert(get(c, "/index/plugins.json").body == "version 2\n");
         }
-        // Behind the agent that was cut off: as soon as that knows itself alone, two election timeouts (400
-        // ms) and what is left of a hold (1 s) at most.
+        // Reading from the isolated agent: once that has noticed its isolation, after two election timeouts
+        // (400 ms) and the remaining hold of a read (1 s) at most.
         std::int64_t last = 0;
         for (int i = 0; i < 400; ++i, std::this_thread::sleep_for(10ms)) {
             Connection c(b.port());
@@ -115,8 +115,7 @@
             std::fprintf(stderr, "%s\n%s\n", b.log().c_str(), cluster.log(isolated).c_str());
         }
         assert(500 + last <= 2400);
-        // A box that comes now is known to both, also behind the agent that was cut off, once the links are
-        // back.
+        // After the links are restored, both gateways learn of a box that is added now.
         commitOrFail(client,
                      putTransaction("boxes/cache-2", boxDocument("cache-2", server.address(), "small")));
         cluster.relay.heal();
@@ -130,7 +129,7 @@
     std::filesystem::remove_all(disk);
 }
 
-// A gateway goes on with the next agent, and asks for what it lacks by number: no purge is lost in between.
+// A gateway goes on with the next agent from its last offset, so that no purge is lost.
 void noPurgeIsLostWithAnAgent() {
     Cluster cluster(3);
     cluster.awaitLeader();
@@ -154,7 +153,8 @@
     assert(!"the purges never came");
 }
 
-// In service: a fourth agent joins, catches up, gets a vote; a dead one is replaced by one command.
+// A fourth agent joins the running cluster, catches up and becomes a voter; a dead one is replaced by one
+// command.
 void membersAreAddedPromotedAndReplaced() {
     Cluster cluster(3, {{"snapshot_every", 16}});
     cluster.awaitLeader();
@@ -172,7 +172,7 @@
     cluster.relay.open(4, cluster.raft(4), cluster.raftListen(4));
     cluster.start(4, true);
     assert(ctl("members add 4 " + cluster.raft(4) + " " + cluster.control(4)) == "done\n");
-    // Whichever agent answers: it hears of it soon.
+    // Any agent may answer, so the change may take a moment to show.
     const auto listed = [&](const std::string& row) {
         for (int i = 0; i < 400; ++i, std::this_thread::sleep_for(10ms))
             if (ctl("members list").find(row) != std::string::npos) return true;
@@ -182,7 +182,7 @@
     assert(ctl("members promote 4") == "done\n");
     cluster.await(4, [](const json& s) { return s["revision"] >= 61; });
     assert(listed("4      voter"));
-    // Now a majority is three of four: with one dead the fourth one's vote counts.
+    // Three of four are a majority now: with one agent dead, the fourth one's vote is needed.
     const int leader = cluster.awaitLeader();
     const int dead = leader == 3 ? 2 : 3;
     cluster.kill(dead);
@@ -194,7 +194,7 @@
     if (replaced != "done\n") std::fprintf(stderr, "%s\n", replaced.c_str());
     assert(replaced == "done\n");
     cluster.await(5, [](const json& s) { return s["revision"] >= 62; });
-    // One that was removed and comes back unasked disturbs nobody.
+    // A removed agent that is started again does not disturb the cluster.
     const json before = cluster.status(leader);
     cluster.start(dead);
     std::this_thread::sleep_for(1500ms);
@@ -210,7 +210,7 @@
     return json::parse(reader.exactly(std::strtoul(fieldOf(head, "Content-Length").c_str(), nullptr, 10)));
 }
 
-// Readers ask again and again on one connection, and of many purges in a row several come with one answer.
+// Readers reuse one connection, and of many purges in a row several share an answer.
 void theFeedKeepsConnectionsAndBatchesEvents() {
     constexpr int kPurges = 40;
     Cluster cluster(1);
@@ -230,16 +230,16 @@
     for (; from < kPurges + 1; ++answers) from = readFeed(reader, from)["offset"];
     writer.join();
     assert(answers <= kPurges / 4);
-    // Whoever sends more while its answer is due has broken the form.
+    // Sending another request before the answer is a protocol violation.
     Connection hasty(connectTo(cluster.bus(1)));
     const std::string ask = "GET /bus/read?from=41&hold=2000 HTTP/1.1\r\nHost: agent\r\n\r\n";
     hasty.send(ask + ask);
     assert(hasty.closed());
 }
 
-// Many purges push neither an operator's change nor its revision out of what `history` tells of all.
+// Many purges evict neither other changes nor their revisions from `history`.
 void purgesDoNotEvictTheHistoryOfOtherChanges() {
-    constexpr int kPurges = 4200;  // the history of purges holds 4,096 transactions
+    constexpr int kPurges = 4200;  // more than the 4,096 transactions of the purge history
     Cluster cluster(1);
     cluster.awaitLeader();
     const auto client = cluster.client();
@@ -257,13 +257,15 @@
     for (auto& writer : writers) writer.join();
     const auto told = ctl::Client::callAgent(cluster.control(1), "GET", "/history");
     assert(told && json::parse(told->body)["history"][0]["changes"][0]["key"] == "files/a");
-    // That a document was changed late says nothing of where its history begins, by which `diff` goes.
+    // The history of a document that was first changed late still begins at revision 1, which `diff` relies
+    // on.
     commitOrFail(client, putTransaction("files/late", 1));
     const auto late = ctl::Client::callAgent(cluster.control(1), "GET", "/history?from=5&prefix=files/late");
     assert(late && json::parse(late->body)["oldest"] == 1);
 }
 
-// A majority lost for good: the command refuses while anybody answers, and then goes on with one log alone.
+// After the permanent loss of a majority, --recover-alone refuses while any agent answers, and then makes
+// one agent a cluster of its own.
 void oneAgentRecoversAloneAfterALostMajority() {
     Cluster cluster(3);
     cluster.awaitLeader();
@@ -277,7 +279,7 @@
     cluster.kill(2);
     assert(WEXITSTATUS(recover()) == 1);
     cluster.kill(3);
-    assert(WEXITSTATUS(recover()) == 1);  // itself still runs
+    assert(WEXITSTATUS(recover()) == 1);  // this agent is still running
     cluster.kill(1);
     assert(recover() == 0);
     cluster.start(1);
