--- a/src/agent/consensus.cpp
+++ b/src/agent/consensus.cpp
@@ -173,9 +173,9 @@
             static_cast<Consensus*>(transfer->data)->transferPending_ = false;
         });
     transferPending_ = result == 0;
-    std::fprintf(stderr, "agent: raft log: not written for %lld ms, %s\n",
+    std::fprintf(stderr, "agent: raft log: writes have failed for %lld ms; %s\n",
                  static_cast<long long>(storageFailingFor().count()),
-                 transferPending_ ? "handing the lead over" : "and no other agent can take the lead");
+                 transferPending_ ? "transferring leadership" : "leadership cannot be transferred now");
 }
 
 void Consensus::barrier(std::function<void(bool)> done) { pendingReads_.push_back(std::move(done)); }
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -34,7 +34,7 @@
     ::mkdir(configuration.folder.c_str(), 0755);
     std::string path = configuration.folder + "/" + name;
     if (::mkdir(path.c_str(), 0755) != 0 && errno != EEXIST)
-        throw settings::Malformed("field 'folder': cannot make '" + path + "'");
+        throw settings::Malformed("field 'folder': cannot create '" + path + "'");
     return path;
 }
 
@@ -170,14 +170,16 @@
     while (pendingCalls > 0) loop.turn(loop.now() + std::chrono::milliseconds{100});
     if (reached > 0) {
         std::fprintf(stderr,
-                     "lotuslead_agent: %zu of %zu agents can be reached; stop those that are left, this one "
-                     "too, or start the others\n",
+                     "lotuslead_agent: %zu of %zu agents can be reached; stop all of them, including "
+                     "this one, or start the others\n",
                      reached, configuration.members.size());
         return 1;
     }
     Consensus::recoverAlone(configuration.self(), configuration.folder + "/raft");
-    std::fprintf(stderr, "lotuslead_agent: agent %llu is a cluster of its own now; add the others anew\n",
-                 static_cast<unsigned long long>(configuration.id));
+    std::fprintf(
+        stderr,
+        "lotuslead_agent: agent %llu is now the only member of its cluster; add the other agents again\n",
+        static_cast<unsigned long long>(configuration.id));
     return 0;
 }
 
--- a/src/agent/raft_log.cpp
+++ b/src/agent/raft_log.cpp
@@ -144,7 +144,7 @@
         return value;
     }
     std::string_view takeBytes(std::size_t count) {
-        if (count > bytes_.size()) throw std::runtime_error("a file of the log ends early");
+        if (count > bytes_.size()) throw std::runtime_error("a log file is truncated");
         const std::string_view taken = bytes_.substr(0, count);
         bytes_.remove_prefix(count);
         return taken;
@@ -217,7 +217,7 @@
         throw std::runtime_error("the snapshot is damaged");
     ByteReader reader(summed);
     if (reader.take<std::uint64_t>() != kSnapshotMagic)
-        throw std::runtime_error("the snapshot has another form");
+        throw std::runtime_error("the snapshot has an unknown format");
     LogSnapshot snapshot;
     snapshot.index = reader.take<std::uint64_t>();
     snapshot.term = reader.take<std::uint64_t>();
@@ -355,7 +355,8 @@
 // Drops the entries unless they continue the snapshot.
 void RaftLog::reconcileWithSnapshot(Content& content) {
     if (!content.snapshot) {
-        if (content.firstIndex != 1) throw std::runtime_error("entries are there, but their snapshot is not");
+        if (content.firstIndex != 1)
+            throw std::runtime_error("the log does not begin at index 1, but there is no snapshot");
         return;
     }
     const LogSnapshot& snapshot = *content.snapshot;
--- a/src/agent/settings.cpp
+++ b/src/agent/settings.cpp
@@ -14,7 +14,7 @@
 
 AgentConfiguration readAgentConfiguration(const std::string& text) {
     const json root = json::parse(text, nullptr, false);
-    if (!root.is_object()) throw Malformed("the configuration is no JSON object");
+    if (!root.is_object()) throw Malformed("the configuration is not a JSON object");
     const std::set<std::string> knownFields{"id",           "folder",         "program",    "cluster",
                                             "agents",       "join",           "bus",        "election_ms",
                                             "heartbeat_ms", "snapshot_every", "raft_listen"};
--- a/src/agent/supervisor.cpp
+++ b/src/agent/supervisor.cpp
@@ -122,7 +122,8 @@
     // Everything that the child needs is allocated before the fork.
     const std::string configurationFile = base + ".json", log = base + ".log", handOverFolder = base + ".tmp";
     if (!writeAtomically(configurationFile, process.desired.configuration)) {
-        std::fprintf(stderr, "agent: cannot start %s: its configuration cannot be written\n", name.c_str());
+        std::fprintf(stderr, "agent: cannot start %s: its configuration file cannot be written\n",
+                     name.c_str());
         return -1;
     }
     ::mkdir(handOverFolder.c_str(), 0700);
@@ -156,7 +157,7 @@
         ::execl(program_.c_str(), program_.c_str(), nullptr);
         ::_exit(127);
     }
-    if (pid < 0) std::fprintf(stderr, "agent: cannot start %s: no process is to be had\n", name.c_str());
+    if (pid < 0) std::fprintf(stderr, "agent: cannot start %s: fork failed\n", name.c_str());
     return pid;
 }
 
--- a/src/config/store.cpp
+++ b/src/config/store.cpp
@@ -34,7 +34,7 @@
         command.transaction = readUnversionedCommand(root);
         return command;
     }
-    if (root["form"] != kCommandFormat) throw std::runtime_error("a command of another form");
+    if (root["form"] != kCommandFormat) throw std::runtime_error("unknown command format");
     command.session = root.value("session", std::uint64_t{0});
     command.sequence = root.value("sequence", std::uint64_t{0});
     command.opensSession = root.value("opens", false);
@@ -267,7 +267,7 @@
         fresh.log_.load(all.at("log"),
                         [&](const Event& e, Revision created) { fresh.restorePurgeDocument(e, created); });
     } else {
-        throw std::runtime_error("a snapshot of a form that this version does not know");
+        throw std::runtime_error("unknown snapshot format");
     }
     fresh.loadCount_ = loadCount_ + 1;
     *this = std::move(fresh);
--- a/tests/agents.hpp
+++ b/tests/agents.hpp
@@ -89,7 +89,7 @@
             const std::string all{std::istreambuf_iterator<char>(in), {}};
             if (all.find(text) != std::string::npos) return;
         }
-        std::fprintf(stderr, "agent %d never logged '%s'\n", id, text.c_str());
+        std::fprintf(stderr, "agent %d did not log '%s' in time\n", id, text.c_str());
         std::abort();
     }
     std::string control(int id) const { return host_ + ":" + std::to_string(9100 + id); }
--- a/tests/audit_raft.cpp
+++ b/tests/audit_raft.cpp
@@ -79,7 +79,7 @@
         for (auto& thread : clients) thread.join();
         checkHistory();
         const bool enough = committed_ >= static_cast<std::uint64_t>(rounds_) * 3;
-        if (!enough) std::printf("too little was committed to mean anything\n");
+        if (!enough) std::printf("too few commits for a meaningful result\n");
         std::printf(
             "reads=%llu unknown=%llu conflicts=%llu leaders_killed=%d all_killed=%d splits=%d one_way=%d\n",
             static_cast<unsigned long long>(reads_), static_cast<unsigned long long>(unknown_),
@@ -141,7 +141,7 @@
             const auto status = cluster_.takeUnexpectedExit(id);
             if (!status) continue;
             ++crashed_;
-            std::printf("agent %d has ended by itself, wait status %d:\n%s\n", id, *status,
+            std::printf("agent %d exited unexpectedly, wait status %d:\n%s\n", id, *status,
                         cluster_.log(id).c_str());
         }
     }
--- a/tests/config_store_test.cpp
+++ b/tests/config_store_test.cpp
@@ -176,7 +176,7 @@
             batch = settings::readBatch(json::parse(page));
             EXPECT_EQ(batch.last, log.last());
             if (batch.offset <= from && batch.offset < log.last()) {
-                ADD_FAILURE() << "a page that leads nowhere, from " << from;
+                ADD_FAILURE() << "a page without progress, from offset " << from;
                 return;
             }
             from = batch.offset;
--- a/tests/raft_schedules.cpp
+++ b/tests/raft_schedules.cpp
@@ -26,7 +26,7 @@
         simulation_.applied = [this](raft_id, std::uint64_t commandNumber, std::string_view command) {
             const auto [at, isNew] = commandsByNumber_.emplace(commandNumber, command);
             if (!isNew && at->second != command)
-                reportViolation("two servers applied different commands as number " +
+                reportViolation("servers applied different commands as number " +
                                 std::to_string(commandNumber));
         };
     }
@@ -171,7 +171,7 @@
             if (holds) {
                 ++result_.reads;
                 if (server.store().revision() < before)
-                    reportViolation("a read behind a barrier was older than an answer");
+                    reportViolation("a read after a barrier was older than an acknowledged write");
             }
             retry(1);
         });
@@ -183,11 +183,11 @@
         for (std::size_t i = 0; i < simulation_.size(); ++i) {
             const config::Store& store = simulation_.server(i).store();
             if (i == 0) first = store.dump();
-            if (store.dump() != first) reportViolation("the servers do not end with one state");
+            if (store.dump() != first) reportViolation("the servers end in different states");
             for (const auto& [key, revision] : acknowledged_) {
                 const auto* loaded = store.find(key);
                 if (!loaded || loaded->revision != revision)
-                    reportViolation(key + " was answered for and is not there");
+                    reportViolation(key + " was acknowledged but is missing");
             }
         }
         for (const Client& client : clients_)
@@ -222,7 +222,8 @@
         // Every hundredth seed and each failed one is run twice: a failure that cannot be replayed proves
         // little.
         if (seed % 100 == 0 || !one.violations.empty())
-            if (Schedule(seed).run().trace != one.trace) one.violations.push_back("it does not replay");
+            if (Schedule(seed).run().trace != one.trace)
+                one.violations.push_back("a second run of the seed differs");
         for (const std::string& violation : one.violations)
             std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), violation.c_str());
         failed += !one.violations.empty();
@@ -231,7 +232,7 @@
         all.crashes += one.crashes;
     }
     const bool enough = all.committed >= seeds * 20 && all.reads >= seeds;
-    if (!enough) std::printf("too little was committed to mean anything\n");
+    if (!enough) std::printf("too few commits for a meaningful result\n");
     std::printf("seeds=%llu committed=%llu reads=%llu crashes=%llu failed=%llu\n",
                 static_cast<unsigned long long>(seeds), static_cast<unsigned long long>(all.committed),
                 static_cast<unsigned long long>(all.reads), static_cast<unsigned long long>(all.crashes),
--- a/tests/shared_configuration_test.cpp
+++ b/tests/shared_configuration_test.cpp
@@ -107,8 +107,7 @@
         const auto passed =
             std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - purged)
                 .count();
-        std::fprintf(stderr,
-                     "the old index came for the last time %lld ms after the purge, of %lld ms looked at\n",
+        std::fprintf(stderr, "the old index was last served %lld ms after the purge (observed for %lld ms)\n",
                      static_cast<long long>(500 + last), static_cast<long long>(passed));
         if (500 + last > 2400) {
             b.awaitCounters(" bus ");
@@ -121,7 +120,7 @@
         cluster.relay.heal();
         const auto healed = std::chrono::steady_clock::now();
         cluster.await(isolated, [](const json& s) { return s["last_event"] == 5; });
-        std::fprintf(stderr, "the agent that was cut off had all %lld ms after the links came back\n",
+        std::fprintf(stderr, "the isolated agent had caught up %lld ms after the links were restored\n",
                      static_cast<long long>(std::chrono::duration_cast<std::chrono::milliseconds>(
                                                 std::chrono::steady_clock::now() - healed)
                                                 .count()));
@@ -150,7 +149,7 @@
         if (gateway.log().find("events=5") != std::string::npos) return;
     }
     std::fprintf(stderr, "%s\n", gateway.log().c_str());
-    assert(!"the purges never came");
+    assert(!"the purges did not reach the gateway");
 }
 
 // A fourth agent joins the running cluster, catches up and becomes a voter; a dead one is replaced by one
