--- a/src/agent/consensus.cpp
+++ b/src/agent/consensus.cpp
@@ -130,12 +130,12 @@
     const int result =
         raft_apply(&node_->core(), &proposal->request, &buffer, 1,
                    [](struct raft_apply* request, int status, void* outcome) {
-                       const std::unique_ptr<Proposal> ended(static_cast<Proposal*>(request->data));
+                       const std::unique_ptr<Proposal> completed(static_cast<Proposal*>(request->data));
                        if (status == 0)
-                           ended->owner->completeProposal(ended->number, ProposalResult::applied,
-                                                          *static_cast<const config::Outcome*>(outcome));
+                           completed->owner->completeProposal(completed->number, ProposalResult::applied,
+                                                              *static_cast<const config::Outcome*>(outcome));
                        else
-                           ended->owner->completeProposal(ended->number, ProposalResult::unknown, {});
+                           completed->owner->completeProposal(completed->number, ProposalResult::unknown, {});
                    });
     if (result == 0) {
         static_cast<void>(proposal.release());  // now owned by the callback
@@ -213,8 +213,8 @@
     change->request.data = change.get();
     change->changed = std::move(changed);
     change->request.cb = [](raft_change* request, int status) {
-        const std::unique_ptr<MemberChange> ended(static_cast<MemberChange*>(request->data));
-        ended->changed(status == 0 ? "" : raft_strerror(status));
+        const std::unique_ptr<MemberChange> completed(static_cast<MemberChange*>(request->data));
+        completed->changed(status == 0 ? "" : raft_strerror(status));
     };
     const int result = begin(&node_->core(), &change->request, id, address.c_str());
     if (result == 0) {
@@ -265,8 +265,8 @@
     barrier->request.data = barrier.get();
     barrier->reads = std::exchange(pendingReads_, {});
     const auto ended = [](struct raft_barrier* request, int status) {
-        const std::unique_ptr<Barrier> held(static_cast<Barrier*>(request->data));
-        for (const auto& read : held->reads) read(status == 0);
+        const std::unique_ptr<Barrier> completed(static_cast<Barrier*>(request->data));
+        for (const auto& read : completed->reads) read(status == 0);
     };
     if (raft_barrier(&node_->core(), &barrier->request, ended) == 0)
         static_cast<void>(barrier.release());
--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -90,8 +90,8 @@
 }
 
 std::string Control::controlAddressOf(std::uint64_t agent) const {
-    if (const auto* told = store_.find("agents/" + std::to_string(agent)))
-        return told->value.value("control", "");
+    if (const auto* document = store_.find("agents/" + std::to_string(agent)))
+        return document->value.value("control", "");
     for (const Member& m : configuration_.members)
         if (m.id == agent) return m.control;
     return {};
@@ -171,12 +171,12 @@
         watch.reply({503, "this agent is behind\n", {}});
         return true;
     }
-    const auto behind = store_.changesSince(watch.from, watch.prefix);
-    if (!behind) {
+    const auto entries = store_.changesSince(watch.from, watch.prefix);
+    if (!entries) {
         watch.reply(jsonAnswer(410, {{"word", "compacted"}, {"revision", store_.revision()}}));
         return true;
     }
-    const json list = historyToJson(*behind, watch.prefix);
+    const json list = historyToJson(*entries, watch.prefix);
     if (list.empty() && !expired) return false;
     watch.reply(jsonAnswer(200, {{"revision", store_.revision()}, {"history", list}}));
     return true;
@@ -209,9 +209,9 @@
     try {
         command.transaction = config::readTransaction(text);
         if (text.contains("session")) {
-            const bool numbers = text["session"].is_number_unsigned() && text.contains("sequence") &&
+            const bool isValid = text["session"].is_number_unsigned() && text.contains("sequence") &&
                                  text["sequence"].is_number_unsigned() && text["sequence"] > 0;
-            if (!numbers) throw settings::Malformed("field 'session' or 'sequence' is not a number");
+            if (!isValid) throw settings::Malformed("field 'session' or 'sequence' is not a number");
             command.session = text["session"];
             command.sequence = text["sequence"];
         }
@@ -297,9 +297,9 @@
         if (!store_.find(key)) return reply({404, "no instance '" + rest + "'\n", {}});
     } else if (head.method == "PUT") {
         const json wanted = json::parse(body, nullptr, false);
-        const bool formed = wanted.is_object() && wanted.contains("agent") &&
-                            wanted["agent"].is_number_unsigned() && wanted.contains("configuration");
-        if (!formed) return reply({400, "'agent' and 'configuration' are wanted\n", {}});
+        const bool isValid = wanted.is_object() && wanted.contains("agent") &&
+                             wanted["agent"].is_number_unsigned() && wanted.contains("configuration");
+        if (!isValid) return reply({400, "'agent' and 'configuration' are wanted\n", {}});
         const std::uint64_t agent = wanted["agent"];
         if (controlAddressOf(agent).empty())
             return reply({400, "no agent " + std::to_string(agent) + "\n", {}});
--- a/src/agent/raft_log.cpp
+++ b/src/agent/raft_log.cpp
@@ -113,12 +113,12 @@
     std::string content(static_cast<std::size_t>(about.st_size), '\0');
     std::size_t done = 0;
     while (done < content.size()) {
-        const ssize_t some =
+        const ssize_t count =
             ::pread(file.get(), content.data() + done, content.size() - done, static_cast<off_t>(done));
-        if (some < 0 && errno == EINTR) continue;
-        check(static_cast<int>(some < 0 ? -1 : 0), "read " + path);
-        if (some == 0) break;
-        done += static_cast<std::size_t>(some);
+        if (count < 0 && errno == EINTR) continue;
+        check(static_cast<int>(count < 0 ? -1 : 0), "read " + path);
+        if (count == 0) break;
+        done += static_cast<std::size_t>(count);
     }
     content.resize(done);
     return content;
@@ -167,8 +167,8 @@
     appendValue(
         out, RecordHeader{0, index, entry.term, entry.type, static_cast<std::uint32_t>(entry.data.size())});
     out += entry.data;
-    const std::size_t summed = begin + sizeof(RecordHeader::checksum);
-    const std::uint64_t checksum = checksumOf(out.data() + summed, out.size() - summed);
+    const std::size_t checksummed = begin + sizeof(RecordHeader::checksum);
+    const std::uint64_t checksum = checksumOf(out.data() + checksummed, out.size() - checksummed);
     std::memcpy(out.data() + begin, &checksum, sizeof checksum);
 }
 
@@ -181,8 +181,8 @@
     if (header.index != index || header.bytes > kMaxEntryBytes) return {};
     const std::size_t whole = sizeof header + header.bytes;
     if (bytes.size() < whole) return {};
-    const std::size_t summed = sizeof header.checksum;
-    if (checksumOf(bytes.data() + summed, whole - summed) != header.checksum) return {};
+    const std::size_t checksummed = sizeof header.checksum;
+    if (checksumOf(bytes.data() + checksummed, whole - checksummed) != header.checksum) return {};
     LogEntry entry{header.term, static_cast<std::uint16_t>(header.type),
                    std::string(bytes.substr(sizeof header, header.bytes))};
     bytes.remove_prefix(whole);
@@ -211,11 +211,11 @@
 LogSnapshot decodeSnapshot(std::string_view bytes) {
     constexpr std::size_t kChecksumBytes = sizeof(std::uint64_t);
     if (bytes.size() < kChecksumBytes) throw std::runtime_error("the snapshot is damaged");
-    const std::string_view summed = bytes.substr(0, bytes.size() - kChecksumBytes);
-    ByteReader end(bytes.substr(summed.size()));
-    if (end.take<std::uint64_t>() != checksumOf(summed.data(), summed.size()))
+    const std::string_view checksummed = bytes.substr(0, bytes.size() - kChecksumBytes);
+    ByteReader end(bytes.substr(checksummed.size()));
+    if (end.take<std::uint64_t>() != checksumOf(checksummed.data(), checksummed.size()))
         throw std::runtime_error("the snapshot is damaged");
-    ByteReader reader(summed);
+    ByteReader reader(checksummed);
     if (reader.take<std::uint64_t>() != kSnapshotMagic)
         throw std::runtime_error("the snapshot has an unknown format");
     LogSnapshot snapshot;
--- a/src/agent/raft_node.cpp
+++ b/src/agent/raft_node.cpp
@@ -89,9 +89,9 @@
 
 void RaftNode::check(int result, const char* what) {
     if (result == 0) return;
-    const char* told = core_.io != nullptr ? raft_errmsg(&core_) : io_.guarded.io.errmsg;
+    const char* message = core_.io != nullptr ? raft_errmsg(&core_) : io_.guarded.io.errmsg;
     throw std::runtime_error(std::string("raft, ") + what + ": " + raft_strerror(result) + " " +
-                             (told != nullptr ? told : ""));
+                             (message != nullptr ? message : ""));
 }
 
 }  // namespace lotuslead::agent
--- a/src/agent/settings.cpp
+++ b/src/agent/settings.cpp
@@ -25,7 +25,7 @@
             throw Malformed("field '" + std::string(key) + "' is missing or unusable");
         return object[key];
     };
-    const auto words = [&](const json& object, const char* key) -> std::string {
+    const auto readString = [&](const json& object, const char* key) -> std::string {
         return requireField(object, key,
                             object.contains(key) && object[key].is_string() &&
                                 !object[key].get_ref<const std::string&>().empty());
@@ -43,13 +43,13 @@
     };
     AgentConfiguration result;
     result.id = id(root);
-    result.folder = words(root, "folder");
-    result.program = words(root, "program");
-    if (root.contains("cluster")) result.cluster = words(root, "cluster");
+    result.folder = readString(root, "folder");
+    result.program = readString(root, "program");
+    if (root.contains("cluster")) result.cluster = readString(root, "cluster");
     if (root.contains("join")) result.join = requireField(root, "join", root["join"].is_boolean());
-    if (root.contains("bus")) result.bus = settings::readEndpoint(words(root, "bus"), "bus");
+    if (root.contains("bus")) result.bus = settings::readEndpoint(readString(root, "bus"), "bus");
     if (root.contains("raft_listen")) {
-        result.raftListen = words(root, "raft_listen");
+        result.raftListen = readString(root, "raft_listen");
         settings::readEndpoint(result.raftListen, "raft_listen");
     }
     readBounded("election_ms", 100, 60'000, result.raft.electionTimeoutMs);
@@ -61,7 +61,7 @@
     for (const json& item :
          requireField(root, "agents", root.contains("agents") && root["agents"].is_array())) {
         if (!item.is_object()) throw Malformed("field 'agents' is not a list of objects");
-        result.members.push_back({id(item), words(item, "raft"), words(item, "control")});
+        result.members.push_back({id(item), readString(item, "raft"), readString(item, "control")});
         settings::readEndpoint(result.members.back().raft, "raft");
         settings::readEndpoint(result.members.back().control, "control");
         if (!ids.insert(result.members.back().id).second) throw Malformed("field 'agents' has an id twice");
--- a/src/agent/supervisor.cpp
+++ b/src/agent/supervisor.cpp
@@ -258,7 +258,7 @@
             stopping ? stop(process) : reconcile(name, process);
             continue;
         }
-        const bool told = process.stopping;
+        const bool expected = process.stopping;
         process.pid = 0;
         process.stopping = false;
         if (!process.keep) {
@@ -266,7 +266,7 @@
             continue;
         }
         net::Micros restartDelay{};
-        if (!told) {
+        if (!expected) {
             const int code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
             std::fprintf(stderr, "agent: %s ended with %d, starting again\n", name.c_str(), code);
             ++process.restarts;
