--- a/src/agent/event_feed.cpp
+++ b/src/agent/event_feed.cpp
@@ -31,7 +31,7 @@
               }) {}
 
 EventFeed::~EventFeed() {
-    for (const Waiting& waiting : waiting_) loop_.cancel(waiting.timer);
+    for (const HeldRead& read : heldReads_) loop_.cancel(read.timer);
     if (batchTimer_) loop_.cancel(*batchTimer_);
 }
 
@@ -45,19 +45,19 @@
     if (from < 0) return reply({400, "'from' is not a number\n", {}});
     ++counters_.reads;
     if (consensus_.leader() == 0) {
-        ++counters_.leaderless;
+        ++counters_.withoutLeader;
         return reply({503, "this agent knows of no leader now\n", {}});
     }
     if (from > store_.lastEvent()) {
-        ++counters_.behind;
+        ++counters_.behindReader;
         return reply({503, "this agent is behind\n", {}});
     }
     if (from < store_.lastEvent() || hold == 0) return answer(from, reply);
-    ++counters_.held;
-    const auto at = waiting_.insert(waiting_.end(), Waiting{from, std::move(reply), {}});
+    ++counters_.heldReads;
+    const auto at = heldReads_.insert(heldReads_.end(), HeldRead{from, std::move(reply), {}});
     at->timer = loop_.after(std::chrono::milliseconds{hold}, [this, at] {
-        const Waiting ended = std::move(*at);
-        waiting_.erase(at);
+        const HeldRead ended = std::move(*at);
+        heldReads_.erase(at);
         // Without a leader, events may be missing here, so this must not look like "no events".
         if (consensus_.leader() == 0) return ended.reply({503, "this agent knows of no leader now\n", {}});
         answer(ended.from, ended.reply);
@@ -89,24 +89,24 @@
 
 void EventFeed::changed() {
     cachedFrom_ = -1;  // a restored store may have other events under the same offsets
-    if (batchTimer_ || waiting_.empty()) return;
+    if (batchTimer_ || heldReads_.empty()) return;
     const net::Micros left = lastAnsweredAt_ + kBatchInterval - loop_.now();
-    if (left.count() <= 0) return answerWaiting();
+    if (left.count() <= 0) return answerHeldReads();
     batchTimer_ = loop_.after(left, [this] {
         batchTimer_.reset();
-        answerWaiting();
+        answerHeldReads();
     });
 }
 
-void EventFeed::answerWaiting() {
+void EventFeed::answerHeldReads() {
     lastAnsweredAt_ = loop_.now();
-    for (auto at = waiting_.begin(); at != waiting_.end();) {
+    for (auto at = heldReads_.begin(); at != heldReads_.end();) {
         if (at->from >= store_.lastEvent()) {
             ++at;
             continue;
         }
-        const Waiting one = std::move(*at);
-        at = waiting_.erase(at);
+        const HeldRead one = std::move(*at);
+        at = heldReads_.erase(at);
         loop_.cancel(one.timer);
         answer(one.from, one.reply);
     }
--- a/src/agent/event_feed.hpp
+++ b/src/agent/event_feed.hpp
@@ -17,7 +17,7 @@
 class EventFeed {
 public:
     struct Counters {
-        std::uint64_t reads = 0, held = 0, behind = 0, leaderless = 0;
+        std::uint64_t reads = 0, heldReads = 0, behindReader = 0, withoutLeader = 0;
     };
 
     EventFeed(net::Loop& loop, const settings::Endpoint& at, const config::Store& store,
@@ -31,7 +31,7 @@
     const Counters& counters() const { return counters_; }
 
 private:
-    struct Waiting {
+    struct HeldRead {
         std::int64_t from = 0;
         net::CallServer::Reply reply;
         net::Loop::TimerKey timer;
@@ -39,13 +39,13 @@
 
     void handle(const net::HttpHead& head, net::CallServer::Reply reply);
     void answer(std::int64_t from, const net::CallServer::Reply& reply);
-    void answerWaiting();
+    void answerHeldReads();
     std::string page(std::int64_t from);
 
     net::Loop& loop_;
     const config::Store& store_;
     Consensus& consensus_;
-    std::list<Waiting> waiting_;
+    std::list<HeldRead> heldReads_;
     // Most readers are at the same offset, so their answer is built once. Full pages are cached as well,
     // for the many readers that reconnect at the same time.
     std::int64_t cachedFrom_ = -1, cachedLast_ = -1;
