--- a/src/config/store.cpp
+++ b/src/config/store.cpp
@@ -126,17 +126,17 @@
 
 Outcome Store::applyTransaction(const Transaction& transaction) {
     for (const Condition& c : transaction.conditions) {
-        const Document* held = find(c.key);
-        const Revision now = held ? held->revision : 0;
+        const Document* current = find(c.key);
+        const Revision now = current ? current->revision : 0;
         if (now != c.revision) return {Outcome::Status::conflict, now, c.key};
     }
     std::vector<Change> done;
     for (const Change& c : transaction.changes) {
-        const Document* held = find(c.key);
-        if (!c.value && !held) continue;
+        const Document* current = find(c.key);
+        if (!c.value && !current) continue;
         // Two operators' purges may arrive in either order: the one with the later time wins.
-        if (c.value && held && hasPrefix(c.key, kPurgePrefix) &&
-            purgeTimeMs(*c.value) <= purgeTimeMs(held->value))
+        if (c.value && current && hasPrefix(c.key, kPurgePrefix) &&
+            purgeTimeMs(*c.value) <= purgeTimeMs(current->value))
             continue;
         done.push_back(c);
     }
--- a/src/ctl/client.cpp
+++ b/src/ctl/client.cpp
@@ -50,9 +50,9 @@
     const std::string request = method + " " + target + " HTTP/1.1\r\nHost: " + agent +
                                 "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     for (std::size_t sent = 0; sent < request.size();) {
-        const ssize_t some = ::send(fd.get(), request.data() + sent, request.size() - sent, MSG_NOSIGNAL);
-        if (some <= 0) return {};
-        sent += static_cast<std::size_t>(some);
+        const ssize_t count = ::send(fd.get(), request.data() + sent, request.size() - sent, MSG_NOSIGNAL);
+        if (count <= 0) return {};
+        sent += static_cast<std::size_t>(count);
     }
     net::HttpParser parser(net::HttpParser::Kind::response, {16 * 1024, std::size_t{256} << 20});
     char chunk[65536];
