--- a/tests/audit_raft.cpp
+++ b/tests/audit_raft.cpp
@@ -53,7 +53,7 @@
     std::int64_t beginUs = 0, endUs = 0;
     std::string list;
     std::string id;  // empty for a read
-    std::vector<std::string> seen;
+    std::vector<std::string> seenIds;
     enum class Result { done, conflict, unknown, gone } result = Result::unknown;
 };
 
@@ -223,7 +223,7 @@
     static std::string listOf(std::uint64_t number) { return "files/list-" + std::to_string(number); }
 
     // Returns nothing unless an agent gave a linearizable answer.
-    std::optional<json> fetch(const ctl::Client& client, const std::string& key) {
+    std::optional<json> readDocument(const ctl::Client& client, const std::string& key) {
         const auto response = client.callAny("GET", "/config/" + key);
         if (response.status != 200 && response.status != 404) return {};
         const json body = json::parse(response.body, nullptr, false);
@@ -251,7 +251,7 @@
                 sequence = 0;
             }
             const std::uint64_t list = currentList_;
-            const auto before = fetch(client, listOf(list));
+            const auto before = readDocument(client, listOf(list));
             if (!before) continue;
             if ((*before)["value"].size() >= kListLength) {
                 std::uint64_t expected = list;
@@ -289,10 +289,10 @@
             Operation operation;
             operation.list = listOf(currentList_);
             operation.beginUs = monotonicUs();
-            const auto found = fetch(client, operation.list);
+            const auto found = readDocument(client, operation.list);
             operation.endUs = monotonicUs();
             if (!found) continue;
-            for (const json& id : (*found)["value"]) operation.seen.push_back(id);
+            for (const json& id : (*found)["value"]) operation.seenIds.push_back(id);
             operation.result = Operation::Result::done;
             recordOperation(std::move(operation));
         }
@@ -310,12 +310,12 @@
             }
             const json body = json::parse(response->body);
             const std::lock_guard lock(mutex_);
-            for (const json& past : body["history"]) {
-                const std::uint64_t revision = past["revision"];
+            for (const json& entry : body["history"]) {
+                const std::uint64_t revision = entry["revision"];
                 disordered_ += revision <= from;
                 from = std::max(from, revision);
-                const auto [at, isNew] = changesByRevision_.emplace(revision, past["changes"]);
-                if (!isNew && at->second != past["changes"]) ++disordered_;
+                const auto [at, isNew] = changesByRevision_.emplace(revision, entry["changes"]);
+                if (!isNew && at->second != entry["changes"]) ++disordered_;
             }
             from = std::max<std::uint64_t>(from, body["revision"]);
         }
@@ -325,30 +325,30 @@
 
     void checkHistory() {
         const auto client = cluster_.client();
-        std::map<std::string, std::vector<std::string>> final;
+        std::map<std::string, std::vector<std::string>> finalLists;
         for (std::uint64_t list = 0; list <= currentList_; ++list)
             for (int i = 0; i < 100; ++i) {
-                const auto found = fetch(client, listOf(list));
+                const auto found = readDocument(client, listOf(list));
                 if (!found) continue;
-                for (const json& id : (*found)["value"]) final[listOf(list)].push_back(id);
+                for (const json& id : (*found)["value"]) finalLists[listOf(list)].push_back(id);
                 break;
             }
         std::map<std::string, std::map<std::string, std::size_t>> positions;
-        for (const auto& [list, ids] : final)
+        for (const auto& [list, ids] : finalLists)
             for (std::size_t i = 0; i < ids.size(); ++i) {
                 const auto [at, isNew] = positions[list].emplace(ids[i], i + 1);
                 twice_ += !isNew;
             }
-        std::map<std::string, std::vector<std::pair<const Operation*, std::size_t>>> placed;
+        std::map<std::string, std::vector<std::pair<const Operation*, std::size_t>>> positionedOperations;
         for (const Operation& o : operations_) {
             const auto& where = positions[o.list];
             if (o.id.empty()) {
                 ++reads_;
-                const auto& all = final[o.list];
-                const bool prefix =
-                    o.seen.size() <= all.size() && std::equal(o.seen.begin(), o.seen.end(), all.begin());
+                const auto& all = finalLists[o.list];
+                const bool prefix = o.seenIds.size() <= all.size() &&
+                                    std::equal(o.seenIds.begin(), o.seenIds.end(), all.begin());
                 nonlinear_ += !prefix;
-                if (prefix) placed[o.list].emplace_back(&o, o.seen.size());
+                if (prefix) positionedOperations[o.list].emplace_back(&o, o.seenIds.size());
                 continue;
             }
             const auto found = where.find(o.id);
@@ -364,11 +364,11 @@
             if (o.result == Operation::Result::gone) ++twice_;
             // Answered with a conflict but applied: the answer belongs to a second application.
             if (o.result == Operation::Result::conflict && there) ++twice_;
-            if (there) placed[o.list].emplace_back(&o, found->second);
+            if (there) positionedOperations[o.list].emplace_back(&o, found->second);
         }
         // An operation that ended before another began must not come after it in the list. A read comes
         // right after the last append that it saw, so it may have the same position.
-        for (auto& [list, all] : placed) {
+        for (auto& [list, all] : positionedOperations) {
             std::vector<std::pair<std::int64_t, std::size_t>> ends;
             for (const auto& [o, position] : all)
                 if (o->result != Operation::Result::unknown) ends.emplace_back(o->endUs, position);
