--- a/tests/agent_test.cpp
+++ b/tests/agent_test.cpp
@@ -64,8 +64,8 @@
     const auto says = [&](const std::string& command, const std::string& text) {
         std::string said;
         for (int i = 0; i < kPatience * 20; ++i, std::this_thread::sleep_for(50ms))
-            if ((said = agents.ctl(command, 1)) == text)
-                return;  // redirected to the agent that runs the instance
+            // The tool is redirected to the agent that runs the instance.
+            if ((said = agents.ctl(command, 1)) == text) return;
         std::fprintf(stderr, "%s: %s\n", command.c_str(), said.c_str());
         std::abort();
     };
