--- a/src/agent/consensus.cpp
+++ b/src/agent/consensus.cpp
@@ -12,11 +12,12 @@
 
 namespace {
 
-constexpr unsigned kInstallAgainMs = 5000;
-constexpr auto kAnswerWithin = 5s;      // a proposal whose end is not known by then is answered so
-constexpr auto kHandOverAfter = 200ms;  // of failing writes
+constexpr unsigned kInstallSnapshotTimeoutMs = 5000;
+constexpr auto kProposalTimeout = 5s;  // a proposal without an outcome by then is reported as unknown
+// leadership is transferred once writes have failed for this long
+constexpr auto kTransferAfterWriteFailures = 200ms;
 
-// libraft stores entries and snapshots in words of eight bytes; JSON may end with blanks.
+// libraft stores entries and snapshots in words of eight bytes. Trailing blanks are valid after JSON.
 raft_buffer bufferOf(std::string text) {
     text.resize((text.size() + 7) / 8 * 8, ' ');
     raft_buffer buffer{};
@@ -31,7 +32,7 @@
     return {static_cast<const char*>(buffer.base), buffer.len};
 }
 
-const char* roleOf(int role) {
+const char* nameOfRole(int role) {
     return role == RAFT_VOTER ? "voter" : role == RAFT_STANDBY ? "standby" : "spare";
 }
 
@@ -48,41 +49,41 @@
 };
 struct Consensus::MemberChange {
     raft_change request{};
-    Changed changed;
+    ChangeCallback changed;
 };
 
 Consensus::Consensus(net::Loop& loop, const Member& self, const std::vector<Member>& members,
-                     const std::string& folder, const std::string& listen, const RaftRules& rules,
+                     const std::string& folder, const std::string& listen, const RaftOptions& rules,
                      config::Store& store, std::function<void()> changed)
     : loop_(loop),
       store_(store),
-      changed_(std::move(changed)),
-      electionTimeout_(std::chrono::milliseconds{rules.electionMs}),
-      fsm_(stateMachineOf(*this)) {
-    host_.emplace(RaftHost::Identity{self.id, self.raft, listen}, folder, fsm_);
-    raft* core = &host_->core();
+      onStoreChanged_(std::move(changed)),
+      electionTimeout_(std::chrono::milliseconds{rules.electionTimeoutMs}),
+      fsm_(makeStateMachine(*this)) {
+    node_.emplace(RaftNode::Identity{self.id, self.raft, listen}, folder, fsm_);
+    raft* core = &node_->core();
     if (!members.empty()) bootstrap(members);
     raft_set_pre_vote(core, true);
-    raft_set_election_timeout(core, rules.electionMs);
-    raft_set_heartbeat_timeout(core, rules.heartbeatMs);
-    raft_set_snapshot_threshold(core, rules.snapshotEvery);
-    // After a cut the one that was under way is sent again; libraft would wait for 30 s.
-    raft_set_install_snapshot_timeout(core, kInstallAgainMs);
-    host_->check(raft_start(core), "start");
-    handler_ = loop_.add(uv_backend_fd(&host_->loop()), EPOLLIN, *this);
+    raft_set_election_timeout(core, rules.electionTimeoutMs);
+    raft_set_heartbeat_timeout(core, rules.heartbeatIntervalMs);
+    raft_set_snapshot_threshold(core, rules.snapshotThreshold);
+    // After an interrupted connection the snapshot is sent again; libraft's default would wait for 30 s.
+    raft_set_install_snapshot_timeout(core, kInstallSnapshotTimeoutMs);
+    node_->check(raft_start(core), "start");
+    handler_ = loop_.add(uv_backend_fd(&node_->loop()), EPOLLIN, *this);
 }
 
-Consensus::~Consensus() { loop_.remove(handler_, uv_backend_fd(&host_->loop())); }
+Consensus::~Consensus() { loop_.remove(handler_, uv_backend_fd(&node_->loop())); }
 
-raft_fsm Consensus::stateMachineOf(Consensus& self) {
+raft_fsm Consensus::makeStateMachine(Consensus& self) {
     raft_fsm fsm{};
     fsm.version = 1;
     fsm.data = &self;
     fsm.apply = [](raft_fsm* machine, const raft_buffer* buffer, void** result) {
         auto& owner = *static_cast<Consensus*>(machine->data);
         owner.outcome_ = owner.store_.apply(textOf(*buffer));
-        *result = &owner.outcome_;  // taken, if at all, before the next is applied
-        owner.loop_.post(owner.changed_);
+        *result = &owner.outcome_;  // read before the next command is applied, if at all
+        owner.loop_.post(owner.onStoreChanged_);
         return 0;
     };
     fsm.snapshot = [](raft_fsm* machine, raft_buffer** buffers, unsigned* count) {
@@ -100,26 +101,26 @@
             return static_cast<int>(RAFT_MALFORMED);
         }
         raft_free(buffer->base);
-        owner.loop_.post(owner.changed_);
+        owner.loop_.post(owner.onStoreChanged_);
         return 0;
     };
     return fsm;
 }
 
-// Does nothing but on the very first start.
+// Only has an effect on the first start.
 void Consensus::bootstrap(const std::vector<Member>& members) {
     raft_configuration all;
     raft_configuration_init(&all);
     for (const Member& member : members)
         raft_configuration_add(&all, member.id, member.raft.c_str(), RAFT_VOTER);
-    const int made = raft_bootstrap(&host_->core(), &all);
+    const int made = raft_bootstrap(&node_->core(), &all);
     raft_configuration_close(&all);
-    if (made != RAFT_CANTBOOTSTRAP) host_->check(made, "bootstrap");
+    if (made != RAFT_CANTBOOTSTRAP) node_->check(made, "bootstrap");
 }
 
-void Consensus::propose(const std::string& command, Done done) {
-    // Nobody could say when it would be durable here; a leader that can write is on its way.
-    if (!takesProposals()) return done(Fate::refused, {});
+void Consensus::propose(const std::string& command, ProposalCallback done) {
+    // The entry could not become durable here; another agent is about to take over leadership.
+    if (!acceptsProposals()) return done(ProposalResult::refused, {});
     auto proposal = std::make_unique<Proposal>();
     proposal->request.data = proposal.get();
     proposal->owner = this;
@@ -127,143 +128,147 @@
     proposals_.push_back({proposal->number, loop_.now(), std::move(done)});
     raft_buffer buffer = bufferOf(command);
     const int result =
-        raft_apply(&host_->core(), &proposal->request, &buffer, 1,
+        raft_apply(&node_->core(), &proposal->request, &buffer, 1,
                    [](struct raft_apply* request, int status, void* outcome) {
-                       const std::unique_ptr<Proposal> ended(static_cast<Proposal*>(request->data));
+                       const std::unique_ptr<Proposal> completed(static_cast<Proposal*>(request->data));
                        if (status == 0)
-                           ended->owner->answer(ended->number, Fate::applied,
-                                                *static_cast<const config::Outcome*>(outcome));
+                           completed->owner->completeProposal(completed->number, ProposalResult::applied,
+                                                              *static_cast<const config::Outcome*>(outcome));
                        else
-                           ended->owner->answer(ended->number, Fate::unknown, {});
+                           completed->owner->completeProposal(completed->number, ProposalResult::unknown, {});
                    });
     if (result == 0) {
-        static_cast<void>(proposal.release());  // the callback has it now
+        static_cast<void>(proposal.release());  // now owned by the callback
         return;
     }
     raft_free(buffer.base);
-    answer(proposal->number, Fate::refused, {});
+    completeProposal(proposal->number, ProposalResult::refused, {});
 }
 
-void Consensus::answer(std::uint64_t number, Fate fate, const config::Outcome& outcome) {
+void Consensus::completeProposal(std::uint64_t number, ProposalResult result,
+                                 const config::Outcome& outcome) {
     const auto found = std::lower_bound(
         proposals_.begin(), proposals_.end(), number,
         [](const PendingProposal& one, std::uint64_t wanted) { return one.number < wanted; });
-    if (found == proposals_.end() || found->number != number) return;  // it was overdue
-    const Done done = std::move(found->done);
+    if (found == proposals_.end() || found->number != number) return;  // already reported as unknown
+    const ProposalCallback done = std::move(found->done);
     proposals_.erase(found);
-    done(fate, outcome);
+    done(result, outcome);
 }
 
-void Consensus::answerOverdueProposals() {
-    while (!proposals_.empty() && loop_.now() - proposals_.front().begunAt > kAnswerWithin)
-        answer(proposals_.front().number, Fate::unknown, {});
+void Consensus::expireOverdueProposals() {
+    while (!proposals_.empty() && loop_.now() - proposals_.front().submittedAt > kProposalTimeout)
+        completeProposal(proposals_.front().number, ProposalResult::unknown, {});
 }
 
-// A leader that cannot write holds up nobody who can.
-void Consensus::handOverWhileStorageFails() {
-    if (!leads() || handingOver_ || storageFailingFor() < kHandOverAfter || loop_.now() < handOverAgainAt_)
+// A leader that cannot write its log must not block agents that can.
+void Consensus::transferLeadershipWhileStorageFails() {
+    if (!isLeader() || transferPending_ || storageFailingFor() < kTransferAfterWriteFailures ||
+        loop_.now() < nextTransferAt_)
         return;
-    handOverAgainAt_ = loop_.now() + 2 * electionTimeout_;
-    transfer_.data = this;
-    const int result = raft_transfer(&host_->core(), &transfer_, 0, [](struct raft_transfer* transfer) {
-        static_cast<Consensus*>(transfer->data)->handingOver_ = false;
-    });
-    handingOver_ = result == 0;
-    std::fprintf(stderr, "agent: raft log: not written for %lld ms, %s\n",
+    nextTransferAt_ = loop_.now() + 2 * electionTimeout_;
+    transferRequest_.data = this;
+    const int result =
+        raft_transfer(&node_->core(), &transferRequest_, 0, [](struct raft_transfer* transfer) {
+            static_cast<Consensus*>(transfer->data)->transferPending_ = false;
+        });
+    transferPending_ = result == 0;
+    std::fprintf(stderr, "agent: raft log: writes have failed for %lld ms; %s\n",
                  static_cast<long long>(storageFailingFor().count()),
-                 handingOver_ ? "handing the lead over" : "and no other agent can take the lead");
+                 transferPending_ ? "transferring leadership" : "leadership cannot be transferred now");
 }
 
-void Consensus::barrier(std::function<void(bool)> done) { reads_.push_back(std::move(done)); }
+void Consensus::barrier(std::function<void(bool)> done) { pendingReads_.push_back(std::move(done)); }
 
-bool Consensus::leads() { return raft_state(&host_->core()) == RAFT_LEADER; }
+bool Consensus::isLeader() { return raft_state(&node_->core()) == RAFT_LEADER; }
 
 std::uint64_t Consensus::leader() {
     raft_id id = 0;
     const char* address = nullptr;
-    raft_leader(&host_->core(), &id, &address);
+    raft_leader(&node_->core(), &id, &address);
     return id;
 }
 
-std::uint64_t Consensus::applied() { return raft_last_applied(&host_->core()); }
+std::uint64_t Consensus::lastAppliedIndex() { return raft_last_applied(&node_->core()); }
 
-// A follower starts its election timer anew whenever it hears from its leader; a leader, each time it has
-// found its majority.
-std::int64_t Consensus::ageMs() {
-    return static_cast<std::int64_t>(host_->nowMs() - host_->core().election_timer_start);
+// A follower restarts its election timer whenever it hears from the leader; a leader does so each time it
+// has contact with a majority.
+std::int64_t Consensus::leaderContactAgeMs() {
+    return static_cast<std::int64_t>(node_->nowMs() - node_->core().election_timer_start);
 }
 
-std::vector<Consensus::Seat> Consensus::members() {
-    std::vector<Seat> seats;
-    const raft_configuration& configuration = host_->core().configuration;
+std::vector<Consensus::ConfigurationMember> Consensus::members() {
+    std::vector<ConfigurationMember> members;
+    const raft_configuration& configuration = node_->core().configuration;
     for (unsigned i = 0; i < configuration.n; ++i) {
         const raft_server& server = configuration.servers[i];
-        seats.push_back({server.id, server.address, roleOf(server.role)});
+        members.push_back({server.id, server.address, nameOfRole(server.role)});
     }
-    return seats;
+    return members;
 }
 
 void Consensus::change(int (*begin)(raft*, raft_change*, std::uint64_t, const char*), std::uint64_t id,
-                       const std::string& address, Changed changed) {
+                       const std::string& address, ChangeCallback changed) {
     auto change = std::make_unique<MemberChange>();
     change->request.data = change.get();
     change->changed = std::move(changed);
     change->request.cb = [](raft_change* request, int status) {
-        const std::unique_ptr<MemberChange> ended(static_cast<MemberChange*>(request->data));
-        ended->changed(status == 0 ? "" : raft_strerror(status));
+        const std::unique_ptr<MemberChange> completed(static_cast<MemberChange*>(request->data));
+        completed->changed(status == 0 ? "" : raft_strerror(status));
     };
-    const int result = begin(&host_->core(), &change->request, id, address.c_str());
+    const int result = begin(&node_->core(), &change->request, id, address.c_str());
     if (result == 0) {
         static_cast<void>(change.release());
         return;
     }
-    const char* told = raft_errmsg(&host_->core());
+    const char* message = raft_errmsg(&node_->core());
     change->changed(result == RAFT_CANTCHANGE ? "another change of members is under way"
-                    : told && *told           ? told
+                    : message && *message     ? message
                                               : raft_strerror(result));
 }
 
-void Consensus::add(std::uint64_t id, const std::string& address, Changed changed) {
+void Consensus::add(std::uint64_t id, const std::string& address, ChangeCallback changed) {
     change([](raft* r, raft_change* request, std::uint64_t i,
               const char* at) { return raft_add(r, request, i, at, request->cb); },
            id, address, std::move(changed));
 }
-void Consensus::promote(std::uint64_t id, Changed changed) {
+void Consensus::promote(std::uint64_t id, ChangeCallback changed) {
     change([](raft* r, raft_change* request, std::uint64_t i,
               const char*) { return raft_assign(r, request, i, RAFT_VOTER, request->cb); },
            id, "", std::move(changed));
 }
-void Consensus::remove(std::uint64_t id, Changed changed) {
+void Consensus::remove(std::uint64_t id, ChangeCallback changed) {
     change([](raft* r, raft_change* request, std::uint64_t i,
               const char*) { return raft_remove(r, request, i, request->cb); },
            id, "", std::move(changed));
 }
 
-// libuv polls level by level, this loop waits for edges: what an edge may have missed waits this long at
-// most.
-net::Micros Consensus::nextTurn() const {
-    constexpr int kMostMs = 20;
-    if (!reads_.empty()) return loop_.now();
-    const int wait = uv_backend_timeout(&host_->loop());
-    return loop_.now() + std::chrono::milliseconds(wait < 0 ? kMostMs : std::min(wait, kMostMs));
+// libuv polls level-triggered, but this loop is edge-triggered: an edge that was missed is picked up after
+// the maximum interval.
+net::Micros Consensus::nextPollTime() const {
+    constexpr int kMaxPollIntervalMs = 20;
+    if (!pendingReads_.empty()) return loop_.now();
+    const int wait = uv_backend_timeout(&node_->loop());
+    return loop_.now() +
+           std::chrono::milliseconds(wait < 0 ? kMaxPollIntervalMs : std::min(wait, kMaxPollIntervalMs));
 }
 
-void Consensus::turn() {
-    if (!reads_.empty()) askForBarrier();
-    uv_run(&host_->loop(), UV_RUN_NOWAIT);
-    answerOverdueProposals();
-    handOverWhileStorageFails();
+void Consensus::poll() {
+    if (!pendingReads_.empty()) submitBarrier();
+    uv_run(&node_->loop(), UV_RUN_NOWAIT);
+    expireOverdueProposals();
+    transferLeadershipWhileStorageFails();
 }
 
-void Consensus::askForBarrier() {
+void Consensus::submitBarrier() {
     auto barrier = std::make_unique<Barrier>();
     barrier->request.data = barrier.get();
-    barrier->reads = std::exchange(reads_, {});
+    barrier->reads = std::exchange(pendingReads_, {});
     const auto ended = [](struct raft_barrier* request, int status) {
-        const std::unique_ptr<Barrier> held(static_cast<Barrier*>(request->data));
-        for (const auto& read : held->reads) read(status == 0);
+        const std::unique_ptr<Barrier> completed(static_cast<Barrier*>(request->data));
+        for (const auto& read : completed->reads) read(status == 0);
     };
-    if (raft_barrier(&host_->core(), &barrier->request, ended) == 0)
+    if (raft_barrier(&node_->core(), &barrier->request, ended) == 0)
         static_cast<void>(barrier.release());
     else
         for (const auto& read : barrier->reads) read(false);
@@ -271,7 +276,7 @@
 
 void Consensus::recoverAlone(const Member& self, const std::string& folder) {
     raft_fsm none{};
-    RaftHost host({self.id, self.raft, {}}, folder, none);
+    RaftNode host({self.id, self.raft, {}}, folder, none);
     raft_configuration alone;
     raft_configuration_init(&alone);
     raft_configuration_add(&alone, self.id, self.raft.c_str(), RAFT_VOTER);
--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::int64_t kMostHoldMs = 10'000;
+constexpr std::int64_t kMaxHoldMs = 10'000;
 constexpr net::HttpServer::Limits kLimits{1024, 2 * config::kMaxTransactionBytes, std::chrono::seconds{15}};
 
 Answer jsonAnswer(int status, const json& body) { return {status, body.dump() + "\n", {}}; }
@@ -23,12 +23,12 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
-Answer answerOf(Consensus::Fate fate, const config::Outcome& outcome) {
-    using Fate = Consensus::Fate;
+Answer proposalAnswer(Consensus::ProposalResult result, const config::Outcome& outcome) {
+    using ProposalResult = Consensus::ProposalResult;
     using Status = config::Outcome::Status;
-    if (fate == Fate::refused)
+    if (result == ProposalResult::refused)
         return jsonAnswer(503, {{"word", "refused"}, {"why", "no leader that can write its log now"}});
-    if (fate == Fate::unknown)
+    if (result == ProposalResult::unknown)
         return jsonAnswer(503, {{"word", "unknown"}, {"why", "it may be applied yet, or never"}});
     json body = {{"word", config::nameOf(outcome.status)}, {"revision", outcome.revision}};
     if (!outcome.key.empty()) body["key"] = outcome.key;
@@ -46,8 +46,8 @@
     return {{"revision", entry.revision}, {"at", entry.atMs}, {"by", entry.author}, {"changes", changes}};
 }
 
-// Entries that changed something under the prefix.
-json listOf(const std::vector<const config::HistoryEntry*>& entries, const std::string& prefix) {
+// Lists the entries that changed something under the prefix.
+json historyToJson(const std::vector<const config::HistoryEntry*>& entries, const std::string& prefix) {
     json list = json::array();
     for (const auto* entry : entries) {
         json one = toJson(*entry, prefix);
@@ -75,10 +75,10 @@
 }
 
 void Control::handle(const net::HttpHead& head, const std::string& body, Reply reply) {
-    const Target target(head.target);
+    const RequestTarget target(head.target);
     const auto under = [&](const std::string& prefix) { return target.path.rfind(prefix, 0) == 0; };
     if (target.path == "/status") return reply({200, status().dump(2) + "\n", {}});
-    if (target.path == "/config" && head.method == "POST") return transact(head, body, reply);
+    if (target.path == "/config" && head.method == "POST") return commitTransaction(head, body, reply);
     if (target.path == "/config" || under("/config/")) return readDocuments(head, target, reply);
     if (target.path == "/history") return history(target, reply);
     if (target.path == "/watch") return watch(target, std::move(reply));
@@ -89,24 +89,24 @@
     reply({404, "no such thing\n", {}});
 }
 
-std::string Control::controlOf(std::uint64_t agent) const {
-    if (const auto* told = store_.find("agents/" + std::to_string(agent)))
-        return told->value.value("control", "");
+std::string Control::controlAddressOf(std::uint64_t agent) const {
+    if (const auto* document = store_.find("agents/" + std::to_string(agent)))
+        return document->value.value("control", "");
     for (const Member& m : configuration_.members)
         if (m.id == agent) return m.control;
     return {};
 }
 
-void Control::toLeader(const std::string& target, const Reply& reply) {
+void Control::redirectToLeader(const std::string& target, const Reply& reply) {
     const std::uint64_t leader = consensus_.leader();
-    const std::string control = leader == configuration_.id ? std::string{} : controlOf(leader);
+    const std::string control = leader == configuration_.id ? std::string{} : controlAddressOf(leader);
     if (control.empty()) return reply({503, "the agents have no leader now\n", {}});
     reply({307, "", {"Location", "http://" + control + target}});
 }
 
-// ----- the tree -----
+// ----- documents -----
 
-json Control::documents(const Target& target) const {
+json Control::documents(const RequestTarget& target) const {
     json list = json::array();
     const auto add = [&](const std::string& key, const config::Document& d) {
         list.push_back(
@@ -117,43 +117,45 @@
         const std::string key = target.path.substr(8);
         if (const auto* found = store_.find(key)) add(key, *found);
     } else {
-        store_.forEach(target.text("prefix"), add);
+        store_.forEach(target.parameter("prefix"), add);
     }
     return list;
 }
 
-void Control::readDocuments(const net::HttpHead& head, const Target& target, const Reply& reply) {
+void Control::readDocuments(const net::HttpHead& head, const RequestTarget& target, const Reply& reply) {
     if (head.method != "GET") return reply({405, "GET only; POST /config changes\n", {}});
     const auto answer = [this, target, reply](bool current) {
         json body = {{"revision", store_.revision()},
                      {"current", current},
                      {"leader", consensus_.leader()},
-                     {"age_ms", current ? 0 : consensus_.ageMs()},
+                     {"age_ms", current ? 0 : consensus_.leaderContactAgeMs()},
                      {"documents", documents(target)}};
         const bool one = target.path.size() > 8;
         reply(jsonAnswer(one && body["documents"].empty() ? 404 : 200, body));
     };
-    if (!target.text("stale").empty()) return answer(false);
-    if (!consensus_.leads()) return toLeader(head.target, reply);
+    if (!target.parameter("stale").empty()) return answer(false);
+    if (!consensus_.isLeader()) return redirectToLeader(head.target, reply);
     consensus_.barrier([answer, reply](bool holds) {
         if (holds) return answer(true);
         reply({503, "this agent no longer leads\n", {}});
     });
 }
 
-void Control::history(const Target& target, const Reply& reply) {
-    const auto from = static_cast<config::Revision>(target.whole("from").value_or(0));
-    const std::string prefix = target.text("prefix");
-    const json list = listOf(store_.retainedSince(from, prefix), prefix);
-    const config::Revision oldest = store_.historyCompleteFrom(prefix) + 1;  // from it on all is held
+void Control::history(const RequestTarget& target, const Reply& reply) {
+    const auto from = static_cast<config::Revision>(target.integerParameter("from").value_or(0));
+    const std::string prefix = target.parameter("prefix");
+    const json list = historyToJson(store_.retainedSince(from, prefix), prefix);
+    // first revision of the complete history
+    const config::Revision oldest = store_.historyCompleteFrom(prefix) + 1;
     reply(jsonAnswer(200, {{"revision", store_.revision()}, {"oldest", oldest}, {"history", list}}));
 }
 
-void Control::watch(const Target& target, Reply reply) {
-    const auto from = target.whole("from");
+void Control::watch(const RequestTarget& target, Reply reply) {
+    const auto from = target.integerParameter("from");
     if (!from || *from < 0) return reply({400, "'from' is not a revision\n", {}});
-    const std::int64_t hold = std::clamp<std::int64_t>(target.whole("hold").value_or(0), 0, kMostHoldMs);
-    Watch watch{static_cast<config::Revision>(*from), target.text("prefix"), std::move(reply), {}};
+    const std::int64_t hold =
+        std::clamp<std::int64_t>(target.integerParameter("hold").value_or(0), 0, kMaxHoldMs);
+    Watch watch{static_cast<config::Revision>(*from), target.parameter("prefix"), std::move(reply), {}};
     if (answerWatch(watch, hold == 0)) return;
     const auto at = watches_.insert(watches_.end(), std::move(watch));
     at->timer = loop_.after(std::chrono::milliseconds{hold}, [this, at] {
@@ -163,19 +165,19 @@
     });
 }
 
-// False: there is nothing to tell yet.
-bool Control::answerWatch(const Watch& watch, bool over) {
+// Returns false if there is nothing to report yet.
+bool Control::answerWatch(const Watch& watch, bool expired) {
     if (watch.from > store_.revision()) {
         watch.reply({503, "this agent is behind\n", {}});
         return true;
     }
-    const auto behind = store_.changesSince(watch.from, watch.prefix);
-    if (!behind) {
+    const auto entries = store_.changesSince(watch.from, watch.prefix);
+    if (!entries) {
         watch.reply(jsonAnswer(410, {{"word", "compacted"}, {"revision", store_.revision()}}));
         return true;
     }
-    const json list = listOf(*behind, watch.prefix);
-    if (list.empty() && !over) return false;
+    const json list = historyToJson(*entries, watch.prefix);
+    if (list.empty() && !expired) return false;
     watch.reply(jsonAnswer(200, {{"revision", store_.revision()}, {"history", list}}));
     return true;
 }
@@ -192,23 +194,24 @@
 }
 
 void Control::propose(const net::HttpHead& head, const config::Command& command, const Reply& reply) {
-    if (!consensus_.leads()) return toLeader(head.target, reply);
-    consensus_.propose(
-        config::encode(command),
-        [reply](Consensus::Fate fate, const config::Outcome& outcome) { reply(answerOf(fate, outcome)); });
+    if (!consensus_.isLeader()) return redirectToLeader(head.target, reply);
+    consensus_.propose(config::encode(command),
+                       [reply](Consensus::ProposalResult result, const config::Outcome& outcome) {
+                           reply(proposalAnswer(result, outcome));
+                       });
 }
 
-void Control::transact(const net::HttpHead& head, const std::string& body, const Reply& reply) {
-    if (!consensus_.leads()) return toLeader(head.target, reply);
-    if (!consensus_.takesProposals()) return reply(answerOf(Consensus::Fate::refused, {}));
+void Control::commitTransaction(const net::HttpHead& head, const std::string& body, const Reply& reply) {
+    if (!consensus_.isLeader()) return redirectToLeader(head.target, reply);
+    if (!consensus_.acceptsProposals()) return reply(proposalAnswer(Consensus::ProposalResult::refused, {}));
     const json text = json::parse(body, nullptr, false);
     config::Command command;
     try {
         command.transaction = config::readTransaction(text);
         if (text.contains("session")) {
-            const bool numbers = text["session"].is_number_unsigned() && text.contains("sequence") &&
+            const bool isValid = text["session"].is_number_unsigned() && text.contains("sequence") &&
                                  text["sequence"].is_number_unsigned() && text["sequence"] > 0;
-            if (!numbers) throw settings::DecodeError("field 'session' or 'sequence' is not a number");
+            if (!isValid) throw settings::DecodeError("field 'session' or 'sequence' is not a number");
             command.session = text["session"];
             command.sequence = text["sequence"];
         }
@@ -234,18 +237,18 @@
                       const Reply& reply) {
     if (rest.empty()) {
         json list = json::array();
-        for (const auto& seat : consensus_.members())
-            list.push_back({{"id", seat.id},
-                            {"raft", seat.address},
-                            {"role", seat.role},
-                            {"control", controlOf(seat.id)},
-                            {"leads", seat.id == consensus_.leader()}});
-        return reply(jsonAnswer(200, {{"members", list}, {"age_ms", consensus_.ageMs()}}));
+        for (const auto& member : consensus_.members())
+            list.push_back({{"id", member.id},
+                            {"raft", member.address},
+                            {"role", member.role},
+                            {"control", controlAddressOf(member.id)},
+                            {"leads", member.id == consensus_.leader()}});
+        return reply(jsonAnswer(200, {{"members", list}, {"age_ms", consensus_.leaderContactAgeMs()}}));
     }
     const std::size_t slash = rest.find('/');
     const std::uint64_t id = std::strtoull(rest.c_str(), nullptr, 10);
     if (id == 0) return reply({400, "an agent's id is a number above 0\n", {}});
-    if (!consensus_.leads()) return toLeader(head.target, reply);
+    if (!consensus_.isLeader()) return redirectToLeader(head.target, reply);
     const auto done = [reply](const std::string& problem) {
         reply(problem.empty() ? Answer{200, "done\n", {}} : Answer{409, problem + "\n", {}});
     };
@@ -267,12 +270,14 @@
         return reply({400, std::string(problem.what()) + "\n", {}});
     }
     command.transaction.atMs = unixMs();
-    // First where it is to be found, then its seat: whoever knows of the seat knows the way.
-    consensus_.propose(config::encode(command),
-                       [this, id, raft, done, reply](Consensus::Fate fate, const config::Outcome& outcome) {
-                           if (fate != Consensus::Fate::applied) return reply(answerOf(fate, outcome));
-                           consensus_.add(id, raft, done);
-                       });
+    // Store the control address before the membership change: any agent that sees the member can then
+    // redirect to it.
+    consensus_.propose(
+        config::encode(command),
+        [this, id, raft, done, reply](Consensus::ProposalResult result, const config::Outcome& outcome) {
+            if (result != Consensus::ProposalResult::applied) return reply(proposalAnswer(result, outcome));
+            consensus_.add(id, raft, done);
+        });
 }
 
 // ----- instances -----
@@ -280,11 +285,11 @@
 void Control::instances(const net::HttpHead& head, const std::string& rest, const std::string& body,
                         const Reply& reply) {
     if (const std::size_t slash = rest.find('/'); slash != std::string::npos)
-        return operate(rest.substr(0, slash), rest.substr(slash + 1), head, reply);
-    // Before the text is read, which takes long where it is large.
-    if (!consensus_.leads()) return toLeader(head.target, reply);
-    if (!consensus_.takesProposals()) return reply({503, "not agreed\n", {}});
-    const std::string key = kInstances + rest;
+        return callOperatorAddress(rest.substr(0, slash), rest.substr(slash + 1), head, reply);
+    // Checked before the body is parsed, which takes long for a large one.
+    if (!consensus_.isLeader()) return redirectToLeader(head.target, reply);
+    if (!consensus_.acceptsProposals()) return reply({503, "not agreed\n", {}});
+    const std::string key = kInstancePrefix + rest;
     config::Command command;
     config::Change& change = command.transaction.changes.emplace_back();
     change.key = key;
@@ -292,15 +297,16 @@
         if (!store_.find(key)) return reply({404, "no instance '" + rest + "'\n", {}});
     } else if (head.method == "PUT") {
         const json wanted = json::parse(body, nullptr, false);
-        const bool formed = wanted.is_object() && wanted.contains("agent") &&
-                            wanted["agent"].is_number_unsigned() && wanted.contains("configuration");
-        if (!formed) return reply({400, "'agent' and 'configuration' are wanted\n", {}});
+        const bool isValid = wanted.is_object() && wanted.contains("agent") &&
+                             wanted["agent"].is_number_unsigned() && wanted.contains("configuration");
+        if (!isValid) return reply({400, "'agent' and 'configuration' are wanted\n", {}});
         const std::uint64_t agent = wanted["agent"];
-        if (controlOf(agent).empty()) return reply({400, "no agent " + std::to_string(agent) + "\n", {}});
+        if (controlAddressOf(agent).empty())
+            return reply({400, "no agent " + std::to_string(agent) + "\n", {}});
         change.value = json{{"agent", agent}, {"configuration", wanted["configuration"]}};
         try {
             settings::readConfiguration(
-                wanted["configuration"].dump());  // a bad one would only end at its start
+                wanted["configuration"].dump());  // an invalid one would only fail when the instance starts
         } catch (const settings::DecodeError& problem) {
             return reply({400, std::string("bad configuration: ") + problem.what() + "\n", {}});
         }
@@ -313,24 +319,26 @@
         return reply({400, std::string(problem.what()) + "\n", {}});
     }
     command.transaction.atMs = unixMs();
-    consensus_.propose(config::encode(command), [reply](Consensus::Fate fate, const config::Outcome&) {
-        reply(fate == Consensus::Fate::applied   ? Answer{200, "agreed\n", {}}
-              : fate == Consensus::Fate::refused ? Answer{503, "not agreed\n", {}}
-                                                 : Answer{503, "unknown: it may be agreed on yet\n", {}});
-    });
+    consensus_.propose(config::encode(command),
+                       [reply](Consensus::ProposalResult result, const config::Outcome&) {
+                           reply(result == Consensus::ProposalResult::applied ? Answer{200, "agreed\n", {}}
+                                 : result == Consensus::ProposalResult::refused
+                                     ? Answer{503, "not agreed\n", {}}
+                                     : Answer{503, "unknown: it may be agreed on yet\n", {}});
+                       });
 }
 
-void Control::operate(const std::string& name, const std::string& what, const net::HttpHead& head,
-                      const Reply& reply) {
+void Control::callOperatorAddress(const std::string& name, const std::string& what, const net::HttpHead& head,
+                                  const Reply& reply) {
     const bool ready = what == "ready";
     if (!ready && what != "drain" && what != "undrain" && what != "replace")
         return reply({404, "no such thing\n", {}});
     if (head.method != (ready ? "GET" : "POST")) return reply({405, "GET ready, POST the others\n", {}});
-    const auto* found = store_.find(kInstances + name);
+    const auto* found = store_.find(kInstancePrefix + name);
     if (!found) return reply({404, "no instance '" + name + "'\n", {}});
     const std::uint64_t agent = found->value.at("agent");
     if (agent != configuration_.id) {
-        const std::string control = controlOf(agent);
+        const std::string control = controlAddressOf(agent);
         if (control.empty()) return reply({503, "its agent is not known\n", {}});
         return reply({307, "", {"Location", "http://" + control + head.target}});
     }
@@ -340,9 +348,9 @@
                       begun ? "replacing\n" : "it does not run, is being replaced, or has no door\n",
                       {}});
     }
-    const auto door = supervisor_.door(name);
-    if (!door) return reply({409, "it has no operators' door\n", {}});
-    net::sendHttpRequest(loop_, *door, head.method, "/" + what, std::chrono::seconds{2},
+    const auto operatorAddress = supervisor_.operatorAddress(name);
+    if (!operatorAddress) return reply({409, "it has no operators' door\n", {}});
+    net::sendHttpRequest(loop_, *operatorAddress, head.method, "/" + what, std::chrono::seconds{2},
                          [reply](int status, std::string body) {
                              reply(status != 0 ? Answer{status, std::move(body), {}}
                                                : Answer{503, "its door does not answer\n", {}});
@@ -358,11 +366,11 @@
     }
     return {{"agent", configuration_.id},
             {"leader", consensus_.leader()},
-            {"applied", consensus_.applied()},
+            {"applied", consensus_.lastAppliedIndex()},
             {"revision", store_.revision()},
             {"documents", store_.size()},
             {"last_event", store_.lastEvent()},
-            {"age_ms", consensus_.ageMs()},
+            {"age_ms", consensus_.leaderContactAgeMs()},
             {"storage_failing_ms", consensus_.storageFailingFor().count()},
             {"instances", running}};
 }
--- a/src/agent/control.hpp
+++ b/src/agent/control.hpp
@@ -1,5 +1,5 @@
-// What the tool asks of an agent: the tree, its history, members and instances. Changes and current reads are
-// the leader's; another agent names it (307).
+// HTTP control address of an agent: documents, history, members and instances. Changes and linearizable
+// reads are served by the leader; other agents redirect to it (307).
 #pragma once
 
 #include <list>
@@ -21,7 +21,7 @@
             Consensus& consensus, Supervisor& supervisor);
     ~Control();
 
-    void changed();  // the store is: watches are answered
+    void changed();  // call when the store has changed; answers pending watches
 
 private:
     using Reply = net::HttpServer::SendResponse;
@@ -33,23 +33,23 @@
     };
 
     void handle(const net::HttpHead& head, const std::string& body, Reply reply);
-    void readDocuments(const net::HttpHead& head, const Target& target, const Reply& reply);
-    void history(const Target& target, const Reply& reply);
-    void watch(const Target& target, Reply reply);
-    bool answerWatch(const Watch& watch, bool over);
-    void transact(const net::HttpHead& head, const std::string& body, const Reply& reply);
+    void readDocuments(const net::HttpHead& head, const RequestTarget& target, const Reply& reply);
+    void history(const RequestTarget& target, const Reply& reply);
+    void watch(const RequestTarget& target, Reply reply);
+    bool answerWatch(const Watch& watch, bool expired);
+    void commitTransaction(const net::HttpHead& head, const std::string& body, const Reply& reply);
     void openSession(const net::HttpHead& head, const Reply& reply);
     void propose(const net::HttpHead& head, const config::Command& command, const Reply& reply);
     void members(const net::HttpHead& head, const std::string& rest, const std::string& body,
                  const Reply& reply);
     void instances(const net::HttpHead& head, const std::string& rest, const std::string& body,
                    const Reply& reply);
-    // What the door of one instance is asked, by the agent that runs it.
-    void operate(const std::string& name, const std::string& what, const net::HttpHead& head,
-                 const Reply& reply);
-    void toLeader(const std::string& target, const Reply& reply);
-    std::string controlOf(std::uint64_t agent) const;
-    nlohmann::json documents(const Target& target) const;
+    // Forwards a request to the operator address of an instance; served by the agent that runs it.
+    void callOperatorAddress(const std::string& name, const std::string& what, const net::HttpHead& head,
+                             const Reply& reply);
+    void redirectToLeader(const std::string& target, const Reply& reply);
+    std::string controlAddressOf(std::uint64_t agent) const;
+    nlohmann::json documents(const RequestTarget& target) const;
     nlohmann::json status();
 
     net::Loop& loop_;
--- a/src/agent/event_feed.cpp
+++ b/src/agent/event_feed.cpp
@@ -9,12 +9,13 @@
 
 namespace {
 
-constexpr std::int64_t kMostHoldMs = 5000;  // as the event bus has it
-// Between two answers to those who wait. With many purges a second an answer for each would cost a gateway
-// several KB a second, most of it heads; this is small against the 1.9 s in which a purge must be
-// everywhere.
-constexpr net::Micros kGather = std::chrono::milliseconds{250};
-constexpr std::size_t kMostPages = 128;  // kept made, 128 KB each at most: an hour of 26 purges a second
+constexpr std::int64_t kMaxHoldMs = 5000;  // the event bus's limit
+// Minimum interval between two rounds of answers to held requests. With many purges per second, answering
+// each event separately would cost every gateway several KB per second, mostly for headers. The interval is
+// small compared with the 1.9 s within which a purge must reach all gateways.
+constexpr net::Micros kBatchInterval = std::chrono::milliseconds{250};
+// at most 128 KB each; enough for one hour of 26 purges per second
+constexpr std::size_t kMaxCachedPages = 128;
 constexpr net::HttpServer::Limits kLimits{4096, 1024, std::chrono::seconds{8}, true};
 
 }  // namespace
@@ -30,79 +31,82 @@
               }) {}
 
 EventFeed::~EventFeed() {
-    for (const Waiting& waiting : waiting_) loop_.cancel(waiting.timer);
-    if (gathering_) loop_.cancel(*gathering_);
+    for (const HeldRead& read : heldReads_) loop_.cancel(read.timer);
+    if (batchTimer_) loop_.cancel(*batchTimer_);
 }
 
 void EventFeed::handle(const net::HttpHead& head, net::HttpServer::SendResponse reply) {
-    const Target target(head.target);
+    const RequestTarget target(head.target);
     if (target.path != "/bus/read") return reply({404, "no such thing\n", {}});
     if (head.method != "GET") return reply({405, "GET only\n", {}});
-    const std::int64_t from = target.whole("from").value_or(-1);
-    const std::int64_t hold = std::clamp<std::int64_t>(target.whole("hold").value_or(0), 0, kMostHoldMs);
+    const std::int64_t from = target.integerParameter("from").value_or(-1);
+    const std::int64_t hold =
+        std::clamp<std::int64_t>(target.integerParameter("hold").value_or(0), 0, kMaxHoldMs);
     if (from < 0) return reply({400, "'from' is not a number\n", {}});
     ++counters_.reads;
     if (consensus_.leader() == 0) {
-        ++counters_.leaderless;
+        ++counters_.withoutLeader;
         return reply({503, "this agent knows of no leader now\n", {}});
     }
     if (from > store_.lastEvent()) {
-        ++counters_.behind;
+        ++counters_.behindReader;
         return reply({503, "this agent is behind\n", {}});
     }
     if (from < store_.lastEvent() || hold == 0) return answer(from, reply);
-    ++counters_.held;
-    const auto at = waiting_.insert(waiting_.end(), Waiting{from, std::move(reply), {}});
+    ++counters_.heldReads;
+    const auto at = heldReads_.insert(heldReads_.end(), HeldRead{from, std::move(reply), {}});
     at->timer = loop_.after(std::chrono::milliseconds{hold}, [this, at] {
-        const Waiting ended = std::move(*at);
-        waiting_.erase(at);
-        // Without a leader meanwhile nothing can be said of what was not told.
+        const HeldRead ended = std::move(*at);
+        heldReads_.erase(at);
+        // Without a leader, events may be missing here, so this must not look like "no events".
         if (consensus_.leader() == 0) return ended.reply({503, "this agent knows of no leader now\n", {}});
         answer(ended.from, ended.reply);
     });
 }
 
 void EventFeed::answer(std::int64_t from, const net::HttpServer::SendResponse& reply) {
-    if (madeFrom_ != from || madeTo_ != store_.lastEvent()) {
-        made_ = page(from);
-        madeFrom_ = from;
-        madeTo_ = store_.lastEvent();
+    if (cachedFrom_ != from || cachedLast_ != store_.lastEvent()) {
+        cachedAnswer_ = page(from);
+        cachedFrom_ = from;
+        cachedLast_ = store_.lastEvent();
     }
-    reply({200, made_, {}});
+    reply({200, cachedAnswer_, {}});
 }
 
 std::string EventFeed::page(std::int64_t from) {
     const config::EventLog& log = store_.eventLog();
-    if (std::exchange(pagesOfLoad_, store_.loadCount()) != store_.loadCount()) pages_.clear();
-    if (const auto found = pages_.find(from); found != pages_.end()) return log.encodePage(found->second);
+    if (std::exchange(cachedLoadCount_, store_.loadCount()) != store_.loadCount()) cachedPages_.clear();
+    if (const auto found = cachedPages_.find(from); found != cachedPages_.end())
+        return log.encodePage(found->second);
     config::EventLog::Page page = log.read(from);
     std::string text = log.encodePage(page);
     if (!page.cacheable) return text;
-    pages_.emplace(from, std::move(page));
-    if (pages_.size() > kMostPages) pages_.erase(pages_.begin());  // the oldest events are asked for least
+    cachedPages_.emplace(from, std::move(page));
+    if (cachedPages_.size() > kMaxCachedPages)
+        cachedPages_.erase(cachedPages_.begin());  // the oldest events are requested least
     return text;
 }
 
 void EventFeed::changed() {
-    madeFrom_ = -1;  // a restored store may hold other events under the same numbers
-    if (gathering_ || waiting_.empty()) return;
-    const net::Micros left = answeredAt_ + kGather - loop_.now();
-    if (left.count() <= 0) return answerWaiting();
-    gathering_ = loop_.after(left, [this] {
-        gathering_.reset();
-        answerWaiting();
+    cachedFrom_ = -1;  // a restored store may have other events under the same offsets
+    if (batchTimer_ || heldReads_.empty()) return;
+    const net::Micros left = lastAnsweredAt_ + kBatchInterval - loop_.now();
+    if (left.count() <= 0) return answerHeldReads();
+    batchTimer_ = loop_.after(left, [this] {
+        batchTimer_.reset();
+        answerHeldReads();
     });
 }
 
-void EventFeed::answerWaiting() {
-    answeredAt_ = loop_.now();
-    for (auto at = waiting_.begin(); at != waiting_.end();) {
+void EventFeed::answerHeldReads() {
+    lastAnsweredAt_ = loop_.now();
+    for (auto at = heldReads_.begin(); at != heldReads_.end();) {
         if (at->from >= store_.lastEvent()) {
             ++at;
             continue;
         }
-        const Waiting one = std::move(*at);
-        at = waiting_.erase(at);
+        const HeldRead one = std::move(*at);
+        at = heldReads_.erase(at);
         loop_.cancel(one.timer);
         answer(one.from, one.reply);
     }
--- a/src/agent/instances.hpp
+++ b/src/agent/instances.hpp
@@ -1,4 +1,4 @@
-// The instances among the documents that the agents agree on.
+// Reads the configured gateway instances from the replicated documents.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,17 @@
 
 struct Instance {
     std::uint64_t agent = 0;
-    std::uint64_t revision = 0;  // grows with every change of this instance
+    std::uint64_t revision = 0;  // increases with every change of this instance
     std::string configuration;   // JSON text
 };
 
-inline constexpr const char* kInstances = "instances/";
+inline constexpr const char* kInstancePrefix = "instances/";
 
 inline std::map<std::string, Instance> instancesOf(const config::Store& store) {
     std::map<std::string, Instance> result;
-    store.forEach(kInstances, [&](const std::string& key, const config::Document& document) {
-        result[key.substr(std::string(kInstances).size())] = {document.value.at("agent"), document.revision,
-                                                              document.value.at("configuration").dump()};
+    store.forEach(kInstancePrefix, [&](const std::string& key, const config::Document& document) {
+        result[key.substr(std::string(kInstancePrefix).size())] = {
+            document.value.at("agent"), document.revision, document.value.at("configuration").dump()};
         return true;
     });
     return result;
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -1,4 +1,5 @@
-// One agent: agrees with the others on the shared configuration, serves it, and runs instances as agreed.
+// The agent's program: takes part in consensus on the shared configuration, serves it, and runs the
+// instances that are assigned to this agent.
 #include <sys/stat.h>
 
 #include <cerrno>
@@ -22,38 +23,38 @@
 using namespace lotuslead;
 using namespace lotuslead::agent;
 
-std::string contentsOf(const std::string& path) {
+std::string readFile(const std::string& path) {
     std::ifstream file(path);
     std::ostringstream text;
     if (!file || !(text << file.rdbuf())) throw settings::DecodeError("cannot read '" + path + "'");
     return text.str();
 }
 
-std::string madeFolder(const AgentConfiguration& configuration, const char* name) {
+std::string ensureFolder(const AgentConfiguration& configuration, const char* name) {
     ::mkdir(configuration.folder.c_str(), 0755);
     std::string path = configuration.folder + "/" + name;
     if (::mkdir(path.c_str(), 0755) != 0 && errno != EEXIST)
-        throw settings::DecodeError("field 'folder': cannot make '" + path + "'");
+        throw settings::DecodeError("field 'folder': cannot create '" + path + "'");
     return path;
 }
 
-// A folder belongs to one agent of one cluster; in another it would bring that one's log along.
+// Ties the folder to one agent of one cluster. Used by another, it would bring along the wrong Raft log.
 void claimFolder(const AgentConfiguration& configuration) {
-    madeFolder(configuration, "raft");
+    ensureFolder(configuration, "raft");
     const std::string path = configuration.folder + "/cluster";
-    const std::string mine = configuration.cluster + " " + std::to_string(configuration.id) + "\n";
+    const std::string ownLine = configuration.cluster + " " + std::to_string(configuration.id) + "\n";
     std::ifstream file(path);
     std::ostringstream text;
     if (file) text << file.rdbuf();
-    std::string whose = text.str();
-    if (whose == mine) return;
-    if (!whose.empty() && whose.back() == '\n') {
-        whose.pop_back();
-        throw settings::DecodeError("field 'folder': it belongs to cluster and agent '" + whose + "'");
+    std::string owner = text.str();
+    if (owner == ownLine) return;
+    if (!owner.empty() && owner.back() == '\n') {
+        owner.pop_back();
+        throw settings::DecodeError("field 'folder': it belongs to cluster and agent '" + owner + "'");
     }
-    // There is none, or the disk was full when it was written.
+    // No claim yet, or a partial one because the disk was full.
     std::ofstream claim(path);
-    claim << mine;
+    claim << ownLine;
     if (!claim.flush()) throw StorageUnavailable("cannot write '" + path + "'");
 }
 
@@ -64,16 +65,16 @@
     explicit Agent(AgentConfiguration configuration)
         : configuration_(std::move(configuration)),
           signals_(watchSignals()),
-          signalsId_(loop_.add(signals_.get(), EPOLLIN, *this)),
-          supervisor_(loop_, configuration_.program, madeFolder(configuration_, "instances")),
+          signalsHandler_(loop_.add(signals_.get(), EPOLLIN, *this)),
+          supervisor_(loop_, configuration_.program, ensureFolder(configuration_, "instances")),
           consensus_(loop_, configuration_.self(),
                      configuration_.join ? std::vector<Member>{} : configuration_.members,
-                     madeFolder(configuration_, "raft"), configuration_.raftListen, configuration_.raft,
+                     ensureFolder(configuration_, "raft"), configuration_.raftListen, configuration_.raft,
                      store_, [this] { changed(); }),
           control_(loop_, configuration_, store_, consensus_, supervisor_) {
         if (configuration_.bus) feed_.emplace(loop_, *configuration_.bus, store_, consensus_);
     }
-    ~Agent() override { loop_.remove(signalsId_, signals_.get()); }
+    ~Agent() override { loop_.remove(signalsHandler_, signals_.get()); }
 
     int run() {
         const Member& self = configuration_.self();
@@ -81,8 +82,8 @@
                      static_cast<unsigned long long>(self.id), self.control.c_str(), self.raft.c_str());
         if (feed_) std::fprintf(stderr, "agent: gateways read at port %u\n", feed_->port());
         while (phase_ != Phase::stopped) {
-            loop_.turn(consensus_.nextTurn());
-            consensus_.turn();
+            loop_.turn(consensus_.nextPollTime());
+            consensus_.poll();
             if (phase_ == Phase::stopping && supervisor_.empty()) phase_ = Phase::stopped;
         }
         return 0;
@@ -90,9 +91,9 @@
 
 private:
     void changed() {
-        if (store_.revision() != shownRevision_) {
-            shownRevision_ = store_.revision();
-            if (phase_ == Phase::running) supervisor_.want(instancesOf(store_), configuration_.id);
+        if (store_.revision() != suppliedRevision_) {
+            suppliedRevision_ = store_.revision();
+            if (phase_ == Phase::running) supervisor_.setInstances(instancesOf(store_), configuration_.id);
         }
         if (feed_) feed_->changed();
         control_.changed();
@@ -111,41 +112,41 @@
             phase_ = Phase::stopping;
             supervisor_.stopAll();
         });
-        supervisor_.reap();  // several children may have ended by one signal
+        supervisor_.reap();  // one signal may stand for several ended children
         return 0;
     }
 
     AgentConfiguration configuration_;
     net::Loop loop_;
     net::Descriptor signals_;
-    net::Loop::HandlerId signalsId_;
+    net::Loop::HandlerId signalsHandler_;
     Phase phase_ = Phase::running;
     config::Store store_;
-    config::Revision shownRevision_ = 0;
+    config::Revision suppliedRevision_ = 0;
     Supervisor supervisor_;
     Consensus consensus_;
     Control control_;
     std::optional<EventFeed> feed_;
 };
 
-// Until the folder can be read and written, or a signal says to end.
+// Waits before the next attempt to use the folder; returns false if a signal asks to stop.
 bool waitForStorage() {
-    constexpr timespec kBetween{0, 250'000'000};
+    constexpr timespec kRetryInterval{0, 250'000'000};
     sigset_t set;
     sigemptyset(&set);
     for (const int number : {SIGTERM, SIGINT}) sigaddset(&set, number);
     sigprocmask(SIG_BLOCK, &set, nullptr);
-    return ::sigtimedwait(&set, nullptr, &kBetween) < 0;
+    return ::sigtimedwait(&set, nullptr, &kRetryInterval) < 0;
 }
 
 int run(const AgentConfiguration& configuration) {
-    bool told = false;
+    bool reported = false;
     do {
         try {
             claimFolder(configuration);
             return Agent(configuration).run();
         } catch (const StorageUnavailable& problem) {
-            if (!std::exchange(told, true))
+            if (!std::exchange(reported, true))
                 std::fprintf(stderr, "agent: its folder is not to be had: %s; trying again\n",
                              problem.what());
         }
@@ -153,29 +154,32 @@
     return 0;
 }
 
-// For a majority that is lost for good. Any member that answers may be part of one.
+// For a cluster whose majority is permanently lost. Refuses if any member answers, since that one might
+// belong to a majority.
 int recoverAlone(const AgentConfiguration& configuration) {
     net::Loop loop;
-    std::size_t reached = 0, asked = 0;
+    std::size_t reached = 0, pendingCalls = 0;
     for (const Member& m : configuration.members) {
-        ++asked;
+        ++pendingCalls;
         net::sendHttpRequest(loop, settings::readEndpoint(m.control, "control"), "GET", "/status",
                              std::chrono::seconds{2}, [&](int status, const std::string&) {
                                  reached += status != 0;
-                                 --asked;
+                                 --pendingCalls;
                              });
     }
-    while (asked > 0) loop.turn(loop.now() + std::chrono::milliseconds{100});
+    while (pendingCalls > 0) loop.turn(loop.now() + std::chrono::milliseconds{100});
     if (reached > 0) {
         std::fprintf(stderr,
-                     "lotuslead_agent: %zu of %zu agents can be reached; stop those that are left, this one "
-                     "too, or start the others\n",
+                     "lotuslead_agent: %zu of %zu agents can be reached; stop all of them, including "
+                     "this one, or start the others\n",
                      reached, configuration.members.size());
         return 1;
     }
     Consensus::recoverAlone(configuration.self(), configuration.folder + "/raft");
-    std::fprintf(stderr, "lotuslead_agent: agent %llu is a cluster of its own now; add the others anew\n",
-                 static_cast<unsigned long long>(configuration.id));
+    std::fprintf(
+        stderr,
+        "lotuslead_agent: agent %llu is now the only member of its cluster; add the other agents again\n",
+        static_cast<unsigned long long>(configuration.id));
     return 0;
 }
 
@@ -186,21 +190,21 @@
 
 }  // namespace
 
-// Exit codes: 0 stopped as told, 1 could not go on, 2 bad arguments or configuration.
-int main(int count, char** words) {
-    const std::string first = count > 1 ? words[1] : "";
+// Exit codes: 0 stopped by a signal, 1 failure, 2 bad arguments or configuration.
+int main(int count, char** arguments) {
+    const std::string first = count > 1 ? arguments[1] : "";
     if (first == "--help" || first == "--version") {
         std::fputs(first == "--help" ? kUsage : "lotuslead_agent " LOTUSLEAD_VERSION "\n", stdout);
         return 0;
     }
-    const bool recovers = first == "--recover-alone";
-    if (count != (recovers ? 3 : 2)) {
+    const bool recoverAloneWanted = first == "--recover-alone";
+    if (count != (recoverAloneWanted ? 3 : 2)) {
         std::fputs(kUsage, stderr);
         return 2;
     }
     try {
-        const AgentConfiguration configuration = readAgentConfiguration(contentsOf(words[count - 1]));
-        if (!recovers) return run(configuration);
+        const AgentConfiguration configuration = readAgentConfiguration(readFile(arguments[count - 1]));
+        if (!recoverAloneWanted) return run(configuration);
         claimFolder(configuration);
         return recoverAlone(configuration);
     } catch (const settings::DecodeError& problem) {
--- a/src/agent/raft_import.cpp
+++ b/src/agent/raft_import.cpp
@@ -11,7 +11,7 @@
 #include <system_error>
 #include <vector>
 
-extern "C" {  // libraft's headers don't say so themselves
+extern "C" {  // libraft's headers do not declare C linkage
 #include <raft.h>
 #include <raft/uv.h>
 }
@@ -24,8 +24,8 @@
 
 namespace {
 
-constexpr std::uint64_t kLibraftFormat = 1;   // of its metadata files (raft/uv.h)
-constexpr std::uint64_t kForeignFormat = 64;  // one that libraft refuses to read
+constexpr std::uint64_t kLibraftFormat = 1;       // format number in its metadata files (raft/uv.h)
+constexpr std::uint64_t kUnsupportedFormat = 64;  // a format number that libraft refuses to read
 constexpr const char* kMetadataNames[] = {"metadata1", "metadata2"};
 
 void check(int result, const char* what, const raft_io& io) {
@@ -90,7 +90,7 @@
     raft_entry* entries = nullptr;
     std::size_t count = 0;
     check(io.load(&io, &term, &vote, &snapshot, &firstIndex, &entries, &count), "storage", io);
-    content.ballot = {term, vote};
+    content.termAndVote = {term, vote};
     if (snapshot != nullptr) content.snapshot = takeSnapshot(snapshot);
     content.firstIndex = firstIndex;
     content.entries = takeEntries(entries, count);
@@ -105,7 +105,7 @@
     return content;
 }
 
-void write(const RaftLog::Content& content, const std::string& logFolder) {
+void writeLog(const RaftLog::Content& content, const std::string& logFolder) {
     RaftLog log(logFolder);
     log.open();
     if (content.snapshot) log.installSnapshot(*content.snapshot);
@@ -113,7 +113,7 @@
     entries.reserve(content.entries.size());
     for (const LogEntry& entry : content.entries) entries.push_back({entry.term, entry.type, entry.data});
     if (!entries.empty()) log.append(content.firstIndex, entries);
-    log.writeBallot(content.ballot);
+    log.writeTermAndVote(content.termAndVote);
 }
 
 void removeLibraftFiles(const fs::path& folder) {
@@ -123,8 +123,8 @@
     for (const fs::path& file : files) fs::remove(file);
 }
 
-void refuseOlderPrograms(const fs::path& folder) {
-    const std::array<std::uint64_t, 4> metadata{kForeignFormat, 1, 0, 0};
+void blockOlderVersions(const fs::path& folder) {
+    const std::array<std::uint64_t, 4> metadata{kUnsupportedFormat, 1, 0, 0};
     std::ofstream file(folder / kMetadataNames[0], std::ios::binary);
     file.write(reinterpret_cast<const char*>(metadata.data()), sizeof metadata);
     if (!file.flush()) throw std::system_error(errno, std::generic_category(), "write to " + folder.string());
@@ -132,16 +132,16 @@
 
 }  // namespace
 
-void makeLogFolder(const std::string& folder, const std::string& logFolder) {
+void createOrImportLog(const std::string& folder, const std::string& logFolder) {
     if (fs::exists(logFolder)) return;
     const std::string unfinished = logFolder + ".new";
     fs::remove_all(unfinished);
     const bool imports = holdsLibraftState(folder);
-    write(imports ? readLibraftFolder(folder) : RaftLog::Content{}, unfinished);
+    writeLog(imports ? readLibraftFolder(folder) : RaftLog::Content{}, unfinished);
     fs::rename(unfinished, logFolder);
     RaftLog::syncFolder(folder);
     if (imports) removeLibraftFiles(folder);
-    refuseOlderPrograms(folder);
+    blockOlderVersions(folder);
 }
 
 }  // namespace lotuslead::agent
--- a/src/agent/raft_log.cpp
+++ b/src/agent/raft_log.cpp
@@ -23,10 +23,11 @@
 
 constexpr std::uint64_t kSegmentMagic = 0x31474553464c4c4cULL;
 constexpr std::uint64_t kSnapshotMagic = 0x31504e53464c4c4cULL;
-constexpr std::uint64_t kBallotMagic = 0x3154424c464c4c4cULL;
-constexpr std::uint64_t kSegmentBytes = 8 * 1024 * 1024;  // a segment that has as many is followed by another
-constexpr std::uint64_t kBallotSlotBytes = 4096;          // no block of a disk holds both slots
-constexpr std::uint32_t kMostEntryBytes = 1U << 30;
+constexpr std::uint64_t kTermAndVoteMagic = 0x3154424c464c4c4cULL;
+constexpr std::uint64_t kSegmentRolloverBytes =
+    8 * 1024 * 1024;  // a segment of at least this size is followed by a new one
+constexpr std::uint64_t kTermAndVoteSlotBytes = 4096;  // the slots never share a disk block
+constexpr std::uint32_t kMaxEntryBytes = 1U << 30;
 constexpr mode_t kFileMode = 0640;
 constexpr mode_t kFolderMode = 0755;
 constexpr const char* kSegmentPrefix = "entries-";
@@ -45,8 +46,8 @@
     std::uint32_t bytes = 0;
 };
 
-struct BallotSlot {
-    std::uint64_t magic = kBallotMagic;
+struct TermAndVoteSlot {
+    std::uint64_t magic = kTermAndVoteMagic;
     std::uint64_t version = 0;
     std::uint64_t term = 0;
     std::uint64_t vote = 0;
@@ -63,7 +64,7 @@
 
 std::uint64_t checksumOf(const void* bytes, std::size_t size) { return XXH3_64bits(bytes, size); }
 
-// A descriptor that closes itself.
+// Closes the file descriptor on destruction.
 class ScopedFile {
 public:
     explicit ScopedFile(int fd) : fd_(fd) {}
@@ -102,7 +103,7 @@
     check(result, "sync " + path);
 }
 
-// Empty where there is no such file.
+// Returns nothing if the file does not exist.
 std::optional<std::string> readFile(const std::string& path) {
     const ScopedFile file(openFile(path, O_RDONLY));
     if (file.get() < 0 && errno == ENOENT) return {};
@@ -112,12 +113,12 @@
     std::string content(static_cast<std::size_t>(about.st_size), '\0');
     std::size_t done = 0;
     while (done < content.size()) {
-        const ssize_t some =
+        const ssize_t count =
             ::pread(file.get(), content.data() + done, content.size() - done, static_cast<off_t>(done));
-        if (some < 0 && errno == EINTR) continue;
-        check(static_cast<int>(some < 0 ? -1 : 0), "read " + path);
-        if (some == 0) break;
-        done += static_cast<std::size_t>(some);
+        if (count < 0 && errno == EINTR) continue;
+        check(static_cast<int>(count < 0 ? -1 : 0), "read " + path);
+        if (count == 0) break;
+        done += static_cast<std::size_t>(count);
     }
     content.resize(done);
     return content;
@@ -128,11 +129,11 @@
 }
 
 template <class Value>
-void put(std::string& out, const Value& value) {
+void appendValue(std::string& out, const Value& value) {
     out.append(reinterpret_cast<const char*>(&value), sizeof value);
 }
 
-// Reads values one after another; throws at the end of the bytes.
+// Reads consecutive values; throws at the end of the bytes.
 class ByteReader {
 public:
     explicit ByteReader(std::string_view bytes) : bytes_(bytes) {}
@@ -143,7 +144,7 @@
         return value;
     }
     std::string_view takeBytes(std::size_t count) {
-        if (count > bytes_.size()) throw std::runtime_error("a file of the log ends early");
+        if (count > bytes_.size()) throw std::runtime_error("a log file is truncated");
         const std::string_view taken = bytes_.substr(0, count);
         bytes_.remove_prefix(count);
         return taken;
@@ -157,29 +158,31 @@
     return checksumOf(&header, offsetof(SegmentHeader, checksum));
 }
 
-std::uint64_t slotChecksum(const BallotSlot& slot) {
-    return checksumOf(&slot, offsetof(BallotSlot, checksum));
+std::uint64_t slotChecksum(const TermAndVoteSlot& slot) {
+    return checksumOf(&slot, offsetof(TermAndVoteSlot, checksum));
 }
 
-void putRecord(std::string& out, std::uint64_t index, const LogEntryView& entry) {
+void appendRecord(std::string& out, std::uint64_t index, const LogEntryView& entry) {
     const std::size_t begin = out.size();
-    put(out, RecordHeader{0, index, entry.term, entry.type, static_cast<std::uint32_t>(entry.data.size())});
+    appendValue(
+        out, RecordHeader{0, index, entry.term, entry.type, static_cast<std::uint32_t>(entry.data.size())});
     out += entry.data;
-    const std::size_t summed = begin + sizeof(RecordHeader::checksum);
-    const std::uint64_t checksum = checksumOf(out.data() + summed, out.size() - summed);
+    const std::size_t checksummed = begin + sizeof(RecordHeader::checksum);
+    const std::uint64_t checksum = checksumOf(out.data() + checksummed, out.size() - checksummed);
     std::memcpy(out.data() + begin, &checksum, sizeof checksum);
 }
 
-// The record that the bytes begin with; empty where none is whole and the expected one.
+// Takes the first record off the bytes. Returns nothing unless it is complete, intact and has the expected
+// index.
 std::optional<LogEntry> takeRecord(std::string_view& bytes, std::uint64_t index) {
     RecordHeader header;
     if (bytes.size() < sizeof header) return {};
     std::memcpy(&header, bytes.data(), sizeof header);
-    if (header.index != index || header.bytes > kMostEntryBytes) return {};
+    if (header.index != index || header.bytes > kMaxEntryBytes) return {};
     const std::size_t whole = sizeof header + header.bytes;
     if (bytes.size() < whole) return {};
-    const std::size_t summed = sizeof header.checksum;
-    if (checksumOf(bytes.data() + summed, whole - summed) != header.checksum) return {};
+    const std::size_t checksummed = sizeof header.checksum;
+    if (checksumOf(bytes.data() + checksummed, whole - checksummed) != header.checksum) return {};
     LogEntry entry{header.term, static_cast<std::uint16_t>(header.type),
                    std::string(bytes.substr(sizeof header, header.bytes))};
     bytes.remove_prefix(whole);
@@ -188,33 +191,33 @@
 
 std::string encode(const LogSnapshot& snapshot) {
     std::string out;
-    put(out, kSnapshotMagic);
-    put(out, snapshot.index);
-    put(out, snapshot.term);
-    put(out, snapshot.configurationIndex);
-    put(out, static_cast<std::uint64_t>(snapshot.members.size()));
+    appendValue(out, kSnapshotMagic);
+    appendValue(out, snapshot.index);
+    appendValue(out, snapshot.term);
+    appendValue(out, snapshot.configurationIndex);
+    appendValue(out, static_cast<std::uint64_t>(snapshot.members.size()));
     for (const SnapshotMember& member : snapshot.members) {
-        put(out, member.id);
-        put(out, static_cast<std::int64_t>(member.role));
-        put(out, static_cast<std::uint64_t>(member.address.size()));
+        appendValue(out, member.id);
+        appendValue(out, static_cast<std::int64_t>(member.role));
+        appendValue(out, static_cast<std::uint64_t>(member.address.size()));
         out += member.address;
     }
-    put(out, static_cast<std::uint64_t>(snapshot.data.size()));
+    appendValue(out, static_cast<std::uint64_t>(snapshot.data.size()));
     out += snapshot.data;
-    put(out, checksumOf(out.data(), out.size()));
+    appendValue(out, checksumOf(out.data(), out.size()));
     return out;
 }
 
 LogSnapshot decodeSnapshot(std::string_view bytes) {
     constexpr std::size_t kChecksumBytes = sizeof(std::uint64_t);
     if (bytes.size() < kChecksumBytes) throw std::runtime_error("the snapshot is damaged");
-    const std::string_view summed = bytes.substr(0, bytes.size() - kChecksumBytes);
-    ByteReader end(bytes.substr(summed.size()));
-    if (end.take<std::uint64_t>() != checksumOf(summed.data(), summed.size()))
+    const std::string_view checksummed = bytes.substr(0, bytes.size() - kChecksumBytes);
+    ByteReader end(bytes.substr(checksummed.size()));
+    if (end.take<std::uint64_t>() != checksumOf(checksummed.data(), checksummed.size()))
         throw std::runtime_error("the snapshot is damaged");
-    ByteReader reader(summed);
+    ByteReader reader(checksummed);
     if (reader.take<std::uint64_t>() != kSnapshotMagic)
-        throw std::runtime_error("the snapshot has another form");
+        throw std::runtime_error("the snapshot has an unknown format");
     LogSnapshot snapshot;
     snapshot.index = reader.take<std::uint64_t>();
     snapshot.term = reader.take<std::uint64_t>();
@@ -233,15 +236,15 @@
     return snapshot;
 }
 
-std::optional<BallotSlot> slotOf(std::string_view bytes) {
-    BallotSlot slot;
+std::optional<TermAndVoteSlot> decodeSlot(std::string_view bytes) {
+    TermAndVoteSlot slot;
     if (bytes.size() < sizeof slot) return {};
     std::memcpy(&slot, bytes.data(), sizeof slot);
-    if (slot.magic != kBallotMagic || slot.checksum != slotChecksum(slot)) return {};
+    if (slot.magic != kTermAndVoteMagic || slot.checksum != slotChecksum(slot)) return {};
     return slot;
 }
 
-bool allZero(std::string_view bytes) {
+bool isAllZero(std::string_view bytes) {
     return std::all_of(bytes.begin(), bytes.end(), [](char c) { return c == '\0'; });
 }
 
@@ -255,50 +258,51 @@
 
 RaftLog::~RaftLog() {
     closeSegment();
-    if (ballotFile_ >= 0) ::close(ballotFile_);
+    if (termAndVoteFile_ >= 0) ::close(termAndVoteFile_);
 }
 
 RaftLog::Content RaftLog::open() {
     Content content;
-    content.ballot = readBallot();
+    content.termAndVote = readTermAndVote();
     content.snapshot = readSnapshot(folder_);
-    for (const std::uint64_t sequence : sequencesFound()) readSegment(sequence, content);
-    reconcile(content);
-    // Entries are written before the ballot only when a cluster is made.
+    for (const std::uint64_t sequence : listSequences()) readSegment(sequence, content);
+    reconcileWithSnapshot(content);
+    // Only when a cluster is created are entries written before the term.
     if (!content.entries.empty())
-        content.ballot.term = std::max(content.ballot.term, content.entries.back().term);
+        content.termAndVote.term = std::max(content.termAndVote.term, content.entries.back().term);
     return content;
 }
 
-Ballot RaftLog::readBallot() {
+TermAndVote RaftLog::readTermAndVote() {
     const std::string path = folder_ + "/ballot";
-    ballotFile_ = openFile(path, O_RDWR | O_CREAT);
-    check(ballotFile_, "open " + path);
+    termAndVoteFile_ = openFile(path, O_RDWR | O_CREAT);
+    check(termAndVoteFile_, "open " + path);
     const std::string bytes = readFile(path).value_or("");
     const std::string_view all = bytes;
-    const std::string_view first = all.substr(0, kBallotSlotBytes);
-    const std::string_view second = all.size() > kBallotSlotBytes ? all.substr(kBallotSlotBytes) : "";
-    const auto one = slotOf(first), other = slotOf(second);
+    const std::string_view first = all.substr(0, kTermAndVoteSlotBytes);
+    const std::string_view second =
+        all.size() > kTermAndVoteSlotBytes ? all.substr(kTermAndVoteSlotBytes) : "";
+    const auto one = decodeSlot(first), other = decodeSlot(second);
     if (!one && !other) {
-        // The very first write may have been torn; of two slots one has always been written whole.
-        if (!allZero(first) && !allZero(second)) throw std::runtime_error("the ballot is damaged");
+        // Only the very first write can leave no valid slot; after it one of the two is always intact.
+        if (!isAllZero(first) && !isAllZero(second)) throw std::runtime_error("the ballot is damaged");
         return {};
     }
-    const BallotSlot& latest = !other || (one && one->version > other->version) ? *one : *other;
-    ballotVersion_ = latest.version;
+    const TermAndVoteSlot& latest = !other || (one && one->version > other->version) ? *one : *other;
+    termAndVoteVersion_ = latest.version;
     return {latest.term, latest.vote};
 }
 
-void RaftLog::writeBallot(const Ballot& ballot) {
-    BallotSlot slot{kBallotMagic, ballotVersion_ + 1, ballot.term, ballot.vote, 0};
+void RaftLog::writeTermAndVote(const TermAndVote& termAndVote) {
+    TermAndVoteSlot slot{kTermAndVoteMagic, termAndVoteVersion_ + 1, termAndVote.term, termAndVote.vote, 0};
     slot.checksum = slotChecksum(slot);
     std::string bytes;
-    put(bytes, slot);
+    appendValue(bytes, slot);
     const std::string path = folder_ + "/ballot";
-    writeAll(ballotFile_, bytes, slot.version % 2 * kBallotSlotBytes, path);
-    sync(ballotFile_, path);
-    if (ballotVersion_ == 0) syncFolder(folder_);
-    ballotVersion_ = slot.version;
+    writeAll(termAndVoteFile_, bytes, slot.version % 2 * kTermAndVoteSlotBytes, path);
+    sync(termAndVoteFile_, path);
+    if (termAndVoteVersion_ == 0) syncFolder(folder_);
+    termAndVoteVersion_ = slot.version;
 }
 
 std::string RaftLog::pathOf(const Segment& segment) const {
@@ -307,7 +311,7 @@
     return folder_ + "/" + name;
 }
 
-std::vector<std::uint64_t> RaftLog::sequencesFound() const {
+std::vector<std::uint64_t> RaftLog::listSequences() const {
     std::vector<std::uint64_t> found;
     const std::unique_ptr<DIR, int (*)(DIR*)> listing(::opendir(folder_.c_str()), &::closedir);
     if (!listing) fail(errno, "list " + folder_);
@@ -326,11 +330,13 @@
     const std::string path = pathOf(segment);
     const std::string bytes = readFile(path).value_or("");
     SegmentHeader header;
-    const bool headed = bytes.size() >= sizeof header &&
-                        (std::memcpy(&header, bytes.data(), sizeof header), header.magic == kSegmentMagic) &&
-                        header.checksum == headerChecksum(header);
-    // Without a header none of its entries was acknowledged; a gap that it leaves is found below.
-    if (!headed) return removeFile(path);
+    const bool hasValidHeader =
+        bytes.size() >= sizeof header &&
+        (std::memcpy(&header, bytes.data(), sizeof header), header.magic == kSegmentMagic) &&
+        header.checksum == headerChecksum(header);
+    // Entries are only acknowledged after the header is durable. If acknowledged entries follow in a later
+    // segment, the gap is detected below.
+    if (!hasValidHeader) return removeFile(path);
     if (content.entries.empty()) content.firstIndex = header.firstIndex;
     const std::uint64_t next = content.firstIndex + content.entries.size();
     if (header.firstIndex > next || header.firstIndex < content.firstIndex)
@@ -346,10 +352,11 @@
     segments_.push_back(segment);
 }
 
-// Entries count only where they continue the snapshot.
-void RaftLog::reconcile(Content& content) {
+// Drops the entries unless they continue the snapshot.
+void RaftLog::reconcileWithSnapshot(Content& content) {
     if (!content.snapshot) {
-        if (content.firstIndex != 1) throw std::runtime_error("entries are there, but their snapshot is not");
+        if (content.firstIndex != 1)
+            throw std::runtime_error("the log does not begin at index 1, but there is no snapshot");
         return;
     }
     const LogSnapshot& snapshot = *content.snapshot;
@@ -361,47 +368,47 @@
     const bool adjoins = any && content.firstIndex == snapshot.index + 1;
     if (adjoins || (includes && content.entries[snapshot.index - content.firstIndex].term == snapshot.term))
         return;
-    // The process has ended within an install.
+    // The process ended during the installation of the snapshot.
     removeAllSegments();
     content.entries.clear();
     content.firstIndex = snapshot.index + 1;
 }
 
-void RaftLog::beginSegment(std::uint64_t firstIndex) {
+void RaftLog::openNewSegment(std::uint64_t firstIndex) {
     const Segment segment{nextSequence_, firstIndex, firstIndex - 1};
     const std::string path = pathOf(segment);
     const int fd = openFile(path, O_RDWR | O_CREAT | O_TRUNC);
     check(fd, "open " + path);
     closeSegment();
-    segmentFile_ = fd;
-    segmentEnd_ = 0;
-    segmentListed_ = false;
+    openSegmentFile_ = fd;
+    openSegmentBytes_ = 0;
+    segmentFolderSynced_ = false;
     segments_.push_back(segment);
     ++nextSequence_;
 }
 
 void RaftLog::append(std::uint64_t firstIndex, std::span<const LogEntryView> entries) {
-    const bool continues = segmentFile_ >= 0 && segments_.back().last + 1 == firstIndex;
-    if (!continues || segmentEnd_ >= kSegmentBytes) beginSegment(firstIndex);
+    const bool continues = openSegmentFile_ >= 0 && segments_.back().last + 1 == firstIndex;
+    if (!continues || openSegmentBytes_ >= kSegmentRolloverBytes) openNewSegment(firstIndex);
     std::string bytes;
-    if (segmentEnd_ == 0) {
+    if (openSegmentBytes_ == 0) {
         SegmentHeader header;
         header.firstIndex = firstIndex;
         header.checksum = headerChecksum(header);
-        put(bytes, header);
+        appendValue(bytes, header);
     }
     std::uint64_t index = firstIndex;
-    for (const LogEntryView& entry : entries) putRecord(bytes, index++, entry);
+    for (const LogEntryView& entry : entries) appendRecord(bytes, index++, entry);
     const std::string path = pathOf(segments_.back());
-    writeAll(segmentFile_, bytes, segmentEnd_, path);
-    sync(segmentFile_, path);
-    if (!segmentListed_) syncFolder(folder_);
-    segmentListed_ = true;
-    segmentEnd_ += bytes.size();
+    writeAll(openSegmentFile_, bytes, openSegmentBytes_, path);
+    sync(openSegmentFile_, path);
+    if (!segmentFolderSynced_) syncFolder(folder_);
+    segmentFolderSynced_ = true;
+    openSegmentBytes_ += bytes.size();
     segments_.back().last = index - 1;
 }
 
-void RaftLog::storeSnapshotFile(const LogSnapshot& snapshot) {
+void RaftLog::replaceSnapshotFile(const LogSnapshot& snapshot) {
     const std::string bytes = encode(snapshot);
     const std::string path = snapshotPath(folder_), next = path + ".new";
     {
@@ -415,12 +422,12 @@
 }
 
 void RaftLog::writeSnapshot(const LogSnapshot& snapshot, std::uint64_t keepFrom) {
-    storeSnapshotFile(snapshot);
+    replaceSnapshotFile(snapshot);
     removeSegmentsBefore(std::min(keepFrom, snapshot.index + 1));
 }
 
 void RaftLog::installSnapshot(const LogSnapshot& snapshot) {
-    storeSnapshotFile(snapshot);
+    replaceSnapshotFile(snapshot);
     removeAllSegments();
 }
 
@@ -430,7 +437,7 @@
     return decodeSnapshot(*bytes);
 }
 
-// From the front: a later segment may replace entries of an earlier one. The open one stays.
+// Oldest first, because later segments may replace entries of earlier ones. The last segment stays.
 void RaftLog::removeSegmentsBefore(std::uint64_t keepFrom) {
     while (segments_.size() > 1 && segments_.front().last < keepFrom) {
         removeFile(pathOf(segments_.front()));
@@ -438,7 +445,7 @@
     }
 }
 
-// From the end: whatever a crash leaves is a beginning of the log, which open() compares with the snapshot.
+// Newest first, so that a crash leaves a prefix of the log, which open() compares with the snapshot.
 void RaftLog::removeAllSegments() {
     closeSegment();
     while (!segments_.empty()) {
@@ -449,8 +456,8 @@
 }
 
 void RaftLog::closeSegment() {
-    if (segmentFile_ >= 0) ::close(segmentFile_);
-    segmentFile_ = -1;
+    if (openSegmentFile_ >= 0) ::close(openSegmentFile_);
+    openSegmentFile_ = -1;
 }
 
 void RaftLog::syncFolder(const std::string& folder) {
--- a/src/agent/raft_storage.cpp
+++ b/src/agent/raft_storage.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr std::uint64_t kRetryMs = 100;
-constexpr std::size_t kMostBatchBytes = std::size_t{16} << 20;  // of appends that are written together
+constexpr std::uint64_t kRetryDelayMs = 100;
+constexpr std::size_t kMaxBatchBytes = std::size_t{16} << 20;  // of appends that are combined into one write
 constexpr std::uint64_t kBootstrapTerm = 1;
 
 raft_buffer copyOf(std::string_view bytes) {
@@ -50,8 +50,8 @@
     return snapshot;
 }
 
-// In memory that the core will free.
-raft_snapshot* forCore(const LogSnapshot& from) {
+// Allocated with raft_malloc, since the core frees it.
+raft_snapshot* makeRaftSnapshot(const LogSnapshot& from) {
     auto* snapshot = allocate<raft_snapshot>();
     snapshot->index = from.index;
     snapshot->term = from.term;
@@ -77,14 +77,14 @@
 };
 
 RaftStorage::RaftStorage(uv_loop_t& loop, const std::string& folder)
-    : loop_(loop), folder_(folder), log_(folder), content_(log_.open()), ballot_(content_.ballot) {
+    : loop_(loop), folder_(folder), log_(folder), content_(log_.open()), termAndVote_(content_.termAndVote) {
     nextIndex_ = content_.firstIndex + content_.entries.size();
     uv_timer_init(&loop_, &retryTimer_);
     uv_timer_init(&loop_, &withheldTimer_);
     work_.data = retryTimer_.data = withheldTimer_.data = this;
 }
 
-void RaftStorage::attach(StoredIo& stored) {
+void RaftStorage::attach(StorageIo& stored) {
     io_ = &stored;
     stored.storage = this;
     raft_io& io = stored.guarded.io;
@@ -92,52 +92,55 @@
     transportSend_ = io.send;
     transportClose_ = io.close;
     io.load = [](raft_io* self, raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* first,
-                 raft_entry** entries,
-                 std::size_t* count) { return of(self).load(term, vote, snapshot, first, entries, count); };
+                 raft_entry** entries, std::size_t* count) {
+        return fromIo(self).load(term, vote, snapshot, first, entries, count);
+    };
     io.bootstrap = [](raft_io* self, const raft_configuration* configuration) {
-        return of(self).bootstrap(*configuration);
+        return fromIo(self).bootstrap(*configuration);
     };
     io.recover = [](raft_io* self, const raft_configuration* configuration) {
-        return of(self).recover(*configuration);
+        return fromIo(self).recover(*configuration);
+    };
+    io.set_term = [](raft_io* self, raft_term term) { return fromIo(self).setTermAndVote({term, 0}); };
+    io.set_vote = [](raft_io* self, raft_id id) {
+        return fromIo(self).setTermAndVote({fromIo(self).termAndVote_.term, id});
     };
-    io.set_term = [](raft_io* self, raft_term term) { return of(self).setBallot({term, 0}); };
-    io.set_vote = [](raft_io* self, raft_id id) { return of(self).setBallot({of(self).ballot_.term, id}); };
     io.append = [](raft_io* self, raft_io_append* request, const raft_entry* entries, unsigned count,
-                   raft_io_append_cb done) { return of(self).append(request, entries, count, done); };
+                   raft_io_append_cb done) { return fromIo(self).append(request, entries, count, done); };
     io.truncate = [](raft_io* self, raft_index index) {
-        of(self).nextIndex_ = index;  // the next append replaces what is there
+        fromIo(self).nextIndex_ = index;  // the next append replaces entries from this index on
         return 0;
     };
     io.snapshot_put = [](raft_io* self, unsigned trailing, raft_io_snapshot_put* request,
                          const raft_snapshot* snapshot, raft_io_snapshot_put_cb done) {
-        return of(self).putSnapshot(trailing, request, *snapshot, done);
+        return fromIo(self).putSnapshot(trailing, request, *snapshot, done);
     };
     io.snapshot_get = [](raft_io* self, raft_io_snapshot_get* request, raft_io_snapshot_get_cb done) {
-        return of(self).getSnapshot(request, done);
+        return fromIo(self).getSnapshot(request, done);
     };
     io.send = [](raft_io* self, raft_io_send* request, const raft_message* message, raft_io_send_cb done) {
-        return of(self).send(request, message, done);
+        return fromIo(self).send(request, message, done);
     };
     io.start = [](raft_io* self, unsigned ms, raft_io_tick_cb tick, raft_io_recv_cb handle) {
-        of(self).receive_ = handle;
-        return of(self).transportStart_(
-            self, ms, tick, [](raft_io* here, raft_message* message) { of(here).receive(message); });
+        fromIo(self).receive_ = handle;
+        return fromIo(self).transportStart_(
+            self, ms, tick, [](raft_io* here, raft_message* message) { fromIo(here).receive(message); });
     };
-    io.close = [](raft_io* self, raft_io_close_cb done) { of(self).close(done); };
+    io.close = [](raft_io* self, raft_io_close_cb done) { fromIo(self).close(done); };
 }
 
 std::chrono::milliseconds RaftStorage::failingFor() const {
     return std::chrono::milliseconds{failingSince_ == 0 ? 0 : uv_now(&loop_) - failingSince_ + 1};
 }
 
-// ----- what the core asks for at its start -----
+// ----- startup -----
 
 int RaftStorage::load(raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* firstIndex,
                       raft_entry** entries, std::size_t* count) {
     const RaftLog::Content content = std::exchange(content_, {});
-    *term = ballot_.term;
-    *vote = ballot_.vote;
-    *snapshot = content.snapshot ? forCore(*content.snapshot) : nullptr;
+    *term = termAndVote_.term;
+    *vote = termAndVote_.vote;
+    *snapshot = content.snapshot ? makeRaftSnapshot(*content.snapshot) : nullptr;
     *firstIndex = content.firstIndex;
     *count = content.entries.size();
     *entries = content.entries.empty() ? nullptr : allocate<raft_entry>(content.entries.size());
@@ -166,33 +169,33 @@
 }
 
 int RaftStorage::bootstrap(const raft_configuration& configuration) {
-    if (content_.snapshot || !content_.entries.empty() || ballot_.term > 0) return RAFT_CANTBOOTSTRAP;
+    if (content_.snapshot || !content_.entries.empty() || termAndVote_.term > 0) return RAFT_CANTBOOTSTRAP;
     if (const int result = appendConfiguration(configuration, kBootstrapTerm); result != 0) return result;
-    return setBallot({kBootstrapTerm, 0});
+    return setTermAndVote({kBootstrapTerm, 0});
 }
 
 int RaftStorage::recover(const raft_configuration& configuration) {
-    return appendConfiguration(configuration, std::max(ballot_.term, kBootstrapTerm));
+    return appendConfiguration(configuration, std::max(termAndVote_.term, kBootstrapTerm));
 }
 
 // ----- term and vote -----
 
-int RaftStorage::setBallot(const Ballot& ballot) {
-    ballot_ = ballot;
-    ballotPending_ = true;
-    if (!writeBallot()) retryLater();
+int RaftStorage::setTermAndVote(const TermAndVote& termAndVote) {
+    termAndVote_ = termAndVote;
+    termAndVotePending_ = true;
+    if (!writeTermAndVote()) scheduleRetry();
     return 0;
 }
 
-bool RaftStorage::writeBallot() {
+bool RaftStorage::writeTermAndVote() {
     try {
-        log_.writeBallot(ballot_);
+        log_.writeTermAndVote(termAndVote_);
     } catch (const std::exception& problem) {
-        noteFailure(problem.what());
+        recordFailure(problem.what());
         return false;
     }
-    ballotPending_ = false;
-    if (waiting_.empty() && inHand_.empty()) noteSuccess();
+    termAndVotePending_ = false;
+    if (queue_.empty() && batch_.empty()) recordSuccess();
     return true;
 }
 
@@ -200,7 +203,7 @@
 
 int RaftStorage::append(raft_io_append* request, const raft_entry* entries, unsigned count,
                         raft_io_append_cb done) {
-    Job& job = waiting_.emplace_back();
+    PendingWrite& job = queue_.emplace_back();
     job.append = request;
     job.appended = done;
     job.entries = entries;
@@ -209,21 +212,21 @@
     for (unsigned i = 0; i < count; ++i) job.bytes += entries[i].buf.len;
     nextIndex_ += count;
     unwrittenBytes_ += job.bytes;
-    startWriting();
+    startNextWrite();
     return 0;
 }
 
 int RaftStorage::putSnapshot(unsigned trailing, raft_io_snapshot_put* request, const raft_snapshot& snapshot,
                              raft_io_snapshot_put_cb done) {
     const bool installs = trailing == 0;
-    Job& job = waiting_.emplace_back();
-    job.kind = installs ? Job::Kind::install : Job::Kind::snapshot;
+    PendingWrite& job = queue_.emplace_back();
+    job.kind = installs ? PendingWrite::Kind::install : PendingWrite::Kind::snapshot;
     job.put = request;
     job.stored = done;
     job.snapshot = copyOf(snapshot);
     job.keepFrom = snapshot.index >= trailing ? snapshot.index - trailing + 1 : 1;
     if (installs) nextIndex_ = snapshot.index + 1;
-    startWriting();
+    startNextWrite();
     return 0;
 }
 
@@ -247,9 +250,9 @@
         [](uv_work_t* work, int) {
             const std::unique_ptr<SnapshotRead> self(static_cast<SnapshotRead*>(work->data));
             --self->storage->snapshotReads_;
-            // The core takes status zero for a promise that there is a snapshot.
+            // With status zero the core expects a snapshot.
             if (self->snapshot)
-                self->done(self->request, forCore(*self->snapshot), 0);
+                self->done(self->request, makeRaftSnapshot(*self->snapshot), 0);
             else
                 self->done(self->request, nullptr, RAFT_IOERR);
             self->storage->closeTransportOnceIdle();
@@ -260,99 +263,102 @@
     return 0;
 }
 
-// Appends that wait together are written together; a snapshot alone.
-void RaftStorage::takeInHand() {
+// Combines consecutive queued appends into one batch; a snapshot forms a batch of its own.
+void RaftStorage::takeBatch() {
     std::size_t bytes = 0;
-    while (!waiting_.empty() && bytes < kMostBatchBytes) {
-        const Job& next = waiting_.front();
-        if (!inHand_.empty()) {
-            const Job& last = inHand_.back();
-            const bool follows = last.kind == Job::Kind::append && next.kind == Job::Kind::append &&
+    while (!queue_.empty() && bytes < kMaxBatchBytes) {
+        const PendingWrite& next = queue_.front();
+        if (!batch_.empty()) {
+            const PendingWrite& last = batch_.back();
+            const bool follows = last.kind == PendingWrite::Kind::append &&
+                                 next.kind == PendingWrite::Kind::append &&
                                  last.firstIndex + last.count == next.firstIndex;
             if (!follows) return;
         }
         bytes += next.bytes;
-        inHand_.push_back(std::move(waiting_.front()));
-        waiting_.pop_front();
+        batch_.push_back(std::move(queue_.front()));
+        queue_.pop_front();
     }
 }
 
-void RaftStorage::startWriting() {
+void RaftStorage::startNextWrite() {
     if (writing_ || closing_) return;
-    if (inHand_.empty()) takeInHand();
-    if (inHand_.empty()) return;
-    if (ballotPending_ && !writeBallot()) return retryLater();  // no entry outlives the term it was taken in
-    writeProblem_.clear();
+    if (batch_.empty()) takeBatch();
+    if (batch_.empty()) return;
+    if (termAndVotePending_ && !writeTermAndVote())
+        return scheduleRetry();  // entries must not become durable before their term
+    writeError_.clear();
     const int result = uv_queue_work(
-        &loop_, &work_, [](uv_work_t* work) { static_cast<RaftStorage*>(work->data)->writeInHand(); },
-        [](uv_work_t* work, int) { static_cast<RaftStorage*>(work->data)->finishWriting(); });
+        &loop_, &work_, [](uv_work_t* work) { static_cast<RaftStorage*>(work->data)->writeBatch(); },
+        [](uv_work_t* work, int) { static_cast<RaftStorage*>(work->data)->finishWrite(); });
     writing_ = result == 0;
-    if (!writing_) retryLater();
+    if (!writing_) scheduleRetry();
 }
 
-void RaftStorage::writeInHand() {
+void RaftStorage::writeBatch() {
     try {
-        const Job& first = inHand_.front();
-        if (first.kind == Job::Kind::snapshot) return log_.writeSnapshot(first.snapshot, first.keepFrom);
-        if (first.kind == Job::Kind::install) return log_.installSnapshot(first.snapshot);
+        const PendingWrite& first = batch_.front();
+        if (first.kind == PendingWrite::Kind::snapshot)
+            return log_.writeSnapshot(first.snapshot, first.keepFrom);
+        if (first.kind == PendingWrite::Kind::install) return log_.installSnapshot(first.snapshot);
         std::vector<LogEntryView> entries;
-        for (const Job& job : inHand_)
+        for (const PendingWrite& job : batch_)
             for (unsigned i = 0; i < job.count; ++i) {
                 const raft_entry& entry = job.entries[i];
                 entries.push_back({entry.term, entry.type, bytesOf(entry.buf)});
             }
         log_.append(first.firstIndex, entries);
     } catch (const std::exception& problem) {
-        writeProblem_ = problem.what();
+        writeError_ = problem.what();
     }
 }
 
-void RaftStorage::finishWriting() {
+void RaftStorage::finishWrite() {
     writing_ = false;
-    if (writeProblem_.empty()) {
-        noteSuccess();
-        // A callback may ask for further jobs.
-        for (const Job& job : std::exchange(inHand_, {})) {
+    if (writeError_.empty()) {
+        recordSuccess();
+        // A callback may queue further writes.
+        for (const PendingWrite& job : std::exchange(batch_, {})) {
             unwrittenBytes_ -= job.bytes;
             complete(job, 0);
         }
-        startWriting();
+        startNextWrite();
     } else {
-        noteFailure(writeProblem_);
-        retryLater();
+        recordFailure(writeError_);
+        scheduleRetry();
     }
     closeTransportOnceIdle();
 }
 
-void RaftStorage::complete(const Job& job, int status) {
-    if (job.kind == Job::Kind::append)
+void RaftStorage::complete(const PendingWrite& job, int status) {
+    if (job.kind == PendingWrite::Kind::append)
         job.appended(job.append, status);
     else
         job.stored(job.put, status);
 }
 
-void RaftStorage::retryLater() {
+void RaftStorage::scheduleRetry() {
     if (closing_) return;
     uv_timer_start(
         &retryTimer_,
         [](uv_timer_t* timer) {
             auto& self = *static_cast<RaftStorage*>(timer->data);
-            if (self.ballotPending_ && !self.writeBallot()) return self.retryLater();
-            self.startWriting();
+            if (self.termAndVotePending_ && !self.writeTermAndVote()) return self.scheduleRetry();
+            self.startNextWrite();
         },
-        kRetryMs, 0);
+        kRetryDelayMs, 0);
 }
 
-// ----- failures, as operators see them -----
+// ----- failure reporting -----
 
-void RaftStorage::noteFailure(const std::string& what) {
+void RaftStorage::recordFailure(const std::string& what) {
     ++counters_.failures;
     if (failingSince_ != 0) return;
     failingSince_ = uv_now(&loop_);
     std::fprintf(stderr, "agent: raft log: %s; trying again until it is written\n", what.c_str());
 }
 
-void RaftStorage::noteSuccess() {
+void RaftStorage::recordSuccess() {
     if (failingSince_ == 0) return;
     ++counters_.recoveries;
     std::fprintf(stderr, "agent: raft log: written again after %lld ms, %llu attempts failed so far\n",
@@ -365,12 +371,12 @@
 
 int RaftStorage::send(raft_io_send* request, const raft_message* message, raft_io_send_cb done) {
     const bool asksForVotes = message->type == RAFT_IO_REQUEST_VOTE;
-    // The answer to a leader that has been given up while its entries were being written.
-    const bool toNobody = message->server_address == nullptr;
-    const bool withheld = toNobody || ballotPending_ || (asksForVotes && failing());
+    // A reply to a former leader, which libraft has forgotten while its entries were being written.
+    const bool noRecipient = message->server_address == nullptr;
+    const bool withheld = noRecipient || termAndVotePending_ || (asksForVotes && failing());
     if (!withheld) return transportSend_(&io_->guarded.io, request, message, done);
-    withheldSends_.push_back({request, done});  // to the core like a message that was lost
-    if (closing_) return 0;                     // then its end comes with all others
+    withheldSends_.push_back({request, done});  // to the core this looks like a lost message
+    if (closing_) return 0;                     // close() cancels it with all others
     uv_timer_start(
         &withheldTimer_,
         [](uv_timer_t* timer) {
@@ -386,12 +392,12 @@
 
 void RaftStorage::receive(raft_message* message) {
     if (message->type == RAFT_IO_TIMEOUT_NOW && failing()) return;
-    if (message->type == RAFT_IO_APPEND_ENTRIES && full())
-        GuardedIo::dropEntries(message->append_entries, message->append_entries.n_entries);
+    if (message->type == RAFT_IO_APPEND_ENTRIES && backlogFull())
+        AppendEntriesGuard::dropEntries(message->append_entries, message->append_entries.n_entries);
     receive_(&io_->guarded.io, message);
 }
 
-// ----- the end -----
+// ----- shutdown -----
 
 void RaftStorage::close(raft_io_close_cb done) {
     closing_ = true;
@@ -406,9 +412,9 @@
 
 void RaftStorage::closeTransportOnceIdle() {
     if (!closing_ || closed_ == nullptr || writing_ || snapshotReads_ > 0 || openTimers_ > 0) return;
-    // The last first: each takes its entries off the end of the core's log.
-    for (; !waiting_.empty(); waiting_.pop_back()) complete(waiting_.back(), RAFT_CANCELED);
-    for (; !inHand_.empty(); inHand_.pop_back()) complete(inHand_.back(), RAFT_CANCELED);
+    // Newest first: each cancelled append removes its entries from the end of the core's log.
+    for (; !queue_.empty(); queue_.pop_back()) complete(queue_.back(), RAFT_CANCELED);
+    for (; !batch_.empty(); batch_.pop_back()) complete(batch_.back(), RAFT_CANCELED);
     dropWithheldSends(RAFT_CANCELED);
     transportClose_(&io_->guarded.io, std::exchange(closed_, nullptr));
 }
--- a/src/agent/supervisor.cpp
+++ b/src/agent/supervisor.cpp
@@ -21,26 +21,27 @@
 
 namespace {
 
-constexpr net::Micros kFirstPause = 200ms, kLongestPause = 5s;
-constexpr net::Micros kReadyWithin = 6s, kAskAgain = 100ms,
-                      kAnswers = 1s;  // of a successor
-constexpr net::Micros kWell = 10s;    // having run so long, it starts again without a pause
+constexpr net::Micros kMinRestartDelay = 200ms, kMaxRestartDelay = 5s;
+constexpr net::Micros kReadyTimeout = 6s, kReadyPollInterval = 100ms,
+                      kReadyCallTimeout = 1s;  // per call to the successor's /ready
+// after running this long, an instance restarts with the minimum delay
+constexpr net::Micros kStableAfter = 10s;
 
-// Under another name first: a process that reads it finds the old content or the new.
-bool writeWhole(const std::string& path, const std::string& content) {
-    const std::string fresh = path + ".new";
+// Replaces the file by rename, so that readers see either the old or the new content.
+bool writeAtomically(const std::string& path, const std::string& content) {
+    const std::string temporary = path + ".new";
     {
-        std::ofstream file(fresh, std::ios::trunc);
+        std::ofstream file(temporary, std::ios::trunc);
         file << content;
         file.close();
         if (!file) return false;
     }
-    return std::rename(fresh.c_str(), path.c_str()) == 0;
+    return std::rename(temporary.c_str(), path.c_str()) == 0;
 }
 
 }  // namespace
 
-void Supervisor::want(const std::map<std::string, Instance>& all, std::uint64_t self) {
+void Supervisor::setInstances(const std::map<std::string, Instance>& all, std::uint64_t self) {
     for (auto& [name, process] : processes_) {
         const auto found = all.find(name);
         process.keep = found != all.end() && found->second.agent == self;
@@ -50,7 +51,7 @@
         if (instance.agent != self) continue;
         const bool isNew = processes_.count(name) == 0;
         Process& process = processes_[name];
-        process.wanted = instance;
+        process.desired = instance;
         isNew ? start(name, process) : reconcile(name, process);
     }
     std::erase_if(processes_, [](const auto& entry) { return !entry.second.keep && entry.second.pid == 0; });
@@ -64,30 +65,30 @@
     std::erase_if(processes_, [](const auto& entry) { return entry.second.pid == 0; });
 }
 
-// Brings what runs in line with what is wanted. Where something is under way already it does nothing:
-// whatever ends that calls it again.
+// Brings the running process in line with the desired instance. Does nothing while another operation is in
+// progress, since each operation calls this again when it ends.
 void Supervisor::reconcile(const std::string& name, Process& process) {
     const bool busy = process.pid == 0 || process.stopping || process.successor != 0 || process.timer;
-    if (busy || process.runs == process.wanted.revision) return;
+    if (busy || process.runningRevision == process.desired.revision) return;
     switch (beginReplacement(name, process)) {
         case Replacement::begun:
             return;
         case Replacement::failed:
-            return tryAgainLater(name, process);
+            return scheduleRetry(name, process);
         case Replacement::impossible:
-            return stop(process);  // the new one starts when the old one has drained
+            return stop(process);  // the new process starts after the old one has drained
     }
 }
 
-// With pauses that grow, so that a configuration that can't be started is no busy loop.
-void Supervisor::tryAgainLater(const std::string& name, Process& process) {
-    process.pause = std::clamp(2 * process.pause, kFirstPause, kLongestPause);
-    attendAfter(process.pause, name, process);
+// With exponential backoff, so that an instance that cannot start does not cause a busy loop.
+void Supervisor::scheduleRetry(const std::string& name, Process& process) {
+    process.restartDelay = std::clamp(2 * process.restartDelay, kMinRestartDelay, kMaxRestartDelay);
+    scheduleReconcile(process.restartDelay, name, process);
 }
 
-void Supervisor::attendAfter(net::Micros pause, const std::string& name, Process& process) {
+void Supervisor::scheduleReconcile(net::Micros restartDelay, const std::string& name, Process& process) {
     if (process.timer) loop_.cancel(*process.timer);
-    process.timer = loop_.after(pause, [this, name] {
+    process.timer = loop_.after(restartDelay, [this, name] {
         Process& again = processes_.at(name);
         again.timer.reset();
         again.pid == 0 ? start(name, again) : reconcile(name, again);
@@ -95,38 +96,40 @@
 }
 
 void Supervisor::start(const std::string& name, Process& process) {
-    process.runs = process.wanted.revision;
+    process.runningRevision = process.desired.revision;
     process.stopping = false;
     process.startedAt = loop_.now();
-    process.door = settings::readConfiguration(process.wanted.configuration).operatorAddress;
-    process.pid = std::max<pid_t>(spawn(name, process, process.door), 0);
-    if (process.pid == 0) tryAgainLater(name, process);
+    process.operatorAddress = settings::readConfiguration(process.desired.configuration).operatorAddress;
+    process.pid = std::max<pid_t>(spawn(name, process, process.operatorAddress), 0);
+    if (process.pid == 0) scheduleRetry(name, process);
 }
 
-void Supervisor::hold(const std::string& name, Process& process, const settings::Endpoint& at) {
-    if (process.socket && process.listens == at) return;
+void Supervisor::openListener(const std::string& name, Process& process, const settings::Endpoint& at) {
+    if (process.socket && process.listenAddress == at) return;
     process.socket.reset();
-    process.listens = at;
+    process.listenAddress = at;
     try {
         process.socket = net::listenOn(at);
-    } catch (const std::system_error& problem) {  // the instance says so itself, and ends
+    } catch (const std::system_error& problem) {  // the instance reports the error itself and exits
         std::fprintf(stderr, "agent: %s: %s\n", name.c_str(), problem.what());
     }
 }
 
 pid_t Supervisor::spawn(const std::string& name, Process& process,
-                        const std::optional<settings::Endpoint>& door) {
-    hold(name, process, settings::readConfiguration(process.wanted.configuration).listen);
+                        const std::optional<settings::Endpoint>& operatorAddress) {
+    openListener(name, process, settings::readConfiguration(process.desired.configuration).listen);
     const std::string base = folder_ + "/" + name;
-    // All that the child needs is made before the fork.
-    const std::string setting = base + ".json", log = base + ".log", meeting = base + ".tmp";
-    if (!writeWhole(setting, process.wanted.configuration)) {
-        std::fprintf(stderr, "agent: cannot start %s: its configuration cannot be written\n", name.c_str());
+    // Everything that the child needs is allocated before the fork.
+    const std::string configurationFile = base + ".json", log = base + ".log", handOverFolder = base + ".tmp";
+    if (!writeAtomically(configurationFile, process.desired.configuration)) {
+        std::fprintf(stderr, "agent: cannot start %s: its configuration file cannot be written\n",
+                     name.c_str());
         return -1;
     }
-    ::mkdir(meeting.c_str(), 0700);
-    const std::string at = door ? door->host + ":" + std::to_string(door->port) : "";
-    constexpr int kSocket = 5;
+    ::mkdir(handOverFolder.c_str(), 0700);
+    const std::string at =
+        operatorAddress ? operatorAddress->host + ":" + std::to_string(operatorAddress->port) : "";
+    constexpr int kSocketDescriptor = 5;
     const int socket = process.socket.get();
     const pid_t agent = ::getpid();
     const pid_t pid = ::fork();
@@ -135,30 +138,31 @@
         sigemptyset(&none);
         sigprocmask(SIG_SETMASK, &none, nullptr);
         ::prctl(PR_SET_PDEATHSIG,
-                SIGTERM);  // without its agent nobody would stop it
+                SIGTERM);  // nobody would stop the process without its agent
         if (::getppid() != agent) ::_exit(125);
-        ::setenv("LB_CONFIG", setting.c_str(), 1);
+        ::setenv("LB_CONFIG", configurationFile.c_str(), 1);
         ::setenv("LB_NAME", name.c_str(), 1);
-        ::setenv("TMPDIR", meeting.c_str(), 1);
+        ::setenv("TMPDIR", handOverFolder.c_str(), 1);
         at.empty() ? ::unsetenv("LB_OPERATOR") : ::setenv("LB_OPERATOR", at.c_str(), 1);
         ::unsetenv("LB_SOCKET_FD");
         if (socket >= 0) {
-            const bool passed =
-                socket == kSocket ? ::fcntl(socket, F_SETFD, 0) == 0 : ::dup2(socket, kSocket) == kSocket;
+            const bool passed = socket == kSocketDescriptor
+                                    ? ::fcntl(socket, F_SETFD, 0) == 0
+                                    : ::dup2(socket, kSocketDescriptor) == kSocketDescriptor;
             if (!passed) ::_exit(126);
-            ::setenv("LB_SOCKET_FD", std::to_string(kSocket).c_str(), 1);
+            ::setenv("LB_SOCKET_FD", std::to_string(kSocketDescriptor).c_str(), 1);
         }
         const int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
         if (out < 0 || ::dup2(out, STDOUT_FILENO) < 0 || ::dup2(out, STDERR_FILENO) < 0) ::_exit(126);
         ::execl(program_.c_str(), program_.c_str(), nullptr);
         ::_exit(127);
     }
-    if (pid < 0) std::fprintf(stderr, "agent: cannot start %s: no process is to be had\n", name.c_str());
+    if (pid < 0) std::fprintf(stderr, "agent: cannot start %s: fork failed\n", name.c_str());
     return pid;
 }
 
-// The doors of an instance's processes take turns: the configured address, and
-// the port after it.
+// The processes of an instance alternate between two operator addresses: the configured one, and the same
+// host with the next port.
 bool Supervisor::replace(const std::string& name) {
     const auto found = processes_.find(name);
     if (found == processes_.end()) return false;
@@ -167,59 +171,61 @@
     return beginReplacement(name, process) == Replacement::begun;
 }
 
-// Of an instance that runs, and is neither stopping nor being replaced.
+// The instance must be running, and neither stopping nor being replaced.
 Supervisor::Replacement Supervisor::beginReplacement(const std::string& name, Process& process) {
-    const auto configured = settings::readConfiguration(process.wanted.configuration).operatorAddress;
-    if (!process.door || !configured) return Replacement::impossible;
-    process.nextDoor = configured;
-    if (*process.door == *configured && ++process.nextDoor->port == 0) return Replacement::impossible;
-    process.successorRuns = process.wanted.revision;
-    process.successorServes = false;
-    process.successor = std::max<pid_t>(spawn(name, process, process.nextDoor), 0);
+    const auto configured = settings::readConfiguration(process.desired.configuration).operatorAddress;
+    if (!process.operatorAddress || !configured) return Replacement::impossible;
+    process.successorOperatorAddress = configured;
+    if (*process.operatorAddress == *configured && ++process.successorOperatorAddress->port == 0)
+        return Replacement::impossible;
+    process.successorRevision = process.desired.revision;
+    process.successorReady = false;
+    process.successor = std::max<pid_t>(spawn(name, process, process.successorOperatorAddress), 0);
     if (process.successor == 0) return Replacement::failed;
-    awaitReady(name, process.successor, loop_.now() + kReadyWithin);
+    pollReadiness(name, process.successor, loop_.now() + kReadyTimeout);
     return Replacement::begun;
 }
 
-void Supervisor::awaitReady(const std::string& name, pid_t successor, net::Micros until) {
+void Supervisor::pollReadiness(const std::string& name, pid_t successor, net::Micros until) {
     const auto current = [this, name, successor]() -> Process* {
         const auto found = processes_.find(name);
         return found != processes_.end() && found->second.successor == successor ? &found->second : nullptr;
     };
     Process* process = current();
     if (!process) return;
-    net::sendHttpRequest(loop_, *process->nextDoor, "GET", "/ready", kAnswers,
+    net::sendHttpRequest(loop_, *process->successorOperatorAddress, "GET", "/ready", kReadyCallTimeout,
                          [this, name, successor, until, current](int status, const std::string&) {
                              Process* asked = current();
                              if (!asked) return;
                              if (status == 200) {
-                                 asked->successorServes = true;
+                                 asked->successorReady = true;
                                  ::kill(asked->pid, SIGTERM);
                              } else if (loop_.now() >= until) {
                                  ::kill(successor, SIGKILL);
                              } else {
-                                 loop_.after(kAskAgain, [this, name, successor, until] {
-                                     awaitReady(name, successor, until);
+                                 loop_.after(kReadyPollInterval, [this, name, successor, until] {
+                                     pollReadiness(name, successor, until);
                                  });
                              }
                          });
 }
 
-// The old process has ended. Where the successor does not serve yet it will, or
-// ends and is started again.
+// Called when the old process has ended. If the successor is not ready yet, it will be, or it exits and is
+// restarted.
 void Supervisor::promote(Process& process) {
     process.pid = std::exchange(process.successor, 0);
-    process.runs = process.successorRuns;
-    process.door = process.nextDoor;
+    process.runningRevision = process.successorRevision;
+    process.operatorAddress = process.successorOperatorAddress;
     process.startedAt = loop_.now();
-    process.pause = {};
+    process.restartDelay = {};
 }
 
-std::optional<settings::Endpoint> Supervisor::door(const std::string& name) const {
+std::optional<settings::Endpoint> Supervisor::operatorAddress(const std::string& name) const {
     const auto found = processes_.find(name);
     if (found == processes_.end()) return std::nullopt;
-    return found->second.successorServes && found->second.successor != 0 ? found->second.nextDoor
-                                                                         : found->second.door;
+    return found->second.successorReady && found->second.successor != 0
+               ? found->second.successorOperatorAddress
+               : found->second.operatorAddress;
 }
 
 void Supervisor::stop(Process& process) {
@@ -244,7 +250,7 @@
             if (process.stopping) continue;
             std::fprintf(stderr, "agent: the successor of %s has ended, the old process goes on\n",
                          name.c_str());
-            if (process.runs != process.wanted.revision) tryAgainLater(name, process);
+            if (process.runningRevision != process.desired.revision) scheduleRetry(name, process);
             continue;
         }
         if (process.successor != 0) {
@@ -253,23 +259,25 @@
             stopping ? stop(process) : reconcile(name, process);
             continue;
         }
-        const bool told = process.stopping;
+        const bool expected = process.stopping;
         process.pid = 0;
         process.stopping = false;
         if (!process.keep) {
             processes_.erase(found);
             continue;
         }
-        net::Micros pause{};
-        if (!told) {
+        net::Micros restartDelay{};
+        if (!expected) {
             const int code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
             std::fprintf(stderr, "agent: %s ended with %d, starting again\n", name.c_str(), code);
             ++process.restarts;
-            const bool well = loop_.now() - process.startedAt > kWell;
-            process.pause = well ? kFirstPause : std::clamp(2 * process.pause, kFirstPause, kLongestPause);
-            pause = process.pause;
+            const bool stable = loop_.now() - process.startedAt > kStableAfter;
+            process.restartDelay =
+                stable ? kMinRestartDelay
+                       : std::clamp(2 * process.restartDelay, kMinRestartDelay, kMaxRestartDelay);
+            restartDelay = process.restartDelay;
         }
-        attendAfter(pause, name, process);
+        scheduleReconcile(restartDelay, name, process);
     }
 }
 
--- a/src/agent/supervisor.hpp
+++ b/src/agent/supervisor.hpp
@@ -1,4 +1,4 @@
-// Keeps the instances of this agent running: starts, restarts and stops them.
+// Runs this agent's instances as child processes: starts, restarts, replaces and stops them.
 #pragma once
 
 #include <sys/types.h>
@@ -19,14 +19,14 @@
     Supervisor(net::Loop& loop, std::string program, std::string folder)
         : loop_(loop), program_(std::move(program)), folder_(std::move(folder)) {}
 
-    void want(const std::map<std::string, Instance>& all, std::uint64_t self);
+    void setInstances(const std::map<std::string, Instance>& all, std::uint64_t self);
     void stopAll();
     void reap();  // after SIGCHLD
-    // Starts a successor beside it, and ends the old process once that takes
-    // clients. False: it doesn't run, is being replaced already, or has no
-    // operators' door that would tell.
+    // Starts a successor process, and stops the old one as soon as the successor is ready. Returns false if
+    // the instance is not running, is already being replaced, or has no operator address to poll for
+    // readiness.
     bool replace(const std::string& name);
-    std::optional<settings::Endpoint> door(const std::string& name) const;
+    std::optional<settings::Endpoint> operatorAddress(const std::string& name) const;
     bool empty() const { return processes_.empty(); }
 
     struct Status {
@@ -38,39 +38,39 @@
 
 private:
     struct Process {
-        Instance wanted;
-        std::uint64_t runs = 0;  // the revision that runs
+        Instance desired;
+        std::uint64_t runningRevision = 0;  // of the configuration that the process was started with
         bool keep = true;
         bool stopping = false;
         pid_t pid = 0;
-        // The clients' socket is held here, so that each process of the instance
-        // inherits it.
+        // The listening socket is kept here, so that every process of the instance inherits it.
         net::Descriptor socket;
-        settings::Endpoint listens;
-        std::optional<settings::Endpoint> door, nextDoor;
+        settings::Endpoint listenAddress;
+        std::optional<settings::Endpoint> operatorAddress, successorOperatorAddress;
         pid_t successor = 0;
-        std::uint64_t successorRuns = 0;
-        bool successorServes = false;
+        std::uint64_t successorRevision = 0;
+        bool successorReady = false;
         int restarts = 0;
         net::Micros startedAt{};
-        net::Micros pause{};
+        net::Micros restartDelay{};
         std::optional<net::Loop::TimerKey> timer;
     };
 
     enum class Replacement {
         begun,
-        failed,      // no process was to be had; it may be tried again
-        impossible,  // without an operators' door nobody tells when the successor serves
+        failed,      // no process could be started; retry
+        impossible,  // no operator address to tell when the successor is ready
     };
 
     void reconcile(const std::string& name, Process& process);
-    void tryAgainLater(const std::string& name, Process& process);
-    void attendAfter(net::Micros pause, const std::string& name, Process& process);
+    void scheduleRetry(const std::string& name, Process& process);
+    void scheduleReconcile(net::Micros restartDelay, const std::string& name, Process& process);
     Replacement beginReplacement(const std::string& name, Process& process);
     void start(const std::string& name, Process& process);
-    pid_t spawn(const std::string& name, Process& process, const std::optional<settings::Endpoint>& door);
-    void hold(const std::string& name, Process& process, const settings::Endpoint& at);
-    void awaitReady(const std::string& name, pid_t successor, net::Micros until);
+    pid_t spawn(const std::string& name, Process& process,
+                const std::optional<settings::Endpoint>& operatorAddress);
+    void openListener(const std::string& name, Process& process, const settings::Endpoint& at);
+    void pollReadiness(const std::string& name, pid_t successor, net::Micros until);
     void promote(Process& process);
     void stop(Process& process);
 
--- a/tests/agents.hpp
+++ b/tests/agents.hpp
@@ -1,4 +1,4 @@
-// Three agents on loopback, and the command-line tool.
+// Test fixture: three agents on loopback, and the command-line tool.
 #pragma once
 
 #include <sys/prctl.h>
@@ -15,10 +15,10 @@
     return text;
 }
 
-// Holds an address, so that nobody else can listen on it.
-class Listening {
+// Listens on an address, so that nobody else can.
+class OccupiedPort {
 public:
-    Listening(const std::string& host, int port) : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    OccupiedPort(const std::string& host, int port) : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
         sockaddr_in at{};
         at.sin_family = AF_INET;
         at.sin_port = htons(static_cast<std::uint16_t>(port));
@@ -27,8 +27,8 @@
             ::bind(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0 && ::listen(fd_, 1) == 0;
         assert(up);
     }
-    ~Listening() { ::close(fd_); }
-    Listening(const Listening&) = delete;
+    ~OccupiedPort() { ::close(fd_); }
+    OccupiedPort(const OccupiedPort&) = delete;
 
 private:
     int fd_;
@@ -36,12 +36,12 @@
 
 class Agents {
 public:
-    // `variables`: set for the agents, and so for what they run.
+    // `variables`: environment of the agents and of the instances that they run.
     explicit Agents(Program::Variables variables = {}) : variables_(std::move(variables)) {
         char folder[] = "/tmp/lotuslead-test-XXXXXX";
         folder_ = ::mkdtemp(folder);
-        // The agents must know each other's ports beforehand: an address of this
-        // process's own has all free.
+        // The agents need each other's ports in advance. All ports are free on an address derived from the
+        // process id.
         const int pid = ::getpid();
         host_ = "127." + std::to_string(64 + (pid >> 14) % 64) + "." + std::to_string((pid >> 7) % 128) +
                 "." + std::to_string(1 + pid % 128);
@@ -51,7 +51,7 @@
         for (int id = 1; id <= 3; ++id) start(id);
     }
     ~Agents() {
-        for (int id = 1; id <= 3; ++id) end(id, SIGTERM);
+        for (int id = 1; id <= 3; ++id) stop(id, SIGTERM);
         run("rm -r " + folder_);
     }
     void start(int id) {
@@ -60,13 +60,13 @@
             << json{{"id", id}, {"folder", base}, {"program", LOTUSLEAD_PROGRAM}, {"agents", members_}};
         pids_[id] = ::fork();
         if (pids_[id] != 0) return;
-        ::prctl(PR_SET_PDEATHSIG, SIGTERM);  // also when an assert ends this story
+        ::prctl(PR_SET_PDEATHSIG, SIGTERM);  // also after a failed assertion of the test
         for (const auto& [name, value] : variables_) ::setenv(name.c_str(), value.c_str(), 1);
         if (!std::freopen((base + ".log").c_str(), "a", stderr)) ::_exit(126);
         ::execl(LOTUSLEAD_AGENT, LOTUSLEAD_AGENT, (base + ".json").c_str(), nullptr);
         ::_exit(127);
     }
-    int end(int id, int signal) {
+    int stop(int id, int signal) {
         if (pids_[id] == 0) return 0;
         int status = 0;
         ::kill(pids_[id], signal);
@@ -82,26 +82,26 @@
         std::ifstream in(folder_ + "/" + std::to_string(id) + "/instances/" + instance + ".log");
         return {std::istreambuf_iterator<char>(in), {}};
     }
-    // Until the agent's own log has this text.
+    // Waits until the agent's own log contains the text.
     void awaitLog(int id, const std::string& text) const {
         for (int i = 0; i < kWaitLimitSeconds * 20; ++i, std::this_thread::sleep_for(50ms)) {
             std::ifstream in(folder_ + "/" + std::to_string(id) + ".log");
             const std::string all{std::istreambuf_iterator<char>(in), {}};
             if (all.find(text) != std::string::npos) return;
         }
-        std::fprintf(stderr, "agent %d never logged '%s'\n", id, text.c_str());
+        std::fprintf(stderr, "agent %d did not log '%s' in time\n", id, text.c_str());
         std::abort();
     }
     std::string control(int id) const { return host_ + ":" + std::to_string(9100 + id); }
-    std::string ctl(const std::string& words, int id = 0) const {
+    std::string ctl(const std::string& arguments, int id = 0) const {
         const std::string agents = id > 0 ? control(id) : control(1) + "," + control(2) + "," + control(3);
-        return run(std::string(LOTUSLEAD_CTL) + " --agents " + agents + " " + words);
+        return run(std::string(LOTUSLEAD_CTL) + " --agents " + agents + " " + arguments);
     }
     json status(int id) const {
         const std::string text = ctl("status", id);
         return json::parse(text.substr(text.find('\n') + 1), nullptr, false);
     }
-    // What is agreed and started comes soon, but not at once.
+    // Committed changes are applied and started with a delay: waits until the status satisfies `holds`.
     void await(int id, const std::function<bool(const json&)>& holds) const {
         for (int i = 0; i < kWaitLimitSeconds * 20; ++i, std::this_thread::sleep_for(50ms)) {
             const json now = status(id);
--- a/tests/raft_import_test.cpp
+++ b/tests/raft_import_test.cpp
@@ -1,4 +1,4 @@
-// An agent's folder of before, with libraft's own files, is taken over once and as a whole.
+// A folder of an earlier version, with libraft's own files, is imported once and completely.
 #include "agent/raft_import.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
 
 constexpr const char* kAddress = "127.0.0.1:9001";
 
-// libraft's back end on a folder, as agents of before had it.
+// libraft's own back end on a folder, as earlier versions used it.
 class LibraftFolder {
 public:
     explicit LibraftFolder(const std::string& folder) {
@@ -79,7 +79,7 @@
 };
 
 RaftLog::Content imported(const TemporaryFolder& folder) {
-    makeLogFolder(folder.path(), folder.log());
+    createOrImportLog(folder.path(), folder.log());
     RaftLog log(folder.log());
     return log.open();
 }
@@ -93,8 +93,8 @@
     }
     for (int start = 0; start < 2; ++start) {
         const auto content = imported(folder);
-        EXPECT_EQ(content.ballot.term, 7U);
-        EXPECT_EQ(content.ballot.vote, 1U);
+        EXPECT_EQ(content.termAndVote.term, 7U);
+        EXPECT_EQ(content.termAndVote.vote, 1U);
         EXPECT_EQ(content.firstIndex, 1U);
         ASSERT_EQ(content.entries.size(), 1U);
         EXPECT_EQ(content.entries[0].type, RAFT_CHANGE);
@@ -112,19 +112,19 @@
     {
         RaftLog unfinished(folder.log() + ".new");
         unfinished.open();
-        unfinished.writeBallot({99, 2});
+        unfinished.writeTermAndVote({99, 2});
     }
-    EXPECT_EQ(imported(folder).ballot.term, 3U);
+    EXPECT_EQ(imported(folder).termAndVote.term, 3U);
 }
 
 TEST(RaftImport, AFolderThatIsNewBeginsEmpty) {
     TemporaryFolder folder;
     const auto content = imported(folder);
-    EXPECT_EQ(content.ballot.term, 0U);
+    EXPECT_EQ(content.termAndVote.term, 0U);
     EXPECT_TRUE(content.entries.empty());
 }
 
-// It would begin with an empty log there, and forget what it had acknowledged.
+// It would start with an empty log there and forget acknowledged entries.
 TEST(RaftImport, AProgramOfBeforeRefusesTheFolder) {
     TemporaryFolder folder;
     imported(folder);
--- a/tests/raft_log_test.cpp
+++ b/tests/raft_log_test.cpp
@@ -1,5 +1,5 @@
-// The agents' log on disk: what was written is there after an end at any moment, what was replaced is not,
-// and what cannot be trusted is refused.
+// The Raft log's files: acknowledged writes survive a crash at any point, replaced entries do not come
+// back, and invalid data is rejected.
 #include "agent/raft_log.hpp"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
     }
     ~TemporaryFolder() { fs::remove_all(path_); }
     const std::string& path() const { return path_; }
-    // In the order in which they were written.
+    // In the order in which they were created.
     std::vector<fs::path> segments() const {
         std::vector<fs::path> found;
         for (const auto& entry : fs::directory_iterator(path_))
@@ -73,7 +73,7 @@
 TEST(RaftLog, BeginsEmpty) {
     TemporaryFolder folder;
     const auto content = reopened(folder);
-    EXPECT_EQ(content.ballot.term, 0U);
+    EXPECT_EQ(content.termAndVote.term, 0U);
     EXPECT_EQ(content.firstIndex, 1U);
     EXPECT_TRUE(content.entries.empty());
     EXPECT_FALSE(content.snapshot);
@@ -86,20 +86,20 @@
         log.open();
         append(log, 1, {"a", ""});
         append(log, 3, {"c"}, 2);
-        log.writeBallot({2, 3});
+        log.writeTermAndVote({2, 3});
     }
     {
         RaftLog log(folder.path());
         log.open();
         append(log, 4, {"d"}, 5);
-        log.writeBallot({5, 0});
+        log.writeTermAndVote({5, 0});
     }
     const auto content = reopened(folder);
     EXPECT_EQ(dataOf(content), (Strings{"a", "", "c", "d"}));
     EXPECT_EQ(content.entries[2].term, 2U);
     EXPECT_EQ(content.entries[3].type, kCommand);
-    EXPECT_EQ(content.ballot.term, 5U);
-    EXPECT_EQ(content.ballot.vote, 0U);
+    EXPECT_EQ(content.termAndVote.term, 5U);
+    EXPECT_EQ(content.termAndVote.vote, 0U);
 }
 
 TEST(RaftLog, ReplacesATruncatedEnd) {
@@ -194,7 +194,7 @@
     EXPECT_EQ(dataOf(content), Strings{"j"});
 }
 
-// The snapshot is there already, the entries that it replaces are still there.
+// The snapshot is stored already, but the entries that it replaces have not been removed yet.
 TEST(RaftLog, FinishesAnInstallThatWasCutShort) {
     for (const std::uint64_t index : {2U, 9U}) {
         TemporaryFolder folder, other;
@@ -243,14 +243,14 @@
     {
         RaftLog log(folder.path());
         log.open();
-        log.writeBallot({3, 1});
-        log.writeBallot({4, 2});
+        log.writeTermAndVote({3, 1});
+        log.writeTermAndVote({4, 2});
     }
-    flipByte(folder.path() + "/ballot", 20);  // the second one
+    flipByte(folder.path() + "/ballot", 20);  // the slot of the second write
     {
         const auto content = reopened(folder);
-        EXPECT_EQ(content.ballot.term, 3U);
-        EXPECT_EQ(content.ballot.vote, 1U);
+        EXPECT_EQ(content.termAndVote.term, 3U);
+        EXPECT_EQ(content.termAndVote.vote, 1U);
     }
     flipByte(folder.path() + "/ballot", 4096 + 20);
     RaftLog log(folder.path());
--- a/tests/shared_configuration_test.cpp
+++ b/tests/shared_configuration_test.cpp
@@ -1,5 +1,5 @@
-// Gateways that read boxes and purges from agents, through partitions and lost agents; and the agents'
-// membership.
+// Gateways that read boxes and purges from agents, during partitions and after agents are lost; and changes
+// of the agents' membership.
 #include "raft_cluster.hpp"
 #include "repository_server.hpp"
 
@@ -13,11 +13,11 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
-json putting(const std::string& key, const json& value) {
+json putTransaction(const std::string& key, const json& value) {
     return {{"do", {{{"key", key}, {"value", value}}}}};
 }
 
-int connectedTo(const std::string& address) {
+int connectTo(const std::string& address) {
     const std::size_t colon = address.find(':');
     sockaddr_in to{};
     to.sin_family = AF_INET;
@@ -29,13 +29,13 @@
     return fd;
 }
 
-void must(const ctl::Client& client, const json& transaction) {
+void commitOrFail(const ctl::Client& client, const json& transaction) {
     const auto answer = client.commit(transaction);
     if (answer.status != 200) std::fprintf(stderr, "%d %s\n", answer.status, answer.body.c_str());
     assert(answer.status == 200);
 }
 
-// The front's file, without a box of its own: all comes from the agents.
+// A gateway configuration without boxes: all come from the agents.
 json gatewayFile(const Cluster& cluster, std::initializer_list<int> agents) {
     json file = repository({});
     file["known"] = {{"offset", 0}, {"batch", json::array()}};
@@ -44,25 +44,27 @@
     return file;
 }
 
-json boxOf(const std::string& name, const std::string& address, const char* type) {
+json boxDocument(const std::string& name, const std::string& address, const char* type) {
     json box = host(name, address, type);
     box.erase("name");
     return box;
 }
 
-// Two gateways on two agents, one of them cut off with a minority: each serves what was told before the cut,
-// and no index from before a purge once the purge was agreed on and the cut-off agent's election timeout has
-// passed.
+// Two gateways read from two agents, one of which is cut off in a minority. Each gateway serves what it had
+// before the partition, but no index from before a purge once the purge is committed and the isolated
+// agent's election timeout has passed.
 void aPurgeReachesBothSidesOfAPartition() {
     Cluster cluster(3);
     const int leader = cluster.awaitLeader();
-    const int lonely = leader % 3 + 1, third = lonely % 3 + 1;
+    const int isolated = leader % 3 + 1, third = isolated % 3 + 1;
     Repository server(100'000);
     const auto client = cluster.client(leader);
-    must(client, putting("boxes/cache-1", boxOf("cache-1", server.address(), "small")));
-    must(client, putting("boxes/parent-1", boxOf("parent-1", server.address(), "parent")));
-    must(client, putting("boxes/origin-1", boxOf("origin-1", server.address(), "origin")));
-    cluster.await(lonely, [](const json& s) { return s["last_event"] == 3; });
+    commitOrFail(client, putTransaction("boxes/cache-1", boxDocument("cache-1", server.address(), "small")));
+    commitOrFail(client,
+                 putTransaction("boxes/parent-1", boxDocument("parent-1", server.address(), "parent")));
+    commitOrFail(client,
+                 putTransaction("boxes/origin-1", boxDocument("origin-1", server.address(), "origin")));
+    cluster.await(isolated, [](const json& s) { return s["last_event"] == 3; });
     char folder[] = "/tmp/lotuslead-shared-XXXXXX";
     const std::string disk = ::mkdtemp(folder);
     std::ofstream(disk + "/disk.json") << json{{"repository",
@@ -72,8 +74,8 @@
                                                  {"purge_slack_ms", 0}}}};
     {
         Program a(gatewayFile(cluster, {leader, third}), "LB_REPOSITORY");
-        // Keeps copies of its own, and begins at the agent that will be cut off.
-        Program b(gatewayFile(cluster, {lonely, third}), "LB_REPOSITORY", 1024,
+        // Has a disk tier, and reads first from the agent that will be isolated.
+        Program b(gatewayFile(cluster, {isolated, third}), "LB_REPOSITORY", 1024,
                   {{"LB_DISK", disk + "/disk.json"}});
         b.awaitLog(" segments at ");
         for (int i = 0; i < 4; ++i)
@@ -82,20 +84,20 @@
                 assert(get(c, "/index/plugins.json").body == "version 1\n");
             }
         for (const int id : {leader, third}) {
-            cluster.relay.cut(id, lonely, true);
-            cluster.relay.cut(lonely, id, true);
+            cluster.relay.cut(id, isolated, true);
+            cluster.relay.cut(isolated, id, true);
         }
         server.version = 2;
-        must(client, putting("purges/object//index/plugins.json", {{"ts", unixMs()}}));
+        commitOrFail(client, putTransaction("purges/object//index/plugins.json", {{"ts", unixMs()}}));
         const auto purged = std::chrono::steady_clock::now();
-        // Behind a leader that heard the purge: at once, within the limit of 500 ms.
+        // Reading from the majority's side: within the limit of 500 ms.
         std::this_thread::sleep_for(500ms);
         {
             Connection c(a.port());
             assert(get(c, "/index/plugins.json").body == "version 2\n");
         }
-        // Behind the agent that was cut off: as soon as that knows itself alone, two election timeouts (400
-        // ms) and what is left of a hold (1 s) at most.
+        // Reading from the isolated agent: once that has noticed its isolation, after two election timeouts
+        // (400 ms) and the remaining hold of a read (1 s) at most.
         std::int64_t last = 0;
         for (int i = 0; i < 400; ++i, std::this_thread::sleep_for(10ms)) {
             Connection c(b.port());
@@ -105,21 +107,20 @@
         const auto passed =
             std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - purged)
                 .count();
-        std::fprintf(stderr,
-                     "the old index came for the last time %lld ms after the purge, of %lld ms looked at\n",
+        std::fprintf(stderr, "the old index was last served %lld ms after the purge (observed for %lld ms)\n",
                      static_cast<long long>(500 + last), static_cast<long long>(passed));
         if (500 + last > 2400) {
             b.awaitCounters(" bus ");
-            std::fprintf(stderr, "%s\n%s\n", b.log().c_str(), cluster.log(lonely).c_str());
+            std::fprintf(stderr, "%s\n%s\n", b.log().c_str(), cluster.log(isolated).c_str());
         }
         assert(500 + last <= 2400);
-        // A box that comes now is known to both, also behind the agent that was cut off, once the links are
-        // back.
-        must(client, putting("boxes/cache-2", boxOf("cache-2", server.address(), "small")));
+        // After the links are restored, both gateways learn of a box that is added now.
+        commitOrFail(client,
+                     putTransaction("boxes/cache-2", boxDocument("cache-2", server.address(), "small")));
         cluster.relay.heal();
         const auto healed = std::chrono::steady_clock::now();
-        cluster.await(lonely, [](const json& s) { return s["last_event"] == 5; });
-        std::fprintf(stderr, "the agent that was cut off had all %lld ms after the links came back\n",
+        cluster.await(isolated, [](const json& s) { return s["last_event"] == 5; });
+        std::fprintf(stderr, "the isolated agent had caught up %lld ms after the links were restored\n",
                      static_cast<long long>(std::chrono::duration_cast<std::chrono::milliseconds>(
                                                 std::chrono::steady_clock::now() - healed)
                                                 .count()));
@@ -127,35 +128,37 @@
     std::filesystem::remove_all(disk);
 }
 
-// A gateway goes on with the next agent, and asks for what it lacks by number: no purge is lost in between.
-void aLostAgentCostsNoPurge() {
+// A gateway goes on with the next agent from its last offset, so that no purge is lost.
+void noPurgeIsLostWithAnAgent() {
     Cluster cluster(3);
     cluster.awaitLeader();
     Repository server(1000);
     const auto client = cluster.client(2);
     for (const char* type : {"small", "parent", "origin"})
-        must(client, putting(std::string("boxes/") + type, boxOf("x", server.address(), type)));
+        commitOrFail(client,
+                     putTransaction(std::string("boxes/") + type, boxDocument("x", server.address(), type)));
     cluster.await(1, [](const json& s) { return s["last_event"] == 3; });
     Program gateway(gatewayFile(cluster, {1, 2, 3}), "LB_REPOSITORY");
     Connection c(gateway.port());
     assert(get(c, "/index/plugins.json").status == 200);
     cluster.kill(1);
-    must(client, putting("purges/object//index/plugins.json", {{"ts", unixMs()}}));
-    must(client, putting("purges/group/5", {{"ts", unixMs()}}));
+    commitOrFail(client, putTransaction("purges/object//index/plugins.json", {{"ts", unixMs()}}));
+    commitOrFail(client, putTransaction("purges/group/5", {{"ts", unixMs()}}));
     for (int i = 0; i < 400; ++i, std::this_thread::sleep_for(10ms)) {
         gateway.signal(SIGUSR1);
         if (gateway.log().find("events=5") != std::string::npos) return;
     }
     std::fprintf(stderr, "%s\n", gateway.log().c_str());
-    assert(!"the purges never came");
+    assert(!"the purges did not reach the gateway");
 }
 
-// In service: a fourth agent joins, catches up, gets a vote; a dead one is replaced by one command.
-void membersComeAndGo() {
+// A fourth agent joins the running cluster, catches up and becomes a voter; a dead one is replaced by one
+// command.
+void membersAreAddedPromotedAndReplaced() {
     Cluster cluster(3, {{"snapshot_every", 16}});
     cluster.awaitLeader();
     const auto client = cluster.client();
-    for (int i = 0; i < 60; ++i) must(client, putting("files/a", i));
+    for (int i = 0; i < 60; ++i) commitOrFail(client, putTransaction("files/a", i));
     const auto all = cluster.control(1) + "," + cluster.control(2) + "," + cluster.control(3);
     const auto ctl = [&](const std::string& words) {
         const std::string command = std::string(LOTUSLEAD_CTL) + " --agents " + all + " " + words + " 2>&1";
@@ -165,10 +168,10 @@
         ::pclose(pipe);
         return text;
     };
-    cluster.relay.open(4, cluster.raft(4), cluster.inner(4));
+    cluster.relay.open(4, cluster.raft(4), cluster.raftListen(4));
     cluster.start(4, true);
     assert(ctl("members add 4 " + cluster.raft(4) + " " + cluster.control(4)) == "done\n");
-    // Whichever agent answers: it hears of it soon.
+    // Any agent may answer, so the change may take a moment to show.
     const auto listed = [&](const std::string& row) {
         for (int i = 0; i < 400; ++i, std::this_thread::sleep_for(10ms))
             if (ctl("members list").find(row) != std::string::npos) return true;
@@ -178,73 +181,73 @@
     assert(ctl("members promote 4") == "done\n");
     cluster.await(4, [](const json& s) { return s["revision"] >= 61; });
     assert(listed("4      voter"));
-    // Now a majority is three of four: with one dead the fourth one's vote counts.
+    // Three of four are a majority now: with one agent dead, the fourth one's vote is needed.
     const int leader = cluster.awaitLeader();
     const int dead = leader == 3 ? 2 : 3;
     cluster.kill(dead);
-    must(client, putting("files/a", "still"));
-    cluster.relay.open(5, cluster.raft(5), cluster.inner(5));
+    commitOrFail(client, putTransaction("files/a", "still"));
+    cluster.relay.open(5, cluster.raft(5), cluster.raftListen(5));
     cluster.start(5, true);
     const std::string replaced =
         ctl("members replace " + std::to_string(dead) + " 5 " + cluster.raft(5) + " " + cluster.control(5));
     if (replaced != "done\n") std::fprintf(stderr, "%s\n", replaced.c_str());
     assert(replaced == "done\n");
     cluster.await(5, [](const json& s) { return s["revision"] >= 62; });
-    // One that was removed and comes back unasked disturbs nobody.
+    // A removed agent that is started again does not disturb the cluster.
     const json before = cluster.status(leader);
     cluster.start(dead);
     std::this_thread::sleep_for(1500ms);
     assert(cluster.leader() == leader);
-    must(client, putting("files/a", "undisturbed"));
+    commitOrFail(client, putTransaction("files/a", "undisturbed"));
     assert(cluster.status(leader)["applied"] > before["applied"]);
 }
 
-json askFeed(Connection& reader, std::int64_t from) {
+json readFeed(Connection& reader, std::int64_t from) {
     reader.send("GET /bus/read?from=" + std::to_string(from) + "&hold=2000 HTTP/1.1\r\nHost: agent\r\n\r\n");
     const std::string head = reader.readHead();
     assert(head.rfind("HTTP/1.1 200 ", 0) == 0 && head.find("Connection: close") == std::string::npos);
     return json::parse(reader.exactly(std::strtoul(fieldOf(head, "Content-Length").c_str(), nullptr, 10)));
 }
 
-// Readers ask again and again on one connection, and of many purges in a row several come with one answer.
-void theFeedKeepsConnectionsAndGathersEvents() {
+// Readers reuse one connection, and of many purges in a row several share an answer.
+void theFeedKeepsConnectionsAndBatchesEvents() {
     constexpr int kPurges = 40;
     Cluster cluster(1);
     cluster.awaitLeader();
     const auto client = cluster.client();
-    must(client, putting("purges/object/first", {{"ts", unixMs()}}));
-    Connection reader(connectedTo(cluster.bus(1)));
-    assert(askFeed(reader, 0)["offset"] == 1);
+    commitOrFail(client, putTransaction("purges/object/first", {{"ts", unixMs()}}));
+    Connection reader(connectTo(cluster.bus(1)));
+    assert(readFeed(reader, 0)["offset"] == 1);
     std::thread writer([&] {
         for (int i = 0; i < kPurges; ++i) {
-            must(client, putting("purges/object/o" + std::to_string(i), {{"ts", unixMs()}}));
+            commitOrFail(client, putTransaction("purges/object/o" + std::to_string(i), {{"ts", unixMs()}}));
             std::this_thread::sleep_for(20ms);
         }
     });
     std::int64_t from = 1;
     int answers = 0;
-    for (; from < kPurges + 1; ++answers) from = askFeed(reader, from)["offset"];
+    for (; from < kPurges + 1; ++answers) from = readFeed(reader, from)["offset"];
     writer.join();
     assert(answers <= kPurges / 4);
-    // Whoever sends more while its answer is due has broken the form.
-    Connection hasty(connectedTo(cluster.bus(1)));
+    // Sending another request before the answer is a protocol violation.
+    Connection hasty(connectTo(cluster.bus(1)));
     const std::string ask = "GET /bus/read?from=41&hold=2000 HTTP/1.1\r\nHost: agent\r\n\r\n";
     hasty.send(ask + ask);
     assert(hasty.closed());
 }
 
-// Many purges push neither an operator's change nor its revision out of what `history` tells of all.
-void purgesLeaveTheHistoryOfOtherChanges() {
-    constexpr int kPurges = 4200;  // the history of purges holds 4,096 transactions
+// Many purges evict neither other changes nor their revisions from `history`.
+void purgesDoNotEvictTheHistoryOfOtherChanges() {
+    constexpr int kPurges = 4200;  // more than the 4,096 transactions of the purge history
     Cluster cluster(1);
     cluster.awaitLeader();
     const auto client = cluster.client();
-    must(client, putting("files/a", "kept"));
+    commitOrFail(client, putTransaction("files/a", "kept"));
     std::vector<std::thread> writers;
     for (int w = 0; w < 8; ++w)
         writers.emplace_back([&, w] {
             for (int i = w; i < kPurges; i += 8) {
-                const json change = putting("purges/object/o" + std::to_string(i), {{"ts", unixMs()}});
+                const json change = putTransaction("purges/object/o" + std::to_string(i), {{"ts", unixMs()}});
                 const auto answer =
                     ctl::Client::callAgent(cluster.control(1), "POST", "/config", change.dump());
                 assert(answer && answer->status == 200);
@@ -253,17 +256,19 @@
     for (auto& writer : writers) writer.join();
     const auto told = ctl::Client::callAgent(cluster.control(1), "GET", "/history");
     assert(told && json::parse(told->body)["history"][0]["changes"][0]["key"] == "files/a");
-    // That a document was changed late says nothing of where its history begins, by which `diff` goes.
-    must(client, putting("files/late", 1));
+    // The history of a document that was first changed late still begins at revision 1, which `diff` relies
+    // on.
+    commitOrFail(client, putTransaction("files/late", 1));
     const auto late = ctl::Client::callAgent(cluster.control(1), "GET", "/history?from=5&prefix=files/late");
     assert(late && json::parse(late->body)["oldest"] == 1);
 }
 
-// A majority lost for good: the command refuses while anybody answers, and then goes on with one log alone.
-void aLostMajorityIsLeftBehindDeliberately() {
+// After the permanent loss of a majority, --recover-alone refuses while any agent answers, and then makes
+// one agent a cluster of its own.
+void oneAgentRecoversAloneAfterALostMajority() {
     Cluster cluster(3);
     cluster.awaitLeader();
-    must(cluster.client(), putting("files/a", "kept"));
+    commitOrFail(cluster.client(), putTransaction("files/a", "kept"));
     for (int id = 1; id <= 3; ++id) cluster.await(id, [](const json& s) { return s["revision"] == 1; });
     const auto recover = [&] {
         return std::system(
@@ -273,12 +278,12 @@
     cluster.kill(2);
     assert(WEXITSTATUS(recover()) == 1);
     cluster.kill(3);
-    assert(WEXITSTATUS(recover()) == 1);  // itself still runs
+    assert(WEXITSTATUS(recover()) == 1);  // this agent is still running
     cluster.kill(1);
     assert(recover() == 0);
     cluster.start(1);
     cluster.await(1, [](const json& s) { return s["leader"] == 1 && s["revision"] == 1; });
-    must(cluster.client(), putting("files/a", "alone"));
+    commitOrFail(cluster.client(), putTransaction("files/a", "alone"));
 }
 
 void anotherClustersFolderIsRefused() {
@@ -302,10 +307,10 @@
 
 int main() {
     anotherClustersFolderIsRefused();
-    theFeedKeepsConnectionsAndGathersEvents();
-    purgesLeaveTheHistoryOfOtherChanges();
-    aLostAgentCostsNoPurge();
+    theFeedKeepsConnectionsAndBatchesEvents();
+    purgesDoNotEvictTheHistoryOfOtherChanges();
+    noPurgeIsLostWithAnAgent();
     aPurgeReachesBothSidesOfAPartition();
-    membersComeAndGo();
-    aLostMajorityIsLeftBehindDeliberately();
+    membersAreAddedPromotedAndReplaced();
+    oneAgentRecoversAloneAfterALostMajority();
 }
