--- a/bench/disk.cpp
+++ b/bench/disk.cpp
@@ -14,7 +14,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "disk_desk.hpp"
+#include "disk_tier_harness.hpp"
 #ifdef LOTUSLEAD_LMDB
 #include <lmdb.h>
 #endif
--- a/bench/disk_policies.cpp
+++ b/bench/disk_policies.cpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "disk.hpp"
-#include "paper_disk.hpp"
+#include "simulated_disk.hpp"
 #include "support/lru_map.hpp"
 
 namespace lotuslead::bench {
--- a/src/disk/before.cpp
+++ b/src/disk/caching_carrier.cpp
@@ -1,4 +1,4 @@
-#include "before.hpp"
+#include "caching_carrier.hpp"
 
 #include <algorithm>
 
--- a/src/disk/before.hpp
+++ b/src/disk/caching_carrier.hpp
@@ -10,7 +10,7 @@
 
 #include "../core/requests.hpp"
 #include "../settings/disk.hpp"
-#include "pacer.hpp"
+#include "link_pacer.hpp"
 #include "tier.hpp"
 
 namespace lotuslead::disk {
--- a/src/disk/files.cpp
+++ b/src/disk/file_calls.cpp
@@ -1,4 +1,4 @@
-#include "files.hpp"
+#include "file_calls.hpp"
 
 #include <fcntl.h>
 #include <unistd.h>
--- a/src/disk/folder.hpp
+++ b/src/disk/folder.hpp
@@ -15,9 +15,9 @@
 #include <string_view>
 #include <vector>
 
-#include "files.hpp"
+#include "file_calls.hpp"
 #include "record.hpp"
-#include "shelf.hpp"
+#include "segment_catalog.hpp"
 
 namespace lotuslead::disk {
 
--- a/src/disk/inspect.cpp
+++ b/src/disk/inspect.cpp
@@ -10,7 +10,7 @@
 #include <map>
 #include <unordered_map>
 
-#include "worker.hpp"
+#include "io_worker.hpp"
 
 namespace lotuslead::disk {
 
--- a/src/disk/worker.cpp
+++ b/src/disk/io_worker.cpp
@@ -1,4 +1,4 @@
-#include "worker.hpp"
+#include "io_worker.hpp"
 
 #include <fcntl.h>
 #include <sys/eventfd.h>
--- a/src/disk/index.cpp
+++ b/src/disk/part_index.cpp
@@ -1,4 +1,4 @@
-#include "index.hpp"
+#include "part_index.hpp"
 
 #include <algorithm>
 
--- a/src/disk/marks.cpp
+++ b/src/disk/purge_tombstones.cpp
@@ -1,4 +1,4 @@
-#include "marks.hpp"
+#include "purge_tombstones.hpp"
 
 #include <algorithm>
 #include <vector>
--- a/src/disk/record.hpp
+++ b/src/disk/record.hpp
@@ -12,8 +12,8 @@
 #include <utility>
 #include <vector>
 
-#include "index.hpp"
-#include "marks.hpp"
+#include "part_index.hpp"
+#include "purge_tombstones.hpp"
 
 namespace lotuslead::disk {
 
--- a/src/disk/shelf.cpp
+++ b/src/disk/segment_catalog.cpp
@@ -1,4 +1,4 @@
-#include "shelf.hpp"
+#include "segment_catalog.hpp"
 
 #include <algorithm>
 
--- a/src/disk/shelf.hpp
+++ b/src/disk/segment_catalog.hpp
@@ -12,10 +12,10 @@
 #include <optional>
 #include <vector>
 
-#include "ghost.hpp"
-#include "index.hpp"
-#include "marks.hpp"
-#include "sketch.hpp"
+#include "frequency_sketch.hpp"
+#include "ghost_queue.hpp"
+#include "part_index.hpp"
+#include "purge_tombstones.hpp"
 
 namespace lotuslead::disk {
 
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -13,9 +13,9 @@
 #include <vector>
 
 #include "../support/lru_map.hpp"
-#include "marks.hpp"
-#include "shelf.hpp"
-#include "worker.hpp"
+#include "io_worker.hpp"
+#include "purge_tombstones.hpp"
+#include "segment_catalog.hpp"
 
 namespace lotuslead::disk {
 
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "../core/service.hpp"
-#include "../disk/before.hpp"
+#include "../disk/caching_carrier.hpp"
 #include "../net/system_errors.hpp"
 #include "bus.hpp"
 
--- a/tests/disk_faults_test.cpp
+++ b/tests/disk_faults_test.cpp
@@ -7,7 +7,7 @@
 #include <thread>
 
 #include "disk/inspect.hpp"
-#include "disk_desk.hpp"
+#include "disk_tier_harness.hpp"
 
 namespace lotuslead::disk {
 namespace {
--- a/tests/disk_decisions_test.cpp
+++ b/tests/disk_policy_test.cpp
@@ -4,9 +4,9 @@
 #include <random>
 #include <unordered_map>
 
-#include "disk/pacer.hpp"
+#include "disk/link_pacer.hpp"
 #include "disk/record.hpp"
-#include "paper_disk.hpp"
+#include "simulated_disk.hpp"
 #include "support/hash.hpp"
 
 namespace lotuslead::disk {
--- a/tests/disk_tier_test.cpp
+++ b/tests/disk_tier_test.cpp
@@ -3,7 +3,7 @@
 
 #include <fstream>
 
-#include "disk_desk.hpp"
+#include "disk_tier_harness.hpp"
 
 namespace lotuslead::disk {
 namespace {
--- a/tests/disk_tool_test.cpp
+++ b/tests/disk_tool_test.cpp
@@ -5,7 +5,7 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-#include "disk_desk.hpp"
+#include "disk_tier_harness.hpp"
 
 namespace lotuslead::disk {
 namespace {
--- a/tests/paper_disk.hpp
+++ b/tests/simulated_disk.hpp
@@ -4,7 +4,7 @@
 
 #include <map>
 
-#include "disk/shelf.hpp"
+#include "disk/segment_catalog.hpp"
 
 namespace lotuslead::disk {
 
