--- a/src/disk/caching_carrier.cpp
+++ b/src/disk/caching_carrier.cpp
@@ -41,22 +41,23 @@
     return rules;
 }
 
-void Before::use(Tier* tier, const settings::DiskSettings& settings, const Pacer& pacer) {
+void CachingCarrier::attachTier(Tier* tier, const settings::DiskSettings& settings, const Pacer& pacer) {
     tier_ = tier;
     readWait_ = std::chrono::milliseconds{settings.readWaitMs};
     pacer_ = pacer;
 }
 
-void Before::reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t form, const Pacer& pacer) {
+void CachingCarrier::reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t form,
+                                 const Pacer& pacer) {
     classes_ = classes;
     keyForm_ = form;
     pacer_ = pacer;
 }
 
-Moment Before::momentOf(Micros now) const { return {msOf(now), msOf(now + unixAhead_)}; }
+ClockReading CachingCarrier::clockReadingAt(Micros now) const { return {msOf(now), msOf(now + unixAhead_)}; }
 
 // Only what is read, and may be read from any copy.
-bool Before::keeps(const core::Request& request) const {
+bool CachingCarrier::keeps(const core::Request& request) const {
     if (tier_ == nullptr || classes_ == nullptr || request.object.empty() || !request.body.empty())
         return false;
     const ClassSettings& c = classes_->at(static_cast<std::size_t>(request.classIndex));
@@ -64,7 +65,7 @@
 }
 
 // Rounded down: a copy that is younger in whole milliseconds is younger.
-std::int64_t Before::oldestMs(const core::Request& request, const core::Verdict& send) const {
+std::int64_t CachingCarrier::oldestMs(const core::Request& request, const core::Verdict& send) const {
     const ClassSettings& c = classes_->at(static_cast<std::size_t>(request.classIndex));
     std::int64_t oldest = msOf(std::chrono::duration_cast<Micros>(c.freshFor));
     if (send.oldest.count() > 0) {
@@ -74,7 +75,7 @@
     return oldest;
 }
 
-void Before::send(Micros now, const core::Request& request, const core::Verdict& send) {
+void CachingCarrier::send(Micros now, const core::Request& request, const core::Verdict& send) {
     if (!keeps(request)) return inner_.send(now, request, send);
     now_ = now;
     const bool inParts = classes_->at(static_cast<std::size_t>(request.classIndex)).inParts;
@@ -82,7 +83,7 @@
     ++counters_.asked;
     const RequestId id = request.id;
     const std::uint64_t ticket =
-        tier_->lookUp(momentOf(now), key, oldestMs(request, send),
+        tier_->lookUp(clockReadingAt(now), key, oldestMs(request, send),
                       [this, id](std::optional<Copy> copy) { found(id, std::move(copy)); });
     if (ticket == 0) return pass(now, request, send, std::move(key));
     const Micros until = now + readWait_;
@@ -90,12 +91,12 @@
     reading_.insert_or_assign(id, Reading{&request, send, std::move(key), ticket, until});
 }
 
-void Before::pass(Micros now, const core::Request& request, const core::Verdict& send, Key key) {
+void CachingCarrier::pass(Micros now, const core::Request& request, const core::Verdict& send, Key key) {
     out_.insert_or_assign(request.id, Out{std::move(key), send.attempt, send.rank});
     inner_.send(now, request, send);
 }
 
-void Before::found(RequestId id, std::optional<Copy> copy) {
+void CachingCarrier::found(RequestId id, std::optional<Copy> copy) {
     const auto at = reading_.find(id);
     if (at == reading_.end()) return;
     Reading reading = std::move(at->second);
@@ -105,7 +106,7 @@
     end.request = id;
     end.attempt = reading.send.attempt;
     if (copy) {
-        const std::string tag = form_.tagFact ? factOf(copy->facts, form_.tagFact) : std::string{};
+        const std::string tag = traits_.tagFact ? factOf(copy->facts, traits_.tagFact) : std::string{};
         end.payload.unchanged = !tag.empty() && tag == request.known;
         // On its link a tag costs a twentieth of the bytes.
         const std::size_t bytes = end.payload.unchanged ? copy->body.size() / 20 : copy->body.size();
@@ -131,7 +132,7 @@
     ended_(std::move(end));
 }
 
-bool Before::cancel(Micros now, RequestId request, int attempt) {
+bool CachingCarrier::cancel(Micros now, RequestId request, int attempt) {
     const auto reading = reading_.find(request);
     if (reading != reading_.end() && reading->second.send.attempt == attempt) {
         tier_->forget(reading->second.ticket);
@@ -143,17 +144,17 @@
     return inner_.cancel(now, request, attempt);
 }
 
-void Before::ended(Micros now, core::AttemptEnd end) {
+void CachingCarrier::ended(Micros now, core::AttemptEnd end) {
     now_ = now;
     const auto at = out_.find(end.request);
     if (at != out_.end() && at->second.attempt == end.attempt) {
         const Out out = std::move(at->second);
         out_.erase(at);
         const bool fetched = end.outcome == Outcome::served && !end.payload.unchanged && tier_ != nullptr;
-        if (fetched && form_.storable(out.key, end.payload)) {
+        if (fetched && traits_.storable(out.key, end.payload)) {
             // Lent, not copied: most are not taken.
             Copy copy{end.payload.mintedMs, std::move(end.payload.facts), std::move(end.payload.body)};
-            tier_->offer(momentOf(now), out.key, out.rank, copy);
+            tier_->offer(clockReadingAt(now), out.key, out.rank, copy);
             end.payload.facts = std::move(copy.facts);
             end.payload.body = std::move(copy.body);
         }
@@ -161,7 +162,7 @@
     ended_(std::move(end));
 }
 
-void Before::turn(Micros now) {
+void CachingCarrier::turn(Micros now) {
     now_ = now;
     while (!due_.empty() && due_.begin()->first <= now) {
         const auto [until, id] = *due_.begin();
@@ -174,10 +175,10 @@
         reading_.erase(at);
         pass(now, *reading.request, reading.send, reading.key);
     }
-    if (tier_ != nullptr) tier_->turn(momentOf(now));
+    if (tier_ != nullptr) tier_->turn(clockReadingAt(now));
 }
 
-core::Micros Before::nextTurn() const {
+core::Micros CachingCarrier::nextTurn() const {
     if (tier_ != nullptr && tier_->wantsTurn()) return now_;
     return due_.empty() ? Micros::max() : due_.begin()->first;
 }
--- a/src/disk/caching_carrier.hpp
+++ b/src/disk/caching_carrier.hpp
@@ -18,27 +18,27 @@
 TierRules tierRules(const settings::DiskSettings& settings, bool bus);
 
 // What a front knows of its payloads.
-struct FrontForm {
+struct PayloadTraits {
     std::function<bool(const Key&, const core::Payload&)> storable;  // may it be kept at all?
     std::function<std::uint64_t(const Facts&)> version;              // as Tier::Users has it
     const char* tagFact =
-        nullptr;             // the fact that `Request::known` is compared with; none: the front compares
-    bool datedHere = false;  // copies are dated by this gateway's wall clock, not by their origin's
+        nullptr;  // the fact that `Request::known` is compared with; none: the front compares
+    bool datedByGatewayClock = false;  // copies are dated by this gateway's wall clock, not by their origin's
 };
 
-class Before : public core::Carrier {
+class CachingCarrier : public core::Carrier {
 public:
     using Micros = core::Micros;
     struct Counters {
         std::uint64_t asked = 0, served = 0, unchanged = 0, slowReads = 0, linkFull = 0;
     };
 
-    Before(core::Carrier& inner, Micros unixAhead, FrontForm form)
-        : inner_(inner), unixAhead_(unixAhead), form_(std::move(form)) {}
+    CachingCarrier(core::Carrier& inner, Micros unixAhead, PayloadTraits traits)
+        : inner_(inner), unixAhead_(unixAhead), traits_(std::move(traits)) {}
 
     void listen(std::function<void(core::AttemptEnd)> ended) { ended_ = std::move(ended); }
     // None: what is out goes on without it. `form`: what else a key must agree in.
-    void use(Tier* tier, const settings::DiskSettings& settings, const Pacer& pacer);
+    void attachTier(Tier* tier, const settings::DiskSettings& settings, const Pacer& pacer);
     void reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t form, const Pacer& pacer);
 
     void send(Micros now, const core::Request& request, const core::Verdict& send) override;
@@ -48,8 +48,8 @@
 
     void turn(Micros now);  // reads that take too long are given up, and the attempt goes out
     Micros nextTurn() const;
-    Moment momentOf(Micros now) const;
-    const FrontForm& form() const { return form_; }
+    ClockReading clockReadingAt(Micros now) const;
+    const PayloadTraits& traits() const { return traits_; }
     const Counters& counters() const { return counters_; }
 
 private:
@@ -73,7 +73,7 @@
 
     core::Carrier& inner_;
     Micros unixAhead_;
-    FrontForm form_;
+    PayloadTraits traits_;
     std::function<void(core::AttemptEnd)> ended_;
     Tier* tier_ = nullptr;
     const std::vector<ClassSettings>* classes_ = nullptr;
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -46,7 +46,7 @@
     }
 }
 
-void Tier::turn(Moment now) {
+void Tier::turn(ClockReading now) {
     for (Completion& completion : worker_.completions())
         std::visit([&](auto& told) { take(now, told); }, completion);
     if (state_ != State::ready) return;
@@ -76,7 +76,7 @@
 // ----- reading -----
 
 // Whether a copy of then may be served now; the only place where that is decided.
-bool Tier::servable(Moment now, const Key& key, std::int64_t oldestMs, std::int64_t mintedMs) {
+bool Tier::servable(ClockReading now, const Key& key, std::int64_t oldestMs, std::int64_t mintedMs) {
     if (logFails_ || !proof_.holds(now.monotonicMs)) {
         ++counters_.unproved;
         return false;
@@ -93,7 +93,7 @@
     return true;
 }
 
-std::uint64_t Tier::lookUp(Moment now, const Key& key, std::int64_t oldestMs, Found found) {
+std::uint64_t Tier::lookUp(ClockReading now, const Key& key, std::int64_t oldestMs, Found found) {
     if (!holdsFolder()) return 0;
     const std::uint64_t fingerprint = key.fingerprint();
     shelf_.asked(fingerprint);
@@ -112,7 +112,7 @@
     return ticket;
 }
 
-void Tier::take(Moment now, ReadDone& told) {
+void Tier::take(ClockReading now, ReadDone& told) {
     const bool good = told.record.has_value();
     if (!told.problem.empty()) {
         ++counters_.readErrors;
@@ -143,7 +143,7 @@
 
 // ----- keeping -----
 
-void Tier::offer(Moment now, const Key& key, int rank, const Copy& copy) {
+void Tier::offer(ClockReading now, const Key& key, int rank, const Copy& copy) {
     ++counters_.offered;
     const std::uint64_t object = key.objectFingerprint();
     if (!isLatest(key, copy)) return;
@@ -192,14 +192,14 @@
     return latest;
 }
 
-void Tier::take(Moment, Placed& told) {
+void Tier::take(ClockReading, Placed& told) {
     onTheWay_ -= told.bytes;
     writeFailures_ = 0;
     pauseMs_ = 0;
     shelf_.placed(told.part, told.queue, told.rank);
 }
 
-void Tier::take(Moment now, NotPlaced& told) {
+void Tier::take(ClockReading now, NotPlaced& told) {
     onTheWay_ -= told.bytes;
     ++counters_.writeErrors;
     if (++writeFailures_ < kFailuresToPause) return;
@@ -209,7 +209,7 @@
     log("disk tier: " + told.problem + "; nothing is admitted for " + std::to_string(pauseMs_ / 1000) + " s");
 }
 
-void Tier::take(Moment, Sealed& told) {
+void Tier::take(ClockReading, Sealed& told) {
     shelf_.sealed(told.segment);
     if (!told.problem.empty()) log("disk tier: " + told.problem);
 }
@@ -225,9 +225,9 @@
     worker_.rewrite({next->segment, next->into, std::move(next->keep)});
 }
 
-void Tier::take(Moment, Moved& told) { shelf_.moved(told.fingerprint, told.from, told.to, told.queue); }
+void Tier::take(ClockReading, Moved& told) { shelf_.moved(told.fingerprint, told.from, told.to, told.queue); }
 
-void Tier::take(Moment, Rewritten& told) {
+void Tier::take(ClockReading, Rewritten& told) {
     if (!told.problem.empty()) {
         ++counters_.writeErrors;
         log("disk tier: " + told.problem + "; what a segment had in use goes with it");
@@ -236,7 +236,7 @@
     worker_.remove({told.segment});
 }
 
-void Tier::take(Moment, Removed& told) {
+void Tier::take(ClockReading, Removed& told) {
     if (told.problem.empty()) return;
     ++counters_.writeErrors;
     log("disk tier: " + told.problem);
@@ -275,14 +275,14 @@
     worker_.rewriteLog(std::move(all));
 }
 
-void Tier::told(Moment now, std::int64_t from, std::int64_t last, std::span<const std::int64_t> numbers,
+void Tier::told(ClockReading now, std::int64_t from, std::int64_t last, std::span<const std::int64_t> numbers,
                 bool complete) {
     if (proof_.told(now.monotonicMs, from, last, numbers, complete))
         raiseFloor(now, "events of the bus are missing");
     givePosition(now);
 }
 
-void Tier::givePosition(Moment now) {
+void Tier::givePosition(ClockReading now) {
     const auto position = proof_.position();
     if (!position || !holdsFolder() || position == positionGiven_) return;
     // With a purge at once, so that it need not be told again; else now and then.
@@ -292,7 +292,7 @@
     keep({{Mark::What::position, 0, *position}});
 }
 
-void Tier::raiseFloor(Moment now, const char* why) {
+void Tier::raiseFloor(ClockReading now, const char* why) {
     ++counters_.floors;
     log(std::string("disk tier: what is held can't be proved newer than every purge (") + why + "), dropped");
     // The clock that dated a copy may be ahead of this machine's.
@@ -302,7 +302,7 @@
 
 void Tier::noteMinted(std::int64_t mintedMs) { latestMintedMs_ = std::max(latestMintedMs_, mintedMs); }
 
-void Tier::take(Moment, MarksKept& told) {
+void Tier::take(ClockReading, MarksKept& told) {
     const bool failed = !told.problem.empty();
     if (failed) ++counters_.logErrors;
     if (failed != logFails_)
@@ -314,7 +314,7 @@
 
 // ----- starting -----
 
-void Tier::take(Moment now, OpenedFolder& told) {
+void Tier::take(ClockReading now, OpenedFolder& told) {
     if (state_ == State::closed) return;
     if (!told.problem.empty()) {
         state_ = told.tryAgain ? State::waiting : State::off;
@@ -340,7 +340,7 @@
     givePosition(now);  // the bus may have been heard before
 }
 
-void Tier::take(Moment, LoadedSegment& told) {
+void Tier::take(ClockReading, LoadedSegment& told) {
     if (!told.problem.empty()) {
         ++counters_.readErrors;
         log("disk tier: " + told.problem);
@@ -356,7 +356,7 @@
     shelf_.segmentLoaded(told.name.number, told.name.queue, told.bytes);
 }
 
-void Tier::take(Moment, LoadedAll&) {
+void Tier::take(ClockReading, LoadedAll&) {
     if (state_ != State::loading) return;
     state_ = State::ready;
     dropsLoading_ = false;
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -19,7 +19,7 @@
 
 namespace lotuslead::disk {
 
-struct Moment {
+struct ClockReading {
     std::int64_t monotonicMs = 0;
     std::int64_t unixMs = 0;
 };
@@ -58,7 +58,7 @@
 
     // Readable when there is something for turn() to take.
     int wakeDescriptor() const { return worker_.wakeDescriptor(); }
-    void turn(Moment now);
+    void turn(ClockReading now);
     // There is more to do, in slices, though nothing wakes it.
     bool wantsTurn() const { return sweeping_ && state_ == State::ready; }
     // Where another process holds the folder, it is tried again; to be called every second or so.
@@ -66,20 +66,20 @@
 
     // Zero: a miss, told at once. Else `found` is called by a later turn(), unless it is forgotten before.
     // `oldestMs`: an older copy will not do; zero: any age.
-    [[nodiscard]] std::uint64_t lookUp(Moment now, const Key& key, std::int64_t oldestMs, Found found);
+    [[nodiscard]] std::uint64_t lookUp(ClockReading now, const Key& key, std::int64_t oldestMs, Found found);
     void forget(std::uint64_t ticket) { waiting_.erase(ticket); }
     // A fetched copy. `rank`: the decision module's; zero: it is not to be kept.
-    void offer(Moment now, const Key& key, int rank, const Copy& copy);
+    void offer(ClockReading now, const Key& key, int rank, const Copy& copy);
 
     // ----- purges -----
 
     void purgeObject(const std::string& object, std::int64_t atMs);
     void purgeGroup(std::int64_t group, std::int64_t atMs);
     // As PurgeProof::told; after the purges of that batch.
-    void told(Moment now, std::int64_t from, std::int64_t last, std::span<const std::int64_t> numbers,
+    void told(ClockReading now, std::int64_t from, std::int64_t last, std::span<const std::int64_t> numbers,
               bool complete = true);
     // What is held can be served, or nothing will be: before that a start is worth waiting with.
-    bool settled(Moment now) const {
+    bool settled(ClockReading now) const {
         return state_ != State::opening && (!holdsFolder() || proof_.holds(now.monotonicMs));
     }
     // All marks are on disk, or there is no disk that holds a copy.
@@ -110,26 +110,26 @@
         std::int64_t mintedMs = 0;
     };
 
-    void take(Moment now, OpenedFolder& told);
-    void take(Moment now, LoadedSegment& told);
-    void take(Moment now, LoadedAll& told);
-    void take(Moment now, Placed& told);
-    void take(Moment now, NotPlaced& told);
-    void take(Moment now, Sealed& told);
-    void take(Moment now, Moved& told);
-    void take(Moment now, Rewritten& told);
-    void take(Moment now, Removed& told);
-    void take(Moment now, MarksKept& told);
-    void take(Moment now, ReadDone& told);
+    void take(ClockReading now, OpenedFolder& told);
+    void take(ClockReading now, LoadedSegment& told);
+    void take(ClockReading now, LoadedAll& told);
+    void take(ClockReading now, Placed& told);
+    void take(ClockReading now, NotPlaced& told);
+    void take(ClockReading now, Sealed& told);
+    void take(ClockReading now, Moved& told);
+    void take(ClockReading now, Rewritten& told);
+    void take(ClockReading now, Removed& told);
+    void take(ClockReading now, MarksKept& told);
+    void take(ClockReading now, ReadDone& told);
 
     bool holdsFolder() const { return state_ == State::loading || state_ == State::ready; }
-    bool servable(Moment now, const Key& key, std::int64_t oldestMs, std::int64_t mintedMs);
+    bool servable(ClockReading now, const Key& key, std::int64_t oldestMs, std::int64_t mintedMs);
     void mark(const Mark& mark);
     void keep(std::vector<Mark> marks);
-    void raiseFloor(Moment now, const char* why);
+    void raiseFloor(ClockReading now, const char* why);
     void noteMinted(std::int64_t mintedMs);
     bool isLatest(const Key& key, const Copy& copy);
-    void givePosition(Moment now);
+    void givePosition(ClockReading now);
     void reclaim();
     void rewriteLogIfLong();
     void log(const std::string& line) const { users_.log(line); }
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -52,7 +52,7 @@
         bus_.moveTo(baseOf(configuration_).bus);
     }
     bool prepared() const override {
-        return bus_.caughtUp() && (!tier_ || tier_->settled(before_.momentOf(loop_.now())));
+        return bus_.caughtUp() && (!tier_ || tier_->settled(cachingCarrier_.clockReadingAt(loop_.now())));
     }
     bool catchingUp() const override { return bus_.catchingUp(); }
     void open() override {
@@ -91,10 +91,12 @@
         return true;
     }
     void turn(core::Micros now) override {
-        before_.turn(now);
+        cachingCarrier_.turn(now);
         requests_.turn(now);
     }
-    core::Micros nextTurn() const override { return std::min(requests_.nextTurn(), before_.nextTurn()); }
+    core::Micros nextTurn() const override {
+        return std::min(requests_.nextTurn(), cachingCarrier_.nextTurn());
+    }
     void drain() override { front_.drain(); }
     void undrain() override { front_.undrain(); }
     void leave() override { front_.leave(); }
@@ -136,7 +138,7 @@
 
 protected:
     FrontService(net::Loop& loop, Source source, const char* opened, core::Requests::PurgedMeanwhile purged,
-                 disk::FrontForm form)
+                 disk::PayloadTraits traits)
         : loop_(loop),
           source_(std::move(source)),
           configuration_(source_()),
@@ -144,19 +146,24 @@
           carrier_(loop_, configuration_),
           decisions_(baseOf(configuration_).words, baseOf(configuration_).seed, loop_.now(),
                      core::unixAhead()),
-          before_(carrier_, core::unixAhead(), std::move(form)),
-          requests_(decisions_, before_, purged),
+          cachingCarrier_(carrier_, core::unixAhead(), std::move(traits)),
+          requests_(decisions_, cachingCarrier_, purged),
           front_(loop_, requests_, configuration_),
           bus_(loop_, [this](const settings::BusEvent& event) { apply(event); }) {
-        carrier_.listen({[this](RequestId request, int attempt) {
-                             return requests_.mayBegin(loop_.now(), request, attempt);
-                         },
-                         [this](core::AttemptEnd end) { before_.ended(loop_.now(), std::move(end)); }});
-        before_.listen([this](core::AttemptEnd end) { requests_.ended(loop_.now(), std::move(end)); });
-        before_.reconfigure(&baseOf(configuration_).words.settings.classes, formOf(configuration_), pacer());
+        carrier_.listen(
+            {[this](RequestId request, int attempt) {
+                 return requests_.mayBegin(loop_.now(), request, attempt);
+             },
+             [this](core::AttemptEnd end) { cachingCarrier_.ended(loop_.now(), std::move(end)); }});
+        cachingCarrier_.listen(
+            [this](core::AttemptEnd end) { requests_.ended(loop_.now(), std::move(end)); });
+        cachingCarrier_.reconfigure(&baseOf(configuration_).words.settings.classes, formOf(configuration_),
+                                    pacer());
         bus_.listen({[this](std::int64_t from, std::int64_t last, const std::vector<std::int64_t>& numbers,
                             bool complete) {
-                         if (tier_) tier_->told(before_.momentOf(loop_.now()), from, last, numbers, complete);
+                         if (tier_)
+                             tier_->told(cachingCarrier_.clockReadingAt(loop_.now()), from, last, numbers,
+                                         complete);
                      },
                      [this] { return !tier_ || tier_->kept(); }});
     }
@@ -168,7 +175,7 @@
     const char* opened_;
     Carrier carrier_;
     core::Decisions decisions_;
-    disk::Before before_;
+    disk::CachingCarrier cachingCarrier_;
     core::Requests requests_;
     Front front_;
 
@@ -191,7 +198,8 @@
     // Copies that carry our own date are compared with our own date of the purge, if that is the later one.
     void purgeTier(const settings::BusEvent& event) {
         std::int64_t atMs = event.purgedMs;
-        if (before_.form().datedHere) atMs = std::max(atMs, decisions_.unixMsOf(loop_.now()));
+        if (cachingCarrier_.traits().datedByGatewayClock)
+            atMs = std::max(atMs, decisions_.unixMsOf(loop_.now()));
         if (event.purgedObject.empty())
             tier_->purgeGroup(event.purgedGroup, atMs);
         else
@@ -207,9 +215,9 @@
                 [this](const std::string& line) {
                     std::fprintf(stderr, "%s: %s\n", baseOf(configuration_).name.c_str(), line.c_str());
                 },
-                [this](std::int64_t position) { bus_.goBack(position); }, before_.form().version});
+                [this](std::int64_t position) { bus_.goBack(position); }, cachingCarrier_.traits().version});
         tierId_ = loop_.add(tier_->wakeDescriptor(), EPOLLIN, *this);
-        before_.use(tier_.get(), *disk_, pacer());
+        cachingCarrier_.attachTier(tier_.get(), *disk_, pacer());
         tryTierAgain();
     }
     void closeTier() {
@@ -221,7 +229,7 @@
     // Limits hold at once; what the folder was opened with holds for the life of the process.
     void reloadTier(const std::optional<settings::DiskSettings>& fresh) {
         const auto& base = baseOf(configuration_);
-        before_.reconfigure(&base.words.settings.classes, formOf(configuration_), pacer());
+        cachingCarrier_.reconfigure(&base.words.settings.classes, formOf(configuration_), pacer());
         if (!tier_ || !fresh) {
             if (fresh || tier_)
                 std::fprintf(stderr, "%s: disk tier: it is switched on and off at a start only\n",
@@ -234,7 +242,7 @@
             disk_->busSilenceMs = fresh->busSilenceMs;
         }
         tier_->reconfigure(disk::tierRules(*disk_, !base.bus.empty()));
-        before_.use(tier_.get(), *disk_, pacer());
+        cachingCarrier_.attachTier(tier_.get(), *disk_, pacer());
     }
     void tryTierAgain() {
         tierTimer_ = loop_.after(std::chrono::seconds{1}, [this] {
@@ -243,13 +251,13 @@
         });
     }
     std::uint32_t ready(std::uint32_t) override {
-        before_.turn(loop_.now());
+        cachingCarrier_.turn(loop_.now());
         return 0;
     }
     void printTierCounters(const std::string& name) const {
         const auto& t = tier_->counters();
         const auto& s = tier_->shelf().counters();
-        const auto& b = before_.counters();
+        const auto& b = cachingCarrier_.counters();
         core::printFigures(name, "disk",
                            {{"asked", b.asked},
                             {"hits", t.hits},
--- a/tests/audit_disk.cpp
+++ b/tests/audit_disk.cpp
@@ -172,7 +172,7 @@
         return {[](const std::string&) {}, [this](std::int64_t position) { from_ = position; },
                 [](const Facts&) { return std::uint64_t{0}; }};
     }
-    static Moment now() { return {monotonicMs(), unixMs()}; }
+    static ClockReading now() { return {monotonicMs(), unixMs()}; }
     void say(const std::string& line) {
         const std::string whole = line + "\n";  // one write: a kill leaves no half of it
         (void)!::write(STDOUT_FILENO, whole.data(), whole.size());
--- a/tests/disk_tier_harness.hpp
+++ b/tests/disk_tier_harness.hpp
@@ -209,7 +209,7 @@
 
     std::vector<std::string> lines;
     std::optional<std::int64_t> askFrom;
-    Moment now{10'000, 1'000'000};
+    ClockReading now{10'000, 1'000'000};
 
 private:
     FileCalls plain_;
