--- a/src/disk/caching_carrier.cpp
+++ b/src/disk/caching_carrier.cpp
@@ -41,14 +41,14 @@
     return rules;
 }
 
-void CachingCarrier::attachTier(Tier* tier, const settings::DiskSettings& settings, const Pacer& pacer) {
+void CachingCarrier::attachTier(Tier* tier, const settings::DiskSettings& settings, const LinkPacer& pacer) {
     tier_ = tier;
     readWait_ = std::chrono::milliseconds{settings.readWaitMs};
     pacer_ = pacer;
 }
 
 void CachingCarrier::reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t form,
-                                 const Pacer& pacer) {
+                                 const LinkPacer& pacer) {
     classes_ = classes;
     keyForm_ = form;
     pacer_ = pacer;
@@ -110,11 +110,11 @@
         end.payload.unchanged = !tag.empty() && tag == request.known;
         // On its link a tag costs a twentieth of the bytes.
         const std::size_t bytes = end.payload.unchanged ? copy->body.size() / 20 : copy->body.size();
-        if (pacer_.overAt(now_, bytes) > request.deadline) {
+        if (pacer_.finishTime(now_, bytes) > request.deadline) {
             ++counters_.linkFull;
             copy.reset();
         } else {
-            pacer_.take(now_, bytes);
+            pacer_.reserve(now_, bytes);
         }
     }
     if (!copy) {
--- a/src/disk/caching_carrier.hpp
+++ b/src/disk/caching_carrier.hpp
@@ -38,8 +38,8 @@
 
     void listen(std::function<void(core::AttemptEnd)> ended) { ended_ = std::move(ended); }
     // None: what is out goes on without it. `form`: what else a key must agree in.
-    void attachTier(Tier* tier, const settings::DiskSettings& settings, const Pacer& pacer);
-    void reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t form, const Pacer& pacer);
+    void attachTier(Tier* tier, const settings::DiskSettings& settings, const LinkPacer& pacer);
+    void reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t form, const LinkPacer& pacer);
 
     void send(Micros now, const core::Request& request, const core::Verdict& send) override;
     bool cancel(Micros now, RequestId request, int attempt) override;
@@ -79,7 +79,7 @@
     const std::vector<ClassSettings>* classes_ = nullptr;
     std::uint64_t keyForm_ = 0;
     Micros readWait_{};
-    Pacer pacer_{0, 0};
+    LinkPacer pacer_{0, 0};
     Micros now_{};  // of the turn in hand
     std::unordered_map<RequestId, Reading> reading_;
     std::multimap<Micros, RequestId> due_;
--- a/src/disk/link_pacer.hpp
+++ b/src/disk/link_pacer.hpp
@@ -8,26 +8,31 @@
 
 namespace lotuslead::disk {
 
-class Pacer {
+class LinkPacer {
 public:
     using Micros = std::chrono::microseconds;
 
     // Bytes a second; zero: no bound.
-    Pacer(double flow, double link) : flow_(flow), link_(link) {}
+    LinkPacer(double flowBytesPerSecond, double linkBytesPerSecond)
+        : flowBytesPerSecond_(flowBytesPerSecond), linkBytesPerSecond_(linkBytesPerSecond) {}
 
-    Micros overAt(Micros now, std::size_t bytes) const {
-        return std::max({now + spent(bytes, flow_), std::max(now, freeAt_) + spent(bytes, link_)});
+    Micros finishTime(Micros now, std::size_t bytes) const {
+        return std::max({now + transferTime(bytes, flowBytesPerSecond_),
+                         std::max(now, freeAt_) + transferTime(bytes, linkBytesPerSecond_)});
     }
     // The answer is given.
-    void take(Micros now, std::size_t bytes) { freeAt_ = std::max(now, freeAt_) + spent(bytes, link_); }
+    void reserve(Micros now, std::size_t bytes) {
+        freeAt_ = std::max(now, freeAt_) + transferTime(bytes, linkBytesPerSecond_);
+    }
 
 private:
-    static Micros spent(std::size_t bytes, double pace) {
-        return pace > 0 ? Micros{static_cast<Micros::rep>(static_cast<double>(bytes) / pace * 1e6)}
-                        : Micros{0};
+    static Micros transferTime(std::size_t bytes, double bytesPerSecond) {
+        return bytesPerSecond > 0
+                   ? Micros{static_cast<Micros::rep>(static_cast<double>(bytes) / bytesPerSecond * 1e6)}
+                   : Micros{0};
     }
 
-    double flow_, link_;
+    double flowBytesPerSecond_, linkBytesPerSecond_;
     Micros freeAt_{};
 };
 
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -206,7 +206,9 @@
             tier_->purgeObject(event.purgedObject, atMs);
     }
 
-    disk::Pacer pacer() const { return {baseOf(configuration_).flowBytes, baseOf(configuration_).linkBytes}; }
+    disk::LinkPacer pacer() const {
+        return {baseOf(configuration_).flowBytes, baseOf(configuration_).linkBytes};
+    }
     void openTier() {
         const bool bus = !baseOf(configuration_).bus.empty();
         tier_ = std::make_unique<disk::Tier>(
--- a/tests/disk_policy_test.cpp
+++ b/tests/disk_policy_test.cpp
@@ -333,12 +333,12 @@
 }
 
 TEST(DiskPacer, SharesTheLinkInTheOrderOfAnswers) {
-    Pacer pacer(1000, 2000);                   // bytes a second
-    EXPECT_EQ(pacer.overAt(1s, 500), 1500ms);  // one alone is held by its own pace
-    pacer.take(1s, 4000);
-    EXPECT_EQ(pacer.overAt(1s, 2000), 4s);  // behind two seconds of others
-    EXPECT_EQ(pacer.overAt(9s, 1000), 10s);
-    EXPECT_EQ(Pacer(0, 0).overAt(5s, 1 << 30), 5s);
+    LinkPacer pacer(1000, 2000);                   // bytes a second
+    EXPECT_EQ(pacer.finishTime(1s, 500), 1500ms);  // one alone is held by its own pace
+    pacer.reserve(1s, 4000);
+    EXPECT_EQ(pacer.finishTime(1s, 2000), 4s);  // behind two seconds of others
+    EXPECT_EQ(pacer.finishTime(9s, 1000), 10s);
+    EXPECT_EQ(LinkPacer(0, 0).finishTime(5s, 1 << 30), 5s);
 }
 
 }  // namespace
