--- a/bench/disk.cpp
+++ b/bench/disk.cpp
@@ -115,9 +115,9 @@
 
 TierRules benchRules(const TemporaryFolder& folder, std::uint64_t capacity, std::size_t parts) {
     TierRules rules = rulesFor(folder);
-    rules.shelf.capacityBytes = capacity;
-    rules.shelf.segmentBytes = 64 << 20;
-    rules.shelf.mostParts = parts;
+    rules.catalog.capacityBytes = capacity;
+    rules.catalog.segmentBytes = 64 << 20;
+    rules.catalog.mostParts = parts;
     rules.worker.queueBytes = 32 << 20;
     rules.worker.mostReads = 64;
     return rules;
@@ -198,7 +198,7 @@
             std::size_t found = 0;
             const double seconds = secondsOf([&] {
                 Desk desk(rules);
-                found = desk.tier.shelf().parts();
+                found = desk.tier.catalog().parts();
             });
             if (found != parts)
                 std::printf("  only %zu of %llu parts came back\n", found,
--- a/bench/disk_policies.cpp
+++ b/bench/disk_policies.cpp
@@ -148,7 +148,7 @@
         show(ratio(all, true, [&](const Asked& a, int rank) { return filtered.request(a, rank); }));
         show(ratio(all, true, [&](const Asked& a, int rank) { return tiny.request(a, rank); }));
         for (const Memory memory : {Memory::none, Memory::ghost, Memory::sketch}) {
-            ShelfRules rules;
+            SegmentCatalogOptions rules;
             rules.capacityBytes = kCapacity;
             rules.segmentBytes = 16 << 20;
             rules.mostParts = 1 << 16;
@@ -157,7 +157,7 @@
             show(ratio(all, true,
                        [&](const Asked& a, int rank) { return disk.request(a.part, rank, a.bytes); }));
             std::printf(" %.2f", static_cast<double>(disk.written) /
-                                     static_cast<double>(disk.shelf.counters().admittedBytes));
+                                     static_cast<double>(disk.catalog.counters().admittedBytes));
         }
         std::printf("\n");
     }
--- a/src/disk/caching_carrier.cpp
+++ b/src/disk/caching_carrier.cpp
@@ -21,14 +21,14 @@
     const auto megabytes = [](std::int64_t n) { return static_cast<std::uint64_t>(n) << 20; };
     TierRules rules;
     rules.folder = s.folder;
-    rules.shelf.capacityBytes = megabytes(s.capacityMb);
-    rules.shelf.segmentBytes = static_cast<std::uint32_t>(megabytes(s.segmentMb));
-    rules.shelf.mostParts = static_cast<std::size_t>(s.mostParts);
-    rules.shelf.probationShare = s.probationShare;
-    rules.shelf.rewriteShare = s.rewriteShare;
-    rules.shelf.memory = s.admission == Settings::Admission::ghost    ? Memory::ghost
-                         : s.admission == Settings::Admission::sketch ? Memory::sketch
-                                                                      : Memory::none;
+    rules.catalog.capacityBytes = megabytes(s.capacityMb);
+    rules.catalog.segmentBytes = static_cast<std::uint32_t>(megabytes(s.segmentMb));
+    rules.catalog.mostParts = static_cast<std::size_t>(s.mostParts);
+    rules.catalog.probationShare = s.probationShare;
+    rules.catalog.rewriteShare = s.rewriteShare;
+    rules.catalog.memory = s.admission == Settings::Admission::ghost    ? Memory::ghost
+                           : s.admission == Settings::Admission::sketch ? Memory::sketch
+                                                                        : Memory::none;
     rules.worker.queueBytes = megabytes(s.queueMb);
     rules.worker.mostReads = static_cast<std::size_t>(s.mostReads);
     rules.worker.sync = s.sync == Settings::Sync::never    ? SyncPolicy::never
--- a/src/disk/segment_catalog.cpp
+++ b/src/disk/segment_catalog.cpp
@@ -11,26 +11,26 @@
 // Segments that may be open or under rewriting besides those that are full: one a queue, and one to move to.
 constexpr std::uint64_t kOpenSegments = 3;
 
-std::size_t sketchNames(const ShelfRules& rules) {
+std::size_t sketchNames(const SegmentCatalogOptions& rules) {
     return rules.memory == Memory::sketch ? rules.mostParts : 1;
 }
-std::size_t ghostNames(const ShelfRules& rules) {
+std::size_t ghostNames(const SegmentCatalogOptions& rules) {
     return rules.memory == Memory::ghost ? rules.mostParts : 1;
 }
 
 }  // namespace
 
-Shelf::Shelf(const ShelfRules& rules)
+SegmentCatalog::SegmentCatalog(const SegmentCatalogOptions& rules)
     : rules_(rules), index_(rules.mostParts), ghost_(ghostNames(rules)), sketch_(sketchNames(rules)) {
     const std::uint64_t most = std::max<std::uint64_t>(rules_.capacityBytes / 8, 4096);
     rules_.segmentBytes = static_cast<std::uint32_t>(std::min<std::uint64_t>(rules_.segmentBytes, most));
 }
 
-void Shelf::asked(std::uint64_t fingerprint) {
+void SegmentCatalog::asked(std::uint64_t fingerprint) {
     if (rules_.memory == Memory::sketch) sketch_.add(fingerprint);
 }
 
-std::optional<Part> Shelf::look(std::uint64_t fingerprint) {
+std::optional<Part> SegmentCatalog::look(std::uint64_t fingerprint) {
     const PartIndex::Id id = index_.find(fingerprint);
     if (id == PartIndex::kNone) return {};
     Part& part = index_.at(id);
@@ -38,8 +38,8 @@
     return part;
 }
 
-std::optional<Queue> Shelf::admit(std::uint64_t fingerprint, int rank, std::uint64_t bytes,
-                                  std::uint64_t onTheWay) {
+std::optional<Queue> SegmentCatalog::admit(std::uint64_t fingerprint, int rank, std::uint64_t bytes,
+                                           std::uint64_t onTheWay) {
     if (rank <= 0) {
         ++counters_.unranked;
         return {};
@@ -64,13 +64,13 @@
     return Queue::main;
 }
 
-Shelf::Segment& Shelf::segmentOf(std::uint32_t id, Queue queue) {
+SegmentCatalog::Segment& SegmentCatalog::segmentOf(std::uint32_t id, Queue queue) {
     const auto [at, isNew] = segments_.try_emplace(id);
     if (isNew) at->second.queue = queue;
     return at->second;
 }
 
-void Shelf::insert(Part part, Queue queue) {
+void SegmentCatalog::insert(Part part, Queue queue) {
     const PartIndex::Id id = index_.insert(part);
     Segment& segment = segmentOf(part.place.segment, queue);
     if (id == PartIndex::kNone) return;  // its bytes are dead
@@ -79,7 +79,7 @@
     liveBytes_ += part.place.bytes;
 }
 
-void Shelf::erase(PartIndex::Id id) {
+void SegmentCatalog::erase(PartIndex::Id id) {
     const Part& part = index_.at(id);
     Segment& segment = segments_.at(part.place.segment);
     index_.unlink(segment.first, id);
@@ -88,7 +88,7 @@
     index_.erase(id);
 }
 
-void Shelf::placed(Part part, Queue queue, int rank) {
+void SegmentCatalog::placed(Part part, Queue queue, int rank) {
     Segment& segment = segmentOf(part.place.segment, queue);
     segment.bytes += part.place.bytes;
     bytes_ += part.place.bytes;
@@ -104,7 +104,7 @@
     insert(part, queue);
 }
 
-void Shelf::loaded(const Part& part, Queue queue) {
+void SegmentCatalog::loaded(const Part& part, Queue queue) {
     const PartIndex::Id held = index_.find(part.fingerprint);
     if (held != PartIndex::kNone) {
         const Part& other = index_.at(held);
@@ -118,7 +118,7 @@
     insert(part, queue);
 }
 
-void Shelf::segmentLoaded(std::uint32_t id, Queue queue, std::uint64_t bytes) {
+void SegmentCatalog::segmentLoaded(std::uint32_t id, Queue queue, std::uint64_t bytes) {
     Segment& segment = segmentOf(id, queue);
     segment.sealed = true;
     segment.bytes += bytes;
@@ -126,12 +126,12 @@
     if (queue == Queue::probation) probationBytes_ += bytes;
 }
 
-void Shelf::sealed(std::uint32_t segment) {
+void SegmentCatalog::sealed(std::uint32_t segment) {
     const auto found = segments_.find(segment);
     if (found != segments_.end()) found->second.sealed = true;
 }
 
-bool Shelf::moved(std::uint64_t fingerprint, const Place& from, const Place& to, Queue queue) {
+bool SegmentCatalog::moved(std::uint64_t fingerprint, const Place& from, const Place& to, Queue queue) {
     Segment& segment = segmentOf(to.segment, queue);
     segment.bytes += to.bytes;
     bytes_ += to.bytes;
@@ -148,12 +148,12 @@
     return true;
 }
 
-void Shelf::lost(std::uint64_t fingerprint, const Place& place) {
+void SegmentCatalog::lost(std::uint64_t fingerprint, const Place& place) {
     const PartIndex::Id held = index_.find(fingerprint);
     if (held != PartIndex::kNone && index_.at(held).place == place) erase(held);
 }
 
-std::optional<Shelf::Reclaim> Shelf::nextReclaim(std::uint64_t onTheWay) {
+std::optional<SegmentCatalog::Reclaim> SegmentCatalog::nextReclaim(std::uint64_t onTheWay) {
     if (reclaiming_) return {};
     auto chosen = segments_.end();
     for (auto at = segments_.begin(); at != segments_.end(); ++at)
@@ -184,7 +184,7 @@
 }
 
 // The most used first, and of these those that were written last.
-std::vector<Part> Shelf::keepOf(const Segment& segment) const {
+std::vector<Part> SegmentCatalog::keepOf(const Segment& segment) const {
     std::vector<Part> keep;
     for (PartIndex::Id id = segment.first; id != PartIndex::kNone; id = index_.nextInRow(id))
         if (index_.at(id).uses > 0) keep.push_back(index_.at(id));
@@ -201,7 +201,7 @@
     return keep;
 }
 
-void Shelf::drop(std::uint32_t id) {
+void SegmentCatalog::drop(std::uint32_t id) {
     const auto found = segments_.find(id);
     if (found == segments_.end()) return;
     Segment& segment = found->second;
@@ -218,7 +218,7 @@
     ++counters_.reclaimed;
 }
 
-bool Shelf::sweep(const PurgeMarks& marks, std::size_t slice) {
+bool SegmentCatalog::sweep(const PurgeMarks& marks, std::size_t slice) {
     for (std::size_t i = 0; i < slice && sweptTo_ < index_.end(); ++i, ++sweptTo_) {
         if (!index_.used(sweptTo_)) continue;
         const Part& part = index_.at(sweptTo_);
@@ -231,14 +231,14 @@
     return true;
 }
 
-void Shelf::dropAll() {
-    const ShelfRules rules = rules_;
+void SegmentCatalog::dropAll() {
+    const SegmentCatalogOptions rules = rules_;
     const Counters counters = counters_;
-    *this = Shelf(rules);
+    *this = SegmentCatalog(rules);
     counters_ = counters;
 }
 
-std::size_t Shelf::memoryBytes() const {
+std::size_t SegmentCatalog::memoryBytes() const {
     return index_.memoryBytes() + ghost_.memoryBytes() + sketch_.memoryBytes() +
            segments_.size() * (sizeof(Segment) + 64);
 }
--- a/src/disk/segment_catalog.hpp
+++ b/src/disk/segment_catalog.hpp
@@ -24,7 +24,7 @@
 // begin on probation).
 enum class Memory : std::uint8_t { ghost, sketch, none };
 
-struct ShelfRules {
+struct SegmentCatalogOptions {
     std::uint64_t capacityBytes = std::uint64_t{4} << 30;  // of segment files
     std::uint32_t segmentBytes = std::uint32_t{64} << 20;  // at most capacity / 8
     std::size_t mostParts = 262144;
@@ -36,7 +36,7 @@
     Memory memory = Memory::ghost;
 };
 
-class Shelf {
+class SegmentCatalog {
 public:
     struct Counters {
         std::uint64_t admitted = 0, toMain = 0, unranked = 0, full = 0, replaced = 0, evicted = 0, moved = 0,
@@ -50,7 +50,7 @@
         std::vector<Part> keep;
     };
 
-    explicit Shelf(const ShelfRules& rules);
+    explicit SegmentCatalog(const SegmentCatalogOptions& rules);
 
     // A request for it has come, whether it is held or not.
     void asked(std::uint64_t fingerprint);
@@ -94,7 +94,7 @@
     std::size_t memoryBytes() const;
     std::size_t indexBytes() const { return index_.memoryBytes(); }
     const Counters& counters() const { return counters_; }
-    const ShelfRules& rules() const { return rules_; }
+    const SegmentCatalogOptions& rules() const { return rules_; }
 
 private:
     struct Segment {
@@ -110,7 +110,7 @@
     Segment& segmentOf(std::uint32_t id, Queue queue);
     std::vector<Part> keepOf(const Segment& segment) const;
 
-    ShelfRules rules_;
+    SegmentCatalogOptions rules_;
     PartIndex index_;
     GhostQueue ghost_;
     FrequencySketch sketch_;
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -18,12 +18,12 @@
 Tier::Tier(FileCalls& calls, const TierRules& rules, Users users)
     : rules_(rules),
       users_(std::move(users)),
-      shelf_(rules.shelf),
+      catalog_(rules.catalog),
       marks_(rules.mostMarks, rules.purgeSlackMs),
       versions_(kVersions),
       worker_(calls, rules.folder, [&] {
           WorkerRules worker = rules.worker;
-          worker.segmentBytes = shelf_.rules().segmentBytes;
+          worker.segmentBytes = catalog_.rules().segmentBytes;
           return worker;
       }()) {}
 
@@ -50,7 +50,7 @@
     for (Completion& completion : worker_.completions())
         std::visit([&](auto& told) { take(now, told); }, completion);
     if (state_ != State::ready) return;
-    if (sweeping_ && shelf_.sweep(marks_, kSweepSlice)) sweeping_ = std::exchange(sweepAgain_, false);
+    if (sweeping_ && catalog_.sweep(marks_, kSweepSlice)) sweeping_ = std::exchange(sweepAgain_, false);
     reclaim();
 }
 
@@ -96,8 +96,8 @@
 std::uint64_t Tier::lookUp(ClockReading now, const Key& key, std::int64_t oldestMs, Found found) {
     if (!holdsFolder()) return 0;
     const std::uint64_t fingerprint = key.fingerprint();
-    shelf_.asked(fingerprint);
-    const auto part = shelf_.look(fingerprint);
+    catalog_.asked(fingerprint);
+    const auto part = catalog_.look(fingerprint);
     if (!part || !servable(now, key, oldestMs, part->mintedMs)) {
         ++counters_.misses;
         return 0;
@@ -124,7 +124,7 @@
             std::to_string(told.place.offset) + " is not as it was written, dropped");
     }
     // A part that has moved meanwhile is somewhere else, and stays.
-    if (!good) shelf_.lost(told.fingerprint, told.place);
+    if (!good) catalog_.lost(told.fingerprint, told.place);
     const auto at = waiting_.find(told.ticket);
     if (at == waiting_.end()) return;
     Waiting waiting = std::move(at->second);
@@ -158,13 +158,13 @@
         return;
     }
     // Fetched only since nothing could be proved just now: what is held will do again.
-    if (!proof_.holds(now.monotonicMs) && shelf_.has(fingerprint)) return;
+    if (!proof_.holds(now.monotonicMs) && catalog_.has(fingerprint)) return;
     const std::uint64_t bytes = recordBytes(key, copy);
     if (onTheWay_ + bytes > rules_.worker.queueBytes) {
         ++counters_.queueFull;
         return;
     }
-    const auto queue = shelf_.admit(fingerprint, rank, bytes, onTheWay_);
+    const auto queue = catalog_.admit(fingerprint, rank, bytes, onTheWay_);
     if (!queue) return;
     AppendJob job{key, std::make_shared<const Copy>(copy), *queue, rank, bytes};
     if (!worker_.append(std::move(job))) {
@@ -196,7 +196,7 @@
     onTheWay_ -= told.bytes;
     writeFailures_ = 0;
     pauseMs_ = 0;
-    shelf_.placed(told.part, told.queue, told.rank);
+    catalog_.placed(told.part, told.queue, told.rank);
 }
 
 void Tier::take(ClockReading now, NotPlaced& told) {
@@ -210,14 +210,14 @@
 }
 
 void Tier::take(ClockReading, Sealed& told) {
-    shelf_.sealed(told.segment);
+    catalog_.sealed(told.segment);
     if (!told.problem.empty()) log("disk tier: " + told.problem);
 }
 
 // ----- giving space back -----
 
 void Tier::reclaim() {
-    auto next = shelf_.nextReclaim(onTheWay_);
+    auto next = catalog_.nextReclaim(onTheWay_);
     if (!next) return;
     // What a purge covers is not carried on.
     std::erase_if(next->keep,
@@ -225,14 +225,16 @@
     worker_.rewrite({next->segment, next->into, std::move(next->keep)});
 }
 
-void Tier::take(ClockReading, Moved& told) { shelf_.moved(told.fingerprint, told.from, told.to, told.queue); }
+void Tier::take(ClockReading, Moved& told) {
+    catalog_.moved(told.fingerprint, told.from, told.to, told.queue);
+}
 
 void Tier::take(ClockReading, Rewritten& told) {
     if (!told.problem.empty()) {
         ++counters_.writeErrors;
         log("disk tier: " + told.problem + "; what a segment had in use goes with it");
     }
-    shelf_.drop(told.segment);
+    catalog_.drop(told.segment);
     worker_.remove({told.segment});
 }
 
@@ -352,8 +354,8 @@
     for (const Part& part : told.parts) noteMinted(part.mintedMs);
     if (dropsLoading_ && latestMintedMs_ > marks_.floorMs()) mark({Mark::What::floor, 0, latestMintedMs_});
     // Too few places in the index: what does not fit is dead, and goes with its segment.
-    for (const Part& part : told.parts) shelf_.loaded(part, told.name.queue);
-    shelf_.segmentLoaded(told.name.number, told.name.queue, told.bytes);
+    for (const Part& part : told.parts) catalog_.loaded(part, told.name.queue);
+    catalog_.segmentLoaded(told.name.number, told.name.queue, told.bytes);
 }
 
 void Tier::take(ClockReading, LoadedAll&) {
@@ -361,8 +363,8 @@
     state_ = State::ready;
     dropsLoading_ = false;
     sweeping_ = true;
-    log("disk tier: " + std::to_string(shelf_.parts()) + " parts in " + std::to_string(shelf_.segments()) +
-        " segments at " + rules_.folder);
+    log("disk tier: " + std::to_string(catalog_.parts()) + " parts in " +
+        std::to_string(catalog_.segments()) + " segments at " + rules_.folder);
 }
 
 }  // namespace lotuslead::disk
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -26,7 +26,7 @@
 
 struct TierRules {
     std::string folder;
-    ShelfRules shelf;
+    SegmentCatalogOptions catalog;
     WorkerRules worker;
     std::size_t mostMarks = 65536;  // objects, and as many groups, that are told apart
     std::int64_t purgeSlackMs = 1000;
@@ -93,7 +93,7 @@
     State state() const { return state_; }
     const char* stateName() const;
     const Counters& counters() const { return counters_; }
-    const Shelf& shelf() const { return shelf_; }
+    const SegmentCatalog& catalog() const { return catalog_; }
     std::size_t markCount() const { return marks_.size(); }
     std::int64_t floorMs() const { return marks_.floorMs(); }
     std::uint64_t queuedBytes() const { return onTheWay_; }
@@ -136,7 +136,7 @@
 
     TierRules rules_;
     Users users_;
-    Shelf shelf_;
+    SegmentCatalog catalog_;
     PurgeMarks marks_;
     std::int64_t latestMintedMs_ = 0;  // of all that is held or on its way
     bool dropsLoading_ = false;        // what the segments still bring can't be proved either
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -258,7 +258,7 @@
     }
     void printTierCounters(const std::string& name) const {
         const auto& t = tier_->counters();
-        const auto& s = tier_->shelf().counters();
+        const auto& s = tier_->catalog().counters();
         const auto& b = cachingCarrier_.counters();
         core::printFigures(name, "disk",
                            {{"asked", b.asked},
@@ -275,10 +275,10 @@
                             {"read_errors", t.readErrors},
                             {"busy", t.busy}});
         core::printFigures(name, "disk_kept",
-                           {{"parts", tier_->shelf().parts()},
-                            {"bytes", tier_->shelf().bytes()},
-                            {"live_bytes", tier_->shelf().liveBytes()},
-                            {"segments", tier_->shelf().segments()},
+                           {{"parts", tier_->catalog().parts()},
+                            {"bytes", tier_->catalog().bytes()},
+                            {"live_bytes", tier_->catalog().liveBytes()},
+                            {"segments", tier_->catalog().segments()},
                             {"offered", t.offered},
                             {"admitted", s.admitted},
                             {"to_main", s.toMain},
--- a/tests/audit_disk.cpp
+++ b/tests/audit_disk.cpp
@@ -158,9 +158,9 @@
     static TierRules rules(const std::string& folder) {
         TierRules rules;
         rules.folder = folder;
-        rules.shelf.capacityBytes = 6 << 20;
-        rules.shelf.segmentBytes = 256 << 10;
-        rules.shelf.mostParts = 4096;
+        rules.catalog.capacityBytes = 6 << 20;
+        rules.catalog.segmentBytes = 256 << 10;
+        rules.catalog.mostParts = 4096;
         rules.worker.queueBytes = 512 << 10;
         rules.worker.sync = SyncPolicy::never;
         rules.mostMarks = 40;  // few, so that the floor rises at times
--- a/tests/disk_policy_test.cpp
+++ b/tests/disk_policy_test.cpp
@@ -179,8 +179,8 @@
     EXPECT_FALSE(proof.holds(3));
 }
 
-ShelfRules small(Memory memory = Memory::ghost) {
-    ShelfRules rules;
+SegmentCatalogOptions small(Memory memory = Memory::ghost) {
+    SegmentCatalogOptions rules;
     rules.capacityBytes = 1 << 20;
     rules.segmentBytes = 1 << 15;
     rules.mostParts = 5000;
@@ -193,7 +193,7 @@
     EXPECT_FALSE(disk.request(1, 0, 1000));
     EXPECT_FALSE(disk.request(1, 1, 1000));
     EXPECT_TRUE(disk.request(1, 1, 1000));
-    EXPECT_EQ(disk.shelf.counters().unranked, 1U);
+    EXPECT_EQ(disk.catalog.counters().unranked, 1U);
 }
 
 TEST(DiskShelf, AScanFlushesNothingThatIsInUse) {
@@ -207,7 +207,7 @@
         if (i % 25 == 0) disk.request(mix(i / 25), 1, 1000);
     }
     int held = 0;
-    for (std::uint64_t i = 0; i < 400; ++i) held += disk.shelf.has(mix(i));
+    for (std::uint64_t i = 0; i < 400; ++i) held += disk.catalog.has(mix(i));
     EXPECT_GE(held, 380);
 }
 
@@ -219,10 +219,10 @@
             const double u = static_cast<double>(random() % 1'000'000 + 1) / 1e6;
             disk.request(mix(static_cast<std::uint64_t>(3.0 / (u * u))), 1 + static_cast<int>(random() % 2),
                          static_cast<std::uint32_t>(200 + random() % 3000));
-            ASSERT_LE(disk.shelf.bytes(), disk.shelf.rules().capacityBytes);
-            ASSERT_LE(disk.shelf.liveBytes(), disk.shelf.bytes());
+            ASSERT_LE(disk.catalog.bytes(), disk.catalog.rules().capacityBytes);
+            ASSERT_LE(disk.catalog.liveBytes(), disk.catalog.bytes());
         }
-        const auto& c = disk.shelf.counters();
+        const auto& c = disk.catalog.counters();
         EXPECT_GT(c.reclaimed, 20U);
         EXPECT_GT(c.movedBytes, 0U);
         EXPECT_LE(static_cast<double>(disk.written), 3.0 * static_cast<double>(c.admittedBytes));
@@ -230,18 +230,18 @@
 }
 
 TEST(DiskShelf, ALaterCopyTakesThePlaceOfAnEarlierOneInWhateverOrderTheyAreFound) {
-    Shelf shelf(small());
-    shelf.loaded(partOf(5, 1, 0, 200), Queue::main);
-    shelf.loaded(partOf(5, 2, 0, 100), Queue::main);  // written later, minted before
-    EXPECT_EQ(shelf.look(5)->mintedMs, 200);
-    shelf.loaded(partOf(5, 3, 0, 200), Queue::main);  // the same copy, rewritten
-    EXPECT_EQ(shelf.look(5)->place.segment, 3U);
-    shelf.placed(partOf(5, 4, 0, 150), Queue::main, 1);
-    EXPECT_EQ(shelf.look(5)->mintedMs, 200);
-    shelf.lost(5, {1, 0, 100});  // another place
-    EXPECT_TRUE(shelf.has(5));
-    shelf.lost(5, {3, 0, 100});
-    EXPECT_FALSE(shelf.has(5));
+    SegmentCatalog catalog(small());
+    catalog.loaded(partOf(5, 1, 0, 200), Queue::main);
+    catalog.loaded(partOf(5, 2, 0, 100), Queue::main);  // written later, minted before
+    EXPECT_EQ(catalog.look(5)->mintedMs, 200);
+    catalog.loaded(partOf(5, 3, 0, 200), Queue::main);  // the same copy, rewritten
+    EXPECT_EQ(catalog.look(5)->place.segment, 3U);
+    catalog.placed(partOf(5, 4, 0, 150), Queue::main, 1);
+    EXPECT_EQ(catalog.look(5)->mintedMs, 200);
+    catalog.lost(5, {1, 0, 100});  // another place
+    EXPECT_TRUE(catalog.has(5));
+    catalog.lost(5, {3, 0, 100});
+    EXPECT_FALSE(catalog.has(5));
 }
 
 TEST(DiskShelf, SweepsWhatMarksCoverInSlices) {
@@ -250,11 +250,11 @@
     PurgeMarks marks(100, 0);
     for (std::uint64_t i = 1; i <= 50; ++i) marks.add({Mark::What::object, mix(i), 10});
     int slices = 1;
-    while (!disk.shelf.sweep(marks, 64)) ++slices;
+    while (!disk.catalog.sweep(marks, 64)) ++slices;
     EXPECT_EQ(slices, 8);
-    EXPECT_EQ(disk.shelf.parts(), 450U);
-    EXPECT_FALSE(disk.shelf.has(mix(50)));
-    EXPECT_TRUE(disk.shelf.has(mix(51)));
+    EXPECT_EQ(disk.catalog.parts(), 450U);
+    EXPECT_FALSE(disk.catalog.has(mix(50)));
+    EXPECT_TRUE(disk.catalog.has(mix(51)));
 }
 
 TEST(DiskShelf, DropsDeadSegmentsFirstAndAtNoCost) {
@@ -262,13 +262,13 @@
     for (std::uint64_t i = 1; i <= 64; ++i) disk.request(mix(i), 1, 1000);  // two segments
     PurgeMarks marks(10, 0);
     marks.add({Mark::What::floor, 0, 5});
-    ASSERT_TRUE(disk.shelf.sweep(marks, 1000));
-    const auto next = disk.shelf.nextReclaim(0);
+    ASSERT_TRUE(disk.catalog.sweep(marks, 1000));
+    const auto next = disk.catalog.nextReclaim(0);
     ASSERT_TRUE(next);
     EXPECT_TRUE(next->keep.empty());
-    EXPECT_FALSE(disk.shelf.nextReclaim(0));  // one at a time
-    disk.shelf.drop(next->segment);
-    EXPECT_LT(disk.shelf.bytes(), 40'000U);
+    EXPECT_FALSE(disk.catalog.nextReclaim(0));  // one at a time
+    disk.catalog.drop(next->segment);
+    EXPECT_LT(disk.catalog.bytes(), 40'000U);
 }
 
 const Key kKey{"/files/tool.bin", "installer", 6, 41, 65536};
--- a/tests/disk_tier_harness.hpp
+++ b/tests/disk_tier_harness.hpp
@@ -144,9 +144,9 @@
 inline TierRules rulesFor(const TemporaryFolder& folder) {
     TierRules rules;
     rules.folder = folder.tier();
-    rules.shelf.capacityBytes = 4 << 20;
-    rules.shelf.segmentBytes = 128 << 10;
-    rules.shelf.mostParts = 4096;
+    rules.catalog.capacityBytes = 4 << 20;
+    rules.catalog.segmentBytes = 128 << 10;
+    rules.catalog.mostParts = 4096;
     rules.worker.queueBytes = 1 << 20;
     rules.purgeSlackMs = 0;
     rules.purges = {false, true, 2000};
@@ -181,10 +181,10 @@
         return done();
     }
     bool store(int i, std::int64_t mintedMs, int rank = 1) {
-        const auto before = tier.shelf().counters().admitted;
+        const auto before = tier.catalog().counters().admitted;
         tier.offer(now, keyOf(i), rank, {mintedMs, {{"etag", "v"}}, bodyOf(i, mintedMs)});
-        return tier.shelf().counters().admitted > before && until([&] { return tier.queuedBytes() == 0; }) &&
-               tier.shelf().has(keyOf(i).fingerprint());
+        return tier.catalog().counters().admitted > before &&
+               until([&] { return tier.queuedBytes() == 0; }) && tier.catalog().has(keyOf(i).fingerprint());
     }
     std::optional<Copy> load(int i, std::int64_t oldestMs = 0) {
         std::optional<Copy> result;
--- a/tests/disk_tier_test.cpp
+++ b/tests/disk_tier_test.cpp
@@ -22,7 +22,7 @@
         }
         EXPECT_EQ(folder.files(".table").empty(), !tables);
         Desk desk(rules);
-        EXPECT_EQ(desk.tier.shelf().parts(), 200U);
+        EXPECT_EQ(desk.tier.catalog().parts(), 200U);
         for (int i = 0; i < 200; ++i) ASSERT_TRUE(desk.has(i, i < 20 ? 900 + i : 500 + i)) << i;
     }
 }
@@ -366,19 +366,19 @@
             state = mix(state + 1);
             const int name = static_cast<int>(state % 400 < 300 ? state % 300 : state % 9000);
             if (!desk.load(name)) desk.store(name, 1000);
-            ASSERT_LE(desk.tier.shelf().bytes(), rules.shelf.capacityBytes);
+            ASSERT_LE(desk.tier.catalog().bytes(), rules.catalog.capacityBytes);
         }
-        admitted = desk.tier.shelf().counters().admittedBytes;
-        moved = desk.tier.shelf().counters().movedBytes;
-        EXPECT_GT(desk.tier.shelf().counters().reclaimed, 10U);
+        admitted = desk.tier.catalog().counters().admittedBytes;
+        moved = desk.tier.catalog().counters().movedBytes;
+        EXPECT_GT(desk.tier.catalog().counters().reclaimed, 10U);
         EXPECT_EQ(desk.tier.counters().torn, 0U);
     }
     // Removals trail behind by a segment or two.
-    EXPECT_LE(folder.bytes(), rules.shelf.capacityBytes + 4 * rules.shelf.segmentBytes);
+    EXPECT_LE(folder.bytes(), rules.catalog.capacityBytes + 4 * rules.catalog.segmentBytes);
     EXPECT_GT(moved, 0U);
     EXPECT_LE(moved, admitted);
     Desk desk(rules);
-    EXPECT_LE(desk.tier.shelf().bytes(), rules.shelf.capacityBytes + 4 * rules.shelf.segmentBytes);
+    EXPECT_LE(desk.tier.catalog().bytes(), rules.catalog.capacityBytes + 4 * rules.catalog.segmentBytes);
     int whole = 0;
     for (int i = 0; i < 300; ++i) whole += desk.has(i, 1000);
     EXPECT_GT(whole, 200);
--- a/tests/simulated_disk.hpp
+++ b/tests/simulated_disk.hpp
@@ -10,35 +10,35 @@
 
 class PaperDisk {
 public:
-    explicit PaperDisk(const ShelfRules& rules) : shelf(rules) {}
+    explicit PaperDisk(const SegmentCatalogOptions& rules) : catalog(rules) {}
 
     // One request for a part: true where it was held; else it is fetched and offered with this rank.
     bool request(std::uint64_t name, int rank, std::uint32_t bytes, std::int64_t mintedMs = 1) {
-        shelf.asked(name);
-        if (shelf.look(name)) return true;
-        if (const auto queue = shelf.admit(name, rank, bytes, 0)) {
+        catalog.asked(name);
+        if (catalog.look(name)) return true;
+        if (const auto queue = catalog.admit(name, rank, bytes, 0)) {
             Part part;
             part.fingerprint = name;
             part.mintedMs = mintedMs;
             part.object = static_cast<std::uint32_t>(name >> 32);
             part.place = append(*queue, bytes);
-            shelf.placed(part, *queue, rank);
+            catalog.placed(part, *queue, rank);
             written += bytes;
         }
         reclaim();
         return false;
     }
     void reclaim() {
-        while (const auto next = shelf.nextReclaim(0)) {
+        while (const auto next = catalog.nextReclaim(0)) {
             for (const Part& part : next->keep) {
-                shelf.moved(part.fingerprint, part.place, append(next->into, part.place.bytes), next->into);
+                catalog.moved(part.fingerprint, part.place, append(next->into, part.place.bytes), next->into);
                 written += part.place.bytes;
             }
-            shelf.drop(next->segment);
+            catalog.drop(next->segment);
         }
     }
 
-    Shelf shelf;
+    SegmentCatalog catalog;
     std::uint64_t written = 0;
 
 private:
@@ -48,8 +48,8 @@
     };
     Place append(Queue queue, std::uint32_t bytes) {
         Open& open = open_[queue];
-        if (open.number == 0 || open.bytes + bytes > shelf.rules().segmentBytes) {
-            if (open.number != 0) shelf.sealed(open.number);
+        if (open.number == 0 || open.bytes + bytes > catalog.rules().segmentBytes) {
+            if (open.number != 0) catalog.sealed(open.number);
             open = {++last_, 0};
         }
         open.bytes += bytes;
