--- a/bench/disk.cpp
+++ b/bench/disk.cpp
@@ -113,14 +113,14 @@
             65536};
 }
 
-TierRules benchRules(const TemporaryFolder& folder, std::uint64_t capacity, std::size_t parts) {
-    TierRules rules = rulesFor(folder);
-    rules.catalog.capacityBytes = capacity;
-    rules.catalog.segmentBytes = 64 << 20;
-    rules.catalog.mostParts = parts;
-    rules.worker.queueBytes = 32 << 20;
-    rules.worker.mostReads = 64;
-    return rules;
+TierOptions benchOptions(const TemporaryFolder& folder, std::uint64_t capacity, std::size_t parts) {
+    TierOptions options = optionsFor(folder);
+    options.catalog.capacityBytes = capacity;
+    options.catalog.segmentBytes = 64 << 20;
+    options.catalog.mostParts = parts;
+    options.worker.queueBytes = 32 << 20;
+    options.worker.mostReads = 64;
+    return options;
 }
 
 void fill(Desk& desk, std::uint64_t parts, std::size_t bytes) {
@@ -140,7 +140,7 @@
     constexpr std::size_t kBytes = 64 * 1024;
     std::printf("parts of 64 KB a second, in the page cache\n");
     TemporaryFolder folder, files;
-    Desk desk(benchRules(folder, std::uint64_t{4} << 30, 65536));
+    Desk desk(benchOptions(folder, std::uint64_t{4} << 30, 65536));
     const double filled = secondsOf([&] { fill(desk, kParts, kBytes); });
     const double wrote = secondsOf([&] {
         for (std::uint64_t i = 0; i < kParts; ++i) {
@@ -188,16 +188,16 @@
     std::printf("seconds until all parts are served after a start\n");
     for (const std::uint64_t parts : {std::uint64_t{100'000}, std::uint64_t{1'000'000}}) {
         TemporaryFolder folder;
-        TierRules rules = benchRules(folder, std::uint64_t{8} << 30, parts + parts / 4);
+        TierOptions options = benchOptions(folder, std::uint64_t{8} << 30, parts + parts / 4);
         {
-            Desk desk(rules);
+            Desk desk(options);
             fill(desk, parts, 1000);
         }
         const auto start = [&](bool tables) {
-            rules.worker.tables = tables;
+            options.worker.tables = tables;
             std::size_t found = 0;
             const double seconds = secondsOf([&] {
-                Desk desk(rules);
+                Desk desk(options);
                 found = desk.tier.catalog().parts();
             });
             if (found != parts)
@@ -221,7 +221,7 @@
     std::vector<double> ours, plain;
     const Copy copy = copyOf(1, kBytes);
     {
-        Desk desk(benchRules(folder, std::uint64_t{1} << 30, 65536));
+        Desk desk(benchOptions(folder, std::uint64_t{1} << 30, 65536));
         for (int i = 0; i < kTurns; ++i)
             ours.push_back(1e6 * secondsOf([&] {
                                desk.tier.offer(desk.now, benchKey(static_cast<std::uint64_t>(i)), 1, copy);
--- a/bench/disk_policies.cpp
+++ b/bench/disk_policies.cpp
@@ -148,12 +148,12 @@
         show(ratio(all, true, [&](const Asked& a, int rank) { return filtered.request(a, rank); }));
         show(ratio(all, true, [&](const Asked& a, int rank) { return tiny.request(a, rank); }));
         for (const Memory memory : {Memory::none, Memory::ghost, Memory::sketch}) {
-            SegmentCatalogOptions rules;
-            rules.capacityBytes = kCapacity;
-            rules.segmentBytes = 16 << 20;
-            rules.mostParts = 1 << 16;
-            rules.memory = memory;
-            PaperDisk disk(rules);
+            SegmentCatalogOptions options;
+            options.capacityBytes = kCapacity;
+            options.segmentBytes = 16 << 20;
+            options.mostParts = 1 << 16;
+            options.memory = memory;
+            PaperDisk disk(options);
             show(ratio(all, true,
                        [&](const Asked& a, int rank) { return disk.request(a.part, rank, a.bytes); }));
             std::printf(" %.2f", static_cast<double>(disk.written) /
--- a/src/disk/caching_carrier.cpp
+++ b/src/disk/caching_carrier.cpp
@@ -16,29 +16,29 @@
 
 }  // namespace
 
-TierRules tierRules(const settings::DiskSettings& s, bool bus) {
+TierOptions tierOptions(const settings::DiskSettings& s, bool bus) {
     using Settings = settings::DiskSettings;
     const auto megabytes = [](std::int64_t n) { return static_cast<std::uint64_t>(n) << 20; };
-    TierRules rules;
-    rules.folder = s.folder;
-    rules.catalog.capacityBytes = megabytes(s.capacityMb);
-    rules.catalog.segmentBytes = static_cast<std::uint32_t>(megabytes(s.segmentMb));
-    rules.catalog.mostParts = static_cast<std::size_t>(s.mostParts);
-    rules.catalog.probationShare = s.probationShare;
-    rules.catalog.rewriteShare = s.rewriteShare;
-    rules.catalog.memory = s.admission == Settings::Admission::ghost    ? Memory::ghost
-                           : s.admission == Settings::Admission::sketch ? Memory::sketch
-                                                                        : Memory::none;
-    rules.worker.queueBytes = megabytes(s.queueMb);
-    rules.worker.mostReads = static_cast<std::size_t>(s.mostReads);
-    rules.worker.sync = s.sync == Settings::Sync::never    ? SyncPolicy::never
-                        : s.sync == Settings::Sync::sealed ? SyncPolicy::sealed
-                                                           : SyncPolicy::each;
-    rules.worker.tables = s.tables;
-    rules.mostMarks = static_cast<std::size_t>(s.mostMarks);
-    rules.purgeSlackMs = s.purgeSlackMs;
-    rules.purges = {bus, s.busKeepsPositions, s.busSilenceMs};
-    return rules;
+    TierOptions options;
+    options.folder = s.folder;
+    options.catalog.capacityBytes = megabytes(s.capacityMb);
+    options.catalog.segmentBytes = static_cast<std::uint32_t>(megabytes(s.segmentMb));
+    options.catalog.mostParts = static_cast<std::size_t>(s.mostParts);
+    options.catalog.probationShare = s.probationShare;
+    options.catalog.rewriteShare = s.rewriteShare;
+    options.catalog.memory = s.admission == Settings::Admission::ghost    ? Memory::ghost
+                             : s.admission == Settings::Admission::sketch ? Memory::sketch
+                                                                          : Memory::none;
+    options.worker.queueBytes = megabytes(s.queueMb);
+    options.worker.mostReads = static_cast<std::size_t>(s.mostReads);
+    options.worker.sync = s.sync == Settings::Sync::never    ? SyncPolicy::never
+                          : s.sync == Settings::Sync::sealed ? SyncPolicy::sealed
+                                                             : SyncPolicy::each;
+    options.worker.tables = s.tables;
+    options.mostMarks = static_cast<std::size_t>(s.mostMarks);
+    options.purgeSlackMs = s.purgeSlackMs;
+    options.purges = {bus, s.busKeepsPositions, s.busSilenceMs};
+    return options;
 }
 
 void CachingCarrier::attachTier(Tier* tier, const settings::DiskSettings& settings, const LinkPacer& pacer) {
--- a/src/disk/caching_carrier.hpp
+++ b/src/disk/caching_carrier.hpp
@@ -15,7 +15,7 @@
 
 namespace lotuslead::disk {
 
-TierRules tierRules(const settings::DiskSettings& settings, bool bus);
+TierOptions tierOptions(const settings::DiskSettings& settings, bool bus);
 
 // What a front knows of its payloads.
 struct PayloadTraits {
--- a/src/disk/inspect.cpp
+++ b/src/disk/inspect.cpp
@@ -210,9 +210,9 @@
     }
     for (const Part& part : known.live) keep[part.place.segment].push_back(part);
 
-    WorkerRules rules;
-    rules.segmentBytes = segmentBytes;
-    Worker worker(calls, path, rules);
+    IoWorkerOptions options;
+    options.segmentBytes = segmentBytes;
+    Worker worker(calls, path, options);
     bool damaged = false;
     pump(worker, [&](Completion& completion) {
         if (auto* opened = std::get_if<OpenedFolder>(&completion)) {
--- a/src/disk/io_worker.cpp
+++ b/src/disk/io_worker.cpp
@@ -36,11 +36,11 @@
     return found == files_.end() ? nullptr : found->second;
 }
 
-Worker::Worker(FileCalls& calls, std::string folder, const WorkerRules& rules)
+Worker::Worker(FileCalls& calls, std::string folder, const IoWorkerOptions& options)
     : calls_(calls),
       folder_(calls, std::move(folder)),
       log_(calls, folder_),
-      rules_(rules),
+      options_(options),
       wake_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
     if (!wake_) throw std::system_error(errno, std::generic_category(), "eventfd");
     writer_ = std::thread([this] { write(); });
@@ -83,7 +83,7 @@
 bool Worker::append(AppendJob job) {
     {
         const std::lock_guard lock(mutex_);
-        if (closing_ || queuedBytes_ + job.bytes > rules_.queueBytes) return false;
+        if (closing_ || queuedBytes_ + job.bytes > options_.queueBytes) return false;
         queuedBytes_ += job.bytes;
         jobs_.emplace_back(std::move(job));
     }
@@ -94,7 +94,7 @@
 bool Worker::read(ReadJob job) {
     {
         const std::lock_guard lock(mutex_);
-        if (closing_ || reads_.size() >= rules_.mostReads) return false;
+        if (closing_ || reads_.size() >= options_.mostReads) return false;
         reads_.push_back(job);
     }
     toRead_.notify_one();
@@ -232,7 +232,7 @@
         const IoResult opened = calls_.open(folder_.pathOf(segmentFile(name)), O_RDONLY);
         if (opened.error == 0)
             files_.add(name.number, std::make_shared<File>(static_cast<int>(opened.bytes)));
-        Folder::Contents found = folder_.readSegment(name, rules_.tables);
+        Folder::Contents found = folder_.readSegment(name, options_.tables);
         LoadedSegment told;
         told.name = name;
         told.parts = std::move(found.parts);
@@ -333,7 +333,7 @@
 
 Worker::Written Worker::writeRecord(Queue queue, Part part, std::span<const char> record) {
     auto held = open_.find(queue);
-    if (held != open_.end() && held->second.bytes + record.size() > rules_.segmentBytes) {
+    if (held != open_.end() && held->second.bytes + record.size() > options_.segmentBytes) {
         seal(held->second);
         open_.erase(held);
         held = open_.end();
@@ -346,7 +346,7 @@
     const std::string path = folder_.pathOf(segmentFile(segment.name));
     const IoResult written = writeAll(calls_, segment.file->get(), record, segment.bytes);
     int error = written.error;
-    if (error == 0 && rules_.sync == SyncPolicy::each) error = calls_.sync(segment.file->get());
+    if (error == 0 && options_.sync == SyncPolicy::each) error = calls_.sync(segment.file->get());
     if (error != 0) {
         // The next record begins where this one did. If the rest can't be cut off, it is written over, or
         // left as a torn tail.
@@ -376,10 +376,10 @@
 
 void Worker::seal(OpenSegment& segment) {
     Problem problem;
-    if (rules_.sync == SyncPolicy::sealed)
+    if (options_.sync == SyncPolicy::sealed)
         if (const int error = calls_.sync(segment.file->get()))
             problem = problemOf("sync", folder_.pathOf(segmentFile(segment.name)), error);
-    if (rules_.tables && problem.empty())
+    if (options_.tables && problem.empty())
         problem = folder_.writeTable({segment.bytes, segment.parts}, segment.name.number);
     tell(Sealed{segment.name.number, std::move(problem)});
 }
--- a/src/disk/io_worker.hpp
+++ b/src/disk/io_worker.hpp
@@ -22,7 +22,7 @@
 // When a record is made to last. What was not synced may be lost or torn by a power failure, never wrong.
 enum class SyncPolicy : std::uint8_t { never, sealed, each };
 
-struct WorkerRules {
+struct IoWorkerOptions {
     std::uint32_t segmentBytes = std::uint32_t{64} << 20;
     std::uint64_t queueBytes = std::uint64_t{32} << 20;  // of records that wait for the writer
     std::size_t mostReads = 64;                          // that wait for the reader
@@ -129,7 +129,7 @@
 class Worker {
 public:
     // `calls` outlives it. The threads begin at once with opening the folder.
-    Worker(FileCalls& calls, std::string folder, const WorkerRules& rules);
+    Worker(FileCalls& calls, std::string folder, const IoWorkerOptions& options);
     // Ends both threads; see close().
     ~Worker();
 
@@ -183,7 +183,7 @@
     FileCalls& calls_;
     Folder folder_;
     PurgeLog log_;
-    WorkerRules rules_;
+    IoWorkerOptions options_;
     File wake_;
     SegmentFiles files_;
 
--- a/src/disk/purge_tombstones.cpp
+++ b/src/disk/purge_tombstones.cpp
@@ -77,13 +77,13 @@
     return underFloor(ms) || reaches(foldedObjects_, object, ms) || reaches(foldedGroups_, group, ms);
 }
 
-PurgeProof::Begin PurgeProof::begin(Rules rules, std::optional<std::int64_t> logged) {
-    rules_ = rules;
+PurgeProof::Begin PurgeProof::begin(Options options, std::optional<std::int64_t> logged) {
+    options_ = options;
     begun_ = true;
     Begin result;
-    if (!rules.bus) {
+    if (!options.bus) {
         result.floor = logged.has_value();  // a bus that we can't ask may have told purges
-    } else if (!rules.keepsPositions || !logged) {
+    } else if (!options.keepsPositions || !logged) {
         result.floor = true;
     } else if (!position_ || *position_ != *logged) {
         needed_ = logged;
@@ -117,8 +117,8 @@
 
 bool PurgeProof::holds(std::int64_t nowMs) const {
     if (!begun_) return false;
-    if (!rules_.bus) return true;
-    return !needed_ && heardMs_ && nowMs - *heardMs_ <= rules_.silenceMs;
+    if (!options_.bus) return true;
+    return !needed_ && heardMs_ && nowMs - *heardMs_ <= options_.silenceMs;
 }
 
 }  // namespace lotuslead::disk
--- a/src/disk/purge_tombstones.hpp
+++ b/src/disk/purge_tombstones.hpp
@@ -65,7 +65,7 @@
 // Whether all purges up to now are known, also those told while no process held the folder.
 class PurgeProof {
 public:
-    struct Rules {
+    struct Options {
         bool bus = false;             // there is one
         bool keepsPositions = false;  // its numbers hold across our starts
         std::int64_t silenceMs = 0;   // unheard for so long, it may have told what we don't know
@@ -76,7 +76,7 @@
     };
 
     // `logged`: the position in the purge log; none: no bus has ever been applied to this folder.
-    [[nodiscard]] Begin begin(Rules rules, std::optional<std::int64_t> logged);
+    [[nodiscard]] Begin begin(Options options, std::optional<std::int64_t> logged);
     // A batch asked for from behind `from` had these numbers and ended at `last`. True: events are missing,
     // and the floor must rise. `nowMs` is monotonic, in milliseconds. Not `complete`: the bus has more to
     // tell, so that nothing is proved before that has come.
@@ -84,8 +84,8 @@
                             std::span<const std::int64_t> numbers, bool complete = true);
     // Whether there is a bus, and its silence, from now on.
     void reconfigure(bool bus, std::int64_t silenceMs) {
-        rules_.bus = bus;
-        rules_.silenceMs = silenceMs;
+        options_.bus = bus;
+        options_.silenceMs = silenceMs;
     }
 
     [[nodiscard]] bool holds(std::int64_t nowMs) const;
@@ -93,7 +93,7 @@
     std::optional<std::int64_t> position() const { return needed_ ? std::nullopt : position_; }
 
 private:
-    Rules rules_;
+    Options options_;
     std::optional<std::int64_t> needed_;    // what is behind this must be told first
     std::optional<std::int64_t> position_;  // applied
     std::optional<std::int64_t> heardMs_;
--- a/src/disk/segment_catalog.cpp
+++ b/src/disk/segment_catalog.cpp
@@ -11,23 +11,26 @@
 // Segments that may be open or under rewriting besides those that are full: one a queue, and one to move to.
 constexpr std::uint64_t kOpenSegments = 3;
 
-std::size_t sketchNames(const SegmentCatalogOptions& rules) {
-    return rules.memory == Memory::sketch ? rules.mostParts : 1;
+std::size_t sketchNames(const SegmentCatalogOptions& options) {
+    return options.memory == Memory::sketch ? options.mostParts : 1;
 }
-std::size_t ghostNames(const SegmentCatalogOptions& rules) {
-    return rules.memory == Memory::ghost ? rules.mostParts : 1;
+std::size_t ghostNames(const SegmentCatalogOptions& options) {
+    return options.memory == Memory::ghost ? options.mostParts : 1;
 }
 
 }  // namespace
 
-SegmentCatalog::SegmentCatalog(const SegmentCatalogOptions& rules)
-    : rules_(rules), index_(rules.mostParts), ghost_(ghostNames(rules)), sketch_(sketchNames(rules)) {
-    const std::uint64_t most = std::max<std::uint64_t>(rules_.capacityBytes / 8, 4096);
-    rules_.segmentBytes = static_cast<std::uint32_t>(std::min<std::uint64_t>(rules_.segmentBytes, most));
+SegmentCatalog::SegmentCatalog(const SegmentCatalogOptions& options)
+    : options_(options),
+      index_(options.mostParts),
+      ghost_(ghostNames(options)),
+      sketch_(sketchNames(options)) {
+    const std::uint64_t most = std::max<std::uint64_t>(options_.capacityBytes / 8, 4096);
+    options_.segmentBytes = static_cast<std::uint32_t>(std::min<std::uint64_t>(options_.segmentBytes, most));
 }
 
 void SegmentCatalog::asked(std::uint64_t fingerprint) {
-    if (rules_.memory == Memory::sketch) sketch_.add(fingerprint);
+    if (options_.memory == Memory::sketch) sketch_.add(fingerprint);
 }
 
 std::optional<Part> SegmentCatalog::look(std::uint64_t fingerprint) {
@@ -45,16 +48,16 @@
         return {};
     }
     // A record and its segment are never larger than the bytes may be; reclamation may lag behind admissions.
-    const bool room = bytes_ + onTheWay + bytes <= rules_.capacityBytes && bytes <= rules_.segmentBytes;
+    const bool room = bytes_ + onTheWay + bytes <= options_.capacityBytes && bytes <= options_.segmentBytes;
     if (!room || index_.size() >= index_.mostParts()) {
         ++counters_.full;
         return {};
     }
     ++counters_.admitted;
     counters_.admittedBytes += bytes;
-    const bool known = rules_.memory == Memory::ghost    ? ghost_.take(fingerprint)
-                       : rules_.memory == Memory::sketch ? sketch_.estimate(fingerprint) >= kPopular
-                                                         : false;
+    const bool known = options_.memory == Memory::ghost    ? ghost_.take(fingerprint)
+                       : options_.memory == Memory::sketch ? sketch_.estimate(fingerprint) >= kPopular
+                                                           : false;
     const PartIndex::Id held = index_.find(fingerprint);
     // A new copy of what is in the main queue stays there.
     const bool wasMain =
@@ -163,12 +166,12 @@
         }
     if (chosen == segments_.end()) {
         const std::uint64_t reserve =
-            std::min<std::uint64_t>(kOpenSegments * rules_.segmentBytes, rules_.capacityBytes / 2);
-        const bool short_ = bytes_ + onTheWay + reserve > rules_.capacityBytes ||
+            std::min<std::uint64_t>(kOpenSegments * options_.segmentBytes, options_.capacityBytes / 2);
+        const bool short_ = bytes_ + onTheWay + reserve > options_.capacityBytes ||
                             index_.size() + index_.mostParts() / 16 > index_.mostParts();
         if (!short_) return {};
         const auto share =
-            static_cast<std::uint64_t>(rules_.probationShare * static_cast<double>(rules_.capacityBytes));
+            static_cast<std::uint64_t>(options_.probationShare * static_cast<double>(options_.capacityBytes));
         const Queue from = probationBytes_ > share ? Queue::probation : Queue::main;
         for (const Queue queue : {from, from == Queue::main ? Queue::probation : Queue::main}) {
             chosen = std::find_if(segments_.begin(), segments_.end(), [&](const auto& entry) {
@@ -190,7 +193,7 @@
         if (index_.at(id).uses > 0) keep.push_back(index_.at(id));
     std::stable_sort(keep.begin(), keep.end(), [](const Part& a, const Part& b) { return a.uses > b.uses; });
     // A part leaves probation once only; in the main queue it could be written for ever.
-    const double share = segment.queue == Queue::probation ? 1.0 : rules_.rewriteShare;
+    const double share = segment.queue == Queue::probation ? 1.0 : options_.rewriteShare;
     const auto most = static_cast<std::uint64_t>(share * static_cast<double>(segment.bytes));
     std::uint64_t bytes = 0;
     std::erase_if(keep, [&](const Part& part) {
@@ -207,7 +210,7 @@
     Segment& segment = found->second;
     while (segment.first != PartIndex::kNone) {
         const PartIndex::Id part = segment.first;
-        if (rules_.memory == Memory::ghost) ghost_.add(index_.at(part).fingerprint);
+        if (options_.memory == Memory::ghost) ghost_.add(index_.at(part).fingerprint);
         erase(part);
         ++counters_.evicted;
     }
@@ -232,9 +235,9 @@
 }
 
 void SegmentCatalog::dropAll() {
-    const SegmentCatalogOptions rules = rules_;
+    const SegmentCatalogOptions options = options_;
     const Counters counters = counters_;
-    *this = SegmentCatalog(rules);
+    *this = SegmentCatalog(options);
     counters_ = counters;
 }
 
--- a/src/disk/segment_catalog.hpp
+++ b/src/disk/segment_catalog.hpp
@@ -50,7 +50,7 @@
         std::vector<Part> keep;
     };
 
-    explicit SegmentCatalog(const SegmentCatalogOptions& rules);
+    explicit SegmentCatalog(const SegmentCatalogOptions& options);
 
     // A request for it has come, whether it is held or not.
     void asked(std::uint64_t fingerprint);
@@ -94,7 +94,7 @@
     std::size_t memoryBytes() const;
     std::size_t indexBytes() const { return index_.memoryBytes(); }
     const Counters& counters() const { return counters_; }
-    const SegmentCatalogOptions& rules() const { return rules_; }
+    const SegmentCatalogOptions& options() const { return options_; }
 
 private:
     struct Segment {
@@ -110,7 +110,7 @@
     Segment& segmentOf(std::uint32_t id, Queue queue);
     std::vector<Part> keepOf(const Segment& segment) const;
 
-    SegmentCatalogOptions rules_;
+    SegmentCatalogOptions options_;
     PartIndex index_;
     GhostQueue ghost_;
     FrequencySketch sketch_;
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -15,15 +15,15 @@
 
 }  // namespace
 
-Tier::Tier(FileCalls& calls, const TierRules& rules, Users users)
-    : rules_(rules),
+Tier::Tier(FileCalls& calls, const TierOptions& options, Users users)
+    : options_(options),
       users_(std::move(users)),
-      catalog_(rules.catalog),
-      marks_(rules.mostMarks, rules.purgeSlackMs),
+      catalog_(options.catalog),
+      marks_(options.mostMarks, options.purgeSlackMs),
       versions_(kVersions),
-      worker_(calls, rules.folder, [&] {
-          WorkerRules worker = rules.worker;
-          worker.segmentBytes = catalog_.rules().segmentBytes;
+      worker_(calls, options.folder, [&] {
+          IoWorkerOptions worker = options.worker;
+          worker.segmentBytes = catalog_.options().segmentBytes;
           return worker;
       }()) {}
 
@@ -66,11 +66,11 @@
     for (auto& [ticket, one] : waiting) one.found({});
 }
 
-void Tier::reconfigure(const TierRules& rules) {
-    marks_.setSlack(rules.purgeSlackMs);
-    proof_.reconfigure(rules.purges.bus, rules.purges.silenceMs);
-    rules_.purgeSlackMs = rules.purgeSlackMs;
-    rules_.purges = rules.purges;
+void Tier::reconfigure(const TierOptions& options) {
+    marks_.setSlack(options.purgeSlackMs);
+    proof_.reconfigure(options.purges.bus, options.purges.silenceMs);
+    options_.purgeSlackMs = options.purgeSlackMs;
+    options_.purges = options.purges;
 }
 
 // ----- reading -----
@@ -86,7 +86,7 @@
         return false;
     }
     const std::int64_t age = now.unixMs - mintedMs;
-    if (age < -rules_.purgeSlackMs || (oldestMs > 0 && age > oldestMs)) {
+    if (age < -options_.purgeSlackMs || (oldestMs > 0 && age > oldestMs)) {
         ++counters_.expired;
         return false;
     }
@@ -160,7 +160,7 @@
     // Fetched only since nothing could be proved just now: what is held will do again.
     if (!proof_.holds(now.monotonicMs) && catalog_.has(fingerprint)) return;
     const std::uint64_t bytes = recordBytes(key, copy);
-    if (onTheWay_ + bytes > rules_.worker.queueBytes) {
+    if (onTheWay_ + bytes > options_.worker.queueBytes) {
         ++counters_.queueFull;
         return;
     }
@@ -186,7 +186,8 @@
     const bool latest = !other || copy.mintedMs >= known.mintedMs;
     if (other) {
         ++counters_.superseded;
-        mark({Mark::What::object, object, std::max(copy.mintedMs, known.mintedMs) - rules_.purgeSlackMs - 1});
+        mark({Mark::What::object, object,
+              std::max(copy.mintedMs, known.mintedMs) - options_.purgeSlackMs - 1});
     }
     if (!had || (latest && copy.mintedMs >= known.mintedMs)) known = {version, copy.mintedMs};
     return latest;
@@ -332,7 +333,7 @@
     marks_.forEach([&](const Mark& mark) { heard.push_back(mark); });
     for (const Mark& mark : told.marks) marks_.add(mark);
     linesGiven_ = told.marks.size();
-    const PurgeProof::Begin begin = proof_.begin(rules_.purges, told.position);
+    const PurgeProof::Begin begin = proof_.begin(options_.purges, told.position);
     if (told.damaged)
         raiseFloor(now, "the purge log is damaged");
     else if (begin.floor && !told.empty)
@@ -364,7 +365,7 @@
     dropsLoading_ = false;
     sweeping_ = true;
     log("disk tier: " + std::to_string(catalog_.parts()) + " parts in " +
-        std::to_string(catalog_.segments()) + " segments at " + rules_.folder);
+        std::to_string(catalog_.segments()) + " segments at " + options_.folder);
 }
 
 }  // namespace lotuslead::disk
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -24,13 +24,13 @@
     std::int64_t unixMs = 0;
 };
 
-struct TierRules {
+struct TierOptions {
     std::string folder;
     SegmentCatalogOptions catalog;
-    WorkerRules worker;
+    IoWorkerOptions worker;
     std::size_t mostMarks = 65536;  // objects, and as many groups, that are told apart
     std::int64_t purgeSlackMs = 1000;
-    PurgeProof::Rules purges;
+    PurgeProof::Options purges;
 };
 
 class Tier {
@@ -52,7 +52,7 @@
     using Found = std::function<void(std::optional<Copy>)>;
 
     // `calls` outlives it.
-    Tier(FileCalls& calls, const TierRules& rules, Users users);
+    Tier(FileCalls& calls, const TierOptions& options, Users users);
     ~Tier();
     Tier(const Tier&) = delete;
 
@@ -86,7 +86,7 @@
     bool kept() const { return keptUpTo_ >= given_; }
 
     // Other limits that hold from now on; folder and sizes stay.
-    void reconfigure(const TierRules& rules);
+    void reconfigure(const TierOptions& options);
     // Lets go of the folder for another process; from here on all are misses.
     void close();
 
@@ -97,7 +97,7 @@
     std::size_t markCount() const { return marks_.size(); }
     std::int64_t floorMs() const { return marks_.floorMs(); }
     std::uint64_t queuedBytes() const { return onTheWay_; }
-    const TierRules& rules() const { return rules_; }
+    const TierOptions& options() const { return options_; }
 
 private:
     struct Waiting {
@@ -134,7 +134,7 @@
     void rewriteLogIfLong();
     void log(const std::string& line) const { users_.log(line); }
 
-    TierRules rules_;
+    TierOptions options_;
     Users users_;
     SegmentCatalog catalog_;
     PurgeMarks marks_;
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -212,7 +212,7 @@
     void openTier() {
         const bool bus = !baseOf(configuration_).bus.empty();
         tier_ = std::make_unique<disk::Tier>(
-            fileCalls_, disk::tierRules(*disk_, bus),
+            fileCalls_, disk::tierOptions(*disk_, bus),
             disk::Tier::Users{
                 [this](const std::string& line) {
                     std::fprintf(stderr, "%s: %s\n", baseOf(configuration_).name.c_str(), line.c_str());
@@ -243,7 +243,7 @@
             disk_->purgeSlackMs = fresh->purgeSlackMs;
             disk_->busSilenceMs = fresh->busSilenceMs;
         }
-        tier_->reconfigure(disk::tierRules(*disk_, !base.bus.empty()));
+        tier_->reconfigure(disk::tierOptions(*disk_, !base.bus.empty()));
         cachingCarrier_.attachTier(tier_.get(), *disk_, pacer());
     }
     void tryTierAgain() {
--- a/tests/audit_disk.cpp
+++ b/tests/audit_disk.cpp
@@ -128,7 +128,7 @@
           random_(seed),
           last_(last),
           calls_(bus_ + ".synced", seed),
-          tier_(calls_, rules(folder), users()) {}
+          tier_(calls_, options(folder), users()) {}
 
     int run() {
         std::size_t next = 0;  // of the walk over all that may be held
@@ -155,18 +155,18 @@
     }
 
 private:
-    static TierRules rules(const std::string& folder) {
-        TierRules rules;
-        rules.folder = folder;
-        rules.catalog.capacityBytes = 6 << 20;
-        rules.catalog.segmentBytes = 256 << 10;
-        rules.catalog.mostParts = 4096;
-        rules.worker.queueBytes = 512 << 10;
-        rules.worker.sync = SyncPolicy::never;
-        rules.mostMarks = 40;  // few, so that the floor rises at times
-        rules.purgeSlackMs = 0;
-        rules.purges = {true, true, 2000};
-        return rules;
+    static TierOptions options(const std::string& folder) {
+        TierOptions options;
+        options.folder = folder;
+        options.catalog.capacityBytes = 6 << 20;
+        options.catalog.segmentBytes = 256 << 10;
+        options.catalog.mostParts = 4096;
+        options.worker.queueBytes = 512 << 10;
+        options.worker.sync = SyncPolicy::never;
+        options.mostMarks = 40;  // few, so that the floor rises at times
+        options.purgeSlackMs = 0;
+        options.purges = {true, true, 2000};
+        return options;
     }
     Tier::Users users() {
         return {[](const std::string&) {}, [this](std::int64_t position) { from_ = position; },
--- a/tests/disk_faults_test.cpp
+++ b/tests/disk_faults_test.cpp
@@ -21,11 +21,11 @@
 // must not go to the file that the new one has replaced.
 TEST(DiskFaults, PurgesLastThoughTheFolderOfANewLogCannotBeSynced) {
     TemporaryFolder folder;
-    TierRules rules = rulesFor(folder);
-    rules.mostMarks = 600;
+    TierOptions options = optionsFor(folder);
+    options.mostMarks = 600;
     {
         FaultyFiles files;
-        Desk desk(rules, &files);
+        Desk desk(options, &files);
         for (int i = 0; i < 12; ++i) ASSERT_TRUE(desk.store(i, 1000));
         files.failFolderSyncs(EIO);
         for (int i = 0; i < kPurgesUntilRewritten; ++i)
@@ -39,7 +39,7 @@
         desk.tier.purgeObject("/files/8", 1000);
         ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
     }
-    Desk desk(rules);
+    Desk desk(options);
     for (int i = 0; i < 12; ++i) EXPECT_EQ(desk.has(i, 1000), i != 8) << i;
 }
 
@@ -50,7 +50,7 @@
             TemporaryFolder folder;
             FaultyFiles files;
             files.set(file, faults);
-            Desk desk(rulesFor(folder), &files, false);
+            Desk desk(optionsFor(folder), &files, false);
             ASSERT_TRUE(desk.until([&] { return !desk.lines.empty(); }));
             files.clear();
             desk.tier.tryAgain();
@@ -65,11 +65,11 @@
     constexpr std::int64_t kMinted = 1'000'000, kBehind = 100'000;
     TemporaryFolder folder;
     {
-        Desk desk(rulesFor(folder));
+        Desk desk(optionsFor(folder));
         ASSERT_TRUE(desk.store(1, kMinted));
     }
     std::filesystem::remove(folder.tier() + "/purges");
-    Desk desk(rulesFor(folder), nullptr, false);
+    Desk desk(optionsFor(folder), nullptr, false);
     desk.now.unixMs = kMinted - kBehind;
     ASSERT_TRUE(desk.until([&] { return desk.tier.state() == Tier::State::ready; }));
     EXPECT_TRUE(desk.logged("the purge log is damaged"));
@@ -84,7 +84,7 @@
 TEST(DiskFaults, ADamagedLogIsDamagedUntilAFloorIsKept) {
     TemporaryFolder folder;
     {
-        Desk desk(rulesFor(folder));
+        Desk desk(optionsFor(folder));
         ASSERT_TRUE(desk.store(1, 1000));
         for (int i = 5; i < 15; ++i) desk.tier.purgeObject("/files/" + std::to_string(i), 1000);
         ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
@@ -102,12 +102,12 @@
         ASSERT_TRUE(log.load(Folder::Access::write).torn);
     }
     {
-        Desk desk(rulesFor(folder));
+        Desk desk(optionsFor(folder));
         EXPECT_TRUE(desk.logged("the purge log is damaged"));
         EXPECT_FALSE(desk.load(1));
         ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
     }
-    Desk desk(rulesFor(folder));
+    Desk desk(optionsFor(folder));
     EXPECT_FALSE(desk.logged("the purge log is damaged"));
     EXPECT_FALSE(desk.load(1));
 }
--- a/tests/disk_policy_test.cpp
+++ b/tests/disk_policy_test.cpp
@@ -136,11 +136,11 @@
 }
 
 TEST(DiskProof, GoesBackToWhereItStoodAndFindsWhatIsMissing) {
-    const PurgeProof::Rules rules{true, true, 2000};
+    const PurgeProof::Options options{true, true, 2000};
     const std::vector<std::int64_t> whole{41, 42, 43}, gap{41, 43}, late{43};
     {
         PurgeProof proof;
-        const auto begin = proof.begin(rules, 40);
+        const auto begin = proof.begin(options, 40);
         EXPECT_FALSE(begin.floor);
         ASSERT_EQ(begin.askFrom, 40);
         // An answer to what was asked before does not lead past it.
@@ -155,14 +155,14 @@
     }
     for (const auto& numbers : {gap, late}) {
         PurgeProof proof;
-        (void)proof.begin(rules, 40);
+        (void)proof.begin(options, 40);
         EXPECT_TRUE(proof.told(2, 40, 43, numbers));
     }
     PurgeProof other;
-    (void)other.begin(rules, 40);
+    (void)other.begin(options, 40);
     EXPECT_TRUE(other.told(2, 40, 12, {}));  // a bus that is behind is another
     PurgeProof fresh;
-    EXPECT_TRUE(fresh.begin(rules, {}).floor);  // records, but no position: nothing is known
+    EXPECT_TRUE(fresh.begin(options, {}).floor);  // records, but no position: nothing is known
 }
 
 // A page is applied, and the bus says that there is more: what is held may be purged by that.
@@ -180,12 +180,12 @@
 }
 
 SegmentCatalogOptions small(Memory memory = Memory::ghost) {
-    SegmentCatalogOptions rules;
-    rules.capacityBytes = 1 << 20;
-    rules.segmentBytes = 1 << 15;
-    rules.mostParts = 5000;
-    rules.memory = memory;
-    return rules;
+    SegmentCatalogOptions options;
+    options.capacityBytes = 1 << 20;
+    options.segmentBytes = 1 << 15;
+    options.mostParts = 5000;
+    options.memory = memory;
+    return options;
 }
 
 TEST(DiskShelf, TakesOnlyWhatTheModuleRanks) {
@@ -219,7 +219,7 @@
             const double u = static_cast<double>(random() % 1'000'000 + 1) / 1e6;
             disk.request(mix(static_cast<std::uint64_t>(3.0 / (u * u))), 1 + static_cast<int>(random() % 2),
                          static_cast<std::uint32_t>(200 + random() % 3000));
-            ASSERT_LE(disk.catalog.bytes(), disk.catalog.rules().capacityBytes);
+            ASSERT_LE(disk.catalog.bytes(), disk.catalog.options().capacityBytes);
             ASSERT_LE(disk.catalog.liveBytes(), disk.catalog.bytes());
         }
         const auto& c = disk.catalog.counters();
--- a/tests/disk_tier_harness.hpp
+++ b/tests/disk_tier_harness.hpp
@@ -141,16 +141,16 @@
     std::string path;
 };
 
-inline TierRules rulesFor(const TemporaryFolder& folder) {
-    TierRules rules;
-    rules.folder = folder.tier();
-    rules.catalog.capacityBytes = 4 << 20;
-    rules.catalog.segmentBytes = 128 << 10;
-    rules.catalog.mostParts = 4096;
-    rules.worker.queueBytes = 1 << 20;
-    rules.purgeSlackMs = 0;
-    rules.purges = {false, true, 2000};
-    return rules;
+inline TierOptions optionsFor(const TemporaryFolder& folder) {
+    TierOptions options;
+    options.folder = folder.tier();
+    options.catalog.capacityBytes = 4 << 20;
+    options.catalog.segmentBytes = 128 << 10;
+    options.catalog.mostParts = 4096;
+    options.worker.queueBytes = 1 << 20;
+    options.purgeSlackMs = 0;
+    options.purges = {false, true, 2000};
+    return options;
 }
 
 inline Key keyOf(int i) { return {"/files/" + std::to_string(i), "installer", i % 7, 3, 65536}; }
@@ -164,8 +164,8 @@
 // A tier and the loop that it thinks it has.
 class Desk {
 public:
-    explicit Desk(const TierRules& rules, FileCalls* calls = nullptr, bool awaitReady = true)
-        : tier(calls ? *calls : plain_, rules,
+    explicit Desk(const TierOptions& options, FileCalls* calls = nullptr, bool awaitReady = true)
+        : tier(calls ? *calls : plain_, options,
                {[this](const std::string& line) { lines.push_back(line); },
                 [this](std::int64_t position) { askFrom = position; },
                 [](const Facts&) { return std::uint64_t{0}; }}) {
--- a/tests/disk_tier_test.cpp
+++ b/tests/disk_tier_test.cpp
@@ -13,15 +13,15 @@
 TEST(DiskTier, ServesAfterARestartWhatItServedBeforeWithTablesAndWithout) {
     for (const bool tables : {true, false}) {
         TemporaryFolder folder;
-        TierRules rules = rulesFor(folder);
-        rules.worker.tables = tables;
+        TierOptions options = optionsFor(folder);
+        options.worker.tables = tables;
         {
-            Desk desk(rules);
+            Desk desk(options);
             for (int i = 0; i < 200; ++i) ASSERT_TRUE(desk.store(i, 500 + i));
             for (int i = 0; i < 20; ++i) ASSERT_TRUE(desk.store(i, 900 + i));  // newer copies
         }
         EXPECT_EQ(folder.files(".table").empty(), !tables);
-        Desk desk(rules);
+        Desk desk(options);
         EXPECT_EQ(desk.tier.catalog().parts(), 200U);
         for (int i = 0; i < 200; ++i) ASSERT_TRUE(desk.has(i, i < 20 ? 900 + i : 500 + i)) << i;
     }
@@ -29,9 +29,9 @@
 
 TEST(DiskTier, ServesNothingOlderThanAPurgeOrThanAsked) {
     TemporaryFolder folder;
-    const TierRules rules = rulesFor(folder);
+    const TierOptions options = optionsFor(folder);
     {
-        Desk desk(rules);
+        Desk desk(options);
         for (int i = 0; i < 14; ++i) ASSERT_TRUE(desk.store(i, 1000));
         desk.now.unixMs = 3000;
         EXPECT_TRUE(desk.load(0, 2000));
@@ -44,7 +44,7 @@
         EXPECT_FALSE(desk.store(3, 1000));  // nor is it taken again
         EXPECT_TRUE(desk.store(3, 1001));
     }
-    Desk desk(rules);
+    Desk desk(options);
     desk.now.unixMs = 3000;
     EXPECT_TRUE(desk.has(3, 1001));
     EXPECT_FALSE(desk.load(5));
@@ -56,7 +56,7 @@
 
 TEST(DiskTier, APurgeThatComesWhileItIsReadHolds) {
     TemporaryFolder folder;
-    Desk desk(rulesFor(folder));
+    Desk desk(optionsFor(folder));
     ASSERT_TRUE(desk.store(1, 1000));
     bool told = false, served = false;
     ASSERT_NE(desk.tier.lookUp(desk.now, keyOf(1), 0,
@@ -72,11 +72,11 @@
 
 TEST(DiskTier, ProvesWithTheBusAndServesNothingWhileItIsSilent) {
     TemporaryFolder folder;
-    TierRules rules = rulesFor(folder);
-    rules.purges.bus = true;
+    TierOptions options = optionsFor(folder);
+    options.purges.bus = true;
     const std::vector<std::int64_t> next{6};
     {
-        Desk desk(rules);
+        Desk desk(options);
         EXPECT_FALSE(desk.askFrom);
         desk.tier.told(desk.now, 5, 5, {});
         ASSERT_TRUE(desk.store(1, 1000));
@@ -87,7 +87,7 @@
         EXPECT_TRUE(desk.has(1, 1000));
         ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
     }
-    Desk desk(rules);
+    Desk desk(options);
     ASSERT_EQ(desk.askFrom, 6);
     desk.tier.told(desk.now, 8, 9, {});  // asked before; proves nothing
     EXPECT_FALSE(desk.load(1));
@@ -98,7 +98,7 @@
 TEST(DiskTier, AFullDiskCostsAdmissionsOnly) {
     TemporaryFolder folder;
     FaultyFiles files;
-    Desk desk(rulesFor(folder), &files);
+    Desk desk(optionsFor(folder), &files);
     ASSERT_TRUE(desk.store(1, 1000));
     Faults full;
     full.write = ENOSPC;
@@ -121,7 +121,7 @@
     TemporaryFolder folder;
     FaultyFiles files;
     {
-        Desk desk(rulesFor(folder), &files);
+        Desk desk(optionsFor(folder), &files);
         for (int i = 0; i < 5; ++i) ASSERT_TRUE(desk.store(i, 1000));
         Faults torn;
         torn.write = EIO;
@@ -133,7 +133,7 @@
         EXPECT_FALSE(desk.store(5, 1000));
     }
     files.clear();
-    Desk desk(rulesFor(folder), &files);
+    Desk desk(optionsFor(folder), &files);
     EXPECT_TRUE(desk.logged("ends in the middle of a record"));
     EXPECT_EQ(desk.tier.counters().cutTails, 1U);
     for (int i = 0; i < 5; ++i) EXPECT_TRUE(desk.has(i, 1000));
@@ -148,19 +148,19 @@
     files.set("probation", Faults{.writeAtMost = 13});
     files.set("purges", Faults{.writeAtMost = 5});
     {
-        Desk desk(rulesFor(folder), &files);
+        Desk desk(optionsFor(folder), &files);
         for (int i = 0; i < 10; ++i) ASSERT_TRUE(desk.store(i, 1000));
         desk.tier.purgeObject("/files/4", 1000);
         ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
     }
-    Desk desk(rulesFor(folder), &files);
+    Desk desk(optionsFor(folder), &files);
     for (int i = 0; i < 10; ++i) EXPECT_EQ(desk.has(i, 1000), i != 4);
 }
 
 TEST(DiskTier, WhatCannotBeReadIsAMissAndGoes) {
     TemporaryFolder folder;
     FaultyFiles files;
-    Desk desk(rulesFor(folder), &files);
+    Desk desk(optionsFor(folder), &files);
     ASSERT_TRUE(desk.store(1, 1000) && desk.store(2, 1000));
     files.set("probation", Faults{.read = EIO});
     EXPECT_FALSE(desk.load(1));
@@ -174,7 +174,7 @@
 TEST(DiskTier, FlippedBitsOnDiskAreFoundAndDropped) {
     TemporaryFolder folder;
     {
-        Desk desk(rulesFor(folder));
+        Desk desk(optionsFor(folder));
         for (int i = 0; i < 30; ++i) ASSERT_TRUE(desk.store(i, 1000));
     }
     const std::string path = folder.files(".probation").front();
@@ -186,7 +186,7 @@
         file.put(static_cast<char>(was ^ 0x20));
     }
     file.close();
-    Desk desk(rulesFor(folder));
+    Desk desk(optionsFor(folder));
     int whole = 0;
     for (int i = 0; i < 30; ++i) {
         const auto copy = desk.load(i);
@@ -202,7 +202,7 @@
 TEST(DiskTier, MissingSegmentsAndLyingTablesCostOnlyWhatIsGone) {
     TemporaryFolder folder;
     {
-        Desk desk(rulesFor(folder));
+        Desk desk(optionsFor(folder));
         for (int i = 0; i < 150; ++i) ASSERT_TRUE(desk.store(i, 1000));
     }
     const auto segments = folder.files(".probation");
@@ -211,7 +211,7 @@
     std::filesystem::resize_file(segments[1], 20'000);  // its table tells of more
     const auto tables = folder.files(".table");
     std::fstream(tables[2], std::ios::in | std::ios::out | std::ios::binary).seekp(40).put('\x55');
-    Desk desk(rulesFor(folder));
+    Desk desk(optionsFor(folder));
     int whole = 0;
     for (int i = 0; i < 150; ++i) {
         const auto copy = desk.load(i);
@@ -226,7 +226,7 @@
 TEST(DiskTier, WithoutAWorkingPurgeLogNothingIsServed) {
     TemporaryFolder folder;
     FaultyFiles files;
-    Desk desk(rulesFor(folder), &files);
+    Desk desk(optionsFor(folder), &files);
     ASSERT_TRUE(desk.store(1, 1000) && desk.store(2, 1000));
     for (const Faults& faults : {Faults{.write = ENOSPC}, Faults{.sync = EIO}}) {
         files.set("purges", faults);
@@ -247,7 +247,7 @@
     for (const bool lost : {true, false}) {
         TemporaryFolder folder;
         {
-            Desk desk(rulesFor(folder));
+            Desk desk(optionsFor(folder));
             ASSERT_TRUE(desk.store(1, 1000));
             for (int i = 5; i < 15; ++i) desk.tier.purgeObject("/files/" + std::to_string(i), 1000);
             ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
@@ -257,7 +257,7 @@
             std::filesystem::remove(log);
         else
             std::fstream(log, std::ios::in | std::ios::out | std::ios::binary).seekp(50).put('\x77');
-        Desk desk(rulesFor(folder));
+        Desk desk(optionsFor(folder));
         EXPECT_TRUE(desk.logged("the purge log is damaged"));
         EXPECT_FALSE(desk.load(1));
         EXPECT_TRUE(desk.store(1, desk.now.unixMs + 1));
@@ -270,7 +270,7 @@
 TEST(DiskTier, AHalfWrittenMarkIsCutOff) {
     TemporaryFolder folder;
     {
-        Desk desk(rulesFor(folder));
+        Desk desk(optionsFor(folder));
         ASSERT_TRUE(desk.store(1, 1000) && desk.store(2, 1000));
         desk.tier.purgeObject("/files/1", 1000);
         ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
@@ -278,13 +278,13 @@
     const std::string log = folder.tier() + "/purges";
     std::ofstream(log, std::ios::app | std::ios::binary) << "LLM1half";
     {
-        Desk desk(rulesFor(folder));
+        Desk desk(optionsFor(folder));
         EXPECT_FALSE(desk.load(1));
         EXPECT_TRUE(desk.has(2, 1000));
         desk.tier.purgeObject("/files/2", 1000);
         ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
     }
-    Desk desk(rulesFor(folder));
+    Desk desk(optionsFor(folder));
     EXPECT_FALSE(desk.logged("damaged"));
     EXPECT_FALSE(desk.load(1) || desk.load(2));
 }
@@ -292,7 +292,7 @@
 TEST(DiskTier, ASlowDiskDropsAdmissionsAndHoldsNobodyUp) {
     TemporaryFolder folder;
     FaultyFiles files;
-    Desk desk(rulesFor(folder), &files);
+    Desk desk(optionsFor(folder), &files);
     ASSERT_TRUE(desk.store(1, 1000));
     files.set("probation", Faults{.holdWrites = true});
     for (int i = 100; i < 900; ++i)
@@ -309,7 +309,7 @@
     TemporaryFolder folder;
     FaultyFiles files;
     files.set("lock", Faults{.open = EROFS});
-    Desk desk(rulesFor(folder), &files, false);
+    Desk desk(optionsFor(folder), &files, false);
     ASSERT_TRUE(desk.until([&] { return desk.tier.state() == Tier::State::off; }));
     EXPECT_TRUE(desk.logged("Read-only file system; the tier is off"));
     EXPECT_FALSE(desk.load(1));
@@ -318,7 +318,7 @@
     files.clear();
 
     std::ofstream(folder.tier() + "/format") << "lotuslead disk tier 9\n";
-    Desk other(rulesFor(folder), nullptr, false);
+    Desk other(optionsFor(folder), nullptr, false);
     ASSERT_TRUE(other.until([&] { return other.tier.state() == Tier::State::off; }));
     EXPECT_TRUE(other.logged("has a form that this version does not know"));
 }
@@ -326,9 +326,9 @@
 // A successor hears purges before it holds the folder, and brings them along.
 TEST(DiskTier, ASecondHolderWaitsAndBringsItsPurgesAlong) {
     TemporaryFolder folder;
-    auto first = std::make_unique<Desk>(rulesFor(folder));
+    auto first = std::make_unique<Desk>(optionsFor(folder));
     ASSERT_TRUE(first->store(1, 1000) && first->store(2, 1000));
-    Desk second(rulesFor(folder), nullptr, false);
+    Desk second(optionsFor(folder), nullptr, false);
     ASSERT_TRUE(second.until([&] { return second.tier.state() == Tier::State::waiting; }));
     EXPECT_TRUE(second.logged("another process holds"));
     second.tier.purgeObject("/files/1", 1000);
@@ -343,7 +343,7 @@
     EXPECT_FALSE(second.load(1));
     EXPECT_TRUE(second.has(2, 1000));
     second.tier.close();
-    Desk third(rulesFor(folder), nullptr, false);
+    Desk third(optionsFor(folder), nullptr, false);
     for (int i = 0; i < 100 && third.tier.state() != Tier::State::ready; ++i) {
         third.until([&] {
             return third.tier.state() == Tier::State::ready || third.tier.state() == Tier::State::waiting;
@@ -357,16 +357,16 @@
 
 TEST(DiskTier, KeepsWithinItsBytesAndWritesBoundedly) {
     TemporaryFolder folder;
-    const TierRules rules = rulesFor(folder);
+    const TierOptions options = optionsFor(folder);
     std::uint64_t admitted = 0, moved = 0;
     {
-        Desk desk(rules);
+        Desk desk(options);
         std::uint64_t state = 5;
         for (int i = 0; i < 6000; ++i) {
             state = mix(state + 1);
             const int name = static_cast<int>(state % 400 < 300 ? state % 300 : state % 9000);
             if (!desk.load(name)) desk.store(name, 1000);
-            ASSERT_LE(desk.tier.catalog().bytes(), rules.catalog.capacityBytes);
+            ASSERT_LE(desk.tier.catalog().bytes(), options.catalog.capacityBytes);
         }
         admitted = desk.tier.catalog().counters().admittedBytes;
         moved = desk.tier.catalog().counters().movedBytes;
@@ -374,11 +374,11 @@
         EXPECT_EQ(desk.tier.counters().torn, 0U);
     }
     // Removals trail behind by a segment or two.
-    EXPECT_LE(folder.bytes(), rules.catalog.capacityBytes + 4 * rules.catalog.segmentBytes);
+    EXPECT_LE(folder.bytes(), options.catalog.capacityBytes + 4 * options.catalog.segmentBytes);
     EXPECT_GT(moved, 0U);
     EXPECT_LE(moved, admitted);
-    Desk desk(rules);
-    EXPECT_LE(desk.tier.catalog().bytes(), rules.catalog.capacityBytes + 4 * rules.catalog.segmentBytes);
+    Desk desk(options);
+    EXPECT_LE(desk.tier.catalog().bytes(), options.catalog.capacityBytes + 4 * options.catalog.segmentBytes);
     int whole = 0;
     for (int i = 0; i < 300; ++i) whole += desk.has(i, 1000);
     EXPECT_GT(whole, 200);
@@ -386,10 +386,10 @@
 
 TEST(DiskTier, ALongPurgeLogIsWrittenAnewAndStillHolds) {
     TemporaryFolder folder;
-    TierRules rules = rulesFor(folder);
-    rules.mostMarks = 600;
+    TierOptions options = optionsFor(folder);
+    options.mostMarks = 600;
     {
-        Desk desk(rules);
+        Desk desk(options);
         for (int i = 0; i < 12; ++i) ASSERT_TRUE(desk.store(i, 1000));
         desk.tier.purgeObject("/files/7", 1000);
         for (int i = 0; i < 20'000; ++i) desk.tier.purgeObject("/files/x" + std::to_string(i % 500), 1000);
@@ -398,7 +398,7 @@
         ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
         EXPECT_LT(std::filesystem::file_size(folder.tier() + "/purges"), 20'000U * kMarkBytes / 2);
     }
-    Desk desk(rules);
+    Desk desk(options);
     for (int i = 0; i < 12; ++i) EXPECT_EQ(desk.has(i, 1000), i != 7 && i != 8);
 }
 
--- a/tests/disk_tool_test.cpp
+++ b/tests/disk_tool_test.cpp
@@ -30,7 +30,7 @@
 class DiskTool : public ::testing::Test {
 protected:
     void SetUp() override {
-        Desk desk(rulesFor(folder));
+        Desk desk(optionsFor(folder));
         for (int i = 0; i < 100; ++i) ASSERT_TRUE(desk.store(i, 1000));
         for (int i = 0; i < 10; ++i) ASSERT_TRUE(desk.store(i, 2000));
     }
@@ -65,7 +65,7 @@
 TEST_F(DiskTool, PurgesWhatTheNextStartThenDoesNotServe) {
     EXPECT_EQ(run("purge " + folder.tier() + " --object /files/7 --at 2000").code, 0);
     EXPECT_EQ(run("purge " + folder.tier() + " --group 3 --at 1000").code, 0);
-    Desk desk(rulesFor(folder));
+    Desk desk(optionsFor(folder));
     EXPECT_FALSE(desk.load(7));
     EXPECT_FALSE(desk.load(17));     // of group 3
     EXPECT_TRUE(desk.has(3, 2000));  // as well, but newer
@@ -78,7 +78,7 @@
     EXPECT_LT(result["bytes_after"].get<std::uint64_t>(), result["bytes_before"].get<std::uint64_t>());
     EXPECT_EQ(folder.bytes(), result["bytes_after"].get<std::uint64_t>());
     EXPECT_EQ(run("verify " + folder.tier()).code, 0);
-    Desk desk(rulesFor(folder));
+    Desk desk(optionsFor(folder));
     for (int i = 0; i < 100; ++i) {
         const bool purged = i % 7 == 3 && i >= 10;
         EXPECT_EQ(desk.has(i, i < 10 ? 2000 : 1000), !purged) << i;
@@ -86,7 +86,7 @@
 }
 
 TEST_F(DiskTool, BesideAProcessItReadsAndChangesNothing) {
-    Desk desk(rulesFor(folder));
+    Desk desk(optionsFor(folder));
     EXPECT_EQ(figures("stat " + folder.tier())["held"], true);
     EXPECT_EQ(run("verify " + folder.tier()).code, 0);
     for (const char* change : {"purge --all ", "compact "}) {
--- a/tests/simulated_disk.hpp
+++ b/tests/simulated_disk.hpp
@@ -10,7 +10,7 @@
 
 class PaperDisk {
 public:
-    explicit PaperDisk(const SegmentCatalogOptions& rules) : catalog(rules) {}
+    explicit PaperDisk(const SegmentCatalogOptions& options) : catalog(options) {}
 
     // One request for a part: true where it was held; else it is fetched and offered with this rank.
     bool request(std::uint64_t name, int rank, std::uint32_t bytes, std::int64_t mintedMs = 1) {
@@ -48,7 +48,7 @@
     };
     Place append(Queue queue, std::uint32_t bytes) {
         Open& open = open_[queue];
-        if (open.number == 0 || open.bytes + bytes > catalog.rules().segmentBytes) {
+        if (open.number == 0 || open.bytes + bytes > catalog.options().segmentBytes) {
             if (open.number != 0) catalog.sealed(open.number);
             open = {++last_, 0};
         }
