--- a/src/disk/inspect.cpp
+++ b/src/disk/inspect.cpp
@@ -64,7 +64,7 @@
 
 // Waits for the worker's next completions; `take` returns true to end it.
 template <class Take>
-void pump(Worker& worker, Take take) {
+void pump(IoWorker& worker, Take take) {
     while (true) {
         for (Completion& completion : worker.completions())
             if (take(completion)) return;
@@ -212,7 +212,7 @@
 
     IoWorkerOptions options;
     options.segmentBytes = segmentBytes;
-    Worker worker(calls, path, options);
+    IoWorker worker(calls, path, options);
     bool damaged = false;
     pump(worker, [&](Completion& completion) {
         if (auto* opened = std::get_if<OpenedFolder>(&completion)) {
--- a/src/disk/io_worker.cpp
+++ b/src/disk/io_worker.cpp
@@ -36,7 +36,7 @@
     return found == files_.end() ? nullptr : found->second;
 }
 
-Worker::Worker(FileCalls& calls, std::string folder, const IoWorkerOptions& options)
+IoWorker::IoWorker(FileCalls& calls, std::string folder, const IoWorkerOptions& options)
     : calls_(calls),
       folder_(calls, std::move(folder)),
       log_(calls, folder_),
@@ -47,9 +47,9 @@
     reader_ = std::thread([this] { readLoop(); });
 }
 
-Worker::~Worker() { close(); }
+IoWorker::~IoWorker() { close(); }
 
-void Worker::beginClose() {
+void IoWorker::beginClose() {
     {
         const std::lock_guard lock(mutex_);
         closing_ = true;
@@ -58,13 +58,13 @@
     toRead_.notify_all();
 }
 
-void Worker::close() {
+void IoWorker::close() {
     beginClose();
     if (writer_.joinable()) writer_.join();
     if (reader_.joinable()) reader_.join();
 }
 
-void Worker::tell(Completion completion) {
+void IoWorker::tell(Completion completion) {
     {
         const std::lock_guard lock(mutex_);
         completions_.push_back(std::move(completion));
@@ -73,14 +73,14 @@
     (void)!::write(wake_.get(), &one, sizeof one);
 }
 
-std::vector<Completion> Worker::completions() {
+std::vector<Completion> IoWorker::completions() {
     std::uint64_t count = 0;
     (void)!::read(wake_.get(), &count, sizeof count);
     const std::lock_guard lock(mutex_);
     return std::exchange(completions_, {});
 }
 
-bool Worker::append(AppendJob job) {
+bool IoWorker::append(AppendJob job) {
     {
         const std::lock_guard lock(mutex_);
         if (closing_ || queuedBytes_ + job.bytes > options_.queueBytes) return false;
@@ -91,7 +91,7 @@
     return true;
 }
 
-bool Worker::read(ReadJob job) {
+bool IoWorker::read(ReadJob job) {
     {
         const std::lock_guard lock(mutex_);
         if (closing_ || reads_.size() >= options_.mostReads) return false;
@@ -101,7 +101,7 @@
     return true;
 }
 
-void Worker::rewrite(RewriteJob job) {
+void IoWorker::rewrite(RewriteJob job) {
     {
         const std::lock_guard lock(mutex_);
         jobs_.emplace_back(std::move(job));
@@ -109,7 +109,7 @@
     toWrite_.notify_one();
 }
 
-void Worker::remove(RemoveJob job) {
+void IoWorker::remove(RemoveJob job) {
     {
         const std::lock_guard lock(mutex_);
         jobs_.emplace_back(job);
@@ -117,7 +117,7 @@
     toWrite_.notify_one();
 }
 
-std::uint64_t Worker::keep(std::vector<Mark> marks) {
+std::uint64_t IoWorker::keep(std::vector<Mark> marks) {
     std::uint64_t number = 0;
     {
         const std::lock_guard lock(mutex_);
@@ -129,7 +129,7 @@
     return number;
 }
 
-void Worker::rewriteLog(std::vector<Mark> all) {
+void IoWorker::rewriteLog(std::vector<Mark> all) {
     {
         const std::lock_guard lock(mutex_);
         rewriteLog_ = std::move(all);
@@ -138,7 +138,7 @@
     toWrite_.notify_one();
 }
 
-void Worker::openAgain() {
+void IoWorker::openAgain() {
     {
         const std::lock_guard lock(mutex_);
         openAgain_ = true;
@@ -146,14 +146,14 @@
     toWrite_.notify_one();
 }
 
-std::uint64_t Worker::queuedBytes() const {
+std::uint64_t IoWorker::queuedBytes() const {
     const std::lock_guard lock(mutex_);
     return queuedBytes_;
 }
 
 // ----- the writer's thread -----
 
-void Worker::write() {
+void IoWorker::write() {
     opened_ = openFolder();
     if (opened_) load();
     std::unique_lock lock(mutex_);
@@ -192,7 +192,7 @@
     folder_.close();
 }
 
-bool Worker::openFolder() {
+bool IoWorker::openFolder() {
     OpenedFolder told;
     auto opened = folder_.open(Folder::Access::write);
     told.problem = std::move(opened.problem);
@@ -219,7 +219,7 @@
     return good;
 }
 
-void Worker::load() {
+void IoWorker::load() {
     const std::vector<SegmentName> names = folder_.segments();
     for (const SegmentName& name : names) nextSegment_ = std::max(nextSegment_, name.number + 1);
     for (const SegmentName& name : names) {
@@ -246,7 +246,7 @@
 }
 
 // Called with the lock held, which it lets go of while it writes.
-void Worker::keepMarks(std::unique_lock<std::mutex>& lock) {
+void IoWorker::keepMarks(std::unique_lock<std::mutex>& lock) {
     std::vector<Mark> marks = std::exchange(marks_, {});
     std::optional<std::vector<Mark>> all = std::exchange(rewriteLog_, {});
     const std::size_t held = std::exchange(rewriteAfter_, 0);
@@ -277,7 +277,7 @@
     toWrite_.wait_for(lock, kMarksAgain, [this] { return closing_; });
 }
 
-void Worker::carryOut(AppendJob& job) {
+void IoWorker::carryOut(AppendJob& job) {
     std::string record;
     Written written;
     Part part;
@@ -297,7 +297,7 @@
 }
 
 // Record by record, with the marks in between: a purge does not wait for a segment's worth of copying.
-void Worker::carryOut(RewriteJob& job) {
+void IoWorker::carryOut(RewriteJob& job) {
     Problem problem;
     const std::shared_ptr<File> from = files_.get(job.segment);
     std::string record;
@@ -322,7 +322,7 @@
     tell(Rewritten{job.segment, std::move(problem)});
 }
 
-void Worker::carryOut(const RemoveJob& job) {
+void IoWorker::carryOut(const RemoveJob& job) {
     files_.remove(job.segment);
     const auto found = known_.find(job.segment);
     if (found == known_.end()) return tell(Removed{job.segment, {}});
@@ -331,7 +331,7 @@
     tell(Removed{job.segment, std::move(problem)});
 }
 
-Worker::Written Worker::writeRecord(Queue queue, Part part, std::span<const char> record) {
+IoWorker::Written IoWorker::writeRecord(Queue queue, Part part, std::span<const char> record) {
     auto held = open_.find(queue);
     if (held != open_.end() && held->second.bytes + record.size() > options_.segmentBytes) {
         seal(held->second);
@@ -360,7 +360,7 @@
     return {part.place, {}};
 }
 
-Problem Worker::openSegment(Queue queue) {
+Problem IoWorker::openSegment(Queue queue) {
     OpenSegment segment;
     segment.name = {nextSegment_, queue};
     const std::string path = folder_.pathOf(segmentFile(segment.name));
@@ -374,7 +374,7 @@
     return {};
 }
 
-void Worker::seal(OpenSegment& segment) {
+void IoWorker::seal(OpenSegment& segment) {
     Problem problem;
     if (options_.sync == SyncPolicy::sealed)
         if (const int error = calls_.sync(segment.file->get()))
@@ -386,7 +386,7 @@
 
 // ----- the reader's thread -----
 
-void Worker::readLoop() {
+void IoWorker::readLoop() {
     std::unique_lock lock(mutex_);
     while (true) {
         toRead_.wait(lock, [this] { return closing_ || !reads_.empty(); });
@@ -399,7 +399,7 @@
     }
 }
 
-ReadDone Worker::readOne(const ReadJob& job) {
+ReadDone IoWorker::readOne(const ReadJob& job) {
     ReadDone done{job.ticket, job.fingerprint, job.place, {}, false, {}};
     const std::shared_ptr<File> file = files_.get(job.place.segment);
     // Kept from read to read: clearing a fresh one costs as much as the checksum.
--- a/src/disk/io_worker.hpp
+++ b/src/disk/io_worker.hpp
@@ -126,12 +126,12 @@
     std::map<std::uint32_t, std::shared_ptr<File>> files_;
 };
 
-class Worker {
+class IoWorker {
 public:
     // `calls` outlives it. The threads begin at once with opening the folder.
-    Worker(FileCalls& calls, std::string folder, const IoWorkerOptions& options);
+    IoWorker(FileCalls& calls, std::string folder, const IoWorkerOptions& options);
     // Ends both threads; see close().
-    ~Worker();
+    ~IoWorker();
 
     int wakeDescriptor() const { return wake_.get(); }
     std::vector<Completion> completions();
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -156,7 +156,7 @@
     std::int64_t positionGivenMs_ = 0;
     bool sweeping_ = false, sweepAgain_ = false;
     Counters counters_;
-    Worker worker_;  // last: its threads are gone before the rest is
+    IoWorker worker_;  // last: its threads are gone before the rest is
 };
 
 }  // namespace lotuslead::disk
