--- a/bench/disk.cpp
+++ b/bench/disk.cpp
@@ -117,9 +117,9 @@
     TierOptions options = optionsFor(folder);
     options.catalog.capacityBytes = capacity;
     options.catalog.segmentBytes = 64 << 20;
-    options.catalog.mostParts = parts;
+    options.catalog.maxParts = parts;
     options.worker.queueBytes = 32 << 20;
-    options.worker.mostReads = 64;
+    options.worker.maxQueuedReads = 64;
     return options;
 }
 
--- a/bench/disk_policies.cpp
+++ b/bench/disk_policies.cpp
@@ -151,7 +151,7 @@
             SegmentCatalogOptions options;
             options.capacityBytes = kCapacity;
             options.segmentBytes = 16 << 20;
-            options.mostParts = 1 << 16;
+            options.maxParts = 1 << 16;
             options.memory = memory;
             PaperDisk disk(options);
             show(ratio(all, true,
--- a/src/disk/caching_carrier.cpp
+++ b/src/disk/caching_carrier.cpp
@@ -23,20 +23,20 @@
     options.folder = s.folder;
     options.catalog.capacityBytes = megabytes(s.capacityMb);
     options.catalog.segmentBytes = static_cast<std::uint32_t>(megabytes(s.segmentMb));
-    options.catalog.mostParts = static_cast<std::size_t>(s.mostParts);
+    options.catalog.maxParts = static_cast<std::size_t>(s.mostParts);
     options.catalog.probationShare = s.probationShare;
     options.catalog.rewriteShare = s.rewriteShare;
     options.catalog.memory = s.admission == Settings::Admission::ghost    ? Memory::ghost
                              : s.admission == Settings::Admission::sketch ? Memory::sketch
                                                                           : Memory::none;
     options.worker.queueBytes = megabytes(s.queueMb);
-    options.worker.mostReads = static_cast<std::size_t>(s.mostReads);
+    options.worker.maxQueuedReads = static_cast<std::size_t>(s.mostReads);
     options.worker.sync = s.sync == Settings::Sync::never    ? SyncPolicy::never
                           : s.sync == Settings::Sync::sealed ? SyncPolicy::sealed
                                                              : SyncPolicy::each;
     options.worker.tables = s.tables;
-    options.mostMarks = static_cast<std::size_t>(s.mostMarks);
-    options.purgeSlackMs = s.purgeSlackMs;
+    options.maxPurgeEntries = static_cast<std::size_t>(s.mostMarks);
+    options.purgeClockSkewMs = s.purgeSlackMs;
     options.purges = {bus, s.busKeepsPositions, s.busSilenceMs};
     return options;
 }
--- a/src/disk/folder.cpp
+++ b/src/disk/folder.cpp
@@ -18,8 +18,8 @@
 namespace {
 
 constexpr std::string_view kFormat = "lotuslead disk tier 1\n";
-constexpr const char* kPurges = "purges";
-constexpr std::uint64_t kMostTable = std::uint64_t{256} << 20;
+constexpr const char* kPurgeLogFile = "purges";
+constexpr std::uint64_t kMaxTableBytes = std::uint64_t{256} << 20;
 
 std::optional<SegmentName> segmentOf(std::string_view file) {
     const std::size_t dot = file.find('.');
@@ -38,7 +38,7 @@
     return ::fstat(fd, &about) == 0 ? static_cast<std::uint64_t>(about.st_size) : 0;
 }
 
-std::string numbered(std::uint32_t number) {
+std::string eightDigits(std::uint32_t number) {
     char text[16];
     std::snprintf(text, sizeof text, "%08u", number);
     return text;
@@ -47,15 +47,15 @@
 }  // namespace
 
 std::string segmentFile(const SegmentName& name) {
-    return numbered(name.number) + (name.queue == Queue::main ? ".main" : ".probation");
+    return eightDigits(name.number) + (name.queue == Queue::main ? ".main" : ".probation");
 }
-std::string tableFile(std::uint32_t number) { return numbered(number) + ".table"; }
+std::string tableFile(std::uint32_t number) { return eightDigits(number) + ".table"; }
 
-Problem problemOf(const std::string& what, const std::string& path, int error) {
+Problem describeError(const std::string& what, const std::string& path, int error) {
     return what + " " + path + ": " + std::strerror(error);
 }
 
-bool mayPass(int error) {
+bool isTransient(int error) {
     switch (error) {
         case EIO:
         case ENOSPC:
@@ -72,7 +72,7 @@
 }
 
 Folder::Opened Folder::failed(const std::string& what, const std::string& path, int error) {
-    return {problemOf(what, path, error), false, mayPass(error)};
+    return {describeError(what, path, error), false, isTransient(error)};
 }
 
 Folder::Opened Folder::open(Access access) {
@@ -144,7 +144,7 @@
     const std::string path = pathOf(segmentFile(name));
     const IoResult opened = calls_.open(path, O_RDONLY);
     if (opened.error != 0) {
-        contents.problem = problemOf("open", path, opened.error);
+        contents.problem = describeError("open", path, opened.error);
         return contents;
     }
     const File file(static_cast<int>(opened.bytes));
@@ -152,10 +152,10 @@
     if (useTable) {
         const IoResult table = calls_.open(pathOf(tableFile(name.number)), O_RDONLY);
         const File tableFd(table.error == 0 ? static_cast<int>(table.bytes) : -1);
-        const std::uint64_t size = tableFd ? std::min(sizeOf(tableFd.get()), kMostTable) : 0;
+        const std::uint64_t size = tableFd ? std::min(sizeOf(tableFd.get()), kMaxTableBytes) : 0;
         std::string bytes(size, '\0');
         const bool whole = tableFd && readAll(calls_, tableFd.get(), bytes, 0).bytes == size;
-        auto known = whole ? readTable(bytes, name.number) : std::nullopt;
+        auto known = whole ? decodeTable(bytes, name.number) : std::nullopt;
         // A table of a longer file tells of records that are no longer there.
         const bool fits =
             known && known->segmentBytes <= contents.fileBytes &&
@@ -170,21 +170,21 @@
         }
     }
     std::string head;
-    while (contents.bytes + kRecordHead <= contents.fileBytes) {
+    while (contents.bytes + kRecordHeaderBytes <= contents.fileBytes) {
         // Names are short as a rule: one read gets them with the head.
-        constexpr std::size_t kOften = 512;
-        head.resize(kOften);
+        constexpr std::size_t kFirstReadBytes = 512;
+        head.resize(kFirstReadBytes);
         IoResult read = readAll(calls_, file.get(), head, contents.bytes);
-        const auto names = namesBytesOf(std::span(head).first(read.bytes));
-        if (read.error == 0 && names && kRecordHead + *names > read.bytes) {
-            head.resize(kRecordHead + *names);
+        const auto names = metadataBytesOf(std::span(head).first(read.bytes));
+        if (read.error == 0 && names && kRecordHeaderBytes + *names > read.bytes) {
+            head.resize(kRecordHeaderBytes + *names);
             read = readAll(calls_, file.get(), head, contents.bytes);
         }
         if (read.error != 0) {
-            contents.problem = problemOf("read", path, read.error);
+            contents.problem = describeError("read", path, read.error);
             break;
         }
-        auto found = names ? readRecordHead(std::span(head).first(read.bytes)) : std::nullopt;
+        auto found = names ? decodeRecordHeader(std::span(head).first(read.bytes)) : std::nullopt;
         if (!found || contents.bytes + found->part.place.bytes > contents.fileBytes) break;
         found->part.place.segment = name.number;
         found->part.place.offset = static_cast<std::uint32_t>(contents.bytes);
@@ -198,11 +198,11 @@
 Problem Folder::writeTable(const SegmentTable& table, std::uint32_t number) {
     const std::string path = pathOf(tableFile(number)), fresh = path + ".new";
     const IoResult opened = calls_.open(fresh, O_WRONLY | O_CREAT | O_TRUNC);
-    if (opened.error != 0) return problemOf("make", fresh, opened.error);
+    if (opened.error != 0) return describeError("make", fresh, opened.error);
     const File file(static_cast<int>(opened.bytes));
     const IoResult written = writeAll(calls_, file.get(), encodeTable(table, number), 0);
-    if (written.error != 0) return problemOf("write", fresh, written.error);
-    if (const int error = calls_.rename(fresh, path)) return problemOf("rename", fresh, error);
+    if (written.error != 0) return describeError("write", fresh, written.error);
+    if (const int error = calls_.rename(fresh, path)) return describeError("rename", fresh, error);
     return {};
 }
 
@@ -211,20 +211,20 @@
     const int error = calls_.unlink(path);
     // The table after it: without its segment it is nothing, and the other way round costs a walk.
     const int table = calls_.unlink(pathOf(tableFile(name.number)));
-    if (error != 0 && error != ENOENT) return problemOf("remove", path, error);
-    if (table != 0 && table != ENOENT) return problemOf("remove", pathOf(tableFile(name.number)), table);
+    if (error != 0 && error != ENOENT) return describeError("remove", path, error);
+    if (table != 0 && table != ENOENT) return describeError("remove", pathOf(tableFile(name.number)), table);
     return {};
 }
 
 PurgeLog::Loaded PurgeLog::load(Folder::Access access) {
     Loaded loaded;
-    const std::string path = folder_.pathOf(kPurges);
+    const std::string path = folder_.pathOf(kPurgeLogFile);
     const bool writes = access == Folder::Access::write;
     const IoResult opened = calls_.open(path, writes ? O_RDWR | O_CREAT : O_RDONLY);
     if (opened.error == ENOENT) return loaded;
     const auto fail = [&](const char* what, int error) {
-        loaded.problem = problemOf(what, path, error);
-        loaded.tryAgain = mayPass(error);
+        loaded.problem = describeError(what, path, error);
+        loaded.retryable = isTransient(error);
     };
     if (opened.error != 0) {
         fail("open", opened.error);
@@ -280,7 +280,7 @@
 }
 
 int PurgeLog::rewrite(const std::vector<Mark>& marks) {
-    const std::string path = folder_.pathOf(kPurges), fresh = path + ".new";
+    const std::string path = folder_.pathOf(kPurgeLogFile), fresh = path + ".new";
     const IoResult opened = calls_.open(fresh, O_RDWR | O_CREAT | O_TRUNC);
     if (opened.error != 0) return opened.error;
     File file(static_cast<int>(opened.bytes));
--- a/src/disk/folder.hpp
+++ b/src/disk/folder.hpp
@@ -30,10 +30,10 @@
 
 // An error in words, with the path; empty: none.
 using Problem = std::string;
-Problem problemOf(const std::string& what, const std::string& path, int error);
+Problem describeError(const std::string& what, const std::string& path, int error);
 // Whether the same call may succeed later without anybody's doing: no room, a device that fails, no
 // descriptor.
-bool mayPass(int error);
+bool isTransient(int error);
 
 class Folder {
 public:
@@ -43,9 +43,9 @@
 
     struct Opened {
         Problem problem;
-        bool busy = false;     // another process holds it
-        bool passing = false;  // it fails for a while
-        bool tryAgain() const { return busy || passing; }
+        bool busy = false;       // another process holds it
+        bool transient = false;  // it fails for a while
+        bool retryable() const { return busy || transient; }
     };
     [[nodiscard]] Opened open(Access access);
     void close() { lock_ = File(); }
@@ -86,7 +86,7 @@
         std::optional<std::int64_t> position;  // of the bus; none: no event of a bus was ever applied here
         bool torn = false;  // it ends in the middle, or is not as it was written: marks may be missing
         Problem problem;
-        bool tryAgain = false;  // the problem may pass
+        bool retryable = false;  // the problem may pass
     };
     [[nodiscard]] Loaded load(Folder::Access access);
     // After this the marks are on disk. A half-written line is cut off again.
--- a/src/disk/inspect.cpp
+++ b/src/disk/inspect.cpp
@@ -135,12 +135,13 @@
     const PurgeMarks marks = marksOf(survey);
     std::string bytes;
     for (const Part& part : survey.live) {
-        const std::uint64_t most = std::min<std::uint64_t>(part.place.bytes, kRecordHead + kMostNames);
+        const std::uint64_t most =
+            std::min<std::uint64_t>(part.place.bytes, kRecordHeaderBytes + kMaxMetadataBytes);
         if (reader.read(part.place, most, bytes).error != 0) continue;
-        const auto key = readRecordKey(bytes);
+        const auto key = decodeRecordKey(bytes);
         if (!key) continue;
         Listed listed{*key, part, 0, false};
-        listed.bodyBytes = part.place.bytes - kRecordHead - *namesBytesOf(bytes);
+        listed.bodyBytes = part.place.bytes - kRecordHeaderBytes - *metadataBytesOf(bytes);
         listed.purged = marks.covers(key->objectFingerprint(), key->group, part.mintedMs);
         if (!visit(listed)) return;
     }
@@ -161,12 +162,12 @@
         if (read.error == ENOENT && survey.held) continue;  // reclaimed meanwhile
         if (read.error != 0) {
             ++result.unreadable;
-            tell(problemOf("read", path, read.error));
+            tell(describeError("read", path, read.error));
             continue;
         }
         ++result.records;
         result.bytes += bytes.size();
-        const auto record = readRecord(bytes);
+        const auto record = decodeRecord(bytes);
         if (record && record->first.fingerprint() == part.fingerprint) continue;
         ++result.damaged;
         tell("not as it was written");
@@ -192,7 +193,7 @@
         return result;
     }
     if (const int error = log.append(marks))
-        result.problem = problemOf("write", folder.pathOf("purges"), error);
+        result.problem = describeError("write", folder.pathOf("purges"), error);
     return result;
 }
 
--- a/src/disk/io_worker.cpp
+++ b/src/disk/io_worker.cpp
@@ -94,7 +94,7 @@
 bool IoWorker::read(ReadJob job) {
     {
         const std::lock_guard lock(mutex_);
-        if (closing_ || reads_.size() >= options_.mostReads) return false;
+        if (closing_ || reads_.size() >= options_.maxQueuedReads) return false;
         reads_.push_back(job);
     }
     toRead_.notify_one();
@@ -197,11 +197,11 @@
     auto opened = folder_.open(Folder::Access::write);
     told.problem = std::move(opened.problem);
     told.busy = opened.busy;
-    told.tryAgain = opened.tryAgain();
+    told.retryable = opened.retryable();
     if (told.problem.empty()) {
         PurgeLog::Loaded log = log_.load(Folder::Access::write);
         told.problem = std::move(log.problem);
-        told.tryAgain = log.tryAgain;
+        told.retryable = log.retryable;
         told.marks = std::move(log.marks);
         told.position = log.position;
         // A log that is new has a first line. Without it, it is not the one that belongs to these segments.
@@ -209,8 +209,8 @@
         told.damaged = log.torn || (log_.lines() == 0 && !told.empty);
         if (told.problem.empty() && log_.lines() == 0)
             if (const int error = log_.append({Mark{Mark::What::floor, 0, 0}})) {
-                told.problem = problemOf("write", folder_.pathOf("purges"), error);
-                told.tryAgain = mayPass(error);
+                told.problem = describeError("write", folder_.pathOf("purges"), error);
+                told.retryable = isTransient(error);
             }
         if (!told.problem.empty()) folder_.close();
     }
@@ -263,7 +263,7 @@
     if (error == 0)
         told.upTo = upTo;
     else
-        told.problem = problemOf("write", folder_.pathOf("purges"), error);
+        told.problem = describeError("write", folder_.pathOf("purges"), error);
     const bool failed = error != 0;
     tell(std::move(told));
     lock.lock();
@@ -284,7 +284,7 @@
     if (!encodeRecord(job.key, *job.copy, record)) {
         written.problem = "larger than a record may be";
     } else {
-        part = readRecordHead(std::span(record).first(record.size()))->part;
+        part = decodeRecordHeader(std::span(record).first(record.size()))->part;
         written = writeRecord(job.queue, part, record);
     }
     {
@@ -311,7 +311,7 @@
         const IoResult read =
             from ? readAll(calls_, from->get(), record, part.place.offset) : IoResult{0, ENOENT};
         // What is damaged is not handed on; it goes with its segment.
-        if (read.error != 0 || read.bytes != record.size() || !readRecord(record)) continue;
+        if (read.error != 0 || read.bytes != record.size() || !decodeRecord(record)) continue;
         Written written = writeRecord(job.into, part, record);
         if (!written.problem.empty()) {
             problem = std::move(written.problem);
@@ -351,7 +351,7 @@
         // The next record begins where this one did. If the rest can't be cut off, it is written over, or
         // left as a torn tail.
         (void)calls_.truncate(segment.file->get(), segment.bytes);
-        return {{}, problemOf("write", path, error)};
+        return {{}, describeError("write", path, error)};
     }
     part.place = {segment.name.number, static_cast<std::uint32_t>(segment.bytes),
                   static_cast<std::uint32_t>(record.size())};
@@ -365,7 +365,7 @@
     segment.name = {nextSegment_, queue};
     const std::string path = folder_.pathOf(segmentFile(segment.name));
     const IoResult opened = calls_.open(path, O_RDWR | O_CREAT | O_EXCL);
-    if (opened.error != 0) return problemOf("make", path, opened.error);
+    if (opened.error != 0) return describeError("make", path, opened.error);
     ++nextSegment_;
     segment.file = std::make_shared<File>(static_cast<int>(opened.bytes));
     files_.add(segment.name.number, segment.file);
@@ -378,7 +378,7 @@
     Problem problem;
     if (options_.sync == SyncPolicy::sealed)
         if (const int error = calls_.sync(segment.file->get()))
-            problem = problemOf("sync", folder_.pathOf(segmentFile(segment.name)), error);
+            problem = describeError("sync", folder_.pathOf(segmentFile(segment.name)), error);
     if (options_.tables && problem.empty())
         problem = folder_.writeTable({segment.bytes, segment.parts}, segment.name.number);
     tell(Sealed{segment.name.number, std::move(problem)});
@@ -407,12 +407,12 @@
     const std::span<char> record = std::span(readBuffer_).first(job.place.bytes);
     const IoResult read = file ? readAll(calls_, file->get(), record, job.place.offset) : IoResult{0, ENOENT};
     if (read.error != 0) {
-        done.problem =
-            problemOf("read", folder_.path() + " segment " + std::to_string(job.place.segment), read.error);
+        done.problem = describeError("read", folder_.path() + " segment " + std::to_string(job.place.segment),
+                                     read.error);
     } else if (read.bytes != record.size()) {
         done.torn = true;
     } else {
-        done.record = readRecord(record);
+        done.record = decodeRecord(record);
         done.torn = !done.record;
     }
     return done;
--- a/src/disk/io_worker.hpp
+++ b/src/disk/io_worker.hpp
@@ -25,7 +25,7 @@
 struct IoWorkerOptions {
     std::uint32_t segmentBytes = std::uint32_t{64} << 20;
     std::uint64_t queueBytes = std::uint64_t{32} << 20;  // of records that wait for the writer
-    std::size_t mostReads = 64;                          // that wait for the reader
+    std::size_t maxQueuedReads = 64;                     // that wait for the reader
     SyncPolicy sync = SyncPolicy::sealed;
     bool tables = true;  // are written and read: the checkpoint
 };
@@ -57,8 +57,8 @@
 
 struct OpenedFolder {  // first of all, or again after each attempt to open it
     Problem problem;
-    bool busy = false;      // another process holds it
-    bool tryAgain = false;  // it is held, or fails for a while
+    bool busy = false;       // another process holds it
+    bool retryable = false;  // it is held, or fails for a while
     std::vector<Mark> marks;
     std::optional<std::int64_t> position;
     bool damaged = false;  // marks may be missing
--- a/src/disk/part_index.cpp
+++ b/src/disk/part_index.cpp
@@ -4,8 +4,9 @@
 
 namespace lotuslead::disk {
 
-PartIndex::PartIndex(std::size_t mostParts)
-    : most_(std::clamp<std::size_t>(mostParts, 16, std::size_t{1} << 30)), table_(most_ * 4 / 3 + 1, kNone) {
+PartIndex::PartIndex(std::size_t maxParts)
+    : maxParts_(std::clamp<std::size_t>(maxParts, 16, std::size_t{1} << 30)),
+      table_(maxParts_ * 4 / 3 + 1, kNone) {
     static_assert(sizeof(Node) <= 48);
 }
 
@@ -14,28 +15,29 @@
 }
 
 // The upper bits, scaled: any number of places will do, not only powers of two.
-std::size_t PartIndex::home(std::uint64_t fingerprint) const {
+std::size_t PartIndex::homeSlot(std::uint64_t fingerprint) const {
     return static_cast<std::size_t>((static_cast<Wide>(fingerprint) * table_.size()) >> 64);
 }
 
 PartIndex::Id PartIndex::find(std::uint64_t fingerprint) const {
-    for (std::size_t at = home(fingerprint); table_[at] != kNone; at = at + 1 == table_.size() ? 0 : at + 1)
+    for (std::size_t at = homeSlot(fingerprint); table_[at] != kNone;
+         at = at + 1 == table_.size() ? 0 : at + 1)
         if (node(table_[at]).part.fingerprint == fingerprint) return table_[at];
     return kNone;
 }
 
 PartIndex::Id PartIndex::insert(const Part& part) {
-    if (size_ >= most_) return kNone;
-    Id id = free_;
+    if (size_ >= maxParts_) return kNone;
+    Id id = firstFree_;
     if (id != kNone) {
-        free_ = node(id).next;
+        firstFree_ = node(id).next;
     } else {
-        id = high_++;
+        id = usedNodes_++;
         if (id / kChunk >= chunks_.size()) chunks_.push_back(std::make_unique<Node[]>(kChunk));
     }
     node(id) = {part, kNone, kNone};
-    node(id).part.inUse = true;
-    std::size_t at = home(part.fingerprint);
+    node(id).part.occupied = true;
+    std::size_t at = homeSlot(part.fingerprint);
     while (table_[at] != kNone) at = at + 1 == table_.size() ? 0 : at + 1;
     table_[at] = id;
     ++size_;
@@ -44,21 +46,21 @@
 
 // Those behind it move up, so that a search never meets a hole before what it seeks (Knuth, vol. 3, 6.4 R).
 void PartIndex::erase(Id id) {
-    std::size_t hole = home(node(id).part.fingerprint);
+    std::size_t hole = homeSlot(node(id).part.fingerprint);
     while (table_[hole] != id) hole = hole + 1 == table_.size() ? 0 : hole + 1;
     const std::size_t size = table_.size();
     for (std::size_t at = hole;;) {
         at = at + 1 == size ? 0 : at + 1;
         if (table_[at] == kNone) break;
-        const std::size_t wanted = home(node(table_[at]).part.fingerprint);
+        const std::size_t wanted = homeSlot(node(table_[at]).part.fingerprint);
         const std::size_t fromWanted = (at + size - wanted) % size, fromHole = (at + size - hole) % size;
         if (fromWanted < fromHole) continue;  // its own way begins behind the hole
         table_[hole] = table_[at];
         hole = at;
     }
     table_[hole] = kNone;
-    node(id) = {{}, kNone, free_};
-    free_ = id;
+    node(id) = {{}, kNone, firstFree_};
+    firstFree_ = id;
     --size_;
 }
 
--- a/src/disk/part_index.hpp
+++ b/src/disk/part_index.hpp
@@ -26,7 +26,7 @@
     std::uint32_t group = 0;        // the group folded; for sweeping only
     Place place;
     std::uint8_t uses = 0;  // since it was written, 3 at most
-    bool inUse = false;     // the index's own: its place there is taken
+    bool occupied = false;  // the index's own: its place there is taken
 };
 
 class PartIndex {
@@ -34,7 +34,7 @@
     using Id = std::uint32_t;
     static constexpr Id kNone = 0xffffffff;
 
-    explicit PartIndex(std::size_t mostParts);
+    explicit PartIndex(std::size_t maxParts);
 
     [[nodiscard]] Id find(std::uint64_t fingerprint) const;
     // The part must not be there. kNone: the table is full.
@@ -43,16 +43,16 @@
     Part& at(Id id) { return node(id).part; }
     const Part& at(Id id) const { return node(id).part; }
     // What may be there or not, for a walk over all in slices.
-    bool used(Id id) const { return id < high_ && node(id).part.inUse; }
-    Id end() const { return high_; }
+    bool isOccupied(Id id) const { return id < usedNodes_ && node(id).part.occupied; }
+    Id end() const { return usedNodes_; }
 
     // A row of parts, such as those of one segment: the caller holds its first.
     void link(Id& first, Id id);
     void unlink(Id& first, Id id);
-    Id nextInRow(Id id) const { return node(id).next; }
+    Id nextInList(Id id) const { return node(id).next; }
 
     std::size_t size() const { return size_; }
-    std::size_t mostParts() const { return most_; }
+    std::size_t maxParts() const { return maxParts_; }
     std::size_t memoryBytes() const;
 
 private:
@@ -64,13 +64,13 @@
 
     Node& node(Id id) { return chunks_[id / kChunk][id % kChunk]; }
     const Node& node(Id id) const { return chunks_[id / kChunk][id % kChunk]; }
-    std::size_t home(std::uint64_t fingerprint) const;
+    std::size_t homeSlot(std::uint64_t fingerprint) const;
 
-    std::size_t most_;
+    std::size_t maxParts_;
     std::vector<Id> table_;  // linear probing; 3/4 full at most
     std::vector<std::unique_ptr<Node[]>> chunks_;
     std::size_t size_ = 0;
-    Id high_ = 0, free_ = kNone;  // nodes once used; the first of the free ones
+    Id usedNodes_ = 0, firstFree_ = kNone;  // nodes once used; the first of the free ones
 };
 
 }  // namespace lotuslead::disk
--- a/src/disk/purge_tombstones.cpp
+++ b/src/disk/purge_tombstones.cpp
@@ -53,7 +53,7 @@
 // The oldest eighth goes, and the floor rises to the youngest of it: dropped copies, never a stale one.
 template <class Table>
 void PurgeMarks::bound(Table& table) {
-    if (table.size() <= most_) return;
+    if (table.size() <= maxEntries_) return;
     std::vector<std::int64_t> times;
     times.reserve(table.size());
     for (const auto& [name, ms] : table) times.push_back(ms);
@@ -68,12 +68,12 @@
 }
 
 bool PurgeMarks::covers(std::uint64_t object, std::int64_t group, std::int64_t mintedMs) const {
-    const std::int64_t ms = mintedMs - slackMs_;
+    const std::int64_t ms = mintedMs - clockSkewMs_;
     return underFloor(ms) || reaches(objects_, object, ms) || reaches(groups_, group, ms);
 }
 
 bool PurgeMarks::mayCover(std::uint32_t object, std::uint32_t group, std::int64_t mintedMs) const {
-    const std::int64_t ms = mintedMs - slackMs_;
+    const std::int64_t ms = mintedMs - clockSkewMs_;
     return underFloor(ms) || reaches(foldedObjects_, object, ms) || reaches(foldedGroups_, group, ms);
 }
 
--- a/src/disk/purge_tombstones.hpp
+++ b/src/disk/purge_tombstones.hpp
@@ -23,7 +23,8 @@
 public:
     // At most so many objects and as many groups are told apart. `slackMs`: a copy must be younger than a
     // mark by more than this, since the clocks of two machines differ.
-    PurgeMarks(std::size_t most, std::int64_t slackMs) : most_(most), slackMs_(slackMs) {}
+    PurgeMarks(std::size_t maxEntries, std::int64_t clockSkewMs)
+        : maxEntries_(maxEntries), clockSkewMs_(clockSkewMs) {}
 
     // Positions are passed over.
     void add(const Mark& mark);
@@ -34,7 +35,7 @@
 
     std::int64_t floorMs() const { return floorMs_; }
     std::size_t size() const { return objects_.size() + groups_.size(); }
-    void setSlack(std::int64_t slackMs) { slackMs_ = slackMs; }
+    void setClockSkew(std::int64_t clockSkewMs) { clockSkewMs_ = clockSkewMs; }
 
     template <class Visit>
     void forEach(Visit visit) const {
@@ -50,8 +51,8 @@
 
     bool underFloor(std::int64_t ms) const { return floorMs_ > 0 && ms <= floorMs_; }
 
-    std::size_t most_;
-    std::int64_t slackMs_;
+    std::size_t maxEntries_;
+    std::int64_t clockSkewMs_;
     std::int64_t floorMs_ = 0;  // zero: none
     std::unordered_map<std::uint64_t, std::int64_t> objects_;
     std::unordered_map<std::int64_t, std::int64_t> groups_;
--- a/src/disk/record.cpp
+++ b/src/disk/record.cpp
@@ -18,7 +18,7 @@
 constexpr std::uint32_t kMarkMagic = 0x314d4c4c;
 constexpr std::uint32_t kTableMagic = 0x31584c4c;
 
-std::uint64_t sumOf(std::string_view bytes) { return XXH3_64bits(bytes.data(), bytes.size()); }
+std::uint64_t checksumOf(std::string_view bytes) { return XXH3_64bits(bytes.data(), bytes.size()); }
 
 template <class Number>
 void put(std::string& out, Number number) {
@@ -52,49 +52,50 @@
 };
 
 // As it lies in the file. `headSum` covers what is before it, and the names.
-struct Fixed {
+struct FixedHeader {
     std::uint32_t magic = kRecordMagic;
-    std::uint32_t namesBytes = 0, bodyBytes = 0, spare = 0;
+    std::uint32_t metadataBytes = 0, bodyBytes = 0, reserved = 0;
     std::uint64_t fingerprint = 0, object = 0;
     std::int64_t group = 0, part = 0, mintedMs = 0;
-    std::uint64_t form = 0, bodySum = 0, headSum = 0;
+    std::uint64_t form = 0, bodyChecksum = 0, headerChecksum = 0;
 };
-static_assert(sizeof(Fixed) == kRecordHead);
+static_assert(sizeof(FixedHeader) == kRecordHeaderBytes);
 
-std::optional<Fixed> fixedOf(std::span<const char> bytes) {
-    Fixed fixed;
+std::optional<FixedHeader> fixedHeaderOf(std::span<const char> bytes) {
+    FixedHeader fixed;
     if (bytes.size() < sizeof fixed) return {};
     std::memcpy(&fixed, bytes.data(), sizeof fixed);
-    if (fixed.magic != kRecordMagic || fixed.namesBytes > kMostNames || fixed.bodyBytes > kMostBody)
+    if (fixed.magic != kRecordMagic || fixed.metadataBytes > kMaxMetadataBytes ||
+        fixed.bodyBytes > kMaxBodyBytes)
         return {};
     return fixed;
 }
 
-std::uint64_t headSumOf(const Fixed& fixed, std::string_view names) {
-    std::string covered(reinterpret_cast<const char*>(&fixed), offsetof(Fixed, headSum));
+std::uint64_t headerChecksumOf(const FixedHeader& fixed, std::string_view names) {
+    std::string covered(reinterpret_cast<const char*>(&fixed), offsetof(FixedHeader, headerChecksum));
     covered += names;
-    return sumOf(covered);
+    return checksumOf(covered);
 }
 
-std::size_t textBytes(std::string_view text) { return sizeof(std::uint32_t) + text.size(); }
+std::size_t encodedTextBytes(std::string_view text) { return sizeof(std::uint32_t) + text.size(); }
 void putText(std::string& out, std::string_view text) {
     put(out, static_cast<std::uint32_t>(text.size()));
     out += text;
 }
 
-std::size_t namesBytesFor(const Key& key, const Copy& copy) {
-    std::size_t bytes = textBytes(key.object) + textBytes(key.className);
-    for (const auto& [name, value] : copy.facts) bytes += textBytes(name) + textBytes(value);
+std::size_t metadataBytesFor(const Key& key, const Copy& copy) {
+    std::size_t bytes = encodedTextBytes(key.object) + encodedTextBytes(key.className);
+    for (const auto& [name, value] : copy.facts) bytes += encodedTextBytes(name) + encodedTextBytes(value);
     return bytes;
 }
 
-Part partOf(const Fixed& fixed) {
+Part partOf(const FixedHeader& fixed) {
     Part part;
     part.fingerprint = fixed.fingerprint;
     part.mintedMs = fixed.mintedMs;
     part.object = foldedObject(fixed.object);
     part.group = foldedGroup(fixed.group);
-    part.place.bytes = static_cast<std::uint32_t>(sizeof fixed + fixed.namesBytes + fixed.bodyBytes);
+    part.place.bytes = static_cast<std::uint32_t>(sizeof fixed + fixed.metadataBytes + fixed.bodyBytes);
     return part;
 }
 
@@ -108,22 +109,22 @@
 }
 
 std::size_t recordBytes(const Key& key, const Copy& copy) {
-    return kRecordHead + namesBytesFor(key, copy) + copy.body.size();
+    return kRecordHeaderBytes + metadataBytesFor(key, copy) + copy.body.size();
 }
 
 bool encodeRecord(const Key& key, const Copy& copy, std::string& out) {
-    const std::size_t namesBytes = namesBytesFor(key, copy);
-    if (namesBytes > kMostNames || copy.body.size() > kMostBody) return false;
+    const std::size_t metadataBytes = metadataBytesFor(key, copy);
+    if (metadataBytes > kMaxMetadataBytes || copy.body.size() > kMaxBodyBytes) return false;
     std::string names;
-    names.reserve(namesBytes);
+    names.reserve(metadataBytes);
     putText(names, key.object);
     putText(names, key.className);
     for (const auto& [name, value] : copy.facts) {
         putText(names, name);
         putText(names, value);
     }
-    Fixed fixed;
-    fixed.namesBytes = static_cast<std::uint32_t>(namesBytes);
+    FixedHeader fixed;
+    fixed.metadataBytes = static_cast<std::uint32_t>(metadataBytes);
     fixed.bodyBytes = static_cast<std::uint32_t>(copy.body.size());
     fixed.fingerprint = key.fingerprint();
     fixed.object = key.objectFingerprint();
@@ -131,34 +132,34 @@
     fixed.part = key.part;
     fixed.mintedMs = copy.mintedMs;
     fixed.form = key.form;
-    fixed.bodySum = sumOf(copy.body);
-    fixed.headSum = headSumOf(fixed, names);
-    out.reserve(out.size() + sizeof fixed + namesBytes + copy.body.size());
+    fixed.bodyChecksum = checksumOf(copy.body);
+    fixed.headerChecksum = headerChecksumOf(fixed, names);
+    out.reserve(out.size() + sizeof fixed + metadataBytes + copy.body.size());
     out.append(reinterpret_cast<const char*>(&fixed), sizeof fixed);
     out += names;
     out += copy.body;
     return true;
 }
 
-std::optional<std::uint32_t> namesBytesOf(std::span<const char> head) {
-    const auto fixed = fixedOf(head);
+std::optional<std::uint32_t> metadataBytesOf(std::span<const char> head) {
+    const auto fixed = fixedHeaderOf(head);
     if (!fixed) return {};
-    return fixed->namesBytes;
+    return fixed->metadataBytes;
 }
 
-std::optional<RecordHead> readRecordHead(std::span<const char> bytes) {
-    const auto fixed = fixedOf(bytes);
-    if (!fixed || bytes.size() < sizeof(Fixed) + fixed->namesBytes) return {};
-    const std::string_view names(bytes.data() + sizeof(Fixed), fixed->namesBytes);
-    if (headSumOf(*fixed, names) != fixed->headSum) return {};
-    return RecordHead{partOf(*fixed), fixed->namesBytes};
+std::optional<RecordHeader> decodeRecordHeader(std::span<const char> bytes) {
+    const auto fixed = fixedHeaderOf(bytes);
+    if (!fixed || bytes.size() < sizeof(FixedHeader) + fixed->metadataBytes) return {};
+    const std::string_view names(bytes.data() + sizeof(FixedHeader), fixed->metadataBytes);
+    if (headerChecksumOf(*fixed, names) != fixed->headerChecksum) return {};
+    return RecordHeader{partOf(*fixed), fixed->metadataBytes};
 }
 
-std::optional<Key> readRecordKey(std::span<const char> bytes) {
-    if (!readRecordHead(bytes)) return {};
-    const Fixed fixed = *fixedOf(bytes);
+std::optional<Key> decodeRecordKey(std::span<const char> bytes) {
+    if (!decodeRecordHeader(bytes)) return {};
+    const FixedHeader fixed = *fixedHeaderOf(bytes);
     Key key;
-    Reader names(bytes.subspan(sizeof fixed, fixed.namesBytes));
+    Reader names(bytes.subspan(sizeof fixed, fixed.metadataBytes));
     if (!names.text(key.object) || !names.text(key.className)) return {};
     key.group = fixed.group;
     key.part = fixed.part;
@@ -166,15 +167,15 @@
     return key;
 }
 
-std::optional<std::pair<Key, Copy>> readRecord(std::span<const char> record) {
-    const auto head = readRecordHead(record);
+std::optional<std::pair<Key, Copy>> decodeRecord(std::span<const char> record) {
+    const auto head = decodeRecordHeader(record);
     if (!head || head->part.place.bytes != record.size()) return {};
-    const Fixed fixed = *fixedOf(record);
-    const auto body = record.subspan(sizeof fixed + fixed.namesBytes);
-    if (sumOf({body.data(), body.size()}) != fixed.bodySum) return {};
+    const FixedHeader fixed = *fixedHeaderOf(record);
+    const auto body = record.subspan(sizeof fixed + fixed.metadataBytes);
+    if (checksumOf({body.data(), body.size()}) != fixed.bodyChecksum) return {};
     std::pair<Key, Copy> result;
     auto& [key, copy] = result;
-    Reader names(record.subspan(sizeof fixed, fixed.namesBytes));
+    Reader names(record.subspan(sizeof fixed, fixed.metadataBytes));
     if (!names.text(key.object) || !names.text(key.className)) return {};
     while (!names.empty()) {
         auto& [name, value] = copy.facts.emplace_back();
@@ -194,7 +195,7 @@
     put(out, static_cast<std::uint32_t>(mark.what));
     put(out, mark.name);
     put(out, mark.atMs);
-    put(out, sumOf(std::string_view(out).substr(begin)));
+    put(out, checksumOf(std::string_view(out).substr(begin)));
 }
 
 std::optional<Mark> readMark(std::span<const char> bytes) {
@@ -206,7 +207,7 @@
     const bool all = reader.take(magic) && reader.take(what) && reader.take(mark.name) &&
                      reader.take(mark.atMs) && reader.take(sum);
     if (!all || magic != kMarkMagic || what < 1 || what > 4) return {};
-    if (sumOf({bytes.data(), kMarkBytes - sizeof sum}) != sum) return {};
+    if (checksumOf({bytes.data(), kMarkBytes - sizeof sum}) != sum) return {};
     mark.what = static_cast<Mark::What>(what);
     return mark;
 }
@@ -225,24 +226,25 @@
         put(out, part.place.offset);
         put(out, part.place.bytes);
     }
-    put(out, sumOf(out));
+    put(out, checksumOf(out));
     return out;
 }
 
-std::optional<SegmentTable> readTable(std::span<const char> bytes, std::uint32_t segment) {
-    constexpr std::size_t kHead = 24, kEntry = 32, kSum = 8;
-    if (bytes.size() < kHead + kSum) return {};
-    const auto covered = bytes.first(bytes.size() - kSum);
+std::optional<SegmentTable> decodeTable(std::span<const char> bytes, std::uint32_t segment) {
+    constexpr std::size_t kHeaderBytes = 24, kEntryBytes = 32, kChecksumBytes = 8;
+    if (bytes.size() < kHeaderBytes + kChecksumBytes) return {};
+    const auto covered = bytes.first(bytes.size() - kChecksumBytes);
     std::uint64_t sum = 0, count = 0;
     if (!Reader(bytes.subspan(covered.size())).take(sum)) return {};
-    if (sumOf({covered.data(), covered.size()}) != sum) return {};
+    if (checksumOf({covered.data(), covered.size()}) != sum) return {};
     Reader reader(covered);
     std::uint32_t magic = 0, number = 0;
     SegmentTable table;
     if (!reader.take(magic) || !reader.take(number) || !reader.take(table.segmentBytes) ||
         !reader.take(count))
         return {};
-    if (magic != kTableMagic || number != segment || count != (covered.size() - kHead) / kEntry) return {};
+    if (magic != kTableMagic || number != segment || count != (covered.size() - kHeaderBytes) / kEntryBytes)
+        return {};
     table.parts.resize(count);
     for (Part& part : table.parts) {
         const bool all = reader.take(part.fingerprint) && reader.take(part.mintedMs) &&
--- a/src/disk/record.hpp
+++ b/src/disk/record.hpp
@@ -38,9 +38,9 @@
     std::string body;
 };
 
-inline constexpr std::size_t kRecordHead = 80;        // bytes that are always there
-inline constexpr std::size_t kMostNames = 64 * 1024;  // bytes of names and facts
-inline constexpr std::uint32_t kMostBody = 64U << 20;
+inline constexpr std::size_t kRecordHeaderBytes = 80;        // bytes that are always there
+inline constexpr std::size_t kMaxMetadataBytes = 64 * 1024;  // bytes of names and facts
+inline constexpr std::uint32_t kMaxBodyBytes = 64U << 20;
 
 // Bytes that the record of this copy takes.
 std::size_t recordBytes(const Key& key, const Copy& copy);
@@ -48,17 +48,17 @@
 [[nodiscard]] bool encodeRecord(const Key& key, const Copy& copy, std::string& out);
 
 // What a head tells without its names.
-struct RecordHead {
-    Part part;                     // its place has no segment and no offset yet
-    std::uint32_t namesBytes = 0;  // between head and body
+struct RecordHeader {
+    Part part;                        // its place has no segment and no offset yet
+    std::uint32_t metadataBytes = 0;  // between head and body
 };
 // From the head and the names behind it; nothing where either is not as it was written.
-[[nodiscard]] std::optional<std::uint32_t> namesBytesOf(std::span<const char> head);
-[[nodiscard]] std::optional<RecordHead> readRecordHead(std::span<const char> headAndNames);
+[[nodiscard]] std::optional<std::uint32_t> metadataBytesOf(std::span<const char> head);
+[[nodiscard]] std::optional<RecordHeader> decodeRecordHeader(std::span<const char> headerAndMetadata);
 // Whose it is, from the head and the names behind it.
-[[nodiscard]] std::optional<Key> readRecordKey(std::span<const char> headAndNames);
+[[nodiscard]] std::optional<Key> decodeRecordKey(std::span<const char> headerAndMetadata);
 // The whole record; nothing where any byte of it is not as it was written.
-[[nodiscard]] std::optional<std::pair<Key, Copy>> readRecord(std::span<const char> record);
+[[nodiscard]] std::optional<std::pair<Key, Copy>> decodeRecord(std::span<const char> record);
 
 // A line of the purge log has a fixed size and a checksum of its own.
 inline constexpr std::size_t kMarkBytes = 32;
@@ -71,6 +71,6 @@
     std::vector<Part> parts;
 };
 std::string encodeTable(const SegmentTable& table, std::uint32_t segment);
-[[nodiscard]] std::optional<SegmentTable> readTable(std::span<const char> bytes, std::uint32_t segment);
+[[nodiscard]] std::optional<SegmentTable> decodeTable(std::span<const char> bytes, std::uint32_t segment);
 
 }  // namespace lotuslead::disk
--- a/src/disk/segment_catalog.cpp
+++ b/src/disk/segment_catalog.cpp
@@ -12,17 +12,17 @@
 constexpr std::uint64_t kOpenSegments = 3;
 
 std::size_t sketchNames(const SegmentCatalogOptions& options) {
-    return options.memory == Memory::sketch ? options.mostParts : 1;
+    return options.memory == Memory::sketch ? options.maxParts : 1;
 }
 std::size_t ghostNames(const SegmentCatalogOptions& options) {
-    return options.memory == Memory::ghost ? options.mostParts : 1;
+    return options.memory == Memory::ghost ? options.maxParts : 1;
 }
 
 }  // namespace
 
 SegmentCatalog::SegmentCatalog(const SegmentCatalogOptions& options)
     : options_(options),
-      index_(options.mostParts),
+      index_(options.maxParts),
       ghost_(ghostNames(options)),
       sketch_(sketchNames(options)) {
     const std::uint64_t most = std::max<std::uint64_t>(options_.capacityBytes / 8, 4096);
@@ -49,7 +49,7 @@
     }
     // A record and its segment are never larger than the bytes may be; reclamation may lag behind admissions.
     const bool room = bytes_ + onTheWay + bytes <= options_.capacityBytes && bytes <= options_.segmentBytes;
-    if (!room || index_.size() >= index_.mostParts()) {
+    if (!room || index_.size() >= index_.maxParts()) {
         ++counters_.full;
         return {};
     }
@@ -168,7 +168,7 @@
         const std::uint64_t reserve =
             std::min<std::uint64_t>(kOpenSegments * options_.segmentBytes, options_.capacityBytes / 2);
         const bool short_ = bytes_ + onTheWay + reserve > options_.capacityBytes ||
-                            index_.size() + index_.mostParts() / 16 > index_.mostParts();
+                            index_.size() + index_.maxParts() / 16 > index_.maxParts();
         if (!short_) return {};
         const auto share =
             static_cast<std::uint64_t>(options_.probationShare * static_cast<double>(options_.capacityBytes));
@@ -189,7 +189,7 @@
 // The most used first, and of these those that were written last.
 std::vector<Part> SegmentCatalog::keepOf(const Segment& segment) const {
     std::vector<Part> keep;
-    for (PartIndex::Id id = segment.first; id != PartIndex::kNone; id = index_.nextInRow(id))
+    for (PartIndex::Id id = segment.first; id != PartIndex::kNone; id = index_.nextInList(id))
         if (index_.at(id).uses > 0) keep.push_back(index_.at(id));
     std::stable_sort(keep.begin(), keep.end(), [](const Part& a, const Part& b) { return a.uses > b.uses; });
     // A part leaves probation once only; in the main queue it could be written for ever.
@@ -223,7 +223,7 @@
 
 bool SegmentCatalog::sweep(const PurgeMarks& marks, std::size_t slice) {
     for (std::size_t i = 0; i < slice && sweptTo_ < index_.end(); ++i, ++sweptTo_) {
-        if (!index_.used(sweptTo_)) continue;
+        if (!index_.isOccupied(sweptTo_)) continue;
         const Part& part = index_.at(sweptTo_);
         if (!marks.mayCover(part.object, part.group, part.mintedMs)) continue;
         erase(sweptTo_);
--- a/src/disk/segment_catalog.hpp
+++ b/src/disk/segment_catalog.hpp
@@ -27,7 +27,7 @@
 struct SegmentCatalogOptions {
     std::uint64_t capacityBytes = std::uint64_t{4} << 30;  // of segment files
     std::uint32_t segmentBytes = std::uint32_t{64} << 20;  // at most capacity / 8
-    std::size_t mostParts = 262144;
+    std::size_t maxParts = 262144;
     double probationShare = 0.1;
     // Of a reclaimed segment of the main queue that is kept, at most. What leaves probation for the main
     // queue is written once more, so bytes written are at most 1 + 1 / (1 - rewriteShare) times those
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -19,7 +19,7 @@
     : options_(options),
       users_(std::move(users)),
       catalog_(options.catalog),
-      marks_(options.mostMarks, options.purgeSlackMs),
+      marks_(options.maxPurgeEntries, options.purgeClockSkewMs),
       versions_(kVersions),
       worker_(calls, options.folder, [&] {
           IoWorkerOptions worker = options.worker;
@@ -67,9 +67,9 @@
 }
 
 void Tier::reconfigure(const TierOptions& options) {
-    marks_.setSlack(options.purgeSlackMs);
+    marks_.setClockSkew(options.purgeClockSkewMs);
     proof_.reconfigure(options.purges.bus, options.purges.silenceMs);
-    options_.purgeSlackMs = options.purgeSlackMs;
+    options_.purgeClockSkewMs = options.purgeClockSkewMs;
     options_.purges = options.purges;
 }
 
@@ -86,7 +86,7 @@
         return false;
     }
     const std::int64_t age = now.unixMs - mintedMs;
-    if (age < -options_.purgeSlackMs || (oldestMs > 0 && age > oldestMs)) {
+    if (age < -options_.purgeClockSkewMs || (oldestMs > 0 && age > oldestMs)) {
         ++counters_.expired;
         return false;
     }
@@ -187,7 +187,7 @@
     if (other) {
         ++counters_.superseded;
         mark({Mark::What::object, object,
-              std::max(copy.mintedMs, known.mintedMs) - options_.purgeSlackMs - 1});
+              std::max(copy.mintedMs, known.mintedMs) - options_.purgeClockSkewMs - 1});
     }
     if (!had || (latest && copy.mintedMs >= known.mintedMs)) known = {version, copy.mintedMs};
     return latest;
@@ -320,9 +320,10 @@
 void Tier::take(ClockReading now, OpenedFolder& told) {
     if (state_ == State::closed) return;
     if (!told.problem.empty()) {
-        state_ = told.tryAgain ? State::waiting : State::off;
+        state_ = told.retryable ? State::waiting : State::off;
         if (told.problem != problem_)
-            log("disk tier: " + told.problem + (told.tryAgain ? "; it is tried again" : "; the tier is off"));
+            log("disk tier: " + told.problem +
+                (told.retryable ? "; it is tried again" : "; the tier is off"));
         problem_ = told.problem;
         return;
     }
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -28,8 +28,8 @@
     std::string folder;
     SegmentCatalogOptions catalog;
     IoWorkerOptions worker;
-    std::size_t mostMarks = 65536;  // objects, and as many groups, that are told apart
-    std::int64_t purgeSlackMs = 1000;
+    std::size_t maxPurgeEntries = 65536;  // objects, and as many groups, that are told apart
+    std::int64_t purgeClockSkewMs = 1000;
     PurgeProof::Options purges;
 };
 
--- a/tests/audit_disk.cpp
+++ b/tests/audit_disk.cpp
@@ -160,11 +160,11 @@
         options.folder = folder;
         options.catalog.capacityBytes = 6 << 20;
         options.catalog.segmentBytes = 256 << 10;
-        options.catalog.mostParts = 4096;
+        options.catalog.maxParts = 4096;
         options.worker.queueBytes = 512 << 10;
         options.worker.sync = SyncPolicy::never;
-        options.mostMarks = 40;  // few, so that the floor rises at times
-        options.purgeSlackMs = 0;
+        options.maxPurgeEntries = 40;  // few, so that the floor rises at times
+        options.purgeClockSkewMs = 0;
         options.purges = {true, true, 2000};
         return options;
     }
--- a/tests/disk_faults_test.cpp
+++ b/tests/disk_faults_test.cpp
@@ -22,7 +22,7 @@
 TEST(DiskFaults, PurgesLastThoughTheFolderOfANewLogCannotBeSynced) {
     TemporaryFolder folder;
     TierOptions options = optionsFor(folder);
-    options.mostMarks = 600;
+    options.maxPurgeEntries = 600;
     {
         FaultyFiles files;
         Desk desk(options, &files);
--- a/tests/disk_policy_test.cpp
+++ b/tests/disk_policy_test.cpp
@@ -183,7 +183,7 @@
     SegmentCatalogOptions options;
     options.capacityBytes = 1 << 20;
     options.segmentBytes = 1 << 15;
-    options.mostParts = 5000;
+    options.maxParts = 5000;
     options.memory = memory;
     return options;
 }
@@ -278,15 +278,15 @@
     std::string bytes;
     ASSERT_TRUE(encodeRecord(kKey, kCopy, bytes));
     EXPECT_EQ(bytes.size(), recordBytes(kKey, kCopy));
-    const auto found = readRecord(bytes);
+    const auto found = decodeRecord(bytes);
     ASSERT_TRUE(found);
     EXPECT_EQ(found->first, kKey);
     EXPECT_EQ(found->second.mintedMs, kCopy.mintedMs);
     EXPECT_EQ(found->second.facts, kCopy.facts);
     EXPECT_EQ(found->second.body, kCopy.body);
-    EXPECT_EQ(readRecordHead(bytes)->part.fingerprint, kKey.fingerprint());
+    EXPECT_EQ(decodeRecordHeader(bytes)->part.fingerprint, kKey.fingerprint());
     Copy huge = kCopy;
-    huge.facts.emplace_back("x", std::string(kMostNames, 'y'));
+    huge.facts.emplace_back("x", std::string(kMaxMetadataBytes, 'y'));
     EXPECT_FALSE(encodeRecord(kKey, huge, bytes));
 }
 
@@ -296,10 +296,10 @@
     for (std::size_t at = 0; at < bytes.size(); ++at) {
         std::string bad = bytes;
         bad[at] = static_cast<char>(bad[at] ^ (1 << (at % 8)));
-        ASSERT_FALSE(readRecord(bad)) << at;
+        ASSERT_FALSE(decodeRecord(bad)) << at;
     }
     for (std::size_t size = 0; size < bytes.size(); size += 7)
-        ASSERT_FALSE(readRecord(std::string_view(bytes).substr(0, size)));
+        ASSERT_FALSE(decodeRecord(std::string_view(bytes).substr(0, size)));
     std::string mark, table;
     encodeMark({Mark::What::group, 17, 5}, mark);
     ASSERT_EQ(mark.size(), kMarkBytes);
@@ -310,11 +310,11 @@
         byte = static_cast<char>(byte ^ 4);
     }
     table = encodeTable({300, {partOf(1, 9, 0), partOf(2, 9, 100)}}, 9);
-    EXPECT_EQ(readTable(table, 9)->parts.size(), 2U);
-    EXPECT_FALSE(readTable(table, 8));  // another segment's
+    EXPECT_EQ(decodeTable(table, 9)->parts.size(), 2U);
+    EXPECT_FALSE(decodeTable(table, 8));  // another segment's
     for (char& byte : table) {
         byte = static_cast<char>(byte ^ 16);
-        ASSERT_FALSE(readTable(table, 9));
+        ASSERT_FALSE(decodeTable(table, 9));
         byte = static_cast<char>(byte ^ 16);
     }
 }
--- a/tests/disk_tier_harness.hpp
+++ b/tests/disk_tier_harness.hpp
@@ -146,9 +146,9 @@
     options.folder = folder.tier();
     options.catalog.capacityBytes = 4 << 20;
     options.catalog.segmentBytes = 128 << 10;
-    options.catalog.mostParts = 4096;
+    options.catalog.maxParts = 4096;
     options.worker.queueBytes = 1 << 20;
-    options.purgeSlackMs = 0;
+    options.purgeClockSkewMs = 0;
     options.purges = {false, true, 2000};
     return options;
 }
--- a/tests/disk_tier_test.cpp
+++ b/tests/disk_tier_test.cpp
@@ -387,7 +387,7 @@
 TEST(DiskTier, ALongPurgeLogIsWrittenAnewAndStillHolds) {
     TemporaryFolder folder;
     TierOptions options = optionsFor(folder);
-    options.mostMarks = 600;
+    options.maxPurgeEntries = 600;
     {
         Desk desk(options);
         for (int i = 0; i < 12; ++i) ASSERT_TRUE(desk.store(i, 1000));
