--- a/bench/disk.cpp
+++ b/bench/disk.cpp
@@ -76,10 +76,10 @@
     if (mdb_env_open(env, folder.path.c_str(), MDB_NOSYNC, 0640) != 0) return;
     mdb_txn_begin(env, nullptr, 0, &txn);
     mdb_dbi_open(txn, nullptr, 0, &db);
-    Place place;
+    RecordLocation location;
     for (std::uint64_t i = 0; i < kParts; ++i) {
         std::string name = textKey(i);
-        MDB_val key{name.size(), name.data()}, value{sizeof place, &place};
+        MDB_val key{name.size(), name.data()}, value{sizeof location, &location};
         mdb_put(txn, db, &key, &value, 0);
     }
     mdb_txn_commit(txn);
--- a/src/disk/caching_carrier.cpp
+++ b/src/disk/caching_carrier.cpp
@@ -126,7 +126,7 @@
     end.own = true;
     end.outcome = Outcome::served;
     end.note = Note::hit;
-    end.payload.mintedMs = copy->mintedMs;
+    end.payload.mintedMs = copy->createdMs;
     end.payload.facts = std::move(copy->facts);
     if (!end.payload.unchanged) end.payload.body = std::move(copy->body);
     ended_(std::move(end));
--- a/src/disk/folder.cpp
+++ b/src/disk/folder.cpp
@@ -160,7 +160,7 @@
         const bool fits =
             known && known->segmentBytes <= contents.fileBytes &&
             std::all_of(known->parts.begin(), known->parts.end(), [&](const Part& part) {
-                return std::uint64_t{part.place.offset} + part.place.bytes <= known->segmentBytes;
+                return std::uint64_t{part.location.offset} + part.location.bytes <= known->segmentBytes;
             });
         if (fits) {
             contents.parts = std::move(known->parts);
@@ -185,10 +185,10 @@
             break;
         }
         auto found = names ? decodeRecordHeader(std::span(head).first(read.bytes)) : std::nullopt;
-        if (!found || contents.bytes + found->part.place.bytes > contents.fileBytes) break;
-        found->part.place.segment = name.number;
-        found->part.place.offset = static_cast<std::uint32_t>(contents.bytes);
-        contents.bytes += found->part.place.bytes;
+        if (!found || contents.bytes + found->part.location.bytes > contents.fileBytes) break;
+        found->part.location.segment = name.number;
+        found->part.location.offset = static_cast<std::uint32_t>(contents.bytes);
+        contents.bytes += found->part.location.bytes;
         contents.parts.push_back(found->part);
     }
     return contents;
--- a/src/disk/frequency_sketch.hpp
+++ b/src/disk/frequency_sketch.hpp
@@ -16,48 +16,50 @@
 class FrequencySketch {
 public:
     // Made for about so many different names; takes 8 bytes a name.
-    explicit FrequencySketch(std::size_t names)
-        : columns_(std::bit_ceil(std::max<std::size_t>(names, 64))), words_(columns_ * kRows / 16) {}
+    explicit FrequencySketch(std::size_t distinctKeys)
+        : columns_(std::bit_ceil(std::max<std::size_t>(distinctKeys, 64))),
+          counters_(columns_ * kRows / 16) {}
 
-    void add(std::uint64_t name) {
+    void add(std::uint64_t fingerprint) {
         bool grew = false;
-        const unsigned least = estimate(name);
-        if (least < kMost)
+        const unsigned least = estimate(fingerprint);
+        if (least < kMaxCount)
             for (unsigned row = 0; row < kRows; ++row) {
-                const std::size_t at = place(name, row);
+                const std::size_t at = counterIndex(fingerprint, row);
                 // Only the smallest are raised: the others are above the truth already.
-                if (get(at) > least) continue;
-                words_[at / 16] += std::uint64_t{1} << (at % 16 * 4);
+                if (counterAt(at) > least) continue;
+                counters_[at / 16] += std::uint64_t{1} << (at % 16 * 4);
                 grew = true;
             }
         if (grew && ++added_ >= 10 * columns_) halve();
     }
 
     // Never under the truth since the last halving; 15 at most.
-    unsigned estimate(std::uint64_t name) const {
-        unsigned least = kMost;
-        for (unsigned row = 0; row < kRows; ++row) least = std::min(least, get(place(name, row)));
+    unsigned estimate(std::uint64_t fingerprint) const {
+        unsigned least = kMaxCount;
+        for (unsigned row = 0; row < kRows; ++row)
+            least = std::min(least, counterAt(counterIndex(fingerprint, row)));
         return least;
     }
 
-    std::size_t memoryBytes() const { return words_.size() * sizeof(std::uint64_t); }
+    std::size_t memoryBytes() const { return counters_.size() * sizeof(std::uint64_t); }
 
 private:
-    static constexpr unsigned kRows = 4, kMost = 15;
+    static constexpr unsigned kRows = 4, kMaxCount = 15;
 
-    std::size_t place(std::uint64_t name, unsigned row) const {
-        return row * columns_ + (mix(name + row * 0x9e3779b97f4a7c15ULL) & (columns_ - 1));
+    std::size_t counterIndex(std::uint64_t fingerprint, unsigned row) const {
+        return row * columns_ + (mix(fingerprint + row * 0x9e3779b97f4a7c15ULL) & (columns_ - 1));
     }
-    unsigned get(std::size_t at) const {
-        return static_cast<unsigned>(words_[at / 16] >> (at % 16 * 4)) & 15U;
+    unsigned counterAt(std::size_t at) const {
+        return static_cast<unsigned>(counters_[at / 16] >> (at % 16 * 4)) & 15U;
     }
     void halve() {
-        for (std::uint64_t& word : words_) word = (word >> 1) & 0x7777777777777777ULL;
+        for (std::uint64_t& word : counters_) word = (word >> 1) & 0x7777777777777777ULL;
         added_ /= 2;
     }
 
     std::size_t columns_;
-    std::vector<std::uint64_t> words_;
+    std::vector<std::uint64_t> counters_;
     std::size_t added_ = 0;
 };
 
--- a/src/disk/ghost_queue.hpp
+++ b/src/disk/ghost_queue.hpp
@@ -20,27 +20,27 @@
         : capacity_(static_cast<std::uint32_t>(std::clamp<std::size_t>(capacity, 16, std::size_t{1} << 30))),
           buckets_(std::bit_ceil(std::size_t{capacity_} * 4 / 3 / kWays + 1)) {}
 
-    void add(std::uint64_t name) {
-        ++now_;
-        Bucket& bucket = bucketOf(name);
+    void add(std::uint64_t fingerprint) {
+        ++sequence_;
+        Bucket& bucket = bucketOf(fingerprint);
         // Its own place, else the one whose name went longest ago.
         Slot* slot = &bucket[0];
         for (Slot& s : bucket) {
-            if (s.tag == tagOf(name)) {
+            if (s.tag == tagOf(fingerprint)) {
                 slot = &s;
                 break;
             }
-            if (now_ - s.number > now_ - slot->number) slot = &s;
+            if (sequence_ - s.sequence > sequence_ - slot->sequence) slot = &s;
         }
-        *slot = {tagOf(name), now_};
+        *slot = {tagOf(fingerprint), sequence_};
     }
 
     // Tells whether it was there, and takes it out: it is admitted now.
-    bool take(std::uint64_t name) {
-        for (Slot& s : bucketOf(name))
-            if (s.tag == tagOf(name) && now_ - s.number < capacity_) {
+    bool takeIfPresent(std::uint64_t fingerprint) {
+        for (Slot& s : bucketOf(fingerprint))
+            if (s.tag == tagOf(fingerprint) && sequence_ - s.sequence < capacity_) {
                 s = {};
-                s.number = now_ - capacity_;
+                s.sequence = sequence_ - capacity_;
                 return true;
             }
         return false;
@@ -52,17 +52,17 @@
     static constexpr std::size_t kWays = 4;
     struct Slot {
         std::uint32_t tag = 0;  // zero: free
-        std::uint32_t number = 0;
+        std::uint32_t sequence = 0;
     };
     using Bucket = std::array<Slot, kWays>;
 
-    static std::uint32_t tagOf(std::uint64_t name) {
-        return std::max<std::uint32_t>(1, static_cast<std::uint32_t>(name >> 32));
+    static std::uint32_t tagOf(std::uint64_t fingerprint) {
+        return std::max<std::uint32_t>(1, static_cast<std::uint32_t>(fingerprint >> 32));
     }
-    Bucket& bucketOf(std::uint64_t name) { return buckets_[mix(name) & (buckets_.size() - 1)]; }
+    Bucket& bucketOf(std::uint64_t fingerprint) { return buckets_[mix(fingerprint) & (buckets_.size() - 1)]; }
 
     std::uint32_t capacity_;
-    std::uint32_t now_ = 0;  // wraps around; differences stay right
+    std::uint32_t sequence_ = 0;  // wraps around; differences stay right
     std::vector<Bucket> buckets_;
 };
 
--- a/src/disk/inspect.cpp
+++ b/src/disk/inspect.cpp
@@ -40,16 +40,17 @@
         for (const Survey::Segment& segment : survey.segments)
             queues_[segment.name.number] = segment.name.queue;
     }
-    IoResult read(const Place& place, std::uint64_t bytes, std::string& into) {
-        if (place.segment != open_) {
-            const std::string path = folder_.pathOf(segmentFile({place.segment, queues_[place.segment]}));
+    IoResult read(const RecordLocation& location, std::uint64_t bytes, std::string& into) {
+        if (location.segment != open_) {
+            const std::string path =
+                folder_.pathOf(segmentFile({location.segment, queues_[location.segment]}));
             const IoResult opened = calls_.open(path, O_RDONLY);
             if (opened.error != 0) return {0, opened.error};
             file_ = File(static_cast<int>(opened.bytes));
-            open_ = place.segment;
+            open_ = location.segment;
         }
         into.resize(bytes);
-        const IoResult read = readAll(calls_, file_.get(), into, place.offset);
+        const IoResult read = readAll(calls_, file_.get(), into, location.offset);
         into.resize(read.bytes);
         return read;
     }
@@ -107,23 +108,24 @@
             const auto [at, isNew] = latest.emplace(part.fingerprint, part);
             if (isNew) continue;
             ++result.superseded;
-            if (part.mintedMs >= at->second.mintedMs) at->second = part;
+            if (part.createdMs >= at->second.createdMs) at->second = part;
         }
     }
     std::map<std::uint32_t, Survey::Segment*> byNumber;
     for (Survey::Segment& segment : result.segments) byNumber[segment.name.number] = &segment;
     for (const auto& [fingerprint, part] : latest) {
-        if (marks.mayCover(part.object, part.group, part.mintedMs)) {
+        if (marks.mayCover(part.object, part.group, part.createdMs)) {
             ++result.purged;
             continue;
         }
-        Survey::Segment& segment = *byNumber[part.place.segment];
+        Survey::Segment& segment = *byNumber[part.location.segment];
         ++segment.live;
-        segment.liveBytes += part.place.bytes;
+        segment.liveBytes += part.location.bytes;
         result.live.push_back(part);
     }
     std::sort(result.live.begin(), result.live.end(), [](const Part& a, const Part& b) {
-        return std::pair(a.place.segment, a.place.offset) < std::pair(b.place.segment, b.place.offset);
+        return std::pair(a.location.segment, a.location.offset) <
+               std::pair(b.location.segment, b.location.offset);
     });
     return result;
 }
@@ -136,13 +138,13 @@
     std::string bytes;
     for (const Part& part : survey.live) {
         const std::uint64_t most =
-            std::min<std::uint64_t>(part.place.bytes, kRecordHeaderBytes + kMaxMetadataBytes);
-        if (reader.read(part.place, most, bytes).error != 0) continue;
+            std::min<std::uint64_t>(part.location.bytes, kRecordHeaderBytes + kMaxMetadataBytes);
+        if (reader.read(part.location, most, bytes).error != 0) continue;
         const auto key = decodeRecordKey(bytes);
         if (!key) continue;
         Listed listed{*key, part, 0, false};
-        listed.bodyBytes = part.place.bytes - kRecordHeaderBytes - *metadataBytesOf(bytes);
-        listed.purged = marks.covers(key->objectFingerprint(), key->group, part.mintedMs);
+        listed.bodyBytes = part.location.bytes - kRecordHeaderBytes - *metadataBytesOf(bytes);
+        listed.purged = marks.covers(key->objectFingerprint(), key->group, part.createdMs);
         if (!visit(listed)) return;
     }
 }
@@ -153,9 +155,9 @@
     SegmentReader reader(calls, folder, survey);
     std::string bytes;
     for (const Part& part : survey.live) {
-        const IoResult read = reader.read(part.place, part.place.bytes, bytes);
-        const std::string where =
-            "segment " + std::to_string(part.place.segment) + " byte " + std::to_string(part.place.offset);
+        const IoResult read = reader.read(part.location, part.location.bytes, bytes);
+        const std::string where = "segment " + std::to_string(part.location.segment) + " byte " +
+                                  std::to_string(part.location.offset);
         const auto tell = [&](const std::string& what) {
             if (result.problems.size() < kMostProblems) result.problems.push_back(where + ": " + what);
         };
@@ -209,7 +211,7 @@
         queues[segment.name.number] = segment.name.queue;
         result.before += segment.fileBytes;
     }
-    for (const Part& part : known.live) keep[part.place.segment].push_back(part);
+    for (const Part& part : known.live) keep[part.location.segment].push_back(part);
 
     IoWorkerOptions options;
     options.segmentBytes = segmentBytes;
--- a/src/disk/io_worker.cpp
+++ b/src/disk/io_worker.cpp
@@ -292,7 +292,7 @@
         queuedBytes_ -= job.bytes;
     }
     if (!written.problem.empty()) return tell(NotPlaced{job.bytes, std::move(written.problem)});
-    part.place = written.place;
+    part.location = written.location;
     tell(Placed{part, job.queue, job.rank, job.bytes});
 }
 
@@ -307,9 +307,9 @@
             if (closing_) break;
             if (!marks_.empty()) keepMarks(lock);
         }
-        record.resize(part.place.bytes);
+        record.resize(part.location.bytes);
         const IoResult read =
-            from ? readAll(calls_, from->get(), record, part.place.offset) : IoResult{0, ENOENT};
+            from ? readAll(calls_, from->get(), record, part.location.offset) : IoResult{0, ENOENT};
         // What is damaged is not handed on; it goes with its segment.
         if (read.error != 0 || read.bytes != record.size() || !decodeRecord(record)) continue;
         Written written = writeRecord(job.into, part, record);
@@ -317,7 +317,7 @@
             problem = std::move(written.problem);
             break;
         }
-        tell(Moved{part.fingerprint, part.place, written.place, job.into});
+        tell(Moved{part.fingerprint, part.location, written.location, job.into});
     }
     tell(Rewritten{job.segment, std::move(problem)});
 }
@@ -353,11 +353,11 @@
         (void)calls_.truncate(segment.file->get(), segment.bytes);
         return {{}, describeError("write", path, error)};
     }
-    part.place = {segment.name.number, static_cast<std::uint32_t>(segment.bytes),
-                  static_cast<std::uint32_t>(record.size())};
+    part.location = {segment.name.number, static_cast<std::uint32_t>(segment.bytes),
+                     static_cast<std::uint32_t>(record.size())};
     segment.bytes += record.size();
     segment.parts.push_back(part);
-    return {part.place, {}};
+    return {part.location, {}};
 }
 
 Problem IoWorker::openSegment(Queue queue) {
@@ -400,15 +400,16 @@
 }
 
 ReadDone IoWorker::readOne(const ReadJob& job) {
-    ReadDone done{job.ticket, job.fingerprint, job.place, {}, false, {}};
-    const std::shared_ptr<File> file = files_.get(job.place.segment);
+    ReadDone done{job.ticket, job.fingerprint, job.location, {}, false, {}};
+    const std::shared_ptr<File> file = files_.get(job.location.segment);
     // Kept from read to read: clearing a fresh one costs as much as the checksum.
-    if (readBuffer_.size() < job.place.bytes) readBuffer_.resize(job.place.bytes);
-    const std::span<char> record = std::span(readBuffer_).first(job.place.bytes);
-    const IoResult read = file ? readAll(calls_, file->get(), record, job.place.offset) : IoResult{0, ENOENT};
+    if (readBuffer_.size() < job.location.bytes) readBuffer_.resize(job.location.bytes);
+    const std::span<char> record = std::span(readBuffer_).first(job.location.bytes);
+    const IoResult read =
+        file ? readAll(calls_, file->get(), record, job.location.offset) : IoResult{0, ENOENT};
     if (read.error != 0) {
-        done.problem = describeError("read", folder_.path() + " segment " + std::to_string(job.place.segment),
-                                     read.error);
+        done.problem = describeError(
+            "read", folder_.path() + " segment " + std::to_string(job.location.segment), read.error);
     } else if (read.bytes != record.size()) {
         done.torn = true;
     } else {
--- a/src/disk/io_worker.hpp
+++ b/src/disk/io_worker.hpp
@@ -50,7 +50,7 @@
 struct ReadJob {
     std::uint64_t ticket = 0;
     std::uint64_t fingerprint = 0;
-    Place place;
+    RecordLocation location;
 };
 
 // ----- what is told -----
@@ -88,7 +88,7 @@
 };
 struct Moved {
     std::uint64_t fingerprint = 0;
-    Place from, to;
+    RecordLocation from, to;
     Queue queue = Queue::main;
 };
 struct Rewritten {
@@ -105,7 +105,7 @@
 };
 struct ReadDone {
     std::uint64_t ticket = 0, fingerprint = 0;
-    Place place;
+    RecordLocation location;
     std::optional<std::pair<Key, Copy>> record;
     bool torn = false;  // it was read, and is not as it was written
     Problem problem;
@@ -172,7 +172,7 @@
     void carryOut(RewriteJob& job);
     void carryOut(const RemoveJob& job);
     struct Written {
-        Place place;
+        RecordLocation location;
         Problem problem;
     };
     Written writeRecord(Queue queue, Part part, std::span<const char> record);
--- a/src/disk/part_index.hpp
+++ b/src/disk/part_index.hpp
@@ -12,19 +12,19 @@
 namespace lotuslead::disk {
 
 // Bytes of one segment's file.
-struct Place {
+struct RecordLocation {
     std::uint32_t segment = 0;
     std::uint32_t offset = 0;
     std::uint32_t bytes = 0;
-    bool operator==(const Place&) const = default;
+    bool operator==(const RecordLocation&) const = default;
 };
 
 struct Part {
     std::uint64_t fingerprint = 0;  // of object, class, part and form
-    std::int64_t mintedMs = 0;      // Unix milliseconds: it is of then or later
+    std::int64_t createdMs = 0;     // Unix milliseconds: it is of then or later
     std::uint32_t object = 0;       // the upper half of the object's fingerprint; for sweeping only
     std::uint32_t group = 0;        // the group folded; for sweeping only
-    Place place;
+    RecordLocation location;
     std::uint8_t uses = 0;  // since it was written, 3 at most
     bool occupied = false;  // the index's own: its place there is taken
 };
--- a/src/disk/purge_tombstones.cpp
+++ b/src/disk/purge_tombstones.cpp
@@ -67,13 +67,13 @@
     std::erase_if(foldedGroups_, under);
 }
 
-bool PurgeMarks::covers(std::uint64_t object, std::int64_t group, std::int64_t mintedMs) const {
-    const std::int64_t ms = mintedMs - clockSkewMs_;
+bool PurgeMarks::covers(std::uint64_t object, std::int64_t group, std::int64_t createdMs) const {
+    const std::int64_t ms = createdMs - clockSkewMs_;
     return underFloor(ms) || reaches(objects_, object, ms) || reaches(groups_, group, ms);
 }
 
-bool PurgeMarks::mayCover(std::uint32_t object, std::uint32_t group, std::int64_t mintedMs) const {
-    const std::int64_t ms = mintedMs - clockSkewMs_;
+bool PurgeMarks::mayCover(std::uint32_t object, std::uint32_t group, std::int64_t createdMs) const {
+    const std::int64_t ms = createdMs - clockSkewMs_;
     return underFloor(ms) || reaches(foldedObjects_, object, ms) || reaches(foldedGroups_, group, ms);
 }
 
--- a/src/disk/purge_tombstones.hpp
+++ b/src/disk/purge_tombstones.hpp
@@ -29,9 +29,9 @@
     // Positions are passed over.
     void add(const Mark& mark);
     // Whether a copy of then may be older than a purge.
-    [[nodiscard]] bool covers(std::uint64_t object, std::int64_t group, std::int64_t mintedMs) const;
+    [[nodiscard]] bool covers(std::uint64_t object, std::int64_t group, std::int64_t createdMs) const;
     // As that by the folded names of an index, which may take one name for another: never too few.
-    [[nodiscard]] bool mayCover(std::uint32_t object, std::uint32_t group, std::int64_t mintedMs) const;
+    [[nodiscard]] bool mayCover(std::uint32_t object, std::uint32_t group, std::int64_t createdMs) const;
 
     std::int64_t floorMs() const { return floorMs_; }
     std::size_t size() const { return objects_.size() + groups_.size(); }
--- a/src/disk/record.cpp
+++ b/src/disk/record.cpp
@@ -56,7 +56,7 @@
     std::uint32_t magic = kRecordMagic;
     std::uint32_t metadataBytes = 0, bodyBytes = 0, reserved = 0;
     std::uint64_t fingerprint = 0, object = 0;
-    std::int64_t group = 0, part = 0, mintedMs = 0;
+    std::int64_t group = 0, part = 0, createdMs = 0;
     std::uint64_t form = 0, bodyChecksum = 0, headerChecksum = 0;
 };
 static_assert(sizeof(FixedHeader) == kRecordHeaderBytes);
@@ -92,10 +92,10 @@
 Part partOf(const FixedHeader& fixed) {
     Part part;
     part.fingerprint = fixed.fingerprint;
-    part.mintedMs = fixed.mintedMs;
+    part.createdMs = fixed.createdMs;
     part.object = foldedObject(fixed.object);
     part.group = foldedGroup(fixed.group);
-    part.place.bytes = static_cast<std::uint32_t>(sizeof fixed + fixed.metadataBytes + fixed.bodyBytes);
+    part.location.bytes = static_cast<std::uint32_t>(sizeof fixed + fixed.metadataBytes + fixed.bodyBytes);
     return part;
 }
 
@@ -130,7 +130,7 @@
     fixed.object = key.objectFingerprint();
     fixed.group = key.group;
     fixed.part = key.part;
-    fixed.mintedMs = copy.mintedMs;
+    fixed.createdMs = copy.createdMs;
     fixed.form = key.form;
     fixed.bodyChecksum = checksumOf(copy.body);
     fixed.headerChecksum = headerChecksumOf(fixed, names);
@@ -169,7 +169,7 @@
 
 std::optional<std::pair<Key, Copy>> decodeRecord(std::span<const char> record) {
     const auto head = decodeRecordHeader(record);
-    if (!head || head->part.place.bytes != record.size()) return {};
+    if (!head || head->part.location.bytes != record.size()) return {};
     const FixedHeader fixed = *fixedHeaderOf(record);
     const auto body = record.subspan(sizeof fixed + fixed.metadataBytes);
     if (checksumOf({body.data(), body.size()}) != fixed.bodyChecksum) return {};
@@ -184,7 +184,7 @@
     key.group = fixed.group;
     key.part = fixed.part;
     key.form = fixed.form;
-    copy.mintedMs = fixed.mintedMs;
+    copy.createdMs = fixed.createdMs;
     copy.body.assign(body.data(), body.size());
     return result;
 }
@@ -220,11 +220,11 @@
     put(out, static_cast<std::uint64_t>(table.parts.size()));
     for (const Part& part : table.parts) {
         put(out, part.fingerprint);
-        put(out, part.mintedMs);
+        put(out, part.createdMs);
         put(out, part.object);
         put(out, part.group);
-        put(out, part.place.offset);
-        put(out, part.place.bytes);
+        put(out, part.location.offset);
+        put(out, part.location.bytes);
     }
     put(out, checksumOf(out));
     return out;
@@ -247,11 +247,11 @@
         return {};
     table.parts.resize(count);
     for (Part& part : table.parts) {
-        const bool all = reader.take(part.fingerprint) && reader.take(part.mintedMs) &&
+        const bool all = reader.take(part.fingerprint) && reader.take(part.createdMs) &&
                          reader.take(part.object) && reader.take(part.group) &&
-                         reader.take(part.place.offset) && reader.take(part.place.bytes);
+                         reader.take(part.location.offset) && reader.take(part.location.bytes);
         if (!all) return {};
-        part.place.segment = segment;
+        part.location.segment = segment;
     }
     return table;
 }
--- a/src/disk/record.hpp
+++ b/src/disk/record.hpp
@@ -33,7 +33,7 @@
 using Facts = std::vector<std::pair<std::string, std::string>>;
 
 struct Copy {
-    std::int64_t mintedMs = 0;  // Unix milliseconds: it is of then or later
+    std::int64_t createdMs = 0;  // Unix milliseconds: it is of then or later
     Facts facts;
     std::string body;
 };
--- a/src/disk/segment_catalog.cpp
+++ b/src/disk/segment_catalog.cpp
@@ -55,13 +55,13 @@
     }
     ++counters_.admitted;
     counters_.admittedBytes += bytes;
-    const bool known = options_.memory == Memory::ghost    ? ghost_.take(fingerprint)
+    const bool known = options_.memory == Memory::ghost    ? ghost_.takeIfPresent(fingerprint)
                        : options_.memory == Memory::sketch ? sketch_.estimate(fingerprint) >= kPopular
                                                            : false;
     const PartIndex::Id held = index_.find(fingerprint);
     // A new copy of what is in the main queue stays there.
     const bool wasMain =
-        held != PartIndex::kNone && segments_.at(index_.at(held).place.segment).queue == Queue::main;
+        held != PartIndex::kNone && segments_.at(index_.at(held).location.segment).queue == Queue::main;
     if (!known && !wasMain) return Queue::probation;
     ++counters_.toMain;
     return Queue::main;
@@ -75,30 +75,30 @@
 
 void SegmentCatalog::insert(Part part, Queue queue) {
     const PartIndex::Id id = index_.insert(part);
-    Segment& segment = segmentOf(part.place.segment, queue);
+    Segment& segment = segmentOf(part.location.segment, queue);
     if (id == PartIndex::kNone) return;  // its bytes are dead
     index_.link(segment.first, id);
-    segment.live += part.place.bytes;
-    liveBytes_ += part.place.bytes;
+    segment.live += part.location.bytes;
+    liveBytes_ += part.location.bytes;
 }
 
 void SegmentCatalog::erase(PartIndex::Id id) {
     const Part& part = index_.at(id);
-    Segment& segment = segments_.at(part.place.segment);
+    Segment& segment = segments_.at(part.location.segment);
     index_.unlink(segment.first, id);
-    segment.live -= part.place.bytes;
-    liveBytes_ -= part.place.bytes;
+    segment.live -= part.location.bytes;
+    liveBytes_ -= part.location.bytes;
     index_.erase(id);
 }
 
 void SegmentCatalog::placed(Part part, Queue queue, int rank) {
-    Segment& segment = segmentOf(part.place.segment, queue);
-    segment.bytes += part.place.bytes;
-    bytes_ += part.place.bytes;
-    if (segment.queue == Queue::probation) probationBytes_ += part.place.bytes;
+    Segment& segment = segmentOf(part.location.segment, queue);
+    segment.bytes += part.location.bytes;
+    bytes_ += part.location.bytes;
+    if (segment.queue == Queue::probation) probationBytes_ += part.location.bytes;
     const PartIndex::Id held = index_.find(part.fingerprint);
     if (held != PartIndex::kNone) {
-        if (index_.at(held).mintedMs > part.mintedMs) return;  // a later one has overtaken it
+        if (index_.at(held).createdMs > part.createdMs) return;  // a later one has overtaken it
         part.uses = index_.at(held).uses;
         erase(held);
         ++counters_.replaced;
@@ -112,9 +112,10 @@
     if (held != PartIndex::kNone) {
         const Part& other = index_.at(held);
         const bool later =
-            std::pair(part.mintedMs, part.place.segment) > std::pair(other.mintedMs, other.place.segment) ||
-            (part.mintedMs == other.mintedMs && part.place.segment == other.place.segment &&
-             part.place.offset > other.place.offset);
+            std::pair(part.createdMs, part.location.segment) >
+                std::pair(other.createdMs, other.location.segment) ||
+            (part.createdMs == other.createdMs && part.location.segment == other.location.segment &&
+             part.location.offset > other.location.offset);
         if (!later) return;
         erase(held);
     }
@@ -134,7 +135,8 @@
     if (found != segments_.end()) found->second.sealed = true;
 }
 
-bool SegmentCatalog::moved(std::uint64_t fingerprint, const Place& from, const Place& to, Queue queue) {
+bool SegmentCatalog::moved(std::uint64_t fingerprint, const RecordLocation& from, const RecordLocation& to,
+                           Queue queue) {
     Segment& segment = segmentOf(to.segment, queue);
     segment.bytes += to.bytes;
     bytes_ += to.bytes;
@@ -142,18 +144,18 @@
     ++counters_.moved;
     counters_.movedBytes += to.bytes;
     const PartIndex::Id held = index_.find(fingerprint);
-    if (held == PartIndex::kNone || !(index_.at(held).place == from)) return false;
+    if (held == PartIndex::kNone || !(index_.at(held).location == from)) return false;
     Part part = index_.at(held);
     erase(held);
-    part.place = to;
+    part.location = to;
     part.uses = part.uses > 0 ? static_cast<std::uint8_t>(part.uses - 1) : std::uint8_t{0};
     insert(part, queue);
     return true;
 }
 
-void SegmentCatalog::lost(std::uint64_t fingerprint, const Place& place) {
+void SegmentCatalog::lost(std::uint64_t fingerprint, const RecordLocation& location) {
     const PartIndex::Id held = index_.find(fingerprint);
-    if (held != PartIndex::kNone && index_.at(held).place == place) erase(held);
+    if (held != PartIndex::kNone && index_.at(held).location == location) erase(held);
 }
 
 std::optional<SegmentCatalog::Reclaim> SegmentCatalog::nextReclaim(std::uint64_t onTheWay) {
@@ -197,8 +199,8 @@
     const auto most = static_cast<std::uint64_t>(share * static_cast<double>(segment.bytes));
     std::uint64_t bytes = 0;
     std::erase_if(keep, [&](const Part& part) {
-        if (bytes + part.place.bytes > most) return true;
-        bytes += part.place.bytes;
+        if (bytes + part.location.bytes > most) return true;
+        bytes += part.location.bytes;
         return false;
     });
     return keep;
@@ -225,7 +227,7 @@
     for (std::size_t i = 0; i < slice && sweptTo_ < index_.end(); ++i, ++sweptTo_) {
         if (!index_.isOccupied(sweptTo_)) continue;
         const Part& part = index_.at(sweptTo_);
-        if (!marks.mayCover(part.object, part.group, part.mintedMs)) continue;
+        if (!marks.mayCover(part.object, part.group, part.createdMs)) continue;
         erase(sweptTo_);
         ++counters_.purged;
     }
--- a/src/disk/segment_catalog.hpp
+++ b/src/disk/segment_catalog.hpp
@@ -75,9 +75,9 @@
     void segmentLoaded(std::uint32_t segment, Queue queue, std::uint64_t bytes);
     void sealed(std::uint32_t segment);
     // A rewritten part has moved; false: it had gone meanwhile, and the new record is dead.
-    bool moved(std::uint64_t fingerprint, const Place& from, const Place& to, Queue queue);
+    bool moved(std::uint64_t fingerprint, const RecordLocation& from, const RecordLocation& to, Queue queue);
     // The record there is no good, or its file is gone.
-    void lost(std::uint64_t fingerprint, const Place& place);
+    void lost(std::uint64_t fingerprint, const RecordLocation& location);
 
     // The segment to reclaim next, where room is short; one at a time. The caller ends it by dropped().
     [[nodiscard]] std::optional<Reclaim> nextReclaim(std::uint64_t onTheWay);
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -76,16 +76,16 @@
 // ----- reading -----
 
 // Whether a copy of then may be served now; the only place where that is decided.
-bool Tier::servable(ClockReading now, const Key& key, std::int64_t oldestMs, std::int64_t mintedMs) {
+bool Tier::servable(ClockReading now, const Key& key, std::int64_t oldestMs, std::int64_t createdMs) {
     if (logFails_ || !proof_.holds(now.monotonicMs)) {
         ++counters_.unproved;
         return false;
     }
-    if (marks_.covers(key.objectFingerprint(), key.group, mintedMs)) {
+    if (marks_.covers(key.objectFingerprint(), key.group, createdMs)) {
         ++counters_.purged;
         return false;
     }
-    const std::int64_t age = now.unixMs - mintedMs;
+    const std::int64_t age = now.unixMs - createdMs;
     if (age < -options_.purgeClockSkewMs || (oldestMs > 0 && age > oldestMs)) {
         ++counters_.expired;
         return false;
@@ -98,12 +98,12 @@
     const std::uint64_t fingerprint = key.fingerprint();
     catalog_.asked(fingerprint);
     const auto part = catalog_.look(fingerprint);
-    if (!part || !servable(now, key, oldestMs, part->mintedMs)) {
+    if (!part || !servable(now, key, oldestMs, part->createdMs)) {
         ++counters_.misses;
         return 0;
     }
     const std::uint64_t ticket = nextTicket_++;
-    if (!worker_.read({ticket, fingerprint, part->place})) {
+    if (!worker_.read({ticket, fingerprint, part->location})) {
         ++counters_.busy;
         ++counters_.misses;
         return 0;
@@ -120,18 +120,18 @@
     }
     if (told.torn) {
         ++counters_.torn;
-        log("disk tier: a record in segment " + std::to_string(told.place.segment) + " at byte " +
-            std::to_string(told.place.offset) + " is not as it was written, dropped");
+        log("disk tier: a record in segment " + std::to_string(told.location.segment) + " at byte " +
+            std::to_string(told.location.offset) + " is not as it was written, dropped");
     }
     // A part that has moved meanwhile is somewhere else, and stays.
-    if (!good) catalog_.lost(told.fingerprint, told.place);
+    if (!good) catalog_.lost(told.fingerprint, told.location);
     const auto at = waiting_.find(told.ticket);
     if (at == waiting_.end()) return;
     Waiting waiting = std::move(at->second);
     waiting_.erase(at);
     // Names may share a fingerprint, and a purge may have come while it was read.
     const bool same = good && told.record->first == waiting.key;
-    if (!same || !servable(now, waiting.key, waiting.oldestMs, told.record->second.mintedMs) ||
+    if (!same || !servable(now, waiting.key, waiting.oldestMs, told.record->second.createdMs) ||
         !isLatest(waiting.key, told.record->second)) {
         ++counters_.misses;
         return waiting.found({});
@@ -147,13 +147,13 @@
     ++counters_.offered;
     const std::uint64_t object = key.objectFingerprint();
     if (!isLatest(key, copy)) return;
-    if (!holdsFolder() || copy.mintedMs <= 0) return;
+    if (!holdsFolder() || copy.createdMs <= 0) return;
     if (logFails_ || now.monotonicMs < pausedUntilMs_) {
         ++counters_.paused;
         return;
     }
     const std::uint64_t fingerprint = key.fingerprint();
-    if (marks_.covers(object, key.group, copy.mintedMs)) {
+    if (marks_.covers(object, key.group, copy.createdMs)) {
         ++counters_.purged;
         return;
     }
@@ -172,7 +172,7 @@
         return;
     }
     onTheWay_ += bytes;
-    noteMinted(copy.mintedMs);
+    noteCreated(copy.createdMs);
 }
 
 // Parts of two versions must not meet in one download: where two have been seen, what is held of the one seen
@@ -183,13 +183,13 @@
     const std::uint64_t object = key.objectFingerprint();
     auto [known, had] = versions_.touch(object);
     const bool other = had && known.version != version;
-    const bool latest = !other || copy.mintedMs >= known.mintedMs;
+    const bool latest = !other || copy.createdMs >= known.createdMs;
     if (other) {
         ++counters_.superseded;
         mark({Mark::What::object, object,
-              std::max(copy.mintedMs, known.mintedMs) - options_.purgeClockSkewMs - 1});
+              std::max(copy.createdMs, known.createdMs) - options_.purgeClockSkewMs - 1});
     }
-    if (!had || (latest && copy.mintedMs >= known.mintedMs)) known = {version, copy.mintedMs};
+    if (!had || (latest && copy.createdMs >= known.createdMs)) known = {version, copy.createdMs};
     return latest;
 }
 
@@ -222,7 +222,7 @@
     if (!next) return;
     // What a purge covers is not carried on.
     std::erase_if(next->keep,
-                  [&](const Part& part) { return marks_.mayCover(part.object, part.group, part.mintedMs); });
+                  [&](const Part& part) { return marks_.mayCover(part.object, part.group, part.createdMs); });
     worker_.rewrite({next->segment, next->into, std::move(next->keep)});
 }
 
@@ -300,10 +300,10 @@
     log(std::string("disk tier: what is held can't be proved newer than every purge (") + why + "), dropped");
     // The clock that dated a copy may be ahead of this machine's.
     dropsLoading_ = dropsLoading_ || state_ == State::loading;
-    mark({Mark::What::floor, 0, std::max(now.unixMs, latestMintedMs_)});
+    mark({Mark::What::floor, 0, std::max(now.unixMs, latestCreatedMs_)});
 }
 
-void Tier::noteMinted(std::int64_t mintedMs) { latestMintedMs_ = std::max(latestMintedMs_, mintedMs); }
+void Tier::noteCreated(std::int64_t createdMs) { latestCreatedMs_ = std::max(latestCreatedMs_, createdMs); }
 
 void Tier::take(ClockReading, MarksKept& told) {
     const bool failed = !told.problem.empty();
@@ -353,8 +353,8 @@
         ++counters_.cutTails;
         log("disk tier: " + segmentFile(told.name) + " ends in the middle of a record, which is dropped");
     }
-    for (const Part& part : told.parts) noteMinted(part.mintedMs);
-    if (dropsLoading_ && latestMintedMs_ > marks_.floorMs()) mark({Mark::What::floor, 0, latestMintedMs_});
+    for (const Part& part : told.parts) noteCreated(part.createdMs);
+    if (dropsLoading_ && latestCreatedMs_ > marks_.floorMs()) mark({Mark::What::floor, 0, latestCreatedMs_});
     // Too few places in the index: what does not fit is dead, and goes with its segment.
     for (const Part& part : told.parts) catalog_.loaded(part, told.name.queue);
     catalog_.segmentLoaded(told.name.number, told.name.queue, told.bytes);
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -107,7 +107,7 @@
     };
     struct Version {
         std::uint64_t version = 0;
-        std::int64_t mintedMs = 0;
+        std::int64_t createdMs = 0;
     };
 
     void take(ClockReading now, OpenedFolder& told);
@@ -123,11 +123,11 @@
     void take(ClockReading now, ReadDone& told);
 
     bool holdsFolder() const { return state_ == State::loading || state_ == State::ready; }
-    bool servable(ClockReading now, const Key& key, std::int64_t oldestMs, std::int64_t mintedMs);
+    bool servable(ClockReading now, const Key& key, std::int64_t oldestMs, std::int64_t createdMs);
     void mark(const Mark& mark);
     void keep(std::vector<Mark> marks);
     void raiseFloor(ClockReading now, const char* why);
-    void noteMinted(std::int64_t mintedMs);
+    void noteCreated(std::int64_t createdMs);
     bool isLatest(const Key& key, const Copy& copy);
     void givePosition(ClockReading now);
     void reclaim();
@@ -138,8 +138,8 @@
     Users users_;
     SegmentCatalog catalog_;
     PurgeMarks marks_;
-    std::int64_t latestMintedMs_ = 0;  // of all that is held or on its way
-    bool dropsLoading_ = false;        // what the segments still bring can't be proved either
+    std::int64_t latestCreatedMs_ = 0;  // of all that is held or on its way
+    bool dropsLoading_ = false;         // what the segments still bring can't be proved either
 
     PurgeProof proof_;
     State state_ = State::opening;
--- a/src/disktool/main.cpp
+++ b/src/disktool/main.cpp
@@ -88,16 +88,16 @@
         if (table)
             std::printf("%-8lld %10llu %14lld %8lld %8u %s\n", static_cast<long long>(one.key.part),
                         static_cast<unsigned long long>(one.bodyBytes),
-                        static_cast<long long>(one.part.mintedMs), static_cast<long long>(one.key.group),
-                        one.part.place.segment, one.key.object.c_str());
+                        static_cast<long long>(one.part.createdMs), static_cast<long long>(one.key.group),
+                        one.part.location.segment, one.key.object.c_str());
         else
             std::printf("%s\n", json{{"object", one.key.object},
                                      {"class", one.key.className},
                                      {"part", one.key.part},
                                      {"group", one.key.group},
                                      {"bytes", one.bodyBytes},
-                                     {"minted_ms", one.part.mintedMs},
-                                     {"segment", one.part.place.segment}}
+                                     {"minted_ms", one.part.createdMs},
+                                     {"segment", one.part.location.segment}}
                                     .dump()
                                     .c_str());
         return ++shown < arguments.most;
--- a/tests/audit_disk.cpp
+++ b/tests/audit_disk.cpp
@@ -45,9 +45,9 @@
 std::string nameOf(int object) { return "/files/tool-" + std::to_string(object); }
 Key auditKey(int object, int part) { return {nameOf(object), "installer", object % kGroups, part, 65536}; }
 // No two copies have a block of bytes in common.
-std::string auditBody(int object, int part, std::int64_t mintedMs) {
+std::string auditBody(int object, int part, std::int64_t createdMs) {
     std::uint64_t state =
-        combine(static_cast<std::uint64_t>(object * kParts + part), static_cast<std::uint64_t>(mintedMs));
+        combine(static_cast<std::uint64_t>(object * kParts + part), static_cast<std::uint64_t>(createdMs));
     std::string body(500 + state % 24'000, '\0');
     for (std::size_t at = 0; at < body.size(); at += 8) {
         state = mix(state + at + 1);
@@ -211,9 +211,9 @@
             tier_.lookUp(now(), auditKey(object, part), 0, [=, this](std::optional<Copy> copy) {
                 --looking_;
                 if (copy) {
-                    const bool whole = copy->body == auditBody(object, part, copy->mintedMs);
+                    const bool whole = copy->body == auditBody(object, part, copy->createdMs);
                     say(std::string(whole ? "served " : "torn ") + std::to_string(object) + " " +
-                        std::to_string(part) + " " + std::to_string(copy->mintedMs) + " " +
+                        std::to_string(part) + " " + std::to_string(copy->createdMs) + " " +
                         std::to_string(begun));
                 } else if (!walk) {
                     fetch(object, part);
@@ -223,9 +223,9 @@
         if (ticket == 0 && !walk) fetch(object, part);
     }
     void fetch(int object, int part) {
-        const std::int64_t minted = unixMs();
+        const std::int64_t createdMs = unixMs();
         tier_.offer(now(), auditKey(object, part), 1 + static_cast<int>(random_() % 2),
-                    {minted, {{"etag", "\"a\""}}, auditBody(object, part, minted)});
+                    {createdMs, {{"etag", "\"a\""}}, auditBody(object, part, createdMs)});
     }
     void work() {
         const auto object = static_cast<int>(random_() % kObjects);
@@ -369,33 +369,33 @@
             own_.emplace_back(object, ms);
         } else {
             int object = 0, part = 0;
-            std::int64_t minted = 0, begun = 0;
-            words >> object >> part >> minted >> begun;
+            std::int64_t createdMs = 0, begun = 0;
+            words >> object >> part >> createdMs >> begun;
             ++served_;
             if (word == "torn") {
                 ++torn_;
                 std::printf("torn: object %d part %d minted %lld\n", object, part,
-                            static_cast<long long>(minted));
+                            static_cast<long long>(createdMs));
             }
-            judgeAge(object, minted, begun);
+            judgeAge(object, createdMs, begun);
         }
     }
     // Older than a purge that was answered for, or told before this life began, or told long enough ago.
-    void judgeAge(int object, std::int64_t minted, std::int64_t begun) {
+    void judgeAge(int object, std::int64_t createdMs, std::int64_t begun) {
         const auto stale = [&](const char* by, std::int64_t ms) {
             ++stale_;
-            std::printf("stale: object %d minted %lld, %s at %lld\n", object, static_cast<long long>(minted),
-                        by, static_cast<long long>(ms));
+            std::printf("stale: object %d minted %lld, %s at %lld\n", object,
+                        static_cast<long long>(createdMs), by, static_cast<long long>(ms));
         };
         for (const Purge& purge : purges_) {
             const BusEvent& e = purge.event;
-            if ((e.group ? object % kGroups : object) != e.name || minted > e.atMs) continue;
+            if ((e.group ? object % kGroups : object) != e.name || createdMs > e.atMs) continue;
             const bool holds =
                 e.number <= acknowledged_ || purge.toldMs < bornMs_ || purge.toldMs + kGraceMs <= begun;
             if (holds) return stale("purged by the bus", e.atMs);
         }
         for (const auto& [name, ms] : own_)
-            if (name == object && minted <= ms) return stale("purged by the process", ms);
+            if (name == object && createdMs <= ms) return stale("purged by the process", ms);
     }
 
     // Between a kill and the next start.
--- a/tests/disk_faults_test.cpp
+++ b/tests/disk_faults_test.cpp
@@ -62,21 +62,21 @@
 
 // What can't be proved is dropped for good, also where the wall clock is behind the one that dated it.
 TEST(DiskFaults, AClockThatIsBehindLeavesNothingUnproved) {
-    constexpr std::int64_t kMinted = 1'000'000, kBehind = 100'000;
+    constexpr std::int64_t kCreatedMs = 1'000'000, kBehindMs = 100'000;
     TemporaryFolder folder;
     {
         Desk desk(optionsFor(folder));
-        ASSERT_TRUE(desk.store(1, kMinted));
+        ASSERT_TRUE(desk.store(1, kCreatedMs));
     }
     std::filesystem::remove(folder.tier() + "/purges");
     Desk desk(optionsFor(folder), nullptr, false);
-    desk.now.unixMs = kMinted - kBehind;
+    desk.now.unixMs = kCreatedMs - kBehindMs;
     ASSERT_TRUE(desk.until([&] { return desk.tier.state() == Tier::State::ready; }));
     EXPECT_TRUE(desk.logged("the purge log is damaged"));
-    desk.now.unixMs = kMinted + kBehind;
+    desk.now.unixMs = kCreatedMs + kBehindMs;
     EXPECT_FALSE(desk.load(1));
-    EXPECT_TRUE(desk.store(2, kMinted + kBehind));
-    EXPECT_TRUE(desk.has(2, kMinted + kBehind));
+    EXPECT_TRUE(desk.store(2, kCreatedMs + kBehindMs));
+    EXPECT_TRUE(desk.has(2, kCreatedMs + kBehindMs));
 }
 
 // Nobody may forget the damage before what it has cost is written down: not a tool that adds a purge, and not
--- a/tests/disk_policy_test.cpp
+++ b/tests/disk_policy_test.cpp
@@ -15,11 +15,11 @@
 using namespace std::chrono_literals;
 
 Part partOf(std::uint64_t name, std::uint32_t segment = 1, std::uint32_t offset = 0,
-            std::int64_t mintedMs = 1) {
+            std::int64_t createdMs = 1) {
     Part part;
     part.fingerprint = name;
-    part.mintedMs = mintedMs;
-    part.place = {segment, offset, 100};
+    part.createdMs = createdMs;
+    part.location = {segment, offset, 100};
     return part;
 }
 
@@ -34,7 +34,7 @@
         const auto id = index.find(name);
         ASSERT_EQ(id != PartIndex::kNone, truth.count(name) == 1);
         if (id != PartIndex::kNone) {
-            ASSERT_EQ(index.at(id).place.offset, truth[name]);
+            ASSERT_EQ(index.at(id).location.offset, truth[name]);
             index.erase(id);
             truth.erase(name);
         } else if (truth.size() < 500) {
@@ -59,11 +59,11 @@
     GhostQueue ghost(1000);
     for (std::uint64_t i = 0; i < 5000; ++i) ghost.add(mix(i));
     int recent = 0, old = 0;
-    for (std::uint64_t i = 4200; i < 5000; ++i) recent += ghost.take(mix(i));
-    for (std::uint64_t i = 0; i < 4000; ++i) old += ghost.take(mix(i));
+    for (std::uint64_t i = 4200; i < 5000; ++i) recent += ghost.takeIfPresent(mix(i));
+    for (std::uint64_t i = 0; i < 4000; ++i) old += ghost.takeIfPresent(mix(i));
     EXPECT_GT(recent, 760);  // some lose their place to others of their bucket
     EXPECT_EQ(old, 0);
-    EXPECT_FALSE(ghost.take(mix(4999)));  // taken before
+    EXPECT_FALSE(ghost.takeIfPresent(mix(4999)));  // taken before
 }
 
 TEST(DiskSketch, NeverSaysLessThanWasAddedAndForgetsInTime) {
@@ -233,11 +233,11 @@
     SegmentCatalog catalog(small());
     catalog.loaded(partOf(5, 1, 0, 200), Queue::main);
     catalog.loaded(partOf(5, 2, 0, 100), Queue::main);  // written later, minted before
-    EXPECT_EQ(catalog.look(5)->mintedMs, 200);
+    EXPECT_EQ(catalog.look(5)->createdMs, 200);
     catalog.loaded(partOf(5, 3, 0, 200), Queue::main);  // the same copy, rewritten
-    EXPECT_EQ(catalog.look(5)->place.segment, 3U);
+    EXPECT_EQ(catalog.look(5)->location.segment, 3U);
     catalog.placed(partOf(5, 4, 0, 150), Queue::main, 1);
-    EXPECT_EQ(catalog.look(5)->mintedMs, 200);
+    EXPECT_EQ(catalog.look(5)->createdMs, 200);
     catalog.lost(5, {1, 0, 100});  // another place
     EXPECT_TRUE(catalog.has(5));
     catalog.lost(5, {3, 0, 100});
@@ -281,7 +281,7 @@
     const auto found = decodeRecord(bytes);
     ASSERT_TRUE(found);
     EXPECT_EQ(found->first, kKey);
-    EXPECT_EQ(found->second.mintedMs, kCopy.mintedMs);
+    EXPECT_EQ(found->second.createdMs, kCopy.createdMs);
     EXPECT_EQ(found->second.facts, kCopy.facts);
     EXPECT_EQ(found->second.body, kCopy.body);
     EXPECT_EQ(decodeRecordHeader(bytes)->part.fingerprint, kKey.fingerprint());
--- a/tests/disk_tier_harness.hpp
+++ b/tests/disk_tier_harness.hpp
@@ -154,9 +154,9 @@
 }
 
 inline Key keyOf(int i) { return {"/files/" + std::to_string(i), "installer", i % 7, 3, 65536}; }
-inline std::string bodyOf(int i, std::int64_t mintedMs) {
+inline std::string bodyOf(int i, std::int64_t createdMs) {
     std::string body(2000 + static_cast<std::size_t>(i) * 37 % 3000, '\0');
-    std::uint64_t state = static_cast<std::uint64_t>(i) * 1'000'003 + static_cast<std::uint64_t>(mintedMs);
+    std::uint64_t state = static_cast<std::uint64_t>(i) * 1'000'003 + static_cast<std::uint64_t>(createdMs);
     for (char& byte : body) byte = static_cast<char>(state = mix(state + 1));
     return body;
 }
@@ -180,9 +180,9 @@
         }
         return done();
     }
-    bool store(int i, std::int64_t mintedMs, int rank = 1) {
+    bool store(int i, std::int64_t createdMs, int rank = 1) {
         const auto before = tier.catalog().counters().admitted;
-        tier.offer(now, keyOf(i), rank, {mintedMs, {{"etag", "v"}}, bodyOf(i, mintedMs)});
+        tier.offer(now, keyOf(i), rank, {createdMs, {{"etag", "v"}}, bodyOf(i, createdMs)});
         return tier.catalog().counters().admitted > before &&
                until([&] { return tier.queuedBytes() == 0; }) && tier.catalog().has(keyOf(i).fingerprint());
     }
@@ -197,9 +197,9 @@
         return result;
     }
     // Held, and the very bytes.
-    bool has(int i, std::int64_t mintedMs) {
+    bool has(int i, std::int64_t createdMs) {
         const auto copy = load(i);
-        return copy && copy->mintedMs == mintedMs && copy->body == bodyOf(i, mintedMs);
+        return copy && copy->createdMs == createdMs && copy->body == bodyOf(i, createdMs);
     }
     bool logged(const std::string& words) const {
         for (const std::string& line : lines)
--- a/tests/simulated_disk.hpp
+++ b/tests/simulated_disk.hpp
@@ -13,15 +13,15 @@
     explicit PaperDisk(const SegmentCatalogOptions& options) : catalog(options) {}
 
     // One request for a part: true where it was held; else it is fetched and offered with this rank.
-    bool request(std::uint64_t name, int rank, std::uint32_t bytes, std::int64_t mintedMs = 1) {
+    bool request(std::uint64_t name, int rank, std::uint32_t bytes, std::int64_t createdMs = 1) {
         catalog.asked(name);
         if (catalog.look(name)) return true;
         if (const auto queue = catalog.admit(name, rank, bytes, 0)) {
             Part part;
             part.fingerprint = name;
-            part.mintedMs = mintedMs;
+            part.createdMs = createdMs;
             part.object = static_cast<std::uint32_t>(name >> 32);
-            part.place = append(*queue, bytes);
+            part.location = append(*queue, bytes);
             catalog.placed(part, *queue, rank);
             written += bytes;
         }
@@ -31,8 +31,9 @@
     void reclaim() {
         while (const auto next = catalog.nextReclaim(0)) {
             for (const Part& part : next->keep) {
-                catalog.moved(part.fingerprint, part.place, append(next->into, part.place.bytes), next->into);
-                written += part.place.bytes;
+                catalog.moved(part.fingerprint, part.location, append(next->into, part.location.bytes),
+                              next->into);
+                written += part.location.bytes;
             }
             catalog.drop(next->segment);
         }
@@ -46,7 +47,7 @@
         std::uint32_t number = 0;
         std::uint32_t bytes = 0;
     };
-    Place append(Queue queue, std::uint32_t bytes) {
+    RecordLocation append(Queue queue, std::uint32_t bytes) {
         Open& open = open_[queue];
         if (open.number == 0 || open.bytes + bytes > catalog.options().segmentBytes) {
             if (open.number != 0) catalog.sealed(open.number);
