--- a/bench/disk_policies.cpp
+++ b/bench/disk_policies.cpp
@@ -147,12 +147,13 @@
         const auto show = [&](double r) { std::printf("  %.4f (%.3f)", r, r / base); };
         show(ratio(all, true, [&](const Asked& a, int rank) { return filtered.request(a, rank); }));
         show(ratio(all, true, [&](const Asked& a, int rank) { return tiny.request(a, rank); }));
-        for (const Memory memory : {Memory::none, Memory::ghost, Memory::sketch}) {
+        for (const AdmissionHistory admissionHistory :
+             {AdmissionHistory::none, AdmissionHistory::ghost, AdmissionHistory::sketch}) {
             SegmentCatalogOptions options;
             options.capacityBytes = kCapacity;
             options.segmentBytes = 16 << 20;
             options.maxParts = 1 << 16;
-            options.memory = memory;
+            options.admissionHistory = admissionHistory;
             PaperDisk disk(options);
             show(ratio(all, true,
                        [&](const Asked& a, int rank) { return disk.request(a.part, rank, a.bytes); }));
--- a/src/disk/caching_carrier.cpp
+++ b/src/disk/caching_carrier.cpp
@@ -26,9 +26,9 @@
     options.catalog.maxParts = static_cast<std::size_t>(s.mostParts);
     options.catalog.probationShare = s.probationShare;
     options.catalog.rewriteShare = s.rewriteShare;
-    options.catalog.memory = s.admission == Settings::Admission::ghost    ? Memory::ghost
-                             : s.admission == Settings::Admission::sketch ? Memory::sketch
-                                                                          : Memory::none;
+    options.catalog.admissionHistory = s.admission == Settings::Admission::ghost    ? AdmissionHistory::ghost
+                                       : s.admission == Settings::Admission::sketch ? AdmissionHistory::sketch
+                                                                                    : AdmissionHistory::none;
     options.worker.queueBytes = megabytes(s.queueMb);
     options.worker.maxQueuedReads = static_cast<std::size_t>(s.mostReads);
     options.worker.sync = s.sync == Settings::Sync::never    ? SyncPolicy::never
--- a/src/disk/segment_catalog.cpp
+++ b/src/disk/segment_catalog.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-constexpr std::uint8_t kMostUses = 3;
-constexpr unsigned kPopular = 3;  // times asked for lately, by the sketch
+constexpr std::uint8_t kMaxUses = 3;
+constexpr unsigned kPopularEstimate = 3;  // times asked for lately, by the sketch
 // Segments that may be open or under rewriting besides those that are full: one a queue, and one to move to.
-constexpr std::uint64_t kOpenSegments = 3;
+constexpr std::uint64_t kReservedSegments = 3;
 
-std::size_t sketchNames(const SegmentCatalogOptions& options) {
-    return options.memory == Memory::sketch ? options.maxParts : 1;
+std::size_t sketchCapacity(const SegmentCatalogOptions& options) {
+    return options.admissionHistory == AdmissionHistory::sketch ? options.maxParts : 1;
 }
-std::size_t ghostNames(const SegmentCatalogOptions& options) {
-    return options.memory == Memory::ghost ? options.maxParts : 1;
+std::size_t ghostCapacity(const SegmentCatalogOptions& options) {
+    return options.admissionHistory == AdmissionHistory::ghost ? options.maxParts : 1;
 }
 
 }  // namespace
@@ -23,41 +23,45 @@
 SegmentCatalog::SegmentCatalog(const SegmentCatalogOptions& options)
     : options_(options),
       index_(options.maxParts),
-      ghost_(ghostNames(options)),
-      sketch_(sketchNames(options)) {
-    const std::uint64_t most = std::max<std::uint64_t>(options_.capacityBytes / 8, 4096);
-    options_.segmentBytes = static_cast<std::uint32_t>(std::min<std::uint64_t>(options_.segmentBytes, most));
+      ghost_(ghostCapacity(options)),
+      sketch_(sketchCapacity(options)) {
+    const std::uint64_t maxBytes = std::max<std::uint64_t>(options_.capacityBytes / 8, 4096);
+    options_.segmentBytes =
+        static_cast<std::uint32_t>(std::min<std::uint64_t>(options_.segmentBytes, maxBytes));
 }
 
-void SegmentCatalog::asked(std::uint64_t fingerprint) {
-    if (options_.memory == Memory::sketch) sketch_.add(fingerprint);
+void SegmentCatalog::recordRequest(std::uint64_t fingerprint) {
+    if (options_.admissionHistory == AdmissionHistory::sketch) sketch_.add(fingerprint);
 }
 
-std::optional<Part> SegmentCatalog::look(std::uint64_t fingerprint) {
+std::optional<Part> SegmentCatalog::findForRead(std::uint64_t fingerprint) {
     const PartIndex::Id id = index_.find(fingerprint);
     if (id == PartIndex::kNone) return {};
     Part& part = index_.at(id);
-    part.uses = std::min<std::uint8_t>(static_cast<std::uint8_t>(part.uses + 1), kMostUses);
+    part.uses = std::min<std::uint8_t>(static_cast<std::uint8_t>(part.uses + 1), kMaxUses);
     return part;
 }
 
 std::optional<Queue> SegmentCatalog::admit(std::uint64_t fingerprint, int rank, std::uint64_t bytes,
-                                           std::uint64_t onTheWay) {
+                                           std::uint64_t pendingBytes) {
     if (rank <= 0) {
         ++counters_.unranked;
         return {};
     }
     // A record and its segment are never larger than the bytes may be; reclamation may lag behind admissions.
-    const bool room = bytes_ + onTheWay + bytes <= options_.capacityBytes && bytes <= options_.segmentBytes;
+    const bool room =
+        bytes_ + pendingBytes + bytes <= options_.capacityBytes && bytes <= options_.segmentBytes;
     if (!room || index_.size() >= index_.maxParts()) {
         ++counters_.full;
         return {};
     }
     ++counters_.admitted;
     counters_.admittedBytes += bytes;
-    const bool known = options_.memory == Memory::ghost    ? ghost_.takeIfPresent(fingerprint)
-                       : options_.memory == Memory::sketch ? sketch_.estimate(fingerprint) >= kPopular
-                                                           : false;
+    const bool known = options_.admissionHistory == AdmissionHistory::ghost
+                           ? ghost_.takeIfPresent(fingerprint)
+                       : options_.admissionHistory == AdmissionHistory::sketch
+                           ? sketch_.estimate(fingerprint) >= kPopularEstimate
+                           : false;
     const PartIndex::Id held = index_.find(fingerprint);
     // A new copy of what is in the main queue stays there.
     const bool wasMain =
@@ -77,21 +81,21 @@
     const PartIndex::Id id = index_.insert(part);
     Segment& segment = segmentOf(part.location.segment, queue);
     if (id == PartIndex::kNone) return;  // its bytes are dead
-    index_.link(segment.first, id);
-    segment.live += part.location.bytes;
+    index_.link(segment.firstPart, id);
+    segment.liveBytes += part.location.bytes;
     liveBytes_ += part.location.bytes;
 }
 
 void SegmentCatalog::erase(PartIndex::Id id) {
     const Part& part = index_.at(id);
     Segment& segment = segments_.at(part.location.segment);
-    index_.unlink(segment.first, id);
-    segment.live -= part.location.bytes;
+    index_.unlink(segment.firstPart, id);
+    segment.liveBytes -= part.location.bytes;
     liveBytes_ -= part.location.bytes;
     index_.erase(id);
 }
 
-void SegmentCatalog::placed(Part part, Queue queue, int rank) {
+void SegmentCatalog::partAppended(Part part, Queue queue, int rank) {
     Segment& segment = segmentOf(part.location.segment, queue);
     segment.bytes += part.location.bytes;
     bytes_ += part.location.bytes;
@@ -107,7 +111,7 @@
     insert(part, queue);
 }
 
-void SegmentCatalog::loaded(const Part& part, Queue queue) {
+void SegmentCatalog::partLoaded(const Part& part, Queue queue) {
     const PartIndex::Id held = index_.find(part.fingerprint);
     if (held != PartIndex::kNone) {
         const Part& other = index_.at(held);
@@ -130,13 +134,13 @@
     if (queue == Queue::probation) probationBytes_ += bytes;
 }
 
-void SegmentCatalog::sealed(std::uint32_t segment) {
+void SegmentCatalog::segmentSealed(std::uint32_t segment) {
     const auto found = segments_.find(segment);
     if (found != segments_.end()) found->second.sealed = true;
 }
 
-bool SegmentCatalog::moved(std::uint64_t fingerprint, const RecordLocation& from, const RecordLocation& to,
-                           Queue queue) {
+bool SegmentCatalog::partMoved(std::uint64_t fingerprint, const RecordLocation& from,
+                               const RecordLocation& to, Queue queue) {
     Segment& segment = segmentOf(to.segment, queue);
     segment.bytes += to.bytes;
     bytes_ += to.bytes;
@@ -153,25 +157,25 @@
     return true;
 }
 
-void SegmentCatalog::lost(std::uint64_t fingerprint, const RecordLocation& location) {
+void SegmentCatalog::partLost(std::uint64_t fingerprint, const RecordLocation& location) {
     const PartIndex::Id held = index_.find(fingerprint);
     if (held != PartIndex::kNone && index_.at(held).location == location) erase(held);
 }
 
-std::optional<SegmentCatalog::Reclaim> SegmentCatalog::nextReclaim(std::uint64_t onTheWay) {
+std::optional<SegmentCatalog::ReclaimTask> SegmentCatalog::nextReclaim(std::uint64_t pendingBytes) {
     if (reclaiming_) return {};
     auto chosen = segments_.end();
     for (auto at = segments_.begin(); at != segments_.end(); ++at)
-        if (at->second.sealed && at->second.live == 0) {
+        if (at->second.sealed && at->second.liveBytes == 0) {
             chosen = at;  // at no cost
             break;
         }
     if (chosen == segments_.end()) {
         const std::uint64_t reserve =
-            std::min<std::uint64_t>(kOpenSegments * options_.segmentBytes, options_.capacityBytes / 2);
-        const bool short_ = bytes_ + onTheWay + reserve > options_.capacityBytes ||
-                            index_.size() + index_.maxParts() / 16 > index_.maxParts();
-        if (!short_) return {};
+            std::min<std::uint64_t>(kReservedSegments * options_.segmentBytes, options_.capacityBytes / 2);
+        const bool lowOnSpace = bytes_ + pendingBytes + reserve > options_.capacityBytes ||
+                                index_.size() + index_.maxParts() / 16 > index_.maxParts();
+        if (!lowOnSpace) return {};
         const auto share =
             static_cast<std::uint64_t>(options_.probationShare * static_cast<double>(options_.capacityBytes));
         const Queue from = probationBytes_ > share ? Queue::probation : Queue::main;
@@ -185,34 +189,35 @@
     }
     reclaiming_ = true;
     chosen->second.reclaiming = true;
-    return Reclaim{chosen->first, Queue::main, keepOf(chosen->second)};
+    return ReclaimTask{chosen->first, Queue::main, survivorsOf(chosen->second)};
 }
 
 // The most used first, and of these those that were written last.
-std::vector<Part> SegmentCatalog::keepOf(const Segment& segment) const {
-    std::vector<Part> keep;
-    for (PartIndex::Id id = segment.first; id != PartIndex::kNone; id = index_.nextInList(id))
-        if (index_.at(id).uses > 0) keep.push_back(index_.at(id));
-    std::stable_sort(keep.begin(), keep.end(), [](const Part& a, const Part& b) { return a.uses > b.uses; });
+std::vector<Part> SegmentCatalog::survivorsOf(const Segment& segment) const {
+    std::vector<Part> survivors;
+    for (PartIndex::Id id = segment.firstPart; id != PartIndex::kNone; id = index_.nextInList(id))
+        if (index_.at(id).uses > 0) survivors.push_back(index_.at(id));
+    std::stable_sort(survivors.begin(), survivors.end(),
+                     [](const Part& a, const Part& b) { return a.uses > b.uses; });
     // A part leaves probation once only; in the main queue it could be written for ever.
     const double share = segment.queue == Queue::probation ? 1.0 : options_.rewriteShare;
-    const auto most = static_cast<std::uint64_t>(share * static_cast<double>(segment.bytes));
+    const auto maxBytes = static_cast<std::uint64_t>(share * static_cast<double>(segment.bytes));
     std::uint64_t bytes = 0;
-    std::erase_if(keep, [&](const Part& part) {
-        if (bytes + part.location.bytes > most) return true;
+    std::erase_if(survivors, [&](const Part& part) {
+        if (bytes + part.location.bytes > maxBytes) return true;
         bytes += part.location.bytes;
         return false;
     });
-    return keep;
+    return survivors;
 }
 
-void SegmentCatalog::drop(std::uint32_t id) {
+void SegmentCatalog::dropSegment(std::uint32_t id) {
     const auto found = segments_.find(id);
     if (found == segments_.end()) return;
     Segment& segment = found->second;
-    while (segment.first != PartIndex::kNone) {
-        const PartIndex::Id part = segment.first;
-        if (options_.memory == Memory::ghost) ghost_.add(index_.at(part).fingerprint);
+    while (segment.firstPart != PartIndex::kNone) {
+        const PartIndex::Id part = segment.firstPart;
+        if (options_.admissionHistory == AdmissionHistory::ghost) ghost_.add(index_.at(part).fingerprint);
         erase(part);
         ++counters_.evicted;
     }
@@ -223,16 +228,16 @@
     ++counters_.reclaimed;
 }
 
-bool SegmentCatalog::sweep(const PurgeMarks& marks, std::size_t slice) {
-    for (std::size_t i = 0; i < slice && sweptTo_ < index_.end(); ++i, ++sweptTo_) {
-        if (!index_.isOccupied(sweptTo_)) continue;
-        const Part& part = index_.at(sweptTo_);
+bool SegmentCatalog::sweep(const PurgeMarks& marks, std::size_t maxSteps) {
+    for (std::size_t i = 0; i < maxSteps && sweepCursor_ < index_.end(); ++i, ++sweepCursor_) {
+        if (!index_.isOccupied(sweepCursor_)) continue;
+        const Part& part = index_.at(sweepCursor_);
         if (!marks.mayCover(part.object, part.group, part.createdMs)) continue;
-        erase(sweptTo_);
+        erase(sweepCursor_);
         ++counters_.purged;
     }
-    if (sweptTo_ < index_.end()) return false;
-    sweptTo_ = 0;
+    if (sweepCursor_ < index_.end()) return false;
+    sweepCursor_ = 0;
     return true;
 }
 
--- a/src/disk/segment_catalog.hpp
+++ b/src/disk/segment_catalog.hpp
@@ -22,7 +22,7 @@
 enum class Queue : std::uint8_t { probation, main };
 // What remembers names that are not held: those that went, how often each was asked for, or nothing (then all
 // begin on probation).
-enum class Memory : std::uint8_t { ghost, sketch, none };
+enum class AdmissionHistory : std::uint8_t { ghost, sketch, none };
 
 struct SegmentCatalogOptions {
     std::uint64_t capacityBytes = std::uint64_t{4} << 30;  // of segment files
@@ -33,7 +33,7 @@
     // queue is written once more, so bytes written are at most 1 + 1 / (1 - rewriteShare) times those
     // admitted.
     double rewriteShare = 0.5;
-    Memory memory = Memory::ghost;
+    AdmissionHistory admissionHistory = AdmissionHistory::ghost;
 };
 
 class SegmentCatalog {
@@ -44,19 +44,19 @@
         std::uint64_t admittedBytes = 0, movedBytes = 0;
     };
     // One that is to be rewritten in part and then dropped.
-    struct Reclaim {
+    struct ReclaimTask {
         std::uint32_t segment = 0;
         Queue into = Queue::main;
-        std::vector<Part> keep;
+        std::vector<Part> survivors;
     };
 
     explicit SegmentCatalog(const SegmentCatalogOptions& options);
 
     // A request for it has come, whether it is held or not.
-    void asked(std::uint64_t fingerprint);
+    void recordRequest(std::uint64_t fingerprint);
     // A part that may be read. Its use counts in its favour.
-    [[nodiscard]] std::optional<Part> look(std::uint64_t fingerprint);
-    [[nodiscard]] bool has(std::uint64_t fingerprint) const {
+    [[nodiscard]] std::optional<Part> findForRead(std::uint64_t fingerprint);
+    [[nodiscard]] bool contains(std::uint64_t fingerprint) const {
         return index_.find(fingerprint) != PartIndex::kNone;
     }
 
@@ -64,27 +64,28 @@
     // which zero is never taken and two or more (several viewers) counts as a use. `onTheWay`: bytes that the
     // writer has not written yet.
     [[nodiscard]] std::optional<Queue> admit(std::uint64_t fingerprint, int rank, std::uint64_t bytes,
-                                             std::uint64_t onTheWay);
+                                             std::uint64_t pendingBytes);
 
     // ----- what has become of it -----
 
     // It is written; it takes the place of what was held under its name. `rank` as in admit.
-    void placed(Part part, Queue queue, int rank);
+    void partAppended(Part part, Queue queue, int rank);
     // Found on disk at the start; the copy minted last stays, at equal times the later written one.
-    void loaded(const Part& part, Queue queue);
+    void partLoaded(const Part& part, Queue queue);
     void segmentLoaded(std::uint32_t segment, Queue queue, std::uint64_t bytes);
-    void sealed(std::uint32_t segment);
+    void segmentSealed(std::uint32_t segment);
     // A rewritten part has moved; false: it had gone meanwhile, and the new record is dead.
-    bool moved(std::uint64_t fingerprint, const RecordLocation& from, const RecordLocation& to, Queue queue);
+    bool partMoved(std::uint64_t fingerprint, const RecordLocation& from, const RecordLocation& to,
+                   Queue queue);
     // The record there is no good, or its file is gone.
-    void lost(std::uint64_t fingerprint, const RecordLocation& location);
+    void partLost(std::uint64_t fingerprint, const RecordLocation& location);
 
     // The segment to reclaim next, where room is short; one at a time. The caller ends it by dropped().
-    [[nodiscard]] std::optional<Reclaim> nextReclaim(std::uint64_t onTheWay);
+    [[nodiscard]] std::optional<ReclaimTask> nextReclaim(std::uint64_t pendingBytes);
     // What still lives in it goes now; its file may be unlinked.
-    void drop(std::uint32_t segment);
+    void dropSegment(std::uint32_t segment);
     // All that the marks cover goes, `slice` parts of the index at a call; true: a whole walk is done.
-    bool sweep(const PurgeMarks& marks, std::size_t slice);
+    bool sweep(const PurgeMarks& marks, std::size_t maxSteps);
     void dropAll();
 
     std::size_t parts() const { return index_.size(); }
@@ -101,14 +102,14 @@
         Queue queue = Queue::probation;
         bool sealed = false;
         bool reclaiming = false;
-        std::uint64_t bytes = 0, live = 0;
-        PartIndex::Id first = PartIndex::kNone;
+        std::uint64_t bytes = 0, liveBytes = 0;
+        PartIndex::Id firstPart = PartIndex::kNone;
     };
 
     void insert(Part part, Queue queue);
     void erase(PartIndex::Id id);
     Segment& segmentOf(std::uint32_t id, Queue queue);
-    std::vector<Part> keepOf(const Segment& segment) const;
+    std::vector<Part> survivorsOf(const Segment& segment) const;
 
     SegmentCatalogOptions options_;
     PartIndex index_;
@@ -117,7 +118,7 @@
     std::map<std::uint32_t, Segment> segments_;  // by number: the oldest first
     std::uint64_t bytes_ = 0, liveBytes_ = 0, probationBytes_ = 0;
     bool reclaiming_ = false;
-    PartIndex::Id sweptTo_ = 0;
+    PartIndex::Id sweepCursor_ = 0;
     Counters counters_;
 };
 
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -96,8 +96,8 @@
 std::uint64_t Tier::lookUp(ClockReading now, const Key& key, std::int64_t oldestMs, Found found) {
     if (!holdsFolder()) return 0;
     const std::uint64_t fingerprint = key.fingerprint();
-    catalog_.asked(fingerprint);
-    const auto part = catalog_.look(fingerprint);
+    catalog_.recordRequest(fingerprint);
+    const auto part = catalog_.findForRead(fingerprint);
     if (!part || !servable(now, key, oldestMs, part->createdMs)) {
         ++counters_.misses;
         return 0;
@@ -124,7 +124,7 @@
             std::to_string(told.location.offset) + " is not as it was written, dropped");
     }
     // A part that has moved meanwhile is somewhere else, and stays.
-    if (!good) catalog_.lost(told.fingerprint, told.location);
+    if (!good) catalog_.partLost(told.fingerprint, told.location);
     const auto at = waiting_.find(told.ticket);
     if (at == waiting_.end()) return;
     Waiting waiting = std::move(at->second);
@@ -158,7 +158,7 @@
         return;
     }
     // Fetched only since nothing could be proved just now: what is held will do again.
-    if (!proof_.holds(now.monotonicMs) && catalog_.has(fingerprint)) return;
+    if (!proof_.holds(now.monotonicMs) && catalog_.contains(fingerprint)) return;
     const std::uint64_t bytes = recordBytes(key, copy);
     if (onTheWay_ + bytes > options_.worker.queueBytes) {
         ++counters_.queueFull;
@@ -197,7 +197,7 @@
     onTheWay_ -= told.bytes;
     writeFailures_ = 0;
     pauseMs_ = 0;
-    catalog_.placed(told.part, told.queue, told.rank);
+    catalog_.partAppended(told.part, told.queue, told.rank);
 }
 
 void Tier::take(ClockReading now, NotPlaced& told) {
@@ -211,7 +211,7 @@
 }
 
 void Tier::take(ClockReading, Sealed& told) {
-    catalog_.sealed(told.segment);
+    catalog_.segmentSealed(told.segment);
     if (!told.problem.empty()) log("disk tier: " + told.problem);
 }
 
@@ -221,13 +221,13 @@
     auto next = catalog_.nextReclaim(onTheWay_);
     if (!next) return;
     // What a purge covers is not carried on.
-    std::erase_if(next->keep,
+    std::erase_if(next->survivors,
                   [&](const Part& part) { return marks_.mayCover(part.object, part.group, part.createdMs); });
-    worker_.rewrite({next->segment, next->into, std::move(next->keep)});
+    worker_.rewrite({next->segment, next->into, std::move(next->survivors)});
 }
 
 void Tier::take(ClockReading, Moved& told) {
-    catalog_.moved(told.fingerprint, told.from, told.to, told.queue);
+    catalog_.partMoved(told.fingerprint, told.from, told.to, told.queue);
 }
 
 void Tier::take(ClockReading, Rewritten& told) {
@@ -235,7 +235,7 @@
         ++counters_.writeErrors;
         log("disk tier: " + told.problem + "; what a segment had in use goes with it");
     }
-    catalog_.drop(told.segment);
+    catalog_.dropSegment(told.segment);
     worker_.remove({told.segment});
 }
 
@@ -356,7 +356,7 @@
     for (const Part& part : told.parts) noteCreated(part.createdMs);
     if (dropsLoading_ && latestCreatedMs_ > marks_.floorMs()) mark({Mark::What::floor, 0, latestCreatedMs_});
     // Too few places in the index: what does not fit is dead, and goes with its segment.
-    for (const Part& part : told.parts) catalog_.loaded(part, told.name.queue);
+    for (const Part& part : told.parts) catalog_.partLoaded(part, told.name.queue);
     catalog_.segmentLoaded(told.name.number, told.name.queue, told.bytes);
 }
 
--- a/tests/disk_policy_test.cpp
+++ b/tests/disk_policy_test.cpp
@@ -179,12 +179,12 @@
     EXPECT_FALSE(proof.holds(3));
 }
 
-SegmentCatalogOptions small(Memory memory = Memory::ghost) {
+SegmentCatalogOptions small(AdmissionHistory admissionHistory = AdmissionHistory::ghost) {
     SegmentCatalogOptions options;
     options.capacityBytes = 1 << 20;
     options.segmentBytes = 1 << 15;
     options.maxParts = 5000;
-    options.memory = memory;
+    options.admissionHistory = admissionHistory;
     return options;
 }
 
@@ -207,13 +207,14 @@
         if (i % 25 == 0) disk.request(mix(i / 25), 1, 1000);
     }
     int held = 0;
-    for (std::uint64_t i = 0; i < 400; ++i) held += disk.catalog.has(mix(i));
+    for (std::uint64_t i = 0; i < 400; ++i) held += disk.catalog.contains(mix(i));
     EXPECT_GE(held, 380);
 }
 
 TEST(DiskShelf, NeverTakesMoreThanItsBytesAndRewritesWithinItsShare) {
-    for (const Memory memory : {Memory::ghost, Memory::sketch, Memory::none}) {
-        PaperDisk disk(small(memory));
+    for (const AdmissionHistory admissionHistory :
+         {AdmissionHistory::ghost, AdmissionHistory::sketch, AdmissionHistory::none}) {
+        PaperDisk disk(small(admissionHistory));
         std::mt19937_64 random(11);
         for (int i = 0; i < 60'000; ++i) {
             const double u = static_cast<double>(random() % 1'000'000 + 1) / 1e6;
@@ -231,17 +232,17 @@
 
 TEST(DiskShelf, ALaterCopyTakesThePlaceOfAnEarlierOneInWhateverOrderTheyAreFound) {
     SegmentCatalog catalog(small());
-    catalog.loaded(partOf(5, 1, 0, 200), Queue::main);
-    catalog.loaded(partOf(5, 2, 0, 100), Queue::main);  // written later, minted before
-    EXPECT_EQ(catalog.look(5)->createdMs, 200);
-    catalog.loaded(partOf(5, 3, 0, 200), Queue::main);  // the same copy, rewritten
-    EXPECT_EQ(catalog.look(5)->location.segment, 3U);
-    catalog.placed(partOf(5, 4, 0, 150), Queue::main, 1);
-    EXPECT_EQ(catalog.look(5)->createdMs, 200);
-    catalog.lost(5, {1, 0, 100});  // another place
-    EXPECT_TRUE(catalog.has(5));
-    catalog.lost(5, {3, 0, 100});
-    EXPECT_FALSE(catalog.has(5));
+    catalog.partLoaded(partOf(5, 1, 0, 200), Queue::main);
+    catalog.partLoaded(partOf(5, 2, 0, 100), Queue::main);  // written later, minted before
+    EXPECT_EQ(catalog.findForRead(5)->createdMs, 200);
+    catalog.partLoaded(partOf(5, 3, 0, 200), Queue::main);  // the same copy, rewritten
+    EXPECT_EQ(catalog.findForRead(5)->location.segment, 3U);
+    catalog.partAppended(partOf(5, 4, 0, 150), Queue::main, 1);
+    EXPECT_EQ(catalog.findForRead(5)->createdMs, 200);
+    catalog.partLost(5, {1, 0, 100});  // another place
+    EXPECT_TRUE(catalog.contains(5));
+    catalog.partLost(5, {3, 0, 100});
+    EXPECT_FALSE(catalog.contains(5));
 }
 
 TEST(DiskShelf, SweepsWhatMarksCoverInSlices) {
@@ -253,8 +254,8 @@
     while (!disk.catalog.sweep(marks, 64)) ++slices;
     EXPECT_EQ(slices, 8);
     EXPECT_EQ(disk.catalog.parts(), 450U);
-    EXPECT_FALSE(disk.catalog.has(mix(50)));
-    EXPECT_TRUE(disk.catalog.has(mix(51)));
+    EXPECT_FALSE(disk.catalog.contains(mix(50)));
+    EXPECT_TRUE(disk.catalog.contains(mix(51)));
 }
 
 TEST(DiskShelf, DropsDeadSegmentsFirstAndAtNoCost) {
@@ -265,9 +266,9 @@
     ASSERT_TRUE(disk.catalog.sweep(marks, 1000));
     const auto next = disk.catalog.nextReclaim(0);
     ASSERT_TRUE(next);
-    EXPECT_TRUE(next->keep.empty());
+    EXPECT_TRUE(next->survivors.empty());
     EXPECT_FALSE(disk.catalog.nextReclaim(0));  // one at a time
-    disk.catalog.drop(next->segment);
+    disk.catalog.dropSegment(next->segment);
     EXPECT_LT(disk.catalog.bytes(), 40'000U);
 }
 
--- a/tests/disk_tier_harness.hpp
+++ b/tests/disk_tier_harness.hpp
@@ -184,7 +184,8 @@
         const auto before = tier.catalog().counters().admitted;
         tier.offer(now, keyOf(i), rank, {createdMs, {{"etag", "v"}}, bodyOf(i, createdMs)});
         return tier.catalog().counters().admitted > before &&
-               until([&] { return tier.queuedBytes() == 0; }) && tier.catalog().has(keyOf(i).fingerprint());
+               until([&] { return tier.queuedBytes() == 0; }) &&
+               tier.catalog().contains(keyOf(i).fingerprint());
     }
     std::optional<Copy> load(int i, std::int64_t oldestMs = 0) {
         std::optional<Copy> result;
--- a/tests/simulated_disk.hpp
+++ b/tests/simulated_disk.hpp
@@ -14,15 +14,15 @@
 
     // One request for a part: true where it was held; else it is fetched and offered with this rank.
     bool request(std::uint64_t name, int rank, std::uint32_t bytes, std::int64_t createdMs = 1) {
-        catalog.asked(name);
-        if (catalog.look(name)) return true;
+        catalog.recordRequest(name);
+        if (catalog.findForRead(name)) return true;
         if (const auto queue = catalog.admit(name, rank, bytes, 0)) {
             Part part;
             part.fingerprint = name;
             part.createdMs = createdMs;
             part.object = static_cast<std::uint32_t>(name >> 32);
             part.location = append(*queue, bytes);
-            catalog.placed(part, *queue, rank);
+            catalog.partAppended(part, *queue, rank);
             written += bytes;
         }
         reclaim();
@@ -30,12 +30,12 @@
     }
     void reclaim() {
         while (const auto next = catalog.nextReclaim(0)) {
-            for (const Part& part : next->keep) {
-                catalog.moved(part.fingerprint, part.location, append(next->into, part.location.bytes),
-                              next->into);
+            for (const Part& part : next->survivors) {
+                catalog.partMoved(part.fingerprint, part.location, append(next->into, part.location.bytes),
+                                  next->into);
                 written += part.location.bytes;
             }
-            catalog.drop(next->segment);
+            catalog.dropSegment(next->segment);
         }
     }
 
@@ -50,7 +50,7 @@
     RecordLocation append(Queue queue, std::uint32_t bytes) {
         Open& open = open_[queue];
         if (open.number == 0 || open.bytes + bytes > catalog.options().segmentBytes) {
-            if (open.number != 0) catalog.sealed(open.number);
+            if (open.number != 0) catalog.segmentSealed(open.number);
             open = {++last_, 0};
         }
         open.bytes += bytes;
