--- a/src/disk/folder.cpp
+++ b/src/disk/folder.cpp
@@ -238,17 +238,17 @@
         fail("read", read.error);
         return loaded;
     }
-    for (bytes_ = 0; bytes_ + kMarkBytes <= read.bytes; bytes_ += kMarkBytes) {
-        const auto mark = readMark(std::span(bytes).subspan(bytes_, kMarkBytes));
-        if (!mark) break;
-        if (mark->what == Mark::What::position)
-            loaded.position = mark->atMs;
+    for (bytes_ = 0; bytes_ + kPurgeEntryBytes <= read.bytes; bytes_ += kPurgeEntryBytes) {
+        const auto entry = decodePurgeEntry(std::span(bytes).subspan(bytes_, kPurgeEntryBytes));
+        if (!entry) break;
+        if (entry->kind == PurgeEntry::Kind::busPosition)
+            loaded.position = entry->atMs;
         else
-            loaded.marks.push_back(*mark);
+            loaded.entries.push_back(*entry);
     }
     // A line that a crash left half-written was never acknowledged; more than that is damage, and stays to be
     // seen until a floor has been written in its place.
-    loaded.torn = read.bytes - bytes_ >= kMarkBytes;
+    loaded.torn = read.bytes - bytes_ >= kPurgeEntryBytes;
     damaged_ = loaded.torn;
     if (writes && bytes_ < size && !damaged_) {
         if (const int error = calls_.truncate(file.get(), bytes_)) fail("cut", error);
@@ -257,10 +257,10 @@
     return loaded;
 }
 
-int PurgeLog::append(const std::vector<Mark>& marks) {
+int PurgeLog::append(const std::vector<PurgeEntry>& entries) {
     if (!file_) return EBADF;
     std::string bytes;
-    for (const Mark& mark : marks) encodeMark(mark, bytes);
+    for (const PurgeEntry& entry : entries) encodePurgeEntry(entry, bytes);
     const IoResult written = writeAll(calls_, file_.get(), bytes, bytes_);
     int error = written.error;
     if (error == 0) error = calls_.sync(file_.get());
@@ -271,21 +271,21 @@
         return error;
     }
     bytes_ += bytes.size();
-    const bool makesGood = std::any_of(marks.begin(), marks.end(), [](const Mark& mark) {
-        return mark.what == Mark::What::floor && mark.atMs > 0;
+    const bool raisesWatermark = std::any_of(entries.begin(), entries.end(), [](const PurgeEntry& entry) {
+        return entry.kind == PurgeEntry::Kind::watermark && entry.atMs > 0;
     });
     // Where the rest can't be cut off the next start only drops its copies once more.
-    if (damaged_ && makesGood) damaged_ = calls_.truncate(file_.get(), bytes_) != 0;
+    if (damaged_ && raisesWatermark) damaged_ = calls_.truncate(file_.get(), bytes_) != 0;
     return 0;
 }
 
-int PurgeLog::rewrite(const std::vector<Mark>& marks) {
+int PurgeLog::rewrite(const std::vector<PurgeEntry>& entries) {
     const std::string path = folder_.pathOf(kPurgeLogFile), fresh = path + ".new";
     const IoResult opened = calls_.open(fresh, O_RDWR | O_CREAT | O_TRUNC);
     if (opened.error != 0) return opened.error;
     File file(static_cast<int>(opened.bytes));
     std::string bytes;
-    for (const Mark& mark : marks) encodeMark(mark, bytes);
+    for (const PurgeEntry& entry : entries) encodePurgeEntry(entry, bytes);
     const IoResult written = writeAll(calls_, file.get(), bytes, 0);
     if (written.error != 0) return written.error;
     if (const int error = calls_.sync(file.get())) return error;
--- a/src/disk/folder.hpp
+++ b/src/disk/folder.hpp
@@ -82,7 +82,7 @@
     PurgeLog(FileCalls& calls, Folder& folder) : calls_(calls), folder_(folder) {}
 
     struct Loaded {
-        std::vector<Mark> marks;
+        std::vector<PurgeEntry> entries;
         std::optional<std::int64_t> position;  // of the bus; none: no event of a bus was ever applied here
         bool torn = false;  // it ends in the middle, or is not as it was written: marks may be missing
         Problem problem;
@@ -90,11 +90,11 @@
     };
     [[nodiscard]] Loaded load(Folder::Access access);
     // After this the marks are on disk. A half-written line is cut off again.
-    [[nodiscard]] int append(const std::vector<Mark>& marks);
+    [[nodiscard]] int append(const std::vector<PurgeEntry>& entries);
     // Exactly these from now on. Where only the folder can't be synced the new file holds all the same, and
     // no mark is acknowledged before that has been made up for.
-    [[nodiscard]] int rewrite(const std::vector<Mark>& marks);
-    std::uint64_t lines() const { return bytes_ / kMarkBytes; }
+    [[nodiscard]] int rewrite(const std::vector<PurgeEntry>& entries);
+    std::uint64_t entryCount() const { return bytes_ / kPurgeEntryBytes; }
 
 private:
     [[nodiscard]] int syncFolderIfDue();
--- a/src/disk/inspect.cpp
+++ b/src/disk/inspect.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr std::size_t kMostProblems = 20;
-constexpr std::size_t kAllMarks = std::numeric_limits<std::size_t>::max();
+constexpr std::size_t kUnlimitedEntries = std::numeric_limits<std::size_t>::max();
 
 bool isHeld(FileCalls& calls, const Folder& folder) {
     const IoResult opened = calls.open(folder.pathOf("lock"), O_RDONLY);
@@ -26,10 +26,10 @@
     return ::flock(lock.get(), LOCK_SH | LOCK_NB) != 0 && errno == EWOULDBLOCK;
 }
 
-PurgeMarks marksOf(const Survey& survey) {
-    PurgeMarks marks(kAllMarks, 0);
-    for (const Mark& mark : survey.marks) marks.add(mark);
-    return marks;
+PurgeTombstones tombstonesOf(const Survey& survey) {
+    PurgeTombstones tombstones(kUnlimitedEntries, 0);
+    for (const PurgeEntry& entry : survey.entries) tombstones.add(entry);
+    return tombstones;
 }
 
 // A segment's file, kept open while its parts are read in a row.
@@ -86,10 +86,10 @@
     PurgeLog::Loaded loaded = log.load(Folder::Access::read);
     result.problem = std::move(loaded.problem);
     if (!result.problem.empty()) return result;
-    result.marks = std::move(loaded.marks);
+    result.entries = std::move(loaded.entries);
     result.position = loaded.position;
     result.logDamaged = loaded.torn;
-    const PurgeMarks marks = marksOf(result);
+    const PurgeTombstones tombstones = tombstonesOf(result);
 
     std::unordered_map<std::uint64_t, Part> latest;
     for (const SegmentName& name : folder.segments()) {
@@ -114,7 +114,7 @@
     std::map<std::uint32_t, Survey::Segment*> byNumber;
     for (Survey::Segment& segment : result.segments) byNumber[segment.name.number] = &segment;
     for (const auto& [fingerprint, part] : latest) {
-        if (marks.mayCover(part.object, part.group, part.createdMs)) {
+        if (tombstones.mayCover(part.object, part.group, part.createdMs)) {
             ++result.purged;
             continue;
         }
@@ -134,7 +134,7 @@
                const std::function<bool(const Listed&)>& visit) {
     const Folder folder(calls, path);
     SegmentReader reader(calls, folder, survey);
-    const PurgeMarks marks = marksOf(survey);
+    const PurgeTombstones tombstones = tombstonesOf(survey);
     std::string bytes;
     for (const Part& part : survey.live) {
         const std::uint64_t most =
@@ -144,7 +144,7 @@
         if (!key) continue;
         Listed listed{*key, part, 0, false};
         listed.bodyBytes = part.location.bytes - kRecordHeaderBytes - *metadataBytesOf(bytes);
-        listed.purged = marks.covers(key->objectFingerprint(), key->group, part.createdMs);
+        listed.purged = tombstones.covers(key->objectFingerprint(), key->group, part.createdMs);
         if (!visit(listed)) return;
     }
 }
@@ -177,7 +177,7 @@
     return result;
 }
 
-Changed addMarks(FileCalls& calls, const std::string& path, const std::vector<Mark>& marks) {
+Changed addPurges(FileCalls& calls, const std::string& path, const std::vector<PurgeEntry>& entries) {
     Changed result;
     Folder folder(calls, path);
     result.problem = folder.open(Folder::Access::read).problem;  // never makes a folder
@@ -194,7 +194,7 @@
         result.problem = "the purge log of " + path + " is damaged; the next start drops all copies";
         return result;
     }
-    if (const int error = log.append(marks))
+    if (const int error = log.append(entries))
         result.problem = describeError("write", folder.pathOf("purges"), error);
     return result;
 }
--- a/src/disk/inspect.hpp
+++ b/src/disk/inspect.hpp
@@ -15,7 +15,7 @@
 struct Survey {
     Problem problem;    // then nothing else holds
     bool held = false;  // a process writes there now: the last segments are in the making
-    std::vector<Mark> marks;
+    std::vector<PurgeEntry> entries;
     std::optional<std::int64_t> position;
     bool logDamaged = false;
     struct Segment {
@@ -56,7 +56,8 @@
     std::uint64_t before = 0, after = 0;  // bytes of segments
 };
 // The marks are on disk when it returns.
-[[nodiscard]] Changed addMarks(FileCalls& calls, const std::string& folder, const std::vector<Mark>& marks);
+[[nodiscard]] Changed addPurges(FileCalls& calls, const std::string& folder,
+                                const std::vector<PurgeEntry>& entries);
 // Writes what lives into fresh segments and drops the rest.
 [[nodiscard]] Changed compact(FileCalls& calls, const std::string& folder, std::uint32_t segmentBytes);
 
--- a/src/disk/io_worker.cpp
+++ b/src/disk/io_worker.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr auto kMarksAgain = 100ms;  // after the purge log could not be written
+constexpr auto kPurgeLogRetryDelay = 100ms;  // after the purge log could not be written
 
 }  // namespace
 
@@ -41,9 +41,9 @@
       folder_(calls, std::move(folder)),
       log_(calls, folder_),
       options_(options),
-      wake_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
-    if (!wake_) throw std::system_error(errno, std::generic_category(), "eventfd");
-    writer_ = std::thread([this] { write(); });
+      completionEvent_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
+    if (!completionEvent_) throw std::system_error(errno, std::generic_category(), "eventfd");
+    writer_ = std::thread([this] { writeLoop(); });
     reader_ = std::thread([this] { readLoop(); });
 }
 
@@ -54,8 +54,8 @@
         const std::lock_guard lock(mutex_);
         closing_ = true;
     }
-    toWrite_.notify_all();
-    toRead_.notify_all();
+    writerWakeup_.notify_all();
+    readerWakeup_.notify_all();
 }
 
 void IoWorker::close() {
@@ -64,18 +64,18 @@
     if (reader_.joinable()) reader_.join();
 }
 
-void IoWorker::tell(Completion completion) {
+void IoWorker::post(Completion completion) {
     {
         const std::lock_guard lock(mutex_);
         completions_.push_back(std::move(completion));
     }
     const std::uint64_t one = 1;
-    (void)!::write(wake_.get(), &one, sizeof one);
+    (void)!::write(completionEvent_.get(), &one, sizeof one);
 }
 
 std::vector<Completion> IoWorker::completions() {
     std::uint64_t count = 0;
-    (void)!::read(wake_.get(), &count, sizeof count);
+    (void)!::read(completionEvent_.get(), &count, sizeof count);
     const std::lock_guard lock(mutex_);
     return std::exchange(completions_, {});
 }
@@ -87,7 +87,7 @@
         queuedBytes_ += job.bytes;
         jobs_.emplace_back(std::move(job));
     }
-    toWrite_.notify_one();
+    writerWakeup_.notify_one();
     return true;
 }
 
@@ -97,7 +97,7 @@
         if (closing_ || reads_.size() >= options_.maxQueuedReads) return false;
         reads_.push_back(job);
     }
-    toRead_.notify_one();
+    readerWakeup_.notify_one();
     return true;
 }
 
@@ -106,7 +106,7 @@
         const std::lock_guard lock(mutex_);
         jobs_.emplace_back(std::move(job));
     }
-    toWrite_.notify_one();
+    writerWakeup_.notify_one();
 }
 
 void IoWorker::remove(RemoveJob job) {
@@ -114,36 +114,36 @@
         const std::lock_guard lock(mutex_);
         jobs_.emplace_back(job);
     }
-    toWrite_.notify_one();
+    writerWakeup_.notify_one();
 }
 
-std::uint64_t IoWorker::keep(std::vector<Mark> marks) {
+std::uint64_t IoWorker::appendPurges(std::vector<PurgeEntry> entries) {
     std::uint64_t number = 0;
     {
         const std::lock_guard lock(mutex_);
-        marksGiven_ += marks.size();
-        number = marksGiven_;
-        marks_.insert(marks_.end(), marks.begin(), marks.end());
+        purgesQueued_ += entries.size();
+        number = purgesQueued_;
+        unwrittenPurges_.insert(unwrittenPurges_.end(), entries.begin(), entries.end());
     }
-    toWrite_.notify_one();
+    writerWakeup_.notify_one();
     return number;
 }
 
-void IoWorker::rewriteLog(std::vector<Mark> all) {
+void IoWorker::rewritePurgeLog(std::vector<PurgeEntry> all) {
     {
         const std::lock_guard lock(mutex_);
-        rewriteLog_ = std::move(all);
-        rewriteAfter_ = marks_.size();
+        pendingRewrite_ = std::move(all);
+        entriesInRewrite_ = unwrittenPurges_.size();
     }
-    toWrite_.notify_one();
+    writerWakeup_.notify_one();
 }
 
-void IoWorker::openAgain() {
+void IoWorker::retryOpen() {
     {
         const std::lock_guard lock(mutex_);
-        openAgain_ = true;
+        retryOpen_ = true;
     }
-    toWrite_.notify_one();
+    writerWakeup_.notify_one();
 }
 
 std::uint64_t IoWorker::queuedBytes() const {
@@ -153,15 +153,15 @@
 
 // ----- the writer's thread -----
 
-void IoWorker::write() {
+void IoWorker::writeLoop() {
     opened_ = openFolder();
     if (opened_) load();
     std::unique_lock lock(mutex_);
     while (true) {
         if (!opened_) {
-            toWrite_.wait(lock, [this] { return closing_ || openAgain_; });
+            writerWakeup_.wait(lock, [this] { return closing_ || retryOpen_; });
             if (closing_) return;
-            openAgain_ = false;
+            retryOpen_ = false;
             lock.unlock();
             opened_ = openFolder();
             if (opened_) load();
@@ -169,21 +169,21 @@
             continue;
         }
         // Marks go before all else: an acknowledgement waits for them.
-        if (!marks_.empty() || rewriteLog_) {
-            keepMarks(lock);
+        if (!unwrittenPurges_.empty() || pendingRewrite_) {
+            writePurges(lock);
             continue;
         }
         if (!jobs_.empty()) {
             Job job = std::move(jobs_.front());
             jobs_.pop_front();
             lock.unlock();
-            std::visit([this](auto& one) { carryOut(one); }, job);
+            std::visit([this](auto& one) { execute(one); }, job);
             lock.lock();
             continue;
         }
         if (closing_) break;
-        toWrite_.wait(lock, [this] {
-            return closing_ || !jobs_.empty() || !marks_.empty() || rewriteLog_.has_value();
+        writerWakeup_.wait(lock, [this] {
+            return closing_ || !jobs_.empty() || !unwrittenPurges_.empty() || pendingRewrite_.has_value();
         });
     }
     lock.unlock();
@@ -202,20 +202,20 @@
         PurgeLog::Loaded log = log_.load(Folder::Access::write);
         told.problem = std::move(log.problem);
         told.retryable = log.retryable;
-        told.marks = std::move(log.marks);
+        told.entries = std::move(log.entries);
         told.position = log.position;
         // A log that is new has a first line. Without it, it is not the one that belongs to these segments.
         told.empty = folder_.segments().empty();
-        told.damaged = log.torn || (log_.lines() == 0 && !told.empty);
-        if (told.problem.empty() && log_.lines() == 0)
-            if (const int error = log_.append({Mark{Mark::What::floor, 0, 0}})) {
+        told.damaged = log.torn || (log_.entryCount() == 0 && !told.empty);
+        if (told.problem.empty() && log_.entryCount() == 0)
+            if (const int error = log_.append({PurgeEntry{PurgeEntry::Kind::watermark, 0, 0}})) {
                 told.problem = describeError("write", folder_.pathOf("purges"), error);
                 told.retryable = isTransient(error);
             }
         if (!told.problem.empty()) folder_.close();
     }
     const bool good = told.problem.empty();
-    tell(std::move(told));
+    post(std::move(told));
     return good;
 }
 
@@ -226,9 +226,9 @@
         {
             std::unique_lock lock(mutex_);
             if (closing_) return;
-            if (!marks_.empty()) keepMarks(lock);
+            if (!unwrittenPurges_.empty()) writePurges(lock);
         }
-        known_[name.number] = name.queue;
+        segmentQueues_[name.number] = name.queue;
         const IoResult opened = calls_.open(folder_.pathOf(segmentFile(name)), O_RDONLY);
         if (opened.error == 0)
             files_.add(name.number, std::make_shared<File>(static_cast<int>(opened.bytes)));
@@ -240,44 +240,44 @@
         told.fromTable = found.fromTable;
         told.torn = found.bytes < found.fileBytes;
         told.problem = std::move(found.problem);
-        tell(std::move(told));
+        post(std::move(told));
     }
-    tell(LoadedAll{});
+    post(LoadedAll{});
 }
 
 // Called with the lock held, which it lets go of while it writes.
-void IoWorker::keepMarks(std::unique_lock<std::mutex>& lock) {
-    std::vector<Mark> marks = std::exchange(marks_, {});
-    std::optional<std::vector<Mark>> all = std::exchange(rewriteLog_, {});
-    const std::size_t held = std::exchange(rewriteAfter_, 0);
-    const std::uint64_t upTo = marksGiven_;
+void IoWorker::writePurges(std::unique_lock<std::mutex>& lock) {
+    std::vector<PurgeEntry> entries = std::exchange(unwrittenPurges_, {});
+    std::optional<std::vector<PurgeEntry>> all = std::exchange(pendingRewrite_, {});
+    const std::size_t held = std::exchange(entriesInRewrite_, 0);
+    const std::uint64_t upTo = purgesQueued_;
     lock.unlock();
-    int error = marks.empty() ? 0 : log_.append(marks);
+    int error = entries.empty() ? 0 : log_.append(entries);
     // It holds all that was given before it.
     if (error == 0 && all) {
-        all->insert(all->end(), marks.begin() + static_cast<std::ptrdiff_t>(held), marks.end());
+        all->insert(all->end(), entries.begin() + static_cast<std::ptrdiff_t>(held), entries.end());
         error = log_.rewrite(*all);
         error = 0;  // the old log, or the new one, holds all that was given
     }
-    MarksKept told;
+    PurgesPersisted told;
     if (error == 0)
         told.upTo = upTo;
     else
         told.problem = describeError("write", folder_.pathOf("purges"), error);
     const bool failed = error != 0;
-    tell(std::move(told));
+    post(std::move(told));
     lock.lock();
     if (!failed) return;
-    marks_.insert(marks_.begin(), marks.begin(), marks.end());
-    if (rewriteLog_) rewriteAfter_ += marks.size();
+    unwrittenPurges_.insert(unwrittenPurges_.begin(), entries.begin(), entries.end());
+    if (pendingRewrite_) entriesInRewrite_ += entries.size();
     if (closing_) {
-        marks_.clear();  // they were never acknowledged, and the position stays behind them
+        unwrittenPurges_.clear();  // they were never acknowledged, and the position stays behind them
         return;
     }
-    toWrite_.wait_for(lock, kMarksAgain, [this] { return closing_; });
+    writerWakeup_.wait_for(lock, kPurgeLogRetryDelay, [this] { return closing_; });
 }
 
-void IoWorker::carryOut(AppendJob& job) {
+void IoWorker::execute(AppendJob& job) {
     std::string record;
     Written written;
     Part part;
@@ -291,13 +291,13 @@
         const std::lock_guard lock(mutex_);
         queuedBytes_ -= job.bytes;
     }
-    if (!written.problem.empty()) return tell(NotPlaced{job.bytes, std::move(written.problem)});
+    if (!written.problem.empty()) return post(NotPlaced{job.bytes, std::move(written.problem)});
     part.location = written.location;
-    tell(Placed{part, job.queue, job.rank, job.bytes});
+    post(Placed{part, job.queue, job.rank, job.bytes});
 }
 
 // Record by record, with the marks in between: a purge does not wait for a segment's worth of copying.
-void IoWorker::carryOut(RewriteJob& job) {
+void IoWorker::execute(RewriteJob& job) {
     Problem problem;
     const std::shared_ptr<File> from = files_.get(job.segment);
     std::string record;
@@ -305,7 +305,7 @@
         {
             std::unique_lock lock(mutex_);
             if (closing_) break;
-            if (!marks_.empty()) keepMarks(lock);
+            if (!unwrittenPurges_.empty()) writePurges(lock);
         }
         record.resize(part.location.bytes);
         const IoResult read =
@@ -317,18 +317,18 @@
             problem = std::move(written.problem);
             break;
         }
-        tell(Moved{part.fingerprint, part.location, written.location, job.into});
+        post(Moved{part.fingerprint, part.location, written.location, job.into});
     }
-    tell(Rewritten{job.segment, std::move(problem)});
+    post(Rewritten{job.segment, std::move(problem)});
 }
 
-void IoWorker::carryOut(const RemoveJob& job) {
+void IoWorker::execute(const RemoveJob& job) {
     files_.remove(job.segment);
-    const auto found = known_.find(job.segment);
-    if (found == known_.end()) return tell(Removed{job.segment, {}});
+    const auto found = segmentQueues_.find(job.segment);
+    if (found == segmentQueues_.end()) return post(Removed{job.segment, {}});
     Problem problem = folder_.removeSegment({job.segment, found->second});
-    known_.erase(found);
-    tell(Removed{job.segment, std::move(problem)});
+    segmentQueues_.erase(found);
+    post(Removed{job.segment, std::move(problem)});
 }
 
 IoWorker::Written IoWorker::writeRecord(Queue queue, Part part, std::span<const char> record) {
@@ -369,7 +369,7 @@
     ++nextSegment_;
     segment.file = std::make_shared<File>(static_cast<int>(opened.bytes));
     files_.add(segment.name.number, segment.file);
-    known_[segment.name.number] = queue;
+    segmentQueues_[segment.name.number] = queue;
     open_[queue] = std::move(segment);
     return {};
 }
@@ -381,7 +381,7 @@
             problem = describeError("sync", folder_.pathOf(segmentFile(segment.name)), error);
     if (options_.tables && problem.empty())
         problem = folder_.writeTable({segment.bytes, segment.parts}, segment.name.number);
-    tell(Sealed{segment.name.number, std::move(problem)});
+    post(Sealed{segment.name.number, std::move(problem)});
 }
 
 // ----- the reader's thread -----
@@ -389,12 +389,12 @@
 void IoWorker::readLoop() {
     std::unique_lock lock(mutex_);
     while (true) {
-        toRead_.wait(lock, [this] { return closing_ || !reads_.empty(); });
+        readerWakeup_.wait(lock, [this] { return closing_ || !reads_.empty(); });
         if (closing_) return;
         const ReadJob job = reads_.front();
         reads_.pop_front();
         lock.unlock();
-        tell(readOne(job));
+        post(readOne(job));
         lock.lock();
     }
 }
--- a/src/disk/io_worker.hpp
+++ b/src/disk/io_worker.hpp
@@ -59,7 +59,7 @@
     Problem problem;
     bool busy = false;       // another process holds it
     bool retryable = false;  // it is held, or fails for a while
-    std::vector<Mark> marks;
+    std::vector<PurgeEntry> entries;
     std::optional<std::int64_t> position;
     bool damaged = false;  // marks may be missing
     bool empty = false;    // no segment is there
@@ -99,7 +99,8 @@
     std::uint32_t segment = 0;
     Problem problem;
 };
-struct MarksKept {  // all up to this number are on disk; with a problem: they are not, and it is tried again
+struct PurgesPersisted {  // all up to this number are on disk; with a problem: they are not, and it is tried
+                          // again
     std::uint64_t upTo = 0;
     Problem problem;
 };
@@ -111,7 +112,7 @@
     Problem problem;
 };
 using Completion = std::variant<OpenedFolder, LoadedSegment, LoadedAll, Placed, NotPlaced, Sealed, Moved,
-                                Rewritten, Removed, MarksKept, ReadDone>;
+                                Rewritten, Removed, PurgesPersisted, ReadDone>;
 
 // A map of the files in use, for both threads. A file that is removed stays readable to who holds it.
 class SegmentFiles {
@@ -133,7 +134,7 @@
     // Ends both threads; see close().
     ~IoWorker();
 
-    int wakeDescriptor() const { return wake_.get(); }
+    int wakeDescriptor() const { return completionEvent_.get(); }
     std::vector<Completion> completions();
 
     // From the loop's thread; none of these blocks on the disk. False: no room, and nothing is done.
@@ -142,9 +143,9 @@
     void rewrite(RewriteJob job);
     void remove(RemoveJob job);
     // Numbered from 1; `all`: what a rewritten log would hold, where it is time for that.
-    std::uint64_t keep(std::vector<Mark> marks);
-    void rewriteLog(std::vector<Mark> all);
-    void openAgain();  // where the folder was busy
+    std::uint64_t appendPurges(std::vector<PurgeEntry> entries);
+    void rewritePurgeLog(std::vector<PurgeEntry> all);
+    void retryOpen();  // where the folder was busy
     // Writes what is queued, seals the open segments and lets go of the folder; both threads end by
     // themselves.
     void beginClose();
@@ -162,15 +163,15 @@
     };
     using Job = std::variant<AppendJob, RewriteJob, RemoveJob>;
 
-    void write();
+    void writeLoop();
     void readLoop();
-    void tell(Completion completion);
+    void post(Completion completion);
     bool openFolder();
     void load();
-    void keepMarks(std::unique_lock<std::mutex>& lock);
-    void carryOut(AppendJob& job);
-    void carryOut(RewriteJob& job);
-    void carryOut(const RemoveJob& job);
+    void writePurges(std::unique_lock<std::mutex>& lock);
+    void execute(AppendJob& job);
+    void execute(RewriteJob& job);
+    void execute(const RemoveJob& job);
     struct Written {
         RecordLocation location;
         Problem problem;
@@ -184,28 +185,28 @@
     Folder folder_;
     PurgeLog log_;
     IoWorkerOptions options_;
-    File wake_;
+    File completionEvent_;
     SegmentFiles files_;
 
     // The writer's own.
     std::map<Queue, OpenSegment> open_;
-    std::map<std::uint32_t, Queue> known_;  // segments there are
+    std::map<std::uint32_t, Queue> segmentQueues_;  // segments there are
     std::uint32_t nextSegment_ = 1;
     bool opened_ = false;
 
     std::string readBuffer_;  // the reader's own; as large as the largest record read
 
     mutable std::mutex mutex_;  // of all below
-    std::condition_variable toWrite_, toRead_;
+    std::condition_variable writerWakeup_, readerWakeup_;
     std::deque<Job> jobs_;
     std::uint64_t queuedBytes_ = 0;
-    std::vector<Mark> marks_;
-    std::uint64_t marksGiven_ = 0;
-    std::optional<std::vector<Mark>> rewriteLog_;
-    std::size_t rewriteAfter_ = 0;  // so many of `marks_` are in it
+    std::vector<PurgeEntry> unwrittenPurges_;
+    std::uint64_t purgesQueued_ = 0;
+    std::optional<std::vector<PurgeEntry>> pendingRewrite_;
+    std::size_t entriesInRewrite_ = 0;  // so many of `marks_` are in it
     std::deque<ReadJob> reads_;
     std::vector<Completion> completions_;
-    bool openAgain_ = false, closing_ = false;
+    bool retryOpen_ = false, closing_ = false;
 
     std::thread writer_, reader_;
 };
--- a/src/disk/purge_tombstones.cpp
+++ b/src/disk/purge_tombstones.cpp
@@ -7,77 +7,77 @@
 
 namespace lotuslead::disk {
 
-std::uint32_t foldedObject(std::uint64_t object) { return static_cast<std::uint32_t>(object >> 32); }
-std::uint32_t foldedGroup(std::int64_t group) {
+std::uint32_t objectHash32(std::uint64_t object) { return static_cast<std::uint32_t>(object >> 32); }
+std::uint32_t groupHash32(std::int64_t group) {
     return static_cast<std::uint32_t>(mix(static_cast<std::uint64_t>(group) + 0x51ed27f1) >> 32);
 }
 
 namespace {
 
 template <class Table, class Name>
-void raise(Table& table, Name name, std::int64_t ms) {
+void raiseTo(Table& table, Name name, std::int64_t ms) {
     const auto [at, isNew] = table.emplace(name, ms);
     if (!isNew) at->second = std::max(at->second, ms);
 }
 
 template <class Table, class Name>
-bool reaches(const Table& table, Name name, std::int64_t ms) {
+bool covered(const Table& table, Name name, std::int64_t ms) {
     const auto found = table.find(name);
     return found != table.end() && ms <= found->second;
 }
 
 }  // namespace
 
-void PurgeMarks::add(const Mark& mark) {
-    switch (mark.what) {
-        case Mark::What::object:
-            if (underFloor(mark.atMs)) return;
-            raise(objects_, mark.name, mark.atMs);
-            raise(foldedObjects_, foldedObject(mark.name), mark.atMs);
-            return bound(objects_);
-        case Mark::What::group: {
-            if (underFloor(mark.atMs)) return;
-            const auto group = static_cast<std::int64_t>(mark.name);
-            raise(groups_, group, mark.atMs);
-            raise(foldedGroups_, foldedGroup(group), mark.atMs);
-            return bound(groups_);
+void PurgeTombstones::add(const PurgeEntry& purge) {
+    switch (purge.kind) {
+        case PurgeEntry::Kind::object:
+            if (atOrBelowWatermark(purge.atMs)) return;
+            raiseTo(objects_, purge.target, purge.atMs);
+            raiseTo(objectsByHash_, objectHash32(purge.target), purge.atMs);
+            return enforceLimit(objects_);
+        case PurgeEntry::Kind::group: {
+            if (atOrBelowWatermark(purge.atMs)) return;
+            const auto group = static_cast<std::int64_t>(purge.target);
+            raiseTo(groups_, group, purge.atMs);
+            raiseTo(groupsByHash_, groupHash32(group), purge.atMs);
+            return enforceLimit(groups_);
         }
-        case Mark::What::floor:
-            floorMs_ = std::max(floorMs_, mark.atMs);
+        case PurgeEntry::Kind::watermark:
+            watermarkMs_ = std::max(watermarkMs_, purge.atMs);
             return;
-        case Mark::What::position:
+        case PurgeEntry::Kind::busPosition:
             return;
     }
 }
 
 // The oldest eighth goes, and the floor rises to the youngest of it: dropped copies, never a stale one.
 template <class Table>
-void PurgeMarks::bound(Table& table) {
+void PurgeTombstones::enforceLimit(Table& table) {
     if (table.size() <= maxEntries_) return;
     std::vector<std::int64_t> times;
     times.reserve(table.size());
     for (const auto& [name, ms] : table) times.push_back(ms);
     const auto cut = times.begin() + static_cast<std::ptrdiff_t>(times.size() / 8);
     std::nth_element(times.begin(), cut, times.end());
-    floorMs_ = std::max(floorMs_, *cut);
-    const auto under = [&](const auto& entry) { return entry.second <= floorMs_; };
+    watermarkMs_ = std::max(watermarkMs_, *cut);
+    const auto under = [&](const auto& entry) { return entry.second <= watermarkMs_; };
     std::erase_if(objects_, under);
     std::erase_if(groups_, under);
-    std::erase_if(foldedObjects_, under);
-    std::erase_if(foldedGroups_, under);
+    std::erase_if(objectsByHash_, under);
+    std::erase_if(groupsByHash_, under);
 }
 
-bool PurgeMarks::covers(std::uint64_t object, std::int64_t group, std::int64_t createdMs) const {
+bool PurgeTombstones::covers(std::uint64_t object, std::int64_t group, std::int64_t createdMs) const {
     const std::int64_t ms = createdMs - clockSkewMs_;
-    return underFloor(ms) || reaches(objects_, object, ms) || reaches(groups_, group, ms);
+    return atOrBelowWatermark(ms) || covered(objects_, object, ms) || covered(groups_, group, ms);
 }
 
-bool PurgeMarks::mayCover(std::uint32_t object, std::uint32_t group, std::int64_t createdMs) const {
+bool PurgeTombstones::mayCover(std::uint32_t object, std::uint32_t group, std::int64_t createdMs) const {
     const std::int64_t ms = createdMs - clockSkewMs_;
-    return underFloor(ms) || reaches(foldedObjects_, object, ms) || reaches(foldedGroups_, group, ms);
+    return atOrBelowWatermark(ms) || covered(objectsByHash_, object, ms) || covered(groupsByHash_, group, ms);
 }
 
-PurgeProof::Begin PurgeProof::begin(Options options, std::optional<std::int64_t> logged) {
+PurgeFeedTracker::Begin PurgeFeedTracker::begin(Options options, std::optional<std::int64_t> logged) {
     options_ = options;
     begun_ = true;
     Begin result;
@@ -93,8 +93,8 @@
     return result;
 }
 
-bool PurgeProof::told(std::int64_t nowMs, std::int64_t from, std::int64_t last,
-                      std::span<const std::int64_t> numbers, bool complete) {
+bool PurgeFeedTracker::told(std::int64_t nowMs, std::int64_t from, std::int64_t last,
+                            std::span<const std::int64_t> numbers, bool complete) {
     bool missing = false;
     if (needed_) {
         if (from > *needed_) return false;  // asked before it was known how far back to go
@@ -115,7 +115,7 @@
     return missing;
 }
 
-bool PurgeProof::holds(std::int64_t nowMs) const {
+bool PurgeFeedTracker::holds(std::int64_t nowMs) const {
     if (!begun_) return false;
     if (!options_.bus) return true;
     return !needed_ && heardMs_ && nowMs - *heardMs_ <= options_.silenceMs;
--- a/src/disk/purge_tombstones.hpp
+++ b/src/disk/purge_tombstones.hpp
@@ -11,60 +11,60 @@
 namespace lotuslead::disk {
 
 // One line of the purge log.
-struct Mark {
-    enum class What : std::uint8_t { object = 1, group = 2, floor = 3, position = 4 };
-    What what = What::floor;
-    std::uint64_t name = 0;  // the object's fingerprint, or the group
-    std::int64_t atMs = 0;   // Unix milliseconds; position: the last event of the bus that was applied
-    bool operator==(const Mark&) const = default;
+struct PurgeEntry {
+    enum class Kind : std::uint8_t { object = 1, group = 2, watermark = 3, busPosition = 4 };
+    Kind kind = Kind::watermark;
+    std::uint64_t target = 0;  // the object's fingerprint, or the group
+    std::int64_t atMs = 0;     // Unix milliseconds; position: the last event of the bus that was applied
+    bool operator==(const PurgeEntry&) const = default;
 };
 
-class PurgeMarks {
+class PurgeTombstones {
 public:
     // At most so many objects and as many groups are told apart. `slackMs`: a copy must be younger than a
     // mark by more than this, since the clocks of two machines differ.
-    PurgeMarks(std::size_t maxEntries, std::int64_t clockSkewMs)
+    PurgeTombstones(std::size_t maxEntries, std::int64_t clockSkewMs)
         : maxEntries_(maxEntries), clockSkewMs_(clockSkewMs) {}
 
     // Positions are passed over.
-    void add(const Mark& mark);
+    void add(const PurgeEntry& entry);
     // Whether a copy of then may be older than a purge.
     [[nodiscard]] bool covers(std::uint64_t object, std::int64_t group, std::int64_t createdMs) const;
     // As that by the folded names of an index, which may take one name for another: never too few.
     [[nodiscard]] bool mayCover(std::uint32_t object, std::uint32_t group, std::int64_t createdMs) const;
 
-    std::int64_t floorMs() const { return floorMs_; }
+    std::int64_t watermarkMs() const { return watermarkMs_; }
     std::size_t size() const { return objects_.size() + groups_.size(); }
     void setClockSkew(std::int64_t clockSkewMs) { clockSkewMs_ = clockSkewMs; }
 
     template <class Visit>
     void forEach(Visit visit) const {
-        if (floorMs_ > 0) visit(Mark{Mark::What::floor, 0, floorMs_});
-        for (const auto& [name, ms] : objects_) visit(Mark{Mark::What::object, name, ms});
+        if (watermarkMs_ > 0) visit(PurgeEntry{PurgeEntry::Kind::watermark, 0, watermarkMs_});
+        for (const auto& [name, ms] : objects_) visit(PurgeEntry{PurgeEntry::Kind::object, name, ms});
         for (const auto& [name, ms] : groups_)
-            visit(Mark{Mark::What::group, static_cast<std::uint64_t>(name), ms});
+            visit(PurgeEntry{PurgeEntry::Kind::group, static_cast<std::uint64_t>(name), ms});
     }
 
 private:
     template <class Table>
-    void bound(Table& table);
+    void enforceLimit(Table& table);
 
-    bool underFloor(std::int64_t ms) const { return floorMs_ > 0 && ms <= floorMs_; }
+    bool atOrBelowWatermark(std::int64_t ms) const { return watermarkMs_ > 0 && ms <= watermarkMs_; }
 
     std::size_t maxEntries_;
     std::int64_t clockSkewMs_;
-    std::int64_t floorMs_ = 0;  // zero: none
+    std::int64_t watermarkMs_ = 0;  // zero: none
     std::unordered_map<std::uint64_t, std::int64_t> objects_;
     std::unordered_map<std::int64_t, std::int64_t> groups_;
     // The same by the halves that an index holds: the youngest of those that share one.
-    std::unordered_map<std::uint32_t, std::int64_t> foldedObjects_, foldedGroups_;
+    std::unordered_map<std::uint32_t, std::int64_t> objectsByHash_, groupsByHash_;
 };
 
-std::uint32_t foldedObject(std::uint64_t object);
-std::uint32_t foldedGroup(std::int64_t group);
+std::uint32_t objectHash32(std::uint64_t object);
+std::uint32_t groupHash32(std::int64_t group);
 
 // Whether all purges up to now are known, also those told while no process held the folder.
-class PurgeProof {
+class PurgeFeedTracker {
 public:
     struct Options {
         bool bus = false;             // there is one
--- a/src/disk/record.cpp
+++ b/src/disk/record.cpp
@@ -15,7 +15,7 @@
 static_assert(std::endian::native == std::endian::little, "records are written as they lie in memory");
 
 constexpr std::uint32_t kRecordMagic = 0x31544c4c;  // "LLT1"
-constexpr std::uint32_t kMarkMagic = 0x314d4c4c;
+constexpr std::uint32_t kPurgeEntryMagic = 0x314d4c4c;
 constexpr std::uint32_t kTableMagic = 0x31584c4c;
 
 std::uint64_t checksumOf(std::string_view bytes) { return XXH3_64bits(bytes.data(), bytes.size()); }
@@ -93,8 +93,8 @@
     Part part;
     part.fingerprint = fixed.fingerprint;
     part.createdMs = fixed.createdMs;
-    part.object = foldedObject(fixed.object);
-    part.group = foldedGroup(fixed.group);
+    part.object = objectHash32(fixed.object);
+    part.group = groupHash32(fixed.group);
     part.location.bytes = static_cast<std::uint32_t>(sizeof fixed + fixed.metadataBytes + fixed.bodyBytes);
     return part;
 }
@@ -189,27 +189,27 @@
     return result;
 }
 
-void encodeMark(const Mark& mark, std::string& out) {
+void encodePurgeEntry(const PurgeEntry& entry, std::string& out) {
     const std::size_t begin = out.size();
-    put(out, kMarkMagic);
-    put(out, static_cast<std::uint32_t>(mark.what));
-    put(out, mark.name);
-    put(out, mark.atMs);
+    put(out, kPurgeEntryMagic);
+    put(out, static_cast<std::uint32_t>(entry.kind));
+    put(out, entry.target);
+    put(out, entry.atMs);
     put(out, checksumOf(std::string_view(out).substr(begin)));
 }
 
-std::optional<Mark> readMark(std::span<const char> bytes) {
-    if (bytes.size() < kMarkBytes) return {};
+std::optional<PurgeEntry> decodePurgeEntry(std::span<const char> bytes) {
+    if (bytes.size() < kPurgeEntryBytes) return {};
     Reader reader(bytes);
-    std::uint32_t magic = 0, what = 0;
-    Mark mark;
+    std::uint32_t magic = 0, kind = 0;
+    PurgeEntry entry;
     std::uint64_t sum = 0;
-    const bool all = reader.take(magic) && reader.take(what) && reader.take(mark.name) &&
-                     reader.take(mark.atMs) && reader.take(sum);
-    if (!all || magic != kMarkMagic || what < 1 || what > 4) return {};
-    if (checksumOf({bytes.data(), kMarkBytes - sizeof sum}) != sum) return {};
-    mark.what = static_cast<Mark::What>(what);
-    return mark;
+    const bool all = reader.take(magic) && reader.take(kind) && reader.take(entry.target) &&
+                     reader.take(entry.atMs) && reader.take(sum);
+    if (!all || magic != kPurgeEntryMagic || kind < 1 || kind > 4) return {};
+    if (checksumOf({bytes.data(), kPurgeEntryBytes - sizeof sum}) != sum) return {};
+    entry.kind = static_cast<PurgeEntry::Kind>(kind);
+    return entry;
 }
 
 std::string encodeTable(const SegmentTable& table, std::uint32_t segment) {
--- a/src/disk/record.hpp
+++ b/src/disk/record.hpp
@@ -61,9 +61,9 @@
 [[nodiscard]] std::optional<std::pair<Key, Copy>> decodeRecord(std::span<const char> record);
 
 // A line of the purge log has a fixed size and a checksum of its own.
-inline constexpr std::size_t kMarkBytes = 32;
-void encodeMark(const Mark& mark, std::string& out);
-[[nodiscard]] std::optional<Mark> readMark(std::span<const char> bytes);
+inline constexpr std::size_t kPurgeEntryBytes = 32;
+void encodePurgeEntry(const PurgeEntry& entry, std::string& out);
+[[nodiscard]] std::optional<PurgeEntry> decodePurgeEntry(std::span<const char> bytes);
 
 // The table of a sealed segment: the checkpoint of its part of the index.
 struct SegmentTable {
--- a/src/disk/segment_catalog.cpp
+++ b/src/disk/segment_catalog.cpp
@@ -228,11 +228,11 @@
     ++counters_.reclaimed;
 }
 
-bool SegmentCatalog::sweep(const PurgeMarks& marks, std::size_t maxSteps) {
+bool SegmentCatalog::sweep(const PurgeTombstones& tombstones, std::size_t maxSteps) {
     for (std::size_t i = 0; i < maxSteps && sweepCursor_ < index_.end(); ++i, ++sweepCursor_) {
         if (!index_.isOccupied(sweepCursor_)) continue;
         const Part& part = index_.at(sweepCursor_);
-        if (!marks.mayCover(part.object, part.group, part.createdMs)) continue;
+        if (!tombstones.mayCover(part.object, part.group, part.createdMs)) continue;
         erase(sweepCursor_);
         ++counters_.purged;
     }
--- a/src/disk/segment_catalog.hpp
+++ b/src/disk/segment_catalog.hpp
@@ -85,7 +85,7 @@
     // What still lives in it goes now; its file may be unlinked.
     void dropSegment(std::uint32_t segment);
     // All that the marks cover goes, `slice` parts of the index at a call; true: a whole walk is done.
-    bool sweep(const PurgeMarks& marks, std::size_t maxSteps);
+    bool sweep(const PurgeTombstones& tombstones, std::size_t maxSteps);
     void dropAll();
 
     std::size_t parts() const { return index_.size(); }
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -19,7 +19,7 @@
     : options_(options),
       users_(std::move(users)),
       catalog_(options.catalog),
-      marks_(options.maxPurgeEntries, options.purgeClockSkewMs),
+      tombstones_(options.maxPurgeEntries, options.purgeClockSkewMs),
       versions_(kVersions),
       worker_(calls, options.folder, [&] {
           IoWorkerOptions worker = options.worker;
@@ -50,12 +50,12 @@
     for (Completion& completion : worker_.completions())
         std::visit([&](auto& told) { take(now, told); }, completion);
     if (state_ != State::ready) return;
-    if (sweeping_ && catalog_.sweep(marks_, kSweepSlice)) sweeping_ = std::exchange(sweepAgain_, false);
+    if (sweeping_ && catalog_.sweep(tombstones_, kSweepSlice)) sweeping_ = std::exchange(sweepAgain_, false);
     reclaim();
 }
 
 void Tier::tryAgain() {
-    if (state_ == State::waiting) worker_.openAgain();
+    if (state_ == State::waiting) worker_.retryOpen();
 }
 
 void Tier::close() {
@@ -67,7 +67,7 @@
 }
 
 void Tier::reconfigure(const TierOptions& options) {
-    marks_.setClockSkew(options.purgeClockSkewMs);
+    tombstones_.setClockSkew(options.purgeClockSkewMs);
     proof_.reconfigure(options.purges.bus, options.purges.silenceMs);
     options_.purgeClockSkewMs = options.purgeClockSkewMs;
     options_.purges = options.purges;
@@ -81,7 +81,7 @@
         ++counters_.unproved;
         return false;
     }
-    if (marks_.covers(key.objectFingerprint(), key.group, createdMs)) {
+    if (tombstones_.covers(key.objectFingerprint(), key.group, createdMs)) {
         ++counters_.purged;
         return false;
     }
@@ -153,7 +153,7 @@
         return;
     }
     const std::uint64_t fingerprint = key.fingerprint();
-    if (marks_.covers(object, key.group, copy.createdMs)) {
+    if (tombstones_.covers(object, key.group, copy.createdMs)) {
         ++counters_.purged;
         return;
     }
@@ -186,8 +186,8 @@
     const bool latest = !other || copy.createdMs >= known.createdMs;
     if (other) {
         ++counters_.superseded;
-        mark({Mark::What::object, object,
-              std::max(copy.createdMs, known.createdMs) - options_.purgeClockSkewMs - 1});
+        addPurge({PurgeEntry::Kind::object, object,
+                  std::max(copy.createdMs, known.createdMs) - options_.purgeClockSkewMs - 1});
     }
     if (!had || (latest && copy.createdMs >= known.createdMs)) known = {version, copy.createdMs};
     return latest;
@@ -221,8 +221,9 @@
     auto next = catalog_.nextReclaim(onTheWay_);
     if (!next) return;
     // What a purge covers is not carried on.
-    std::erase_if(next->survivors,
-                  [&](const Part& part) { return marks_.mayCover(part.object, part.group, part.createdMs); });
+    std::erase_if(next->survivors, [&](const Part& part) {
+        return tombstones_.mayCover(part.object, part.group, part.createdMs);
+    });
     worker_.rewrite({next->segment, next->into, std::move(next->survivors)});
 }
 
@@ -248,40 +249,40 @@
 // ----- purges -----
 
 void Tier::purgeObject(const std::string& object, std::int64_t atMs) {
-    mark({Mark::What::object, fingerprint(object), atMs});
+    addPurge({PurgeEntry::Kind::object, fingerprint(object), atMs});
 }
 void Tier::purgeGroup(std::int64_t group, std::int64_t atMs) {
-    mark({Mark::What::group, static_cast<std::uint64_t>(group), atMs});
+    addPurge({PurgeEntry::Kind::group, static_cast<std::uint64_t>(group), atMs});
 }
 
-void Tier::mark(const Mark& mark) {
-    marks_.add(mark);
+void Tier::addPurge(const PurgeEntry& entry) {
+    tombstones_.add(entry);
     ++counters_.marks;
     (sweeping_ ? sweepAgain_ : sweeping_) = true;
-    keep({mark});
+    persist({entry});
 }
 
 // Where no folder is held all marks are written when it is.
-void Tier::keep(std::vector<Mark> marks) {
+void Tier::persist(std::vector<PurgeEntry> entries) {
     if (!holdsFolder()) return;
-    linesGiven_ += marks.size();
-    given_ = worker_.keep(std::move(marks));
+    linesGiven_ += entries.size();
+    given_ = worker_.appendPurges(std::move(entries));
     rewriteLogIfLong();
 }
 
 void Tier::rewriteLogIfLong() {
-    if (linesGiven_ < kLongLog || linesGiven_ < 2 * marks_.size()) return;
-    std::vector<Mark> all{{Mark::What::floor, 0, marks_.floorMs()}};
-    marks_.forEach([&](const Mark& mark) { all.push_back(mark); });
-    if (positionGiven_) all.push_back({Mark::What::position, 0, *positionGiven_});
+    if (linesGiven_ < kLongLog || linesGiven_ < 2 * tombstones_.size()) return;
+    std::vector<PurgeEntry> all{{PurgeEntry::Kind::watermark, 0, tombstones_.watermarkMs()}};
+    tombstones_.forEach([&](const PurgeEntry& entry) { all.push_back(entry); });
+    if (positionGiven_) all.push_back({PurgeEntry::Kind::busPosition, 0, *positionGiven_});
     linesGiven_ = all.size();
-    worker_.rewriteLog(std::move(all));
+    worker_.rewritePurgeLog(std::move(all));
 }
 
 void Tier::told(ClockReading now, std::int64_t from, std::int64_t last, std::span<const std::int64_t> numbers,
                 bool complete) {
     if (proof_.told(now.monotonicMs, from, last, numbers, complete))
-        raiseFloor(now, "events of the bus are missing");
+        raiseWatermark(now, "events of the bus are missing");
     givePosition(now);
 }
 
@@ -292,20 +293,20 @@
     if (kept() && positionGiven_ && now.monotonicMs - positionGivenMs_ < kPositionEveryMs) return;
     positionGiven_ = position;
     positionGivenMs_ = now.monotonicMs;
-    keep({{Mark::What::position, 0, *position}});
+    persist({{PurgeEntry::Kind::busPosition, 0, *position}});
 }
 
-void Tier::raiseFloor(ClockReading now, const char* why) {
+void Tier::raiseWatermark(ClockReading now, const char* why) {
     ++counters_.floors;
     log(std::string("disk tier: what is held can't be proved newer than every purge (") + why + "), dropped");
     // The clock that dated a copy may be ahead of this machine's.
     dropsLoading_ = dropsLoading_ || state_ == State::loading;
-    mark({Mark::What::floor, 0, std::max(now.unixMs, latestCreatedMs_)});
+    addPurge({PurgeEntry::Kind::watermark, 0, std::max(now.unixMs, latestCreatedMs_)});
 }
 
 void Tier::noteCreated(std::int64_t createdMs) { latestCreatedMs_ = std::max(latestCreatedMs_, createdMs); }
 
-void Tier::take(ClockReading, MarksKept& told) {
+void Tier::take(ClockReading, PurgesPersisted& told) {
     const bool failed = !told.problem.empty();
     if (failed) ++counters_.logErrors;
     if (failed != logFails_)
@@ -330,16 +331,16 @@
     state_ = State::loading;
     problem_.clear();
     // First what this process has heard while it had no folder: it goes to the log.
-    std::vector<Mark> heard;
-    marks_.forEach([&](const Mark& mark) { heard.push_back(mark); });
-    for (const Mark& mark : told.marks) marks_.add(mark);
-    linesGiven_ = told.marks.size();
-    const PurgeProof::Begin begin = proof_.begin(options_.purges, told.position);
+    std::vector<PurgeEntry> heard;
+    tombstones_.forEach([&](const PurgeEntry& entry) { heard.push_back(entry); });
+    for (const PurgeEntry& entry : told.entries) tombstones_.add(entry);
+    linesGiven_ = told.entries.size();
+    const PurgeFeedTracker::Begin begin = proof_.begin(options_.purges, told.position);
     if (told.damaged)
-        raiseFloor(now, "the purge log is damaged");
+        raiseWatermark(now, "the purge log is damaged");
     else if (begin.floor && !told.empty)
-        raiseFloor(now, "no bus tells what was purged meanwhile");
-    if (!heard.empty()) keep(std::move(heard));  // behind the floor, which makes good what is damaged
+        raiseWatermark(now, "no bus tells what was purged meanwhile");
+    if (!heard.empty()) persist(std::move(heard));  // behind the floor, which makes good what is damaged
     if (begin.askFrom) users_.askFrom(*begin.askFrom);
     givePosition(now);  // the bus may have been heard before
 }
@@ -354,7 +355,8 @@
         log("disk tier: " + segmentFile(told.name) + " ends in the middle of a record, which is dropped");
     }
     for (const Part& part : told.parts) noteCreated(part.createdMs);
-    if (dropsLoading_ && latestCreatedMs_ > marks_.floorMs()) mark({Mark::What::floor, 0, latestCreatedMs_});
+    if (dropsLoading_ && latestCreatedMs_ > tombstones_.watermarkMs())
+        addPurge({PurgeEntry::Kind::watermark, 0, latestCreatedMs_});
     // Too few places in the index: what does not fit is dead, and goes with its segment.
     for (const Part& part : told.parts) catalog_.partLoaded(part, told.name.queue);
     catalog_.segmentLoaded(told.name.number, told.name.queue, told.bytes);
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -30,7 +30,7 @@
     IoWorkerOptions worker;
     std::size_t maxPurgeEntries = 65536;  // objects, and as many groups, that are told apart
     std::int64_t purgeClockSkewMs = 1000;
-    PurgeProof::Options purges;
+    PurgeFeedTracker::Options purges;
 };
 
 class Tier {
@@ -94,8 +94,8 @@
     const char* stateName() const;
     const Counters& counters() const { return counters_; }
     const SegmentCatalog& catalog() const { return catalog_; }
-    std::size_t markCount() const { return marks_.size(); }
-    std::int64_t floorMs() const { return marks_.floorMs(); }
+    std::size_t tombstoneCount() const { return tombstones_.size(); }
+    std::int64_t watermarkMs() const { return tombstones_.watermarkMs(); }
     std::uint64_t queuedBytes() const { return onTheWay_; }
     const TierOptions& options() const { return options_; }
 
@@ -119,14 +119,14 @@
     void take(ClockReading now, Moved& told);
     void take(ClockReading now, Rewritten& told);
     void take(ClockReading now, Removed& told);
-    void take(ClockReading now, MarksKept& told);
+    void take(ClockReading now, PurgesPersisted& told);
     void take(ClockReading now, ReadDone& told);
 
     bool holdsFolder() const { return state_ == State::loading || state_ == State::ready; }
     bool servable(ClockReading now, const Key& key, std::int64_t oldestMs, std::int64_t createdMs);
-    void mark(const Mark& mark);
-    void keep(std::vector<Mark> marks);
-    void raiseFloor(ClockReading now, const char* why);
+    void addPurge(const PurgeEntry& entry);
+    void persist(std::vector<PurgeEntry> entries);
+    void raiseWatermark(ClockReading now, const char* why);
     void noteCreated(std::int64_t createdMs);
     bool isLatest(const Key& key, const Copy& copy);
     void givePosition(ClockReading now);
@@ -137,11 +137,11 @@
     TierOptions options_;
     Users users_;
     SegmentCatalog catalog_;
-    PurgeMarks marks_;
+    PurgeTombstones tombstones_;
     std::int64_t latestCreatedMs_ = 0;  // of all that is held or on its way
     bool dropsLoading_ = false;         // what the segments still bring can't be proved either
 
-    PurgeProof proof_;
+    PurgeFeedTracker proof_;
     State state_ = State::opening;
     std::string problem_;  // told last
     std::uint64_t nextTicket_ = 1;
--- a/src/disktool/main.cpp
+++ b/src/disktool/main.cpp
@@ -54,8 +54,8 @@
         bad += !segment.problem.empty();
     }
     std::int64_t floor = 0;
-    for (const disk::Mark& mark : found.marks)
-        if (mark.what == disk::Mark::What::floor) floor = std::max(floor, mark.atMs);
+    for (const disk::PurgeEntry& entry : found.entries)
+        if (entry.kind == disk::PurgeEntry::Kind::watermark) floor = std::max(floor, entry.atMs);
     print(arguments, {{"folder", arguments.folder},
                       {"held", found.held},
                       {"segments", found.segments.size()},
@@ -68,7 +68,7 @@
                       {"purged", found.purged},
                       {"torn_tails", torn},
                       {"unreadable", bad},
-                      {"marks", found.marks.size()},
+                      {"marks", found.entries.size()},
                       {"marks_damaged", found.logDamaged},
                       {"floor_ms", floor},
                       {"bus_position", found.position ? json(*found.position) : json("none")}});
@@ -132,15 +132,15 @@
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     const std::int64_t at =
         arguments.atMs.value_or(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
-    std::vector<disk::Mark> marks;
-    using What = disk::Mark::What;
-    if (!arguments.object.empty()) marks.push_back({What::object, fingerprint(arguments.object), at});
-    if (arguments.group) marks.push_back({What::group, static_cast<std::uint64_t>(*arguments.group), at});
-    if (arguments.all) marks.push_back({What::floor, 0, at});
-    if (marks.empty()) return refused("purge needs --object, --group or --all");
-    const disk::Changed result = disk::addMarks(calls, arguments.folder, marks);
+    std::vector<disk::PurgeEntry> entries;
+    using Kind = disk::PurgeEntry::Kind;
+    if (!arguments.object.empty()) entries.push_back({Kind::object, fingerprint(arguments.object), at});
+    if (arguments.group) entries.push_back({Kind::group, static_cast<std::uint64_t>(*arguments.group), at});
+    if (arguments.all) entries.push_back({Kind::watermark, 0, at});
+    if (entries.empty()) return refused("purge needs --object, --group or --all");
+    const disk::Changed result = disk::addPurges(calls, arguments.folder, entries);
     if (!result.problem.empty()) return refused(result.problem, result.busy);
-    print(arguments, {{"marks", marks.size()}, {"at_ms", at}});
+    print(arguments, {{"marks", entries.size()}, {"at_ms", at}});
     return kDone;
 }
 
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -291,7 +291,7 @@
                             {"reclaimed", s.reclaimed},
                             {"queue", tier_->queuedBytes()},
                             {"write_errors", t.writeErrors},
-                            {"marks", tier_->markCount()},
+                            {"marks", tier_->tombstoneCount()},
                             {"log_errors", t.logErrors},
                             {"floors", t.floors},
                             {"superseded", t.superseded}});
--- a/tests/disk_faults_test.cpp
+++ b/tests/disk_faults_test.cpp
@@ -93,7 +93,7 @@
         .seekp(50)
         .put('\x77');
     FileCalls files;
-    const auto added = addMarks(files, folder.tier(), {Mark{Mark::What::group, 3, 1000}});
+    const auto added = addPurges(files, folder.tier(), {PurgeEntry{PurgeEntry::Kind::group, 3, 1000}});
     EXPECT_NE(added.problem.find("is damaged"), std::string::npos) << added.problem;
     {
         Folder killed(files, folder.tier());
--- a/tests/disk_policy_test.cpp
+++ b/tests/disk_policy_test.cpp
@@ -82,50 +82,50 @@
 }
 
 TEST(DiskMarks, CoverWhatIsOlderAndNothingElse) {
-    PurgeMarks marks(100, 50);
-    marks.add({Mark::What::object, 7, 1000});
-    marks.add({Mark::What::object, 7, 900});  // an older word changes nothing
-    marks.add({Mark::What::group, static_cast<std::uint64_t>(-3), 2000});
-    EXPECT_TRUE(marks.covers(7, 1, 1000));
-    EXPECT_TRUE(marks.covers(7, 1, 1050));  // two clocks may differ by as much
-    EXPECT_FALSE(marks.covers(7, 1, 1051));
-    EXPECT_FALSE(marks.covers(8, 1, 1));
-    EXPECT_TRUE(marks.covers(8, -3, 2000));
-    EXPECT_FALSE(marks.covers(8, -3, 2051));
-    marks.add({Mark::What::floor, 0, 5000});
-    EXPECT_TRUE(marks.covers(9, 9, 5000));
-    EXPECT_FALSE(marks.covers(9, 9, 5051));
+    PurgeTombstones tombstones(100, 50);
+    tombstones.add({PurgeEntry::Kind::object, 7, 1000});
+    tombstones.add({PurgeEntry::Kind::object, 7, 900});  // an older word changes nothing
+    tombstones.add({PurgeEntry::Kind::group, static_cast<std::uint64_t>(-3), 2000});
+    EXPECT_TRUE(tombstones.covers(7, 1, 1000));
+    EXPECT_TRUE(tombstones.covers(7, 1, 1050));  // two clocks may differ by as much
+    EXPECT_FALSE(tombstones.covers(7, 1, 1051));
+    EXPECT_FALSE(tombstones.covers(8, 1, 1));
+    EXPECT_TRUE(tombstones.covers(8, -3, 2000));
+    EXPECT_FALSE(tombstones.covers(8, -3, 2051));
+    tombstones.add({PurgeEntry::Kind::watermark, 0, 5000});
+    EXPECT_TRUE(tombstones.covers(9, 9, 5000));
+    EXPECT_FALSE(tombstones.covers(9, 9, 5051));
 }
 
 TEST(DiskMarks, AreBoundedAndNeverForgetAPurge) {
-    PurgeMarks marks(64, 0);
+    PurgeTombstones tombstones(64, 0);
     std::mt19937_64 random(3);
     std::vector<std::pair<std::uint64_t, std::int64_t>> purges;
     for (int i = 1; i <= 2000; ++i) {
         const std::uint64_t object = random() % 500 + 1;
         const auto ms = static_cast<std::int64_t>(random() % 10'000 + 1);
-        marks.add({Mark::What::object, object, ms});
+        tombstones.add({PurgeEntry::Kind::object, object, ms});
         purges.emplace_back(object, ms);
-        ASSERT_LE(marks.size(), 64U);
+        ASSERT_LE(tombstones.size(), 64U);
     }
     for (const auto& [object, ms] : purges) {
-        ASSERT_TRUE(marks.covers(object, 0, ms));
-        ASSERT_TRUE(marks.mayCover(foldedObject(object), foldedGroup(0), ms));
+        ASSERT_TRUE(tombstones.covers(object, 0, ms));
+        ASSERT_TRUE(tombstones.mayCover(objectHash32(object), groupHash32(0), ms));
     }
-    EXPECT_FALSE(marks.covers(1, 0, 10'001));
+    EXPECT_FALSE(tombstones.covers(1, 0, 10'001));
 }
 
 TEST(DiskProof, WithoutABusNobodyElsePurges) {
-    PurgeProof proof;
+    PurgeFeedTracker proof;
     EXPECT_FALSE(proof.holds(0));
     EXPECT_FALSE(proof.begin({false, false, 2000}, {}).floor);
     EXPECT_TRUE(proof.holds(1'000'000));
-    PurgeProof lostBus;
+    PurgeFeedTracker lostBus;
     EXPECT_TRUE(lostBus.begin({false, true, 2000}, 17).floor);
 }
 
 TEST(DiskProof, ABusWhoseNumbersStartAnewProvesNothing) {
-    PurgeProof proof;
+    PurgeFeedTracker proof;
     const auto begin = proof.begin({true, false, 2000}, 40);
     EXPECT_TRUE(begin.floor);
     EXPECT_FALSE(begin.askFrom);
@@ -136,10 +136,10 @@
 }
 
 TEST(DiskProof, GoesBackToWhereItStoodAndFindsWhatIsMissing) {
-    const PurgeProof::Options options{true, true, 2000};
+    const PurgeFeedTracker::Options options{true, true, 2000};
     const std::vector<std::int64_t> whole{41, 42, 43}, gap{41, 43}, late{43};
     {
-        PurgeProof proof;
+        PurgeFeedTracker proof;
         const auto begin = proof.begin(options, 40);
         EXPECT_FALSE(begin.floor);
         ASSERT_EQ(begin.askFrom, 40);
@@ -154,21 +154,21 @@
         EXPECT_TRUE(proof.told(4, 43, 50, {}));  // told to be there, and not told
     }
     for (const auto& numbers : {gap, late}) {
-        PurgeProof proof;
+        PurgeFeedTracker proof;
         (void)proof.begin(options, 40);
         EXPECT_TRUE(proof.told(2, 40, 43, numbers));
     }
-    PurgeProof other;
+    PurgeFeedTracker other;
     (void)other.begin(options, 40);
     EXPECT_TRUE(other.told(2, 40, 12, {}));  // a bus that is behind is another
-    PurgeProof fresh;
+    PurgeFeedTracker fresh;
     EXPECT_TRUE(fresh.begin(options, {}).floor);  // records, but no position: nothing is known
 }
 
 // A page is applied, and the bus says that there is more: what is held may be purged by that.
 TEST(DiskProof, ProvesNothingBeforeTheLastPage) {
     const std::vector<std::int64_t> first{41, 42}, second{43};
-    PurgeProof proof;
+    PurgeFeedTracker proof;
     (void)proof.begin({true, true, 2000}, 40);
     EXPECT_FALSE(proof.told(1, 40, 42, first, false));
     EXPECT_FALSE(proof.holds(1));
@@ -248,10 +248,10 @@
 TEST(DiskShelf, SweepsWhatMarksCoverInSlices) {
     PaperDisk disk(small());
     for (std::uint64_t i = 1; i <= 500; ++i) disk.request(mix(i), 1, 100);
-    PurgeMarks marks(100, 0);
-    for (std::uint64_t i = 1; i <= 50; ++i) marks.add({Mark::What::object, mix(i), 10});
+    PurgeTombstones tombstones(100, 0);
+    for (std::uint64_t i = 1; i <= 50; ++i) tombstones.add({PurgeEntry::Kind::object, mix(i), 10});
     int slices = 1;
-    while (!disk.catalog.sweep(marks, 64)) ++slices;
+    while (!disk.catalog.sweep(tombstones, 64)) ++slices;
     EXPECT_EQ(slices, 8);
     EXPECT_EQ(disk.catalog.parts(), 450U);
     EXPECT_FALSE(disk.catalog.contains(mix(50)));
@@ -261,9 +261,9 @@
 TEST(DiskShelf, DropsDeadSegmentsFirstAndAtNoCost) {
     PaperDisk disk(small());
     for (std::uint64_t i = 1; i <= 64; ++i) disk.request(mix(i), 1, 1000);  // two segments
-    PurgeMarks marks(10, 0);
-    marks.add({Mark::What::floor, 0, 5});
-    ASSERT_TRUE(disk.catalog.sweep(marks, 1000));
+    PurgeTombstones tombstones(10, 0);
+    tombstones.add({PurgeEntry::Kind::watermark, 0, 5});
+    ASSERT_TRUE(disk.catalog.sweep(tombstones, 1000));
     const auto next = disk.catalog.nextReclaim(0);
     ASSERT_TRUE(next);
     EXPECT_TRUE(next->survivors.empty());
@@ -301,13 +301,13 @@
     }
     for (std::size_t size = 0; size < bytes.size(); size += 7)
         ASSERT_FALSE(decodeRecord(std::string_view(bytes).substr(0, size)));
-    std::string mark, table;
-    encodeMark({Mark::What::group, 17, 5}, mark);
-    ASSERT_EQ(mark.size(), kMarkBytes);
-    EXPECT_EQ(readMark(mark), (Mark{Mark::What::group, 17, 5}));
-    for (char& byte : mark) {
+    std::string entry, table;
+    encodePurgeEntry({PurgeEntry::Kind::group, 17, 5}, entry);
+    ASSERT_EQ(entry.size(), kPurgeEntryBytes);
+    EXPECT_EQ(decodePurgeEntry(entry), (PurgeEntry{PurgeEntry::Kind::group, 17, 5}));
+    for (char& byte : entry) {
         byte = static_cast<char>(byte ^ 4);
-        ASSERT_FALSE(readMark(mark));
+        ASSERT_FALSE(decodePurgeEntry(entry));
         byte = static_cast<char>(byte ^ 4);
     }
     table = encodeTable({300, {partOf(1, 9, 0), partOf(2, 9, 100)}}, 9);
--- a/tests/disk_tier_test.cpp
+++ b/tests/disk_tier_test.cpp
@@ -396,7 +396,7 @@
         ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
         desk.tier.purgeObject("/files/8", 1000);
         ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
-        EXPECT_LT(std::filesystem::file_size(folder.tier() + "/purges"), 20'000U * kMarkBytes / 2);
+        EXPECT_LT(std::filesystem::file_size(folder.tier() + "/purges"), 20'000U * kPurgeEntryBytes / 2);
     }
     Desk desk(options);
     for (int i = 0; i < 12; ++i) EXPECT_EQ(desk.has(i, 1000), i != 7 && i != 8);
