--- a/src/disk/caching_carrier.cpp
+++ b/src/disk/caching_carrier.cpp
@@ -135,7 +135,7 @@
 bool CachingCarrier::cancel(Micros now, RequestId request, int attempt) {
     const auto reading = reading_.find(request);
     if (reading != reading_.end() && reading->second.send.attempt == attempt) {
-        tier_->forget(reading->second.ticket);
+        tier_->cancelLookup(reading->second.ticket);
         reading_.erase(reading);
         return true;
     }
@@ -170,7 +170,7 @@
         const auto at = reading_.find(id);
         if (at == reading_.end() || at->second.until != until) continue;
         ++counters_.slowReads;
-        tier_->forget(at->second.ticket);
+        tier_->cancelLookup(at->second.ticket);
         const Reading reading = std::move(at->second);
         reading_.erase(at);
         pass(now, *reading.request, reading.send, reading.key);
@@ -179,7 +179,7 @@
 }
 
 core::Micros CachingCarrier::nextTurn() const {
-    if (tier_ != nullptr && tier_->wantsTurn()) return now_;
+    if (tier_ != nullptr && tier_->hasMoreWork()) return now_;
     return due_.empty() ? Micros::max() : due_.begin()->first;
 }
 
--- a/src/disk/purge_tombstones.cpp
+++ b/src/disk/purge_tombstones.cpp
@@ -77,48 +77,49 @@
     return atOrBelowWatermark(ms) || covered(objectsByHash_, object, ms) || covered(groupsByHash_, group, ms);
 }
 
-PurgeFeedTracker::Begin PurgeFeedTracker::begin(Options options, std::optional<std::int64_t> logged) {
+PurgeFeedTracker::StartResult PurgeFeedTracker::start(Options options,
+                                                      std::optional<std::int64_t> loggedPosition) {
     options_ = options;
-    begun_ = true;
-    Begin result;
+    started_ = true;
+    StartResult result;
     if (!options.bus) {
-        result.floor = logged.has_value();  // a bus that we can't ask may have told purges
-    } else if (!options.keepsPositions || !logged) {
-        result.floor = true;
-    } else if (!position_ || *position_ != *logged) {
-        needed_ = logged;
-        heardMs_.reset();
-        result.askFrom = logged;
+        result.raiseWatermark = loggedPosition.has_value();  // a bus that we can't ask may have told purges
+    } else if (!options.keepsPositions || !loggedPosition) {
+        result.raiseWatermark = true;
+    } else if (!position_ || *position_ != *loggedPosition) {
+        resumeFrom_ = loggedPosition;
+        lastHeardMs_.reset();
+        result.resumeFrom = loggedPosition;
     }
     return result;
 }
 
-bool PurgeFeedTracker::told(std::int64_t nowMs, std::int64_t from, std::int64_t last,
-                            std::span<const std::int64_t> numbers, bool complete) {
+bool PurgeFeedTracker::batchReceived(std::int64_t nowMs, std::int64_t from, std::int64_t last,
+                                     std::span<const std::int64_t> eventNumbers, bool complete) {
     bool missing = false;
-    if (needed_) {
-        if (from > *needed_) return false;  // asked before it was known how far back to go
-        missing = last < *needed_;          // another bus
-        needed_.reset();
+    if (resumeFrom_) {
+        if (from > *resumeFrom_) return false;  // asked before it was known how far back to go
+        missing = last < *resumeFrom_;          // another bus
+        resumeFrom_.reset();
     } else if (position_ && from > *position_) {
         missing = true;
     }
     std::int64_t next = from;
-    for (const std::int64_t number : numbers) {
-        if (number <= next) continue;
-        missing = missing || number != next + 1;
-        next = number;
+    for (const std::int64_t eventNumber : eventNumbers) {
+        if (eventNumber <= next) continue;
+        missing = missing || eventNumber != next + 1;
+        next = eventNumber;
     }
     missing = missing || next < last;
     position_ = std::max(last, next);
-    heardMs_ = complete ? std::optional(nowMs) : std::nullopt;
+    lastHeardMs_ = complete ? std::optional(nowMs) : std::nullopt;
     return missing;
 }
 
-bool PurgeFeedTracker::holds(std::int64_t nowMs) const {
-    if (!begun_) return false;
+bool PurgeFeedTracker::isCurrent(std::int64_t nowMs) const {
+    if (!started_) return false;
     if (!options_.bus) return true;
-    return !needed_ && heardMs_ && nowMs - *heardMs_ <= options_.silenceMs;
+    return !resumeFrom_ && lastHeardMs_ && nowMs - *lastHeardMs_ <= options_.maxSilenceMs;
 }
 
 }  // namespace lotuslead::disk
--- a/src/disk/purge_tombstones.hpp
+++ b/src/disk/purge_tombstones.hpp
@@ -67,38 +67,38 @@
 class PurgeFeedTracker {
 public:
     struct Options {
-        bool bus = false;             // there is one
-        bool keepsPositions = false;  // its numbers hold across our starts
-        std::int64_t silenceMs = 0;   // unheard for so long, it may have told what we don't know
+        bool bus = false;               // there is one
+        bool keepsPositions = false;    // its numbers hold across our starts
+        std::int64_t maxSilenceMs = 0;  // unheard for so long, it may have told what we don't know
     };
-    struct Begin {
-        bool floor = false;                   // what is held can't be proved
-        std::optional<std::int64_t> askFrom;  // the reader must go back to here
+    struct StartResult {
+        bool raiseWatermark = false;             // what is held can't be proved
+        std::optional<std::int64_t> resumeFrom;  // the reader must go back to here
     };
 
     // `logged`: the position in the purge log; none: no bus has ever been applied to this folder.
-    [[nodiscard]] Begin begin(Options options, std::optional<std::int64_t> logged);
+    [[nodiscard]] StartResult start(Options options, std::optional<std::int64_t> loggedPosition);
     // A batch asked for from behind `from` had these numbers and ended at `last`. True: events are missing,
     // and the floor must rise. `nowMs` is monotonic, in milliseconds. Not `complete`: the bus has more to
     // tell, so that nothing is proved before that has come.
-    [[nodiscard]] bool told(std::int64_t nowMs, std::int64_t from, std::int64_t last,
-                            std::span<const std::int64_t> numbers, bool complete = true);
+    [[nodiscard]] bool batchReceived(std::int64_t nowMs, std::int64_t from, std::int64_t last,
+                                     std::span<const std::int64_t> eventNumbers, bool complete = true);
     // Whether there is a bus, and its silence, from now on.
-    void reconfigure(bool bus, std::int64_t silenceMs) {
+    void reconfigure(bool bus, std::int64_t maxSilenceMs) {
         options_.bus = bus;
-        options_.silenceMs = silenceMs;
+        options_.maxSilenceMs = maxSilenceMs;
     }
 
-    [[nodiscard]] bool holds(std::int64_t nowMs) const;
+    [[nodiscard]] bool isCurrent(std::int64_t nowMs) const;
     // Up to which all is known; none while the reader has yet to go back.
-    std::optional<std::int64_t> position() const { return needed_ ? std::nullopt : position_; }
+    std::optional<std::int64_t> position() const { return resumeFrom_ ? std::nullopt : position_; }
 
 private:
     Options options_;
-    std::optional<std::int64_t> needed_;    // what is behind this must be told first
-    std::optional<std::int64_t> position_;  // applied
-    std::optional<std::int64_t> heardMs_;
-    bool begun_ = false;
+    std::optional<std::int64_t> resumeFrom_;  // what is behind this must be told first
+    std::optional<std::int64_t> position_;    // applied
+    std::optional<std::int64_t> lastHeardMs_;
+    bool started_ = false;
 };
 
 }  // namespace lotuslead::disk
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -15,9 +15,9 @@
 
 }  // namespace
 
-Tier::Tier(FileCalls& calls, const TierOptions& options, Users users)
+Tier::Tier(FileCalls& calls, const TierOptions& options, Callbacks callbacks)
     : options_(options),
-      users_(std::move(users)),
+      callbacks_(std::move(callbacks)),
       catalog_(options.catalog),
       tombstones_(options.maxPurgeEntries, options.purgeClockSkewMs),
       versions_(kVersions),
@@ -54,7 +54,7 @@
     reclaim();
 }
 
-void Tier::tryAgain() {
+void Tier::retryOpen() {
     if (state_ == State::waiting) worker_.retryOpen();
 }
 
@@ -68,7 +68,7 @@
 
 void Tier::reconfigure(const TierOptions& options) {
     tombstones_.setClockSkew(options.purgeClockSkewMs);
-    proof_.reconfigure(options.purges.bus, options.purges.silenceMs);
+    purgeFeed_.reconfigure(options.purges.bus, options.purges.maxSilenceMs);
     options_.purgeClockSkewMs = options.purgeClockSkewMs;
     options_.purges = options.purges;
 }
@@ -77,7 +77,7 @@
 
 // Whether a copy of then may be served now; the only place where that is decided.
 bool Tier::servable(ClockReading now, const Key& key, std::int64_t oldestMs, std::int64_t createdMs) {
-    if (logFails_ || !proof_.holds(now.monotonicMs)) {
+    if (logFails_ || !purgeFeed_.isCurrent(now.monotonicMs)) {
         ++counters_.unproved;
         return false;
     }
@@ -158,7 +158,7 @@
         return;
     }
     // Fetched only since nothing could be proved just now: what is held will do again.
-    if (!proof_.holds(now.monotonicMs) && catalog_.contains(fingerprint)) return;
+    if (!purgeFeed_.isCurrent(now.monotonicMs) && catalog_.contains(fingerprint)) return;
     const std::uint64_t bytes = recordBytes(key, copy);
     if (onTheWay_ + bytes > options_.worker.queueBytes) {
         ++counters_.queueFull;
@@ -178,7 +178,7 @@
 // Parts of two versions must not meet in one download: where two have been seen, what is held of the one seen
 // first goes.
 bool Tier::isLatest(const Key& key, const Copy& copy) {
-    const std::uint64_t version = users_.version(copy.facts);
+    const std::uint64_t version = callbacks_.version(copy.facts);
     if (version == 0) return true;
     const std::uint64_t object = key.objectFingerprint();
     auto [known, had] = versions_.touch(object);
@@ -279,18 +279,18 @@
     worker_.rewritePurgeLog(std::move(all));
 }
 
-void Tier::told(ClockReading now, std::int64_t from, std::int64_t last, std::span<const std::int64_t> numbers,
-                bool complete) {
-    if (proof_.told(now.monotonicMs, from, last, numbers, complete))
+void Tier::busBatchReceived(ClockReading now, std::int64_t from, std::int64_t last,
+                            std::span<const std::int64_t> numbers, bool complete) {
+    if (purgeFeed_.batchReceived(now.monotonicMs, from, last, numbers, complete))
         raiseWatermark(now, "events of the bus are missing");
     givePosition(now);
 }
 
 void Tier::givePosition(ClockReading now) {
-    const auto position = proof_.position();
+    const auto position = purgeFeed_.position();
     if (!position || !holdsFolder() || position == positionGiven_) return;
     // With a purge at once, so that it need not be told again; else now and then.
-    if (kept() && positionGiven_ && now.monotonicMs - positionGivenMs_ < kPositionEveryMs) return;
+    if (purgesPersisted() && positionGiven_ && now.monotonicMs - positionGivenMs_ < kPositionEveryMs) return;
     positionGiven_ = position;
     positionGivenMs_ = now.monotonicMs;
     persist({{PurgeEntry::Kind::busPosition, 0, *position}});
@@ -335,13 +335,13 @@
     tombstones_.forEach([&](const PurgeEntry& entry) { heard.push_back(entry); });
     for (const PurgeEntry& entry : told.entries) tombstones_.add(entry);
     linesGiven_ = told.entries.size();
-    const PurgeFeedTracker::Begin begin = proof_.begin(options_.purges, told.position);
+    const PurgeFeedTracker::StartResult started = purgeFeed_.start(options_.purges, told.position);
     if (told.damaged)
         raiseWatermark(now, "the purge log is damaged");
-    else if (begin.floor && !told.empty)
+    else if (started.raiseWatermark && !told.empty)
         raiseWatermark(now, "no bus tells what was purged meanwhile");
     if (!heard.empty()) persist(std::move(heard));  // behind the floor, which makes good what is damaged
-    if (begin.askFrom) users_.askFrom(*begin.askFrom);
+    if (started.resumeFrom) callbacks_.resumeBusFrom(*started.resumeFrom);
     givePosition(now);  // the bus may have been heard before
 }
 
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -42,9 +42,9 @@
                       floors = 0, superseded = 0, logErrors = 0, cutTails = 0;
         std::uint64_t hitBytes = 0;
     };
-    struct Users {
-        std::function<void(const std::string&)> log;         // one line
-        std::function<void(std::int64_t position)> askFrom;  // the bus's reader is to go back to here
+    struct Callbacks {
+        std::function<void(const std::string&)> log;               // one line
+        std::function<void(std::int64_t position)> resumeBusFrom;  // the bus's reader is to go back to here
         // The same for all parts of one version of an object; zero: parts have none in common.
         std::function<std::uint64_t(const Facts&)> version;
     };
@@ -52,7 +52,7 @@
     using Found = std::function<void(std::optional<Copy>)>;
 
     // `calls` outlives it.
-    Tier(FileCalls& calls, const TierOptions& options, Users users);
+    Tier(FileCalls& calls, const TierOptions& options, Callbacks callbacks);
     ~Tier();
     Tier(const Tier&) = delete;
 
@@ -60,14 +60,14 @@
     int wakeDescriptor() const { return worker_.wakeDescriptor(); }
     void turn(ClockReading now);
     // There is more to do, in slices, though nothing wakes it.
-    bool wantsTurn() const { return sweeping_ && state_ == State::ready; }
+    bool hasMoreWork() const { return sweeping_ && state_ == State::ready; }
     // Where another process holds the folder, it is tried again; to be called every second or so.
-    void tryAgain();
+    void retryOpen();
 
     // Zero: a miss, told at once. Else `found` is called by a later turn(), unless it is forgotten before.
     // `oldestMs`: an older copy will not do; zero: any age.
     [[nodiscard]] std::uint64_t lookUp(ClockReading now, const Key& key, std::int64_t oldestMs, Found found);
-    void forget(std::uint64_t ticket) { waiting_.erase(ticket); }
+    void cancelLookup(std::uint64_t ticket) { waiting_.erase(ticket); }
     // A fetched copy. `rank`: the decision module's; zero: it is not to be kept.
     void offer(ClockReading now, const Key& key, int rank, const Copy& copy);
 
@@ -76,14 +76,14 @@
     void purgeObject(const std::string& object, std::int64_t atMs);
     void purgeGroup(std::int64_t group, std::int64_t atMs);
     // As PurgeProof::told; after the purges of that batch.
-    void told(ClockReading now, std::int64_t from, std::int64_t last, std::span<const std::int64_t> numbers,
-              bool complete = true);
+    void busBatchReceived(ClockReading now, std::int64_t from, std::int64_t last,
+                          std::span<const std::int64_t> numbers, bool complete = true);
     // What is held can be served, or nothing will be: before that a start is worth waiting with.
-    bool settled(ClockReading now) const {
-        return state_ != State::opening && (!holdsFolder() || proof_.holds(now.monotonicMs));
+    bool startupComplete(ClockReading now) const {
+        return state_ != State::opening && (!holdsFolder() || purgeFeed_.isCurrent(now.monotonicMs));
     }
     // All marks are on disk, or there is no disk that holds a copy.
-    bool kept() const { return keptUpTo_ >= given_; }
+    bool purgesPersisted() const { return keptUpTo_ >= given_; }
 
     // Other limits that hold from now on; folder and sizes stay.
     void reconfigure(const TierOptions& options);
@@ -132,16 +132,16 @@
     void givePosition(ClockReading now);
     void reclaim();
     void rewriteLogIfLong();
-    void log(const std::string& line) const { users_.log(line); }
+    void log(const std::string& line) const { callbacks_.log(line); }
 
     TierOptions options_;
-    Users users_;
+    Callbacks callbacks_;
     SegmentCatalog catalog_;
     PurgeTombstones tombstones_;
     std::int64_t latestCreatedMs_ = 0;  // of all that is held or on its way
     bool dropsLoading_ = false;         // what the segments still bring can't be proved either
 
-    PurgeFeedTracker proof_;
+    PurgeFeedTracker purgeFeed_;
     State state_ = State::opening;
     std::string problem_;  // told last
     std::uint64_t nextTicket_ = 1;
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -52,7 +52,8 @@
         bus_.moveTo(baseOf(configuration_).bus);
     }
     bool prepared() const override {
-        return bus_.caughtUp() && (!tier_ || tier_->settled(cachingCarrier_.clockReadingAt(loop_.now())));
+        return bus_.caughtUp() &&
+               (!tier_ || tier_->startupComplete(cachingCarrier_.clockReadingAt(loop_.now())));
     }
     bool catchingUp() const override { return bus_.catchingUp(); }
     void open() override {
@@ -162,10 +163,10 @@
         bus_.listen({[this](std::int64_t from, std::int64_t last, const std::vector<std::int64_t>& numbers,
                             bool complete) {
                          if (tier_)
-                             tier_->told(cachingCarrier_.clockReadingAt(loop_.now()), from, last, numbers,
-                                         complete);
+                             tier_->busBatchReceived(cachingCarrier_.clockReadingAt(loop_.now()), from, last,
+                                                     numbers, complete);
                      },
-                     [this] { return !tier_ || tier_->kept(); }});
+                     [this] { return !tier_ || tier_->purgesPersisted(); }});
     }
     virtual void printOwnCounters(const std::string& name) const = 0;
 
@@ -213,7 +214,7 @@
         const bool bus = !baseOf(configuration_).bus.empty();
         tier_ = std::make_unique<disk::Tier>(
             fileCalls_, disk::tierOptions(*disk_, bus),
-            disk::Tier::Users{
+            disk::Tier::Callbacks{
                 [this](const std::string& line) {
                     std::fprintf(stderr, "%s: %s\n", baseOf(configuration_).name.c_str(), line.c_str());
                 },
@@ -248,7 +249,7 @@
     }
     void tryTierAgain() {
         tierTimer_ = loop_.after(std::chrono::seconds{1}, [this] {
-            tier_->tryAgain();
+            tier_->retryOpen();
             tryTierAgain();
         });
     }
--- a/tests/audit_disk.cpp
+++ b/tests/audit_disk.cpp
@@ -128,7 +128,7 @@
           random_(seed),
           last_(last),
           calls_(bus_ + ".synced", seed),
-          tier_(calls_, options(folder), users()) {}
+          tier_(calls_, options(folder), callbacks()) {}
 
     int run() {
         std::size_t next = 0;  // of the walk over all that may be held
@@ -168,7 +168,7 @@
         options.purges = {true, true, 2000};
         return options;
     }
-    Tier::Users users() {
+    Tier::Callbacks callbacks() {
         return {[](const std::string&) {}, [this](std::int64_t position) { from_ = position; },
                 [](const Facts&) { return std::uint64_t{0}; }};
     }
@@ -194,12 +194,12 @@
             e.group ? tier_.purgeGroup(e.name, e.atMs) : tier_.purgeObject(nameOf(e.name), e.atMs);
         }
         const std::int64_t from = std::exchange(from_, std::max(from_, last));
-        tier_.told(now(), from, last, numbers);
+        tier_.busBatchReceived(now(), from, last, numbers);
         if (!numbers.empty()) unacknowledged_ = last;
     }
 
     void answer() {
-        if (!tier_.kept()) return;
+        if (!tier_.purgesPersisted()) return;
         if (unacknowledged_ > 0) say("ack " + std::to_string(std::exchange(unacknowledged_, 0)));
         for (const auto& [object, ms] : std::exchange(ownPurges_, {}))
             say("purged " + std::to_string(object) + " " + std::to_string(ms));
--- a/tests/disk_faults_test.cpp
+++ b/tests/disk_faults_test.cpp
@@ -35,9 +35,9 @@
         std::this_thread::sleep_for(kAllRewritten);
         desk.tier.turn(desk.now);
         files.clear();
-        ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
+        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
         desk.tier.purgeObject("/files/8", 1000);
-        ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
+        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
     }
     Desk desk(options);
     for (int i = 0; i < 12; ++i) EXPECT_EQ(desk.has(i, 1000), i != 8) << i;
@@ -53,7 +53,7 @@
             Desk desk(optionsFor(folder), &files, false);
             ASSERT_TRUE(desk.until([&] { return !desk.lines.empty(); }));
             files.clear();
-            desk.tier.tryAgain();
+            desk.tier.retryOpen();
             ASSERT_TRUE(desk.until([&] { return desk.tier.state() == Tier::State::ready; })) << file;
             EXPECT_TRUE(desk.store(1, 1000));
         }
@@ -87,7 +87,7 @@
         Desk desk(optionsFor(folder));
         ASSERT_TRUE(desk.store(1, 1000));
         for (int i = 5; i < 15; ++i) desk.tier.purgeObject("/files/" + std::to_string(i), 1000);
-        ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
+        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
     }
     std::fstream(folder.tier() + "/purges", std::ios::in | std::ios::out | std::ios::binary)
         .seekp(50)
@@ -105,7 +105,7 @@
         Desk desk(optionsFor(folder));
         EXPECT_TRUE(desk.logged("the purge log is damaged"));
         EXPECT_FALSE(desk.load(1));
-        ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
+        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
     }
     Desk desk(optionsFor(folder));
     EXPECT_FALSE(desk.logged("the purge log is damaged"));
--- a/tests/disk_policy_test.cpp
+++ b/tests/disk_policy_test.cpp
@@ -116,67 +116,68 @@
 }
 
 TEST(DiskProof, WithoutABusNobodyElsePurges) {
-    PurgeFeedTracker proof;
-    EXPECT_FALSE(proof.holds(0));
-    EXPECT_FALSE(proof.begin({false, false, 2000}, {}).floor);
-    EXPECT_TRUE(proof.holds(1'000'000));
+    PurgeFeedTracker feed;
+    EXPECT_FALSE(feed.isCurrent(0));
+    EXPECT_FALSE(feed.start({false, false, 2000}, {}).raiseWatermark);
+    EXPECT_TRUE(feed.isCurrent(1'000'000));
     PurgeFeedTracker lostBus;
-    EXPECT_TRUE(lostBus.begin({false, true, 2000}, 17).floor);
+    EXPECT_TRUE(lostBus.start({false, true, 2000}, 17).raiseWatermark);
 }
 
 TEST(DiskProof, ABusWhoseNumbersStartAnewProvesNothing) {
-    PurgeFeedTracker proof;
-    const auto begin = proof.begin({true, false, 2000}, 40);
-    EXPECT_TRUE(begin.floor);
-    EXPECT_FALSE(begin.askFrom);
-    EXPECT_FALSE(proof.holds(0));
-    EXPECT_FALSE(proof.told(10, 1, 1, {}));
-    EXPECT_TRUE(proof.holds(2010));
-    EXPECT_FALSE(proof.holds(2011));  // unheard for too long
+    PurgeFeedTracker feed;
+    const auto started = feed.start({true, false, 2000}, 40);
+    EXPECT_TRUE(started.raiseWatermark);
+    EXPECT_FALSE(started.resumeFrom);
+    EXPECT_FALSE(feed.isCurrent(0));
+    EXPECT_FALSE(feed.batchReceived(10, 1, 1, {}));
+    EXPECT_TRUE(feed.isCurrent(2010));
+    EXPECT_FALSE(feed.isCurrent(2011));  // unheard for too long
 }
 
 TEST(DiskProof, GoesBackToWhereItStoodAndFindsWhatIsMissing) {
     const PurgeFeedTracker::Options options{true, true, 2000};
     const std::vector<std::int64_t> whole{41, 42, 43}, gap{41, 43}, late{43};
     {
-        PurgeFeedTracker proof;
-        const auto begin = proof.begin(options, 40);
-        EXPECT_FALSE(begin.floor);
-        ASSERT_EQ(begin.askFrom, 40);
+        PurgeFeedTracker feed;
+        const auto started = feed.start(options, 40);
+        EXPECT_FALSE(started.raiseWatermark);
+        ASSERT_EQ(started.resumeFrom, 40);
         // An answer to what was asked before does not lead past it.
-        EXPECT_FALSE(proof.told(1, 43, 43, {}));
-        EXPECT_FALSE(proof.holds(1));
-        EXPECT_FALSE(proof.position());
-        EXPECT_FALSE(proof.told(2, 40, 43, whole));
-        EXPECT_TRUE(proof.holds(2));
-        EXPECT_EQ(proof.position(), 43);
-        EXPECT_FALSE(proof.told(3, 43, 43, {}));
-        EXPECT_TRUE(proof.told(4, 43, 50, {}));  // told to be there, and not told
+        EXPECT_FALSE(feed.batchReceived(1, 43, 43, {}));
+        EXPECT_FALSE(feed.isCurrent(1));
+        EXPECT_FALSE(feed.position());
+        EXPECT_FALSE(feed.batchReceived(2, 40, 43, whole));
+        EXPECT_TRUE(feed.isCurrent(2));
+        EXPECT_EQ(feed.position(), 43);
+        EXPECT_FALSE(feed.batchReceived(3, 43, 43, {}));
+        EXPECT_TRUE(feed.batchReceived(4, 43, 50, {}));  // told to be there, and not told
     }
     for (const auto& numbers : {gap, late}) {
-        PurgeFeedTracker proof;
-        (void)proof.begin(options, 40);
-        EXPECT_TRUE(proof.told(2, 40, 43, numbers));
+        PurgeFeedTracker feed;
+        (void)feed.start(options, 40);
+        EXPECT_TRUE(feed.batchReceived(2, 40, 43, numbers));
     }
     PurgeFeedTracker other;
-    (void)other.begin(options, 40);
-    EXPECT_TRUE(other.told(2, 40, 12, {}));  // a bus that is behind is another
+    (void)other.start(options, 40);
+    EXPECT_TRUE(other.batchReceived(2, 40, 12, {}));  // a bus that is behind is another
     PurgeFeedTracker fresh;
-    EXPECT_TRUE(fresh.begin(options, {}).floor);  // records, but no position: nothing is known
+    EXPECT_TRUE(fresh.start(options, {}).raiseWatermark);  // records, but no position: nothing is known
 }
 
 // A page is applied, and the bus says that there is more: what is held may be purged by that.
 TEST(DiskProof, ProvesNothingBeforeTheLastPage) {
     const std::vector<std::int64_t> first{41, 42}, second{43};
-    PurgeFeedTracker proof;
-    (void)proof.begin({true, true, 2000}, 40);
-    EXPECT_FALSE(proof.told(1, 40, 42, first, false));
-    EXPECT_FALSE(proof.holds(1));
-    EXPECT_EQ(proof.position(), 42);
-    EXPECT_FALSE(proof.told(2, 42, 43, second, true));
-    EXPECT_TRUE(proof.holds(2));
-    EXPECT_FALSE(proof.told(3, 43, 43, {}, false));  // cut off for an hour, and the first answer after that
-    EXPECT_FALSE(proof.holds(3));
+    PurgeFeedTracker feed;
+    (void)feed.start({true, true, 2000}, 40);
+    EXPECT_FALSE(feed.batchReceived(1, 40, 42, first, false));
+    EXPECT_FALSE(feed.isCurrent(1));
+    EXPECT_EQ(feed.position(), 42);
+    EXPECT_FALSE(feed.batchReceived(2, 42, 43, second, true));
+    EXPECT_TRUE(feed.isCurrent(2));
+    EXPECT_FALSE(
+        feed.batchReceived(3, 43, 43, {}, false));  // cut off for an hour, and the first answer after that
+    EXPECT_FALSE(feed.isCurrent(3));
 }
 
 SegmentCatalogOptions small(AdmissionHistory admissionHistory = AdmissionHistory::ghost) {
--- a/tests/disk_tier_harness.hpp
+++ b/tests/disk_tier_harness.hpp
@@ -167,7 +167,7 @@
     explicit Desk(const TierOptions& options, FileCalls* calls = nullptr, bool awaitReady = true)
         : tier(calls ? *calls : plain_, options,
                {[this](const std::string& line) { lines.push_back(line); },
-                [this](std::int64_t position) { askFrom = position; },
+                [this](std::int64_t position) { resumeBusFrom = position; },
                 [](const Facts&) { return std::uint64_t{0}; }}) {
         if (awaitReady) until([&] { return tier.state() == Tier::State::ready; });
     }
@@ -209,7 +209,7 @@
     }
 
     std::vector<std::string> lines;
-    std::optional<std::int64_t> askFrom;
+    std::optional<std::int64_t> resumeBusFrom;
     ClockReading now{10'000, 1'000'000};
 
 private:
--- a/tests/disk_tier_test.cpp
+++ b/tests/disk_tier_test.cpp
@@ -38,9 +38,9 @@
         EXPECT_FALSE(desk.load(0, 1999));
         desk.tier.purgeObject("/files/3", 1000);
         desk.tier.purgeGroup(5, 1000);
-        EXPECT_FALSE(desk.tier.kept());
+        EXPECT_FALSE(desk.tier.purgesPersisted());
         EXPECT_FALSE(desk.load(3));  // at once, whatever the log does
-        ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
+        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
         EXPECT_FALSE(desk.store(3, 1000));  // nor is it taken again
         EXPECT_TRUE(desk.store(3, 1001));
     }
@@ -77,21 +77,21 @@
     const std::vector<std::int64_t> next{6};
     {
         Desk desk(options);
-        EXPECT_FALSE(desk.askFrom);
-        desk.tier.told(desk.now, 5, 5, {});
+        EXPECT_FALSE(desk.resumeBusFrom);
+        desk.tier.busBatchReceived(desk.now, 5, 5, {});
         ASSERT_TRUE(desk.store(1, 1000));
         EXPECT_TRUE(desk.has(1, 1000));
         desk.now.monotonicMs += 2001;
         EXPECT_FALSE(desk.load(1));
-        desk.tier.told(desk.now, 5, 6, next);
+        desk.tier.busBatchReceived(desk.now, 5, 6, next);
         EXPECT_TRUE(desk.has(1, 1000));
-        ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
+        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
     }
     Desk desk(options);
-    ASSERT_EQ(desk.askFrom, 6);
-    desk.tier.told(desk.now, 8, 9, {});  // asked before; proves nothing
+    ASSERT_EQ(desk.resumeBusFrom, 6);
+    desk.tier.busBatchReceived(desk.now, 8, 9, {});  // asked before; proves nothing
     EXPECT_FALSE(desk.load(1));
-    desk.tier.told(desk.now, 6, 6, {});
+    desk.tier.busBatchReceived(desk.now, 6, 6, {});
     EXPECT_TRUE(desk.has(1, 1000));
 }
 
@@ -151,7 +151,7 @@
         Desk desk(optionsFor(folder), &files);
         for (int i = 0; i < 10; ++i) ASSERT_TRUE(desk.store(i, 1000));
         desk.tier.purgeObject("/files/4", 1000);
-        ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
+        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
     }
     Desk desk(optionsFor(folder), &files);
     for (int i = 0; i < 10; ++i) EXPECT_EQ(desk.has(i, 1000), i != 4);
@@ -232,11 +232,11 @@
         files.set("purges", faults);
         desk.tier.purgeObject("/files/1", 1000);
         ASSERT_TRUE(desk.until([&] { return desk.logged("nothing is served from it"); }));
-        EXPECT_FALSE(desk.tier.kept());
+        EXPECT_FALSE(desk.tier.purgesPersisted());
         EXPECT_FALSE(desk.load(2));
         EXPECT_FALSE(desk.store(3, 1000));
         files.clear();
-        ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
+        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
         EXPECT_TRUE(desk.has(2, 1000));
         EXPECT_FALSE(desk.load(1));
         desk.lines.clear();
@@ -250,7 +250,7 @@
             Desk desk(optionsFor(folder));
             ASSERT_TRUE(desk.store(1, 1000));
             for (int i = 5; i < 15; ++i) desk.tier.purgeObject("/files/" + std::to_string(i), 1000);
-            ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
+            ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
         }
         const std::string log = folder.tier() + "/purges";
         if (lost)
@@ -273,7 +273,7 @@
         Desk desk(optionsFor(folder));
         ASSERT_TRUE(desk.store(1, 1000) && desk.store(2, 1000));
         desk.tier.purgeObject("/files/1", 1000);
-        ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
+        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
     }
     const std::string log = folder.tier() + "/purges";
     std::ofstream(log, std::ios::app | std::ios::binary) << "LLM1half";
@@ -282,7 +282,7 @@
         EXPECT_FALSE(desk.load(1));
         EXPECT_TRUE(desk.has(2, 1000));
         desk.tier.purgeObject("/files/2", 1000);
-        ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
+        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
     }
     Desk desk(optionsFor(folder));
     EXPECT_FALSE(desk.logged("damaged"));
@@ -314,7 +314,7 @@
     EXPECT_TRUE(desk.logged("Read-only file system; the tier is off"));
     EXPECT_FALSE(desk.load(1));
     EXPECT_FALSE(desk.store(1, 1000));
-    EXPECT_TRUE(desk.tier.kept());  // nothing is held that a purge could concern
+    EXPECT_TRUE(desk.tier.purgesPersisted());  // nothing is held that a purge could concern
     files.clear();
 
     std::ofstream(folder.tier() + "/format") << "lotuslead disk tier 9\n";
@@ -332,14 +332,14 @@
     ASSERT_TRUE(second.until([&] { return second.tier.state() == Tier::State::waiting; }));
     EXPECT_TRUE(second.logged("another process holds"));
     second.tier.purgeObject("/files/1", 1000);
-    EXPECT_TRUE(second.tier.kept());
+    EXPECT_TRUE(second.tier.purgesPersisted());
     EXPECT_FALSE(second.load(2));
     first->tier.close();
     EXPECT_FALSE(first->load(2));
     first.reset();
-    second.tier.tryAgain();
-    ASSERT_TRUE(
-        second.until([&] { return second.tier.state() == Tier::State::ready && second.tier.kept(); }));
+    second.tier.retryOpen();
+    ASSERT_TRUE(second.until(
+        [&] { return second.tier.state() == Tier::State::ready && second.tier.purgesPersisted(); }));
     EXPECT_FALSE(second.load(1));
     EXPECT_TRUE(second.has(2, 1000));
     second.tier.close();
@@ -348,7 +348,7 @@
         third.until([&] {
             return third.tier.state() == Tier::State::ready || third.tier.state() == Tier::State::waiting;
         });
-        third.tier.tryAgain();
+        third.tier.retryOpen();
         third.until([&] { return third.tier.state() == Tier::State::ready; });
     }
     EXPECT_FALSE(third.load(1));
@@ -393,9 +393,9 @@
         for (int i = 0; i < 12; ++i) ASSERT_TRUE(desk.store(i, 1000));
         desk.tier.purgeObject("/files/7", 1000);
         for (int i = 0; i < 20'000; ++i) desk.tier.purgeObject("/files/x" + std::to_string(i % 500), 1000);
-        ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
+        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
         desk.tier.purgeObject("/files/8", 1000);
-        ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
+        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
         EXPECT_LT(std::filesystem::file_size(folder.tier() + "/purges"), 20'000U * kPurgeEntryBytes / 2);
     }
     Desk desk(options);
