--- a/src/disk/caching_carrier.cpp
+++ b/src/disk/caching_carrier.cpp
@@ -43,21 +43,21 @@
 
 void CachingCarrier::attachTier(Tier* tier, const settings::DiskSettings& settings, const LinkPacer& pacer) {
     tier_ = tier;
-    readWait_ = std::chrono::milliseconds{settings.readWaitMs};
+    readTimeout_ = std::chrono::milliseconds{settings.readWaitMs};
     pacer_ = pacer;
 }
 
-void CachingCarrier::reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t form,
+void CachingCarrier::reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t variant,
                                  const LinkPacer& pacer) {
     classes_ = classes;
-    keyForm_ = form;
+    keyVariant_ = variant;
     pacer_ = pacer;
 }
 
 ClockReading CachingCarrier::clockReadingAt(Micros now) const { return {msOf(now), msOf(now + unixAhead_)}; }
 
 // Only what is read, and may be read from any copy.
-bool CachingCarrier::keeps(const core::Request& request) const {
+bool CachingCarrier::isCacheable(const core::Request& request) const {
     if (tier_ == nullptr || classes_ == nullptr || request.object.empty() || !request.body.empty())
         return false;
     const ClassSettings& c = classes_->at(static_cast<std::size_t>(request.classIndex));
@@ -65,46 +65,46 @@
 }
 
 // Rounded down: a copy that is younger in whole milliseconds is younger.
-std::int64_t CachingCarrier::oldestMs(const core::Request& request, const core::Verdict& send) const {
+std::int64_t CachingCarrier::maxAgeMs(const core::Request& request, const core::Verdict& send) const {
     const ClassSettings& c = classes_->at(static_cast<std::size_t>(request.classIndex));
-    std::int64_t oldest = msOf(std::chrono::duration_cast<Micros>(c.freshFor));
+    std::int64_t maxAge = msOf(std::chrono::duration_cast<Micros>(c.freshFor));
     if (send.oldest.count() > 0) {
         const std::int64_t wanted = std::max<std::int64_t>(1, msOf(send.oldest));
-        oldest = oldest > 0 ? std::min(oldest, wanted) : wanted;
+        maxAge = maxAge > 0 ? std::min(maxAge, wanted) : wanted;
     }
-    return oldest;
+    return maxAge;
 }
 
 void CachingCarrier::send(Micros now, const core::Request& request, const core::Verdict& send) {
-    if (!keeps(request)) return inner_.send(now, request, send);
+    if (!isCacheable(request)) return inner_.send(now, request, send);
     now_ = now;
     const bool inParts = classes_->at(static_cast<std::size_t>(request.classIndex)).inParts;
-    Key key{request.object, request.className, request.group, request.part, inParts ? keyForm_ : 0};
+    Key key{request.object, request.className, request.group, request.part, inParts ? keyVariant_ : 0};
     ++counters_.asked;
     const RequestId id = request.id;
     const std::uint64_t ticket =
-        tier_->lookUp(clockReadingAt(now), key, oldestMs(request, send),
-                      [this, id](std::optional<Copy> copy) { found(id, std::move(copy)); });
-    if (ticket == 0) return pass(now, request, send, std::move(key));
-    const Micros until = now + readWait_;
-    due_.emplace(until, id);
-    reading_.insert_or_assign(id, Reading{&request, send, std::move(key), ticket, until});
+        tier_->lookUp(clockReadingAt(now), key, maxAgeMs(request, send),
+                      [this, id](std::optional<Copy> copy) { lookupDone(id, std::move(copy)); });
+    if (ticket == 0) return forward(now, request, send, std::move(key));
+    const Micros deadline = now + readTimeout_;
+    lookupDeadlines_.emplace(deadline, id);
+    lookups_.insert_or_assign(id, PendingLookup{&request, send, std::move(key), ticket, deadline});
 }
 
-void CachingCarrier::pass(Micros now, const core::Request& request, const core::Verdict& send, Key key) {
-    out_.insert_or_assign(request.id, Out{std::move(key), send.attempt, send.rank});
+void CachingCarrier::forward(Micros now, const core::Request& request, const core::Verdict& send, Key key) {
+    fetches_.insert_or_assign(request.id, PendingFetch{std::move(key), send.attempt, send.rank});
     inner_.send(now, request, send);
 }
 
-void CachingCarrier::found(RequestId id, std::optional<Copy> copy) {
-    const auto at = reading_.find(id);
-    if (at == reading_.end()) return;
-    Reading reading = std::move(at->second);
-    reading_.erase(at);
-    const core::Request& request = *reading.request;
+void CachingCarrier::lookupDone(RequestId id, std::optional<Copy> copy) {
+    const auto at = lookups_.find(id);
+    if (at == lookups_.end()) return;
+    PendingLookup lookup = std::move(at->second);
+    lookups_.erase(at);
+    const core::Request& request = *lookup.request;
     core::AttemptEnd end;
     end.request = id;
-    end.attempt = reading.send.attempt;
+    end.attempt = lookup.send.attempt;
     if (copy) {
         const std::string tag = traits_.tagFact ? factOf(copy->facts, traits_.tagFact) : std::string{};
         end.payload.unchanged = !tag.empty() && tag == request.known;
@@ -119,7 +119,7 @@
     }
     if (!copy) {
         end.payload = {};
-        return pass(now_, request, reading.send, std::move(reading.key));
+        return forward(now_, request, lookup.send, std::move(lookup.key));
     }
     ++counters_.served;
     if (end.payload.unchanged) ++counters_.unchanged;
@@ -133,28 +133,28 @@
 }
 
 bool CachingCarrier::cancel(Micros now, RequestId request, int attempt) {
-    const auto reading = reading_.find(request);
-    if (reading != reading_.end() && reading->second.send.attempt == attempt) {
-        tier_->cancelLookup(reading->second.ticket);
-        reading_.erase(reading);
+    const auto lookup = lookups_.find(request);
+    if (lookup != lookups_.end() && lookup->second.send.attempt == attempt) {
+        tier_->cancelLookup(lookup->second.ticket);
+        lookups_.erase(lookup);
         return true;
     }
-    const auto out = out_.find(request);
-    if (out != out_.end() && out->second.attempt == attempt) out_.erase(out);
+    const auto fetch = fetches_.find(request);
+    if (fetch != fetches_.end() && fetch->second.attempt == attempt) fetches_.erase(fetch);
     return inner_.cancel(now, request, attempt);
 }
 
 void CachingCarrier::ended(Micros now, core::AttemptEnd end) {
     now_ = now;
-    const auto at = out_.find(end.request);
-    if (at != out_.end() && at->second.attempt == end.attempt) {
-        const Out out = std::move(at->second);
-        out_.erase(at);
+    const auto at = fetches_.find(end.request);
+    if (at != fetches_.end() && at->second.attempt == end.attempt) {
+        const PendingFetch fetch = std::move(at->second);
+        fetches_.erase(at);
         const bool fetched = end.outcome == Outcome::served && !end.payload.unchanged && tier_ != nullptr;
-        if (fetched && traits_.storable(out.key, end.payload)) {
+        if (fetched && traits_.storable(fetch.key, end.payload)) {
             // Lent, not copied: most are not taken.
             Copy copy{end.payload.mintedMs, std::move(end.payload.facts), std::move(end.payload.body)};
-            tier_->offer(clockReadingAt(now), out.key, out.rank, copy);
+            tier_->offer(clockReadingAt(now), fetch.key, fetch.rank, copy);
             end.payload.facts = std::move(copy.facts);
             end.payload.body = std::move(copy.body);
         }
@@ -164,23 +164,23 @@
 
 void CachingCarrier::turn(Micros now) {
     now_ = now;
-    while (!due_.empty() && due_.begin()->first <= now) {
-        const auto [until, id] = *due_.begin();
-        due_.erase(due_.begin());
-        const auto at = reading_.find(id);
-        if (at == reading_.end() || at->second.until != until) continue;
+    while (!lookupDeadlines_.empty() && lookupDeadlines_.begin()->first <= now) {
+        const auto [deadline, id] = *lookupDeadlines_.begin();
+        lookupDeadlines_.erase(lookupDeadlines_.begin());
+        const auto at = lookups_.find(id);
+        if (at == lookups_.end() || at->second.deadline != deadline) continue;
         ++counters_.slowReads;
         tier_->cancelLookup(at->second.ticket);
-        const Reading reading = std::move(at->second);
-        reading_.erase(at);
-        pass(now, *reading.request, reading.send, reading.key);
+        const PendingLookup lookup = std::move(at->second);
+        lookups_.erase(at);
+        forward(now, *lookup.request, lookup.send, lookup.key);
     }
     if (tier_ != nullptr) tier_->turn(clockReadingAt(now));
 }
 
 core::Micros CachingCarrier::nextTurn() const {
     if (tier_ != nullptr && tier_->hasMoreWork()) return now_;
-    return due_.empty() ? Micros::max() : due_.begin()->first;
+    return lookupDeadlines_.empty() ? Micros::max() : lookupDeadlines_.begin()->first;
 }
 
 }  // namespace lotuslead::disk
--- a/src/disk/caching_carrier.hpp
+++ b/src/disk/caching_carrier.hpp
@@ -39,7 +39,8 @@
     void listen(std::function<void(core::AttemptEnd)> ended) { ended_ = std::move(ended); }
     // None: what is out goes on without it. `form`: what else a key must agree in.
     void attachTier(Tier* tier, const settings::DiskSettings& settings, const LinkPacer& pacer);
-    void reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t form, const LinkPacer& pacer);
+    void reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t variant,
+                     const LinkPacer& pacer);
 
     void send(Micros now, const core::Request& request, const core::Verdict& send) override;
     bool cancel(Micros now, RequestId request, int attempt) override;
@@ -53,23 +54,23 @@
     const Counters& counters() const { return counters_; }
 
 private:
-    struct Reading {
+    struct PendingLookup {
         const core::Request* request;  // lives at least as long as the attempt is out
         core::Verdict send;
         Key key;
         std::uint64_t ticket = 0;
-        Micros until{};
+        Micros deadline{};
     };
-    struct Out {
+    struct PendingFetch {
         Key key;
         int attempt = 0;
         int rank = 0;
     };
 
-    bool keeps(const core::Request& request) const;
-    std::int64_t oldestMs(const core::Request& request, const core::Verdict& send) const;
-    void pass(Micros now, const core::Request& request, const core::Verdict& send, Key key);
-    void found(RequestId id, std::optional<Copy> copy);
+    bool isCacheable(const core::Request& request) const;
+    std::int64_t maxAgeMs(const core::Request& request, const core::Verdict& send) const;
+    void forward(Micros now, const core::Request& request, const core::Verdict& send, Key key);
+    void lookupDone(RequestId id, std::optional<Copy> copy);
 
     core::Carrier& inner_;
     Micros unixAhead_;
@@ -77,13 +78,13 @@
     std::function<void(core::AttemptEnd)> ended_;
     Tier* tier_ = nullptr;
     const std::vector<ClassSettings>* classes_ = nullptr;
-    std::uint64_t keyForm_ = 0;
-    Micros readWait_{};
+    std::uint64_t keyVariant_ = 0;
+    Micros readTimeout_{};
     LinkPacer pacer_{0, 0};
     Micros now_{};  // of the turn in hand
-    std::unordered_map<RequestId, Reading> reading_;
-    std::multimap<Micros, RequestId> due_;
-    std::unordered_map<RequestId, Out> out_;
+    std::unordered_map<RequestId, PendingLookup> lookups_;
+    std::multimap<Micros, RequestId> lookupDeadlines_;
+    std::unordered_map<RequestId, PendingFetch> fetches_;
     Counters counters_;
 };
 
--- a/src/disk/folder.cpp
+++ b/src/disk/folder.cpp
@@ -242,7 +242,7 @@
         const auto entry = decodePurgeEntry(std::span(bytes).subspan(bytes_, kPurgeEntryBytes));
         if (!entry) break;
         if (entry->kind == PurgeEntry::Kind::busPosition)
-            loaded.position = entry->atMs;
+            loaded.busPosition = entry->atMs;
         else
             loaded.entries.push_back(*entry);
     }
--- a/src/disk/folder.hpp
+++ b/src/disk/folder.hpp
@@ -83,7 +83,7 @@
 
     struct Loaded {
         std::vector<PurgeEntry> entries;
-        std::optional<std::int64_t> position;  // of the bus; none: no event of a bus was ever applied here
+        std::optional<std::int64_t> busPosition;  // of the bus; none: no event of a bus was ever applied here
         bool torn = false;  // it ends in the middle, or is not as it was written: marks may be missing
         Problem problem;
         bool retryable = false;  // the problem may pass
--- a/src/disk/inspect.cpp
+++ b/src/disk/inspect.cpp
@@ -87,7 +87,7 @@
     result.problem = std::move(loaded.problem);
     if (!result.problem.empty()) return result;
     result.entries = std::move(loaded.entries);
-    result.position = loaded.position;
+    result.busPosition = loaded.busPosition;
     result.logDamaged = loaded.torn;
     const PurgeTombstones tombstones = tombstonesOf(result);
 
--- a/src/disk/inspect.hpp
+++ b/src/disk/inspect.hpp
@@ -16,7 +16,7 @@
     Problem problem;    // then nothing else holds
     bool held = false;  // a process writes there now: the last segments are in the making
     std::vector<PurgeEntry> entries;
-    std::optional<std::int64_t> position;
+    std::optional<std::int64_t> busPosition;
     bool logDamaged = false;
     struct Segment {
         SegmentName name;
--- a/src/disk/io_worker.cpp
+++ b/src/disk/io_worker.cpp
@@ -203,7 +203,7 @@
         told.problem = std::move(log.problem);
         told.retryable = log.retryable;
         told.entries = std::move(log.entries);
-        told.position = log.position;
+        told.busPosition = log.busPosition;
         // A log that is new has a first line. Without it, it is not the one that belongs to these segments.
         told.empty = folder_.segments().empty();
         told.damaged = log.torn || (log_.entryCount() == 0 && !told.empty);
--- a/src/disk/io_worker.hpp
+++ b/src/disk/io_worker.hpp
@@ -60,7 +60,7 @@
     bool busy = false;       // another process holds it
     bool retryable = false;  // it is held, or fails for a while
     std::vector<PurgeEntry> entries;
-    std::optional<std::int64_t> position;
+    std::optional<std::int64_t> busPosition;
     bool damaged = false;  // marks may be missing
     bool empty = false;    // no segment is there
 };
--- a/src/disk/record.cpp
+++ b/src/disk/record.cpp
@@ -57,7 +57,7 @@
     std::uint32_t metadataBytes = 0, bodyBytes = 0, reserved = 0;
     std::uint64_t fingerprint = 0, object = 0;
     std::int64_t group = 0, part = 0, createdMs = 0;
-    std::uint64_t form = 0, bodyChecksum = 0, headerChecksum = 0;
+    std::uint64_t variant = 0, bodyChecksum = 0, headerChecksum = 0;
 };
 static_assert(sizeof(FixedHeader) == kRecordHeaderBytes);
 
@@ -105,7 +105,7 @@
 
 std::uint64_t Key::fingerprint() const {
     const std::uint64_t name = combine(objectFingerprint(), lotuslead::fingerprint(className));
-    return combine(combine(name, static_cast<std::uint64_t>(part)), form);
+    return combine(combine(name, static_cast<std::uint64_t>(part)), variant);
 }
 
 std::size_t recordBytes(const Key& key, const Copy& copy) {
@@ -131,7 +131,7 @@
     fixed.group = key.group;
     fixed.part = key.part;
     fixed.createdMs = copy.createdMs;
-    fixed.form = key.form;
+    fixed.variant = key.variant;
     fixed.bodyChecksum = checksumOf(copy.body);
     fixed.headerChecksum = headerChecksumOf(fixed, names);
     out.reserve(out.size() + sizeof fixed + metadataBytes + copy.body.size());
@@ -163,7 +163,7 @@
     if (!names.text(key.object) || !names.text(key.className)) return {};
     key.group = fixed.group;
     key.part = fixed.part;
-    key.form = fixed.form;
+    key.variant = fixed.variant;
     return key;
 }
 
@@ -183,7 +183,7 @@
     }
     key.group = fixed.group;
     key.part = fixed.part;
-    key.form = fixed.form;
+    key.variant = fixed.variant;
     copy.createdMs = fixed.createdMs;
     copy.body.assign(body.data(), body.size());
     return result;
--- a/src/disk/record.hpp
+++ b/src/disk/record.hpp
@@ -23,7 +23,7 @@
     std::string className;
     std::int64_t group = 0;
     std::int64_t part = 0;
-    std::uint64_t form = 0;
+    std::uint64_t variant = 0;
 
     std::uint64_t fingerprint() const;        // of all but the group
     std::uint64_t objectFingerprint() const;  // what marks on it go by
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-constexpr std::size_t kSweepSlice = 4096;  // parts a turn: well under a millisecond
-constexpr std::size_t kVersions = 4096;    // objects whose version is remembered
-constexpr int kFailuresToPause = 3;        // writes in a row
+constexpr std::size_t kSweepSliceParts = 4096;     // parts a turn: well under a millisecond
+constexpr std::size_t kMaxTrackedVersions = 4096;  // objects whose version is remembered
+constexpr int kWriteFailuresToPause = 3;           // writes in a row
 constexpr std::int64_t kFirstPauseMs = 1000, kLongestPauseMs = 60'000;
-constexpr std::int64_t kPositionEveryMs = 1000;  // where no purge carries it along
-constexpr std::uint64_t kLongLog = 4096;         // lines, and twice the marks: then it is written anew
+constexpr std::int64_t kBusPositionIntervalMs = 1000;  // where no purge carries it along
+constexpr std::uint64_t kMinLogEntriesToRewrite =
+    4096;  // lines, and twice the marks: then it is written anew
 
 }  // namespace
 
@@ -20,7 +21,7 @@
       callbacks_(std::move(callbacks)),
       catalog_(options.catalog),
       tombstones_(options.maxPurgeEntries, options.purgeClockSkewMs),
-      versions_(kVersions),
+      versions_(kMaxTrackedVersions),
       worker_(calls, options.folder, [&] {
           IoWorkerOptions worker = options.worker;
           worker.segmentBytes = catalog_.options().segmentBytes;
@@ -48,9 +49,10 @@
 
 void Tier::turn(ClockReading now) {
     for (Completion& completion : worker_.completions())
-        std::visit([&](auto& told) { take(now, told); }, completion);
+        std::visit([&](auto& done) { handle(now, done); }, completion);
     if (state_ != State::ready) return;
-    if (sweeping_ && catalog_.sweep(tombstones_, kSweepSlice)) sweeping_ = std::exchange(sweepAgain_, false);
+    if (sweeping_ && catalog_.sweep(tombstones_, kSweepSliceParts))
+        sweeping_ = std::exchange(sweepAgain_, false);
     reclaim();
 }
 
@@ -62,7 +64,7 @@
     if (state_ == State::closed) return;
     state_ = State::closed;
     worker_.beginClose();
-    auto waiting = std::exchange(waiting_, {});
+    auto waiting = std::exchange(lookups_, {});
     for (auto& [ticket, one] : waiting) one.found({});
 }
 
@@ -76,8 +78,8 @@
 // ----- reading -----
 
 // Whether a copy of then may be served now; the only place where that is decided.
-bool Tier::servable(ClockReading now, const Key& key, std::int64_t oldestMs, std::int64_t createdMs) {
-    if (logFails_ || !purgeFeed_.isCurrent(now.monotonicMs)) {
+bool Tier::servable(ClockReading now, const Key& key, std::int64_t maxAgeMs, std::int64_t createdMs) {
+    if (purgeLogFailing_ || !purgeFeed_.isCurrent(now.monotonicMs)) {
         ++counters_.unproved;
         return false;
     }
@@ -86,19 +88,19 @@
         return false;
     }
     const std::int64_t age = now.unixMs - createdMs;
-    if (age < -options_.purgeClockSkewMs || (oldestMs > 0 && age > oldestMs)) {
+    if (age < -options_.purgeClockSkewMs || (maxAgeMs > 0 && age > maxAgeMs)) {
         ++counters_.expired;
         return false;
     }
     return true;
 }
 
-std::uint64_t Tier::lookUp(ClockReading now, const Key& key, std::int64_t oldestMs, Found found) {
+std::uint64_t Tier::lookUp(ClockReading now, const Key& key, std::int64_t maxAgeMs, Found found) {
     if (!holdsFolder()) return 0;
     const std::uint64_t fingerprint = key.fingerprint();
     catalog_.recordRequest(fingerprint);
     const auto part = catalog_.findForRead(fingerprint);
-    if (!part || !servable(now, key, oldestMs, part->createdMs)) {
+    if (!part || !servable(now, key, maxAgeMs, part->createdMs)) {
         ++counters_.misses;
         return 0;
     }
@@ -108,37 +110,37 @@
         ++counters_.misses;
         return 0;
     }
-    waiting_.emplace(ticket, Waiting{key, oldestMs, std::move(found)});
+    lookups_.emplace(ticket, PendingLookup{key, maxAgeMs, std::move(found)});
     return ticket;
 }
 
-void Tier::take(ClockReading now, ReadDone& told) {
-    const bool good = told.record.has_value();
-    if (!told.problem.empty()) {
+void Tier::handle(ClockReading now, ReadDone& done) {
+    const bool good = done.record.has_value();
+    if (!done.problem.empty()) {
         ++counters_.readErrors;
-        log("disk tier: " + told.problem);
+        log("disk tier: " + done.problem);
     }
-    if (told.torn) {
+    if (done.torn) {
         ++counters_.torn;
-        log("disk tier: a record in segment " + std::to_string(told.location.segment) + " at byte " +
-            std::to_string(told.location.offset) + " is not as it was written, dropped");
+        log("disk tier: a record in segment " + std::to_string(done.location.segment) + " at byte " +
+            std::to_string(done.location.offset) + " is not as it was written, dropped");
     }
     // A part that has moved meanwhile is somewhere else, and stays.
-    if (!good) catalog_.partLost(told.fingerprint, told.location);
-    const auto at = waiting_.find(told.ticket);
-    if (at == waiting_.end()) return;
-    Waiting waiting = std::move(at->second);
-    waiting_.erase(at);
+    if (!good) catalog_.partLost(done.fingerprint, done.location);
+    const auto at = lookups_.find(done.ticket);
+    if (at == lookups_.end()) return;
+    PendingLookup waiting = std::move(at->second);
+    lookups_.erase(at);
     // Names may share a fingerprint, and a purge may have come while it was read.
-    const bool same = good && told.record->first == waiting.key;
-    if (!same || !servable(now, waiting.key, waiting.oldestMs, told.record->second.createdMs) ||
-        !isLatest(waiting.key, told.record->second)) {
+    const bool same = good && done.record->first == waiting.key;
+    if (!same || !servable(now, waiting.key, waiting.maxAgeMs, done.record->second.createdMs) ||
+        !isLatest(waiting.key, done.record->second)) {
         ++counters_.misses;
         return waiting.found({});
     }
     ++counters_.hits;
-    counters_.hitBytes += told.record->second.body.size();
-    waiting.found(std::move(told.record->second));
+    counters_.hitBytes += done.record->second.body.size();
+    waiting.found(std::move(done.record->second));
 }
 
 // ----- keeping -----
@@ -148,7 +150,7 @@
     const std::uint64_t object = key.objectFingerprint();
     if (!isLatest(key, copy)) return;
     if (!holdsFolder() || copy.createdMs <= 0) return;
-    if (logFails_ || now.monotonicMs < pausedUntilMs_) {
+    if (purgeLogFailing_ || now.monotonicMs < pausedUntilMs_) {
         ++counters_.paused;
         return;
     }
@@ -160,18 +162,18 @@
     // Fetched only since nothing could be proved just now: what is held will do again.
     if (!purgeFeed_.isCurrent(now.monotonicMs) && catalog_.contains(fingerprint)) return;
     const std::uint64_t bytes = recordBytes(key, copy);
-    if (onTheWay_ + bytes > options_.worker.queueBytes) {
+    if (pendingWriteBytes_ + bytes > options_.worker.queueBytes) {
         ++counters_.queueFull;
         return;
     }
-    const auto queue = catalog_.admit(fingerprint, rank, bytes, onTheWay_);
+    const auto queue = catalog_.admit(fingerprint, rank, bytes, pendingWriteBytes_);
     if (!queue) return;
     AppendJob job{key, std::make_shared<const Copy>(copy), *queue, rank, bytes};
     if (!worker_.append(std::move(job))) {
         ++counters_.queueFull;
         return;
     }
-    onTheWay_ += bytes;
+    pendingWriteBytes_ += bytes;
     noteCreated(copy.createdMs);
 }
 
@@ -183,42 +185,42 @@
     const std::uint64_t object = key.objectFingerprint();
     auto [known, had] = versions_.touch(object);
     const bool other = had && known.version != version;
-    const bool latest = !other || copy.createdMs >= known.createdMs;
+    const bool isLatestVersion = !other || copy.createdMs >= known.createdMs;
     if (other) {
         ++counters_.superseded;
         addPurge({PurgeEntry::Kind::object, object,
                   std::max(copy.createdMs, known.createdMs) - options_.purgeClockSkewMs - 1});
     }
-    if (!had || (latest && copy.createdMs >= known.createdMs)) known = {version, copy.createdMs};
-    return latest;
+    if (!had || (isLatestVersion && copy.createdMs >= known.createdMs)) known = {version, copy.createdMs};
+    return isLatestVersion;
 }
 
-void Tier::take(ClockReading, Placed& told) {
-    onTheWay_ -= told.bytes;
+void Tier::handle(ClockReading, Placed& done) {
+    pendingWriteBytes_ -= done.bytes;
     writeFailures_ = 0;
     pauseMs_ = 0;
-    catalog_.partAppended(told.part, told.queue, told.rank);
+    catalog_.partAppended(done.part, done.queue, done.rank);
 }
 
-void Tier::take(ClockReading now, NotPlaced& told) {
-    onTheWay_ -= told.bytes;
+void Tier::handle(ClockReading now, NotPlaced& done) {
+    pendingWriteBytes_ -= done.bytes;
     ++counters_.writeErrors;
-    if (++writeFailures_ < kFailuresToPause) return;
+    if (++writeFailures_ < kWriteFailuresToPause) return;
     writeFailures_ = 0;
     pauseMs_ = std::clamp(pauseMs_ * 2, kFirstPauseMs, kLongestPauseMs);
     pausedUntilMs_ = now.monotonicMs + pauseMs_;
-    log("disk tier: " + told.problem + "; nothing is admitted for " + std::to_string(pauseMs_ / 1000) + " s");
+    log("disk tier: " + done.problem + "; nothing is admitted for " + std::to_string(pauseMs_ / 1000) + " s");
 }
 
-void Tier::take(ClockReading, Sealed& told) {
-    catalog_.segmentSealed(told.segment);
-    if (!told.problem.empty()) log("disk tier: " + told.problem);
+void Tier::handle(ClockReading, Sealed& done) {
+    catalog_.segmentSealed(done.segment);
+    if (!done.problem.empty()) log("disk tier: " + done.problem);
 }
 
 // ----- giving space back -----
 
 void Tier::reclaim() {
-    auto next = catalog_.nextReclaim(onTheWay_);
+    auto next = catalog_.nextReclaim(pendingWriteBytes_);
     if (!next) return;
     // What a purge covers is not carried on.
     std::erase_if(next->survivors, [&](const Part& part) {
@@ -227,23 +229,23 @@
     worker_.rewrite({next->segment, next->into, std::move(next->survivors)});
 }
 
-void Tier::take(ClockReading, Moved& told) {
-    catalog_.partMoved(told.fingerprint, told.from, told.to, told.queue);
+void Tier::handle(ClockReading, Moved& done) {
+    catalog_.partMoved(done.fingerprint, done.from, done.to, done.queue);
 }
 
-void Tier::take(ClockReading, Rewritten& told) {
-    if (!told.problem.empty()) {
+void Tier::handle(ClockReading, Rewritten& done) {
+    if (!done.problem.empty()) {
         ++counters_.writeErrors;
-        log("disk tier: " + told.problem + "; what a segment had in use goes with it");
+        log("disk tier: " + done.problem + "; what a segment had in use goes with it");
     }
-    catalog_.dropSegment(told.segment);
-    worker_.remove({told.segment});
+    catalog_.dropSegment(done.segment);
+    worker_.remove({done.segment});
 }
 
-void Tier::take(ClockReading, Removed& told) {
-    if (told.problem.empty()) return;
+void Tier::handle(ClockReading, Removed& done) {
+    if (done.problem.empty()) return;
     ++counters_.writeErrors;
-    log("disk tier: " + told.problem);
+    log("disk tier: " + done.problem);
 }
 
 // ----- purges -----
@@ -265,17 +267,17 @@
 // Where no folder is held all marks are written when it is.
 void Tier::persist(std::vector<PurgeEntry> entries) {
     if (!holdsFolder()) return;
-    linesGiven_ += entries.size();
-    given_ = worker_.appendPurges(std::move(entries));
-    rewriteLogIfLong();
+    logEntries_ += entries.size();
+    purgesSubmitted_ = worker_.appendPurges(std::move(entries));
+    rewritePurgeLogIfLong();
 }
 
-void Tier::rewriteLogIfLong() {
-    if (linesGiven_ < kLongLog || linesGiven_ < 2 * tombstones_.size()) return;
+void Tier::rewritePurgeLogIfLong() {
+    if (logEntries_ < kMinLogEntriesToRewrite || logEntries_ < 2 * tombstones_.size()) return;
     std::vector<PurgeEntry> all{{PurgeEntry::Kind::watermark, 0, tombstones_.watermarkMs()}};
     tombstones_.forEach([&](const PurgeEntry& entry) { all.push_back(entry); });
-    if (positionGiven_) all.push_back({PurgeEntry::Kind::busPosition, 0, *positionGiven_});
-    linesGiven_ = all.size();
+    if (submittedPosition_) all.push_back({PurgeEntry::Kind::busPosition, 0, *submittedPosition_});
+    logEntries_ = all.size();
     worker_.rewritePurgeLog(std::move(all));
 }
 
@@ -283,16 +285,18 @@
                             std::span<const std::int64_t> numbers, bool complete) {
     if (purgeFeed_.batchReceived(now.monotonicMs, from, last, numbers, complete))
         raiseWatermark(now, "events of the bus are missing");
-    givePosition(now);
+    submitBusPosition(now);
 }
 
-void Tier::givePosition(ClockReading now) {
+void Tier::submitBusPosition(ClockReading now) {
     const auto position = purgeFeed_.position();
-    if (!position || !holdsFolder() || position == positionGiven_) return;
+    if (!position || !holdsFolder() || position == submittedPosition_) return;
     // With a purge at once, so that it need not be told again; else now and then.
-    if (purgesPersisted() && positionGiven_ && now.monotonicMs - positionGivenMs_ < kPositionEveryMs) return;
-    positionGiven_ = position;
-    positionGivenMs_ = now.monotonicMs;
+    if (purgesPersisted() && submittedPosition_ &&
+        now.monotonicMs - positionSubmittedMs_ < kBusPositionIntervalMs)
+        return;
+    submittedPosition_ = position;
+    positionSubmittedMs_ = now.monotonicMs;
     persist({{PurgeEntry::Kind::busPosition, 0, *position}});
 }
 
@@ -300,72 +304,72 @@
     ++counters_.floors;
     log(std::string("disk tier: what is held can't be proved newer than every purge (") + why + "), dropped");
     // The clock that dated a copy may be ahead of this machine's.
-    dropsLoading_ = dropsLoading_ || state_ == State::loading;
+    dropLoadingParts_ = dropLoadingParts_ || state_ == State::loading;
     addPurge({PurgeEntry::Kind::watermark, 0, std::max(now.unixMs, latestCreatedMs_)});
 }
 
 void Tier::noteCreated(std::int64_t createdMs) { latestCreatedMs_ = std::max(latestCreatedMs_, createdMs); }
 
-void Tier::take(ClockReading, PurgesPersisted& told) {
-    const bool failed = !told.problem.empty();
+void Tier::handle(ClockReading, PurgesPersisted& done) {
+    const bool failed = !done.problem.empty();
     if (failed) ++counters_.logErrors;
-    if (failed != logFails_)
-        log(failed ? "disk tier: " + told.problem + "; nothing is served from it until it can be written"
+    if (failed != purgeLogFailing_)
+        log(failed ? "disk tier: " + done.problem + "; nothing is served from it until it can be written"
                    : std::string("disk tier: the purge log can be written again"));
-    logFails_ = failed;
-    keptUpTo_ = std::max(keptUpTo_, told.upTo);
+    purgeLogFailing_ = failed;
+    persistedUpTo_ = std::max(persistedUpTo_, done.upTo);
 }
 
 // ----- starting -----
 
-void Tier::take(ClockReading now, OpenedFolder& told) {
+void Tier::handle(ClockReading now, OpenedFolder& done) {
     if (state_ == State::closed) return;
-    if (!told.problem.empty()) {
-        state_ = told.retryable ? State::waiting : State::off;
-        if (told.problem != problem_)
-            log("disk tier: " + told.problem +
-                (told.retryable ? "; it is tried again" : "; the tier is off"));
-        problem_ = told.problem;
+    if (!done.problem.empty()) {
+        state_ = done.retryable ? State::waiting : State::off;
+        if (done.problem != lastProblem_)
+            log("disk tier: " + done.problem +
+                (done.retryable ? "; it is tried again" : "; the tier is off"));
+        lastProblem_ = done.problem;
         return;
     }
     state_ = State::loading;
-    problem_.clear();
+    lastProblem_.clear();
     // First what this process has heard while it had no folder: it goes to the log.
     std::vector<PurgeEntry> heard;
     tombstones_.forEach([&](const PurgeEntry& entry) { heard.push_back(entry); });
-    for (const PurgeEntry& entry : told.entries) tombstones_.add(entry);
-    linesGiven_ = told.entries.size();
-    const PurgeFeedTracker::StartResult started = purgeFeed_.start(options_.purges, told.position);
-    if (told.damaged)
+    for (const PurgeEntry& entry : done.entries) tombstones_.add(entry);
+    logEntries_ = done.entries.size();
+    const PurgeFeedTracker::StartResult started = purgeFeed_.start(options_.purges, done.busPosition);
+    if (done.damaged)
         raiseWatermark(now, "the purge log is damaged");
-    else if (started.raiseWatermark && !told.empty)
+    else if (started.raiseWatermark && !done.empty)
         raiseWatermark(now, "no bus tells what was purged meanwhile");
     if (!heard.empty()) persist(std::move(heard));  // behind the floor, which makes good what is damaged
     if (started.resumeFrom) callbacks_.resumeBusFrom(*started.resumeFrom);
-    givePosition(now);  // the bus may have been heard before
+    submitBusPosition(now);  // the bus may have been heard before
 }
 
-void Tier::take(ClockReading, LoadedSegment& told) {
-    if (!told.problem.empty()) {
+void Tier::handle(ClockReading, LoadedSegment& done) {
+    if (!done.problem.empty()) {
         ++counters_.readErrors;
-        log("disk tier: " + told.problem);
+        log("disk tier: " + done.problem);
     }
-    if (told.torn) {
-        ++counters_.cutTails;
-        log("disk tier: " + segmentFile(told.name) + " ends in the middle of a record, which is dropped");
+    if (done.torn) {
+        ++counters_.truncatedTails;
+        log("disk tier: " + segmentFile(done.name) + " ends in the middle of a record, which is dropped");
     }
-    for (const Part& part : told.parts) noteCreated(part.createdMs);
-    if (dropsLoading_ && latestCreatedMs_ > tombstones_.watermarkMs())
+    for (const Part& part : done.parts) noteCreated(part.createdMs);
+    if (dropLoadingParts_ && latestCreatedMs_ > tombstones_.watermarkMs())
         addPurge({PurgeEntry::Kind::watermark, 0, latestCreatedMs_});
     // Too few places in the index: what does not fit is dead, and goes with its segment.
-    for (const Part& part : told.parts) catalog_.partLoaded(part, told.name.queue);
-    catalog_.segmentLoaded(told.name.number, told.name.queue, told.bytes);
+    for (const Part& part : done.parts) catalog_.partLoaded(part, done.name.queue);
+    catalog_.segmentLoaded(done.name.number, done.name.queue, done.bytes);
 }
 
-void Tier::take(ClockReading, LoadedAll&) {
+void Tier::handle(ClockReading, LoadedAll&) {
     if (state_ != State::loading) return;
     state_ = State::ready;
-    dropsLoading_ = false;
+    dropLoadingParts_ = false;
     sweeping_ = true;
     log("disk tier: " + std::to_string(catalog_.parts()) + " parts in " +
         std::to_string(catalog_.segments()) + " segments at " + options_.folder);
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -39,7 +39,7 @@
     struct Counters {
         std::uint64_t hits = 0, misses = 0, purged = 0, expired = 0, unproved = 0, torn = 0, readErrors = 0,
                       busy = 0, offered = 0, queueFull = 0, paused = 0, writeErrors = 0, marks = 0,
-                      floors = 0, superseded = 0, logErrors = 0, cutTails = 0;
+                      floors = 0, superseded = 0, logErrors = 0, truncatedTails = 0;
         std::uint64_t hitBytes = 0;
     };
     struct Callbacks {
@@ -66,8 +66,8 @@
 
     // Zero: a miss, told at once. Else `found` is called by a later turn(), unless it is forgotten before.
     // `oldestMs`: an older copy will not do; zero: any age.
-    [[nodiscard]] std::uint64_t lookUp(ClockReading now, const Key& key, std::int64_t oldestMs, Found found);
-    void cancelLookup(std::uint64_t ticket) { waiting_.erase(ticket); }
+    [[nodiscard]] std::uint64_t lookUp(ClockReading now, const Key& key, std::int64_t maxAgeMs, Found found);
+    void cancelLookup(std::uint64_t ticket) { lookups_.erase(ticket); }
     // A fetched copy. `rank`: the decision module's; zero: it is not to be kept.
     void offer(ClockReading now, const Key& key, int rank, const Copy& copy);
 
@@ -83,7 +83,7 @@
         return state_ != State::opening && (!holdsFolder() || purgeFeed_.isCurrent(now.monotonicMs));
     }
     // All marks are on disk, or there is no disk that holds a copy.
-    bool purgesPersisted() const { return keptUpTo_ >= given_; }
+    bool purgesPersisted() const { return persistedUpTo_ >= purgesSubmitted_; }
 
     // Other limits that hold from now on; folder and sizes stay.
     void reconfigure(const TierOptions& options);
@@ -96,13 +96,13 @@
     const SegmentCatalog& catalog() const { return catalog_; }
     std::size_t tombstoneCount() const { return tombstones_.size(); }
     std::int64_t watermarkMs() const { return tombstones_.watermarkMs(); }
-    std::uint64_t queuedBytes() const { return onTheWay_; }
+    std::uint64_t queuedBytes() const { return pendingWriteBytes_; }
     const TierOptions& options() const { return options_; }
 
 private:
-    struct Waiting {
+    struct PendingLookup {
         Key key;
-        std::int64_t oldestMs = 0;
+        std::int64_t maxAgeMs = 0;
         Found found;
     };
     struct Version {
@@ -110,28 +110,28 @@
         std::int64_t createdMs = 0;
     };
 
-    void take(ClockReading now, OpenedFolder& told);
-    void take(ClockReading now, LoadedSegment& told);
-    void take(ClockReading now, LoadedAll& told);
-    void take(ClockReading now, Placed& told);
-    void take(ClockReading now, NotPlaced& told);
-    void take(ClockReading now, Sealed& told);
-    void take(ClockReading now, Moved& told);
-    void take(ClockReading now, Rewritten& told);
-    void take(ClockReading now, Removed& told);
-    void take(ClockReading now, PurgesPersisted& told);
-    void take(ClockReading now, ReadDone& told);
+    void handle(ClockReading now, OpenedFolder& done);
+    void handle(ClockReading now, LoadedSegment& done);
+    void handle(ClockReading now, LoadedAll& done);
+    void handle(ClockReading now, Placed& done);
+    void handle(ClockReading now, NotPlaced& done);
+    void handle(ClockReading now, Sealed& done);
+    void handle(ClockReading now, Moved& done);
+    void handle(ClockReading now, Rewritten& done);
+    void handle(ClockReading now, Removed& done);
+    void handle(ClockReading now, PurgesPersisted& done);
+    void handle(ClockReading now, ReadDone& done);
 
     bool holdsFolder() const { return state_ == State::loading || state_ == State::ready; }
-    bool servable(ClockReading now, const Key& key, std::int64_t oldestMs, std::int64_t createdMs);
+    bool servable(ClockReading now, const Key& key, std::int64_t maxAgeMs, std::int64_t createdMs);
     void addPurge(const PurgeEntry& entry);
     void persist(std::vector<PurgeEntry> entries);
     void raiseWatermark(ClockReading now, const char* why);
     void noteCreated(std::int64_t createdMs);
     bool isLatest(const Key& key, const Copy& copy);
-    void givePosition(ClockReading now);
+    void submitBusPosition(ClockReading now);
     void reclaim();
-    void rewriteLogIfLong();
+    void rewritePurgeLogIfLong();
     void log(const std::string& line) const { callbacks_.log(line); }
 
     TierOptions options_;
@@ -139,21 +139,21 @@
     SegmentCatalog catalog_;
     PurgeTombstones tombstones_;
     std::int64_t latestCreatedMs_ = 0;  // of all that is held or on its way
-    bool dropsLoading_ = false;         // what the segments still bring can't be proved either
+    bool dropLoadingParts_ = false;     // what the segments still bring can't be proved either
 
     PurgeFeedTracker purgeFeed_;
     State state_ = State::opening;
-    std::string problem_;  // told last
+    std::string lastProblem_;  // told last
     std::uint64_t nextTicket_ = 1;
-    std::unordered_map<std::uint64_t, Waiting> waiting_;
+    std::unordered_map<std::uint64_t, PendingLookup> lookups_;
     LruMap<std::uint64_t, Version> versions_;
-    std::uint64_t onTheWay_ = 0;  // bytes that the writer has not written
-    int writeFailures_ = 0;       // in a row
+    std::uint64_t pendingWriteBytes_ = 0;  // bytes that the writer has not written
+    int writeFailures_ = 0;                // in a row
     std::int64_t pausedUntilMs_ = 0, pauseMs_ = 0;
-    bool logFails_ = false;
-    std::uint64_t given_ = 0, keptUpTo_ = 0, linesGiven_ = 0;
-    std::optional<std::int64_t> positionGiven_;
-    std::int64_t positionGivenMs_ = 0;
+    bool purgeLogFailing_ = false;
+    std::uint64_t purgesSubmitted_ = 0, persistedUpTo_ = 0, logEntries_ = 0;
+    std::optional<std::int64_t> submittedPosition_;
+    std::int64_t positionSubmittedMs_ = 0;
     bool sweeping_ = false, sweepAgain_ = false;
     Counters counters_;
     IoWorker worker_;  // last: its threads are gone before the rest is
--- a/src/disktool/main.cpp
+++ b/src/disktool/main.cpp
@@ -71,7 +71,7 @@
                       {"marks", found.entries.size()},
                       {"marks_damaged", found.logDamaged},
                       {"floor_ms", floor},
-                      {"bus_position", found.position ? json(*found.position) : json("none")}});
+                      {"bus_position", found.busPosition ? json(*found.busPosition) : json("none")}});
     return kDone;
 }
 
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -272,7 +272,7 @@
                             {"purged", t.purged + s.purged},
                             {"expired", t.expired},
                             {"unproved", t.unproved},
-                            {"torn", t.torn + t.cutTails},
+                            {"torn", t.torn + t.truncatedTails},
                             {"read_errors", t.readErrors},
                             {"busy", t.busy}});
         core::printFigures(name, "disk_kept",
--- a/src/repository/service.cpp
+++ b/src/repository/service.cpp
@@ -17,10 +17,11 @@
 // Whole answers, and the very part that was asked for: a server that knows no ranges sends all of a file.
 bool storable(const disk::Key& key, const core::Payload& payload) {
     const std::string status = factOf(payload.facts, kStatus);
-    const bool inParts = key.form != 0;
+    const bool inParts = key.variant != 0;
     if (status == "200") return !inParts || key.part == 0;
     if (status != "206" || !inParts) return false;
-    return factOf(payload.facts, kFirst) == std::to_string(static_cast<std::uint64_t>(key.part) * key.form);
+    return factOf(payload.facts, kFirst) ==
+           std::to_string(static_cast<std::uint64_t>(key.part) * key.variant);
 }
 
 // What the front compares before it joins two parts.
--- a/tests/disk_policy_test.cpp
+++ b/tests/disk_policy_test.cpp
@@ -331,7 +331,7 @@
     EXPECT_NE(with([](Key& k) { k.object += "x"; }), kKey.fingerprint());
     EXPECT_NE(with([](Key& k) { k.className = "page"; }), kKey.fingerprint());
     EXPECT_NE(with([](Key& k) { ++k.part; }), kKey.fingerprint());
-    EXPECT_NE(with([](Key& k) { k.form = 1; }), kKey.fingerprint());
+    EXPECT_NE(with([](Key& k) { k.variant = 1; }), kKey.fingerprint());
 }
 
 TEST(DiskPacer, SharesTheLinkInTheOrderOfAnswers) {
--- a/tests/disk_tier_harness.hpp
+++ b/tests/disk_tier_harness.hpp
@@ -187,10 +187,10 @@
                until([&] { return tier.queuedBytes() == 0; }) &&
                tier.catalog().contains(keyOf(i).fingerprint());
     }
-    std::optional<Copy> load(int i, std::int64_t oldestMs = 0) {
+    std::optional<Copy> load(int i, std::int64_t maxAgeMs = 0) {
         std::optional<Copy> result;
         bool told = false;
-        const auto ticket = tier.lookUp(now, keyOf(i), oldestMs, [&](std::optional<Copy> copy) {
+        const auto ticket = tier.lookUp(now, keyOf(i), maxAgeMs, [&](std::optional<Copy> copy) {
             told = true;
             result = std::move(copy);
         });
--- a/tests/disk_tier_test.cpp
+++ b/tests/disk_tier_test.cpp
@@ -135,7 +135,7 @@
     files.clear();
     Desk desk(optionsFor(folder), &files);
     EXPECT_TRUE(desk.logged("ends in the middle of a record"));
-    EXPECT_EQ(desk.tier.counters().cutTails, 1U);
+    EXPECT_EQ(desk.tier.counters().truncatedTails, 1U);
     for (int i = 0; i < 5; ++i) EXPECT_TRUE(desk.has(i, 1000));
     EXPECT_FALSE(desk.load(5));
     EXPECT_TRUE(desk.store(5, 1001));  // into a segment of its own
@@ -220,7 +220,7 @@
     }
     EXPECT_GT(whole, 50);
     EXPECT_LT(whole, 120);
-    EXPECT_EQ(desk.tier.counters().cutTails, 1U);
+    EXPECT_EQ(desk.tier.counters().truncatedTails, 1U);
 }
 
 TEST(DiskTier, WithoutAWorkingPurgeLogNothingIsServed) {
