--- a/src/disk/inspect.cpp
+++ b/src/disk/inspect.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr std::size_t kMostProblems = 20;
+constexpr std::size_t kMaxProblems = 20;
 constexpr std::size_t kUnlimitedEntries = std::numeric_limits<std::size_t>::max();
 
 bool isHeld(FileCalls& calls, const Folder& folder) {
@@ -65,7 +65,7 @@
 
 // Waits for the worker's next completions; `take` returns true to end it.
 template <class Take>
-void pump(IoWorker& worker, Take take) {
+void awaitCompletions(IoWorker& worker, Take take) {
     while (true) {
         for (Completion& completion : worker.completions())
             if (take(completion)) return;
@@ -131,7 +131,7 @@
 }
 
 void listParts(FileCalls& calls, const std::string& path, const Survey& survey,
-               const std::function<bool(const Listed&)>& visit) {
+               const std::function<bool(const ListedPart&)>& visit) {
     const Folder folder(calls, path);
     SegmentReader reader(calls, folder, survey);
     const PurgeTombstones tombstones = tombstonesOf(survey);
@@ -142,15 +142,15 @@
         if (reader.read(part.location, most, bytes).error != 0) continue;
         const auto key = decodeRecordKey(bytes);
         if (!key) continue;
-        Listed listed{*key, part, 0, false};
+        ListedPart listed{*key, part, 0, false};
         listed.bodyBytes = part.location.bytes - kRecordHeaderBytes - *metadataBytesOf(bytes);
         listed.purged = tombstones.covers(key->objectFingerprint(), key->group, part.createdMs);
         if (!visit(listed)) return;
     }
 }
 
-Verified verify(FileCalls& calls, const std::string& path, const Survey& survey) {
-    Verified result;
+VerifyResult verify(FileCalls& calls, const std::string& path, const Survey& survey) {
+    VerifyResult result;
     const Folder folder(calls, path);
     SegmentReader reader(calls, folder, survey);
     std::string bytes;
@@ -158,13 +158,13 @@
         const IoResult read = reader.read(part.location, part.location.bytes, bytes);
         const std::string where = "segment " + std::to_string(part.location.segment) + " byte " +
                                   std::to_string(part.location.offset);
-        const auto tell = [&](const std::string& what) {
-            if (result.problems.size() < kMostProblems) result.problems.push_back(where + ": " + what);
+        const auto addProblem = [&](const std::string& what) {
+            if (result.problems.size() < kMaxProblems) result.problems.push_back(where + ": " + what);
         };
         if (read.error == ENOENT && survey.held) continue;  // reclaimed meanwhile
         if (read.error != 0) {
             ++result.unreadable;
-            tell(describeError("read", path, read.error));
+            addProblem(describeError("read", path, read.error));
             continue;
         }
         ++result.records;
@@ -172,13 +172,13 @@
         const auto record = decodeRecord(bytes);
         if (record && record->first.fingerprint() == part.fingerprint) continue;
         ++result.damaged;
-        tell("not as it was written");
+        addProblem("not as it was written");
     }
     return result;
 }
 
-Changed addPurges(FileCalls& calls, const std::string& path, const std::vector<PurgeEntry>& entries) {
-    Changed result;
+ChangeResult addPurges(FileCalls& calls, const std::string& path, const std::vector<PurgeEntry>& entries) {
+    ChangeResult result;
     Folder folder(calls, path);
     result.problem = folder.open(Folder::Access::read).problem;  // never makes a folder
     if (!result.problem.empty()) return result;
@@ -199,8 +199,8 @@
     return result;
 }
 
-Changed compact(FileCalls& calls, const std::string& path, std::uint32_t segmentBytes) {
-    Changed result;
+ChangeResult compact(FileCalls& calls, const std::string& path, std::uint32_t segmentBytes) {
+    ChangeResult result;
     const Survey known = survey(calls, path, true);
     result.problem = known.problem;
     if (!result.problem.empty()) return result;
@@ -209,7 +209,7 @@
     for (const Survey::Segment& segment : known.segments) {
         keep[segment.name.number];
         queues[segment.name.number] = segment.name.queue;
-        result.before += segment.fileBytes;
+        result.bytesBefore += segment.fileBytes;
     }
     for (const Part& part : known.live) keep[part.location.segment].push_back(part);
 
@@ -217,23 +217,24 @@
     options.segmentBytes = segmentBytes;
     IoWorker worker(calls, path, options);
     bool damaged = false;
-    pump(worker, [&](Completion& completion) {
-        if (auto* opened = std::get_if<OpenedFolder>(&completion)) {
+    awaitCompletions(worker, [&](Completion& completion) {
+        if (auto* opened = std::get_if<FolderOpened>(&completion)) {
             result.problem = opened->problem;
             result.busy = opened->busy;
             damaged = opened->damaged;
             return !result.problem.empty() || damaged;
         }
-        return std::holds_alternative<LoadedAll>(completion);
+        return std::holds_alternative<LoadFinished>(completion);
     });
     if (damaged) result.problem = "the purge log of " + path + " is damaged; the next start drops all copies";
     if (!result.problem.empty()) return result;
     // Each segment is dropped only after all that lives in it stands elsewhere.
     for (auto& [number, parts] : keep) {
         worker.rewrite({number, queues[number], std::move(parts)});
-        pump(worker, [&](Completion& completion) {
-            if (const auto* moved = std::get_if<Moved>(&completion)) result.after += moved->to.bytes;
-            const auto* done = std::get_if<Rewritten>(&completion);
+        awaitCompletions(worker, [&](Completion& completion) {
+            if (const auto* moved = std::get_if<RecordMoved>(&completion))
+                result.bytesAfter += moved->to.bytes;
+            const auto* done = std::get_if<SegmentRewritten>(&completion);
             if (done) result.problem = done->problem;
             return done != nullptr;
         });
--- a/src/disk/inspect.hpp
+++ b/src/disk/inspect.hpp
@@ -32,7 +32,7 @@
 // `tables`: trusts them; else each segment is walked.
 [[nodiscard]] Survey survey(FileCalls& calls, const std::string& folder, bool tables);
 
-struct Listed {
+struct ListedPart {
     Key key;
     Part part;
     std::uint64_t bodyBytes = 0;
@@ -40,25 +40,25 @@
 };
 // Each live part, segment by segment; false from `visit` ends it.
 void listParts(FileCalls& calls, const std::string& folder, const Survey& survey,
-               const std::function<bool(const Listed&)>& visit);
+               const std::function<bool(const ListedPart&)>& visit);
 
-struct Verified {
+struct VerifyResult {
     std::uint64_t records = 0, bytes = 0, damaged = 0, unreadable = 0;
     std::vector<std::string> problems;  // the first ones, a line each
 };
 // Reads every live part whole and looks at its checksums.
-[[nodiscard]] Verified verify(FileCalls& calls, const std::string& folder, const Survey& survey);
+[[nodiscard]] VerifyResult verify(FileCalls& calls, const std::string& folder, const Survey& survey);
 
 // These need the folder for themselves. `busy`: a process holds it, and nothing was done.
-struct Changed {
+struct ChangeResult {
     Problem problem;
     bool busy = false;
-    std::uint64_t before = 0, after = 0;  // bytes of segments
+    std::uint64_t bytesBefore = 0, bytesAfter = 0;  // bytes of segments
 };
 // The marks are on disk when it returns.
-[[nodiscard]] Changed addPurges(FileCalls& calls, const std::string& folder,
-                                const std::vector<PurgeEntry>& entries);
+[[nodiscard]] ChangeResult addPurges(FileCalls& calls, const std::string& folder,
+                                     const std::vector<PurgeEntry>& entries);
 // Writes what lives into fresh segments and drops the rest.
-[[nodiscard]] Changed compact(FileCalls& calls, const std::string& folder, std::uint32_t segmentBytes);
+[[nodiscard]] ChangeResult compact(FileCalls& calls, const std::string& folder, std::uint32_t segmentBytes);
 
 }  // namespace lotuslead::disk
--- a/src/disk/io_worker.cpp
+++ b/src/disk/io_worker.cpp
@@ -193,7 +193,7 @@
 }
 
 bool IoWorker::openFolder() {
-    OpenedFolder told;
+    FolderOpened told;
     auto opened = folder_.open(Folder::Access::write);
     told.problem = std::move(opened.problem);
     told.busy = opened.busy;
@@ -233,7 +233,7 @@
         if (opened.error == 0)
             files_.add(name.number, std::make_shared<File>(static_cast<int>(opened.bytes)));
         Folder::Contents found = folder_.readSegment(name, options_.tables);
-        LoadedSegment told;
+        SegmentLoaded told;
         told.name = name;
         told.parts = std::move(found.parts);
         told.bytes = found.fileBytes;
@@ -242,7 +242,7 @@
         told.problem = std::move(found.problem);
         post(std::move(told));
     }
-    post(LoadedAll{});
+    post(LoadFinished{});
 }
 
 // Called with the lock held, which it lets go of while it writes.
@@ -291,9 +291,9 @@
         const std::lock_guard lock(mutex_);
         queuedBytes_ -= job.bytes;
     }
-    if (!written.problem.empty()) return post(NotPlaced{job.bytes, std::move(written.problem)});
+    if (!written.problem.empty()) return post(AppendFailed{job.bytes, std::move(written.problem)});
     part.location = written.location;
-    post(Placed{part, job.queue, job.rank, job.bytes});
+    post(RecordAppended{part, job.queue, job.rank, job.bytes});
 }
 
 // Record by record, with the marks in between: a purge does not wait for a segment's worth of copying.
@@ -317,18 +317,18 @@
             problem = std::move(written.problem);
             break;
         }
-        post(Moved{part.fingerprint, part.location, written.location, job.into});
+        post(RecordMoved{part.fingerprint, part.location, written.location, job.into});
     }
-    post(Rewritten{job.segment, std::move(problem)});
+    post(SegmentRewritten{job.segment, std::move(problem)});
 }
 
 void IoWorker::execute(const RemoveJob& job) {
     files_.remove(job.segment);
     const auto found = segmentQueues_.find(job.segment);
-    if (found == segmentQueues_.end()) return post(Removed{job.segment, {}});
+    if (found == segmentQueues_.end()) return post(SegmentRemoved{job.segment, {}});
     Problem problem = folder_.removeSegment({job.segment, found->second});
     segmentQueues_.erase(found);
-    post(Removed{job.segment, std::move(problem)});
+    post(SegmentRemoved{job.segment, std::move(problem)});
 }
 
 IoWorker::Written IoWorker::writeRecord(Queue queue, Part part, std::span<const char> record) {
@@ -381,7 +381,7 @@
             problem = describeError("sync", folder_.pathOf(segmentFile(segment.name)), error);
     if (options_.tables && problem.empty())
         problem = folder_.writeTable({segment.bytes, segment.parts}, segment.name.number);
-    post(Sealed{segment.name.number, std::move(problem)});
+    post(SegmentSealed{segment.name.number, std::move(problem)});
 }
 
 // ----- the reader's thread -----
--- a/src/disk/io_worker.hpp
+++ b/src/disk/io_worker.hpp
@@ -55,7 +55,7 @@
 
 // ----- what is told -----
 
-struct OpenedFolder {  // first of all, or again after each attempt to open it
+struct FolderOpened {  // first of all, or again after each attempt to open it
     Problem problem;
     bool busy = false;       // another process holds it
     bool retryable = false;  // it is held, or fails for a while
@@ -64,38 +64,38 @@
     bool damaged = false;  // marks may be missing
     bool empty = false;    // no segment is there
 };
-struct LoadedSegment {
+struct SegmentLoaded {
     SegmentName name;
     std::vector<Part> parts;
     std::uint64_t bytes = 0;
     bool fromTable = false, torn = false;
     Problem problem;
 };
-struct LoadedAll {};
-struct Placed {
+struct LoadFinished {};
+struct RecordAppended {
     Part part;
     Queue queue = Queue::probation;
     int rank = 0;
     std::uint64_t bytes = 0;  // of the job
 };
-struct NotPlaced {
+struct AppendFailed {
     std::uint64_t bytes = 0;
     Problem problem;
 };
-struct Sealed {
+struct SegmentSealed {
     std::uint32_t segment = 0;
     Problem problem;  // of its table, or its sync
 };
-struct Moved {
+struct RecordMoved {
     std::uint64_t fingerprint = 0;
     RecordLocation from, to;
     Queue queue = Queue::main;
 };
-struct Rewritten {
+struct SegmentRewritten {
     std::uint32_t segment = 0;
     Problem problem;
 };
-struct Removed {
+struct SegmentRemoved {
     std::uint32_t segment = 0;
     Problem problem;
 };
@@ -111,8 +111,9 @@
     bool torn = false;  // it was read, and is not as it was written
     Problem problem;
 };
-using Completion = std::variant<OpenedFolder, LoadedSegment, LoadedAll, Placed, NotPlaced, Sealed, Moved,
-                                Rewritten, Removed, PurgesPersisted, ReadDone>;
+using Completion =
+    std::variant<FolderOpened, SegmentLoaded, LoadFinished, RecordAppended, AppendFailed, SegmentSealed,
+                 RecordMoved, SegmentRewritten, SegmentRemoved, PurgesPersisted, ReadDone>;
 
 // A map of the files in use, for both threads. A file that is removed stays readable to who holds it.
 class SegmentFiles {
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -195,14 +195,14 @@
     return isLatestVersion;
 }
 
-void Tier::handle(ClockReading, Placed& done) {
+void Tier::handle(ClockReading, RecordAppended& done) {
     pendingWriteBytes_ -= done.bytes;
     writeFailures_ = 0;
     pauseMs_ = 0;
     catalog_.partAppended(done.part, done.queue, done.rank);
 }
 
-void Tier::handle(ClockReading now, NotPlaced& done) {
+void Tier::handle(ClockReading now, AppendFailed& done) {
     pendingWriteBytes_ -= done.bytes;
     ++counters_.writeErrors;
     if (++writeFailures_ < kWriteFailuresToPause) return;
@@ -212,7 +212,7 @@
     log("disk tier: " + done.problem + "; nothing is admitted for " + std::to_string(pauseMs_ / 1000) + " s");
 }
 
-void Tier::handle(ClockReading, Sealed& done) {
+void Tier::handle(ClockReading, SegmentSealed& done) {
     catalog_.segmentSealed(done.segment);
     if (!done.problem.empty()) log("disk tier: " + done.problem);
 }
@@ -229,11 +229,11 @@
     worker_.rewrite({next->segment, next->into, std::move(next->survivors)});
 }
 
-void Tier::handle(ClockReading, Moved& done) {
+void Tier::handle(ClockReading, RecordMoved& done) {
     catalog_.partMoved(done.fingerprint, done.from, done.to, done.queue);
 }
 
-void Tier::handle(ClockReading, Rewritten& done) {
+void Tier::handle(ClockReading, SegmentRewritten& done) {
     if (!done.problem.empty()) {
         ++counters_.writeErrors;
         log("disk tier: " + done.problem + "; what a segment had in use goes with it");
@@ -242,7 +242,7 @@
     worker_.remove({done.segment});
 }
 
-void Tier::handle(ClockReading, Removed& done) {
+void Tier::handle(ClockReading, SegmentRemoved& done) {
     if (done.problem.empty()) return;
     ++counters_.writeErrors;
     log("disk tier: " + done.problem);
@@ -322,7 +322,7 @@
 
 // ----- starting -----
 
-void Tier::handle(ClockReading now, OpenedFolder& done) {
+void Tier::handle(ClockReading now, FolderOpened& done) {
     if (state_ == State::closed) return;
     if (!done.problem.empty()) {
         state_ = done.retryable ? State::waiting : State::off;
@@ -349,7 +349,7 @@
     submitBusPosition(now);  // the bus may have been heard before
 }
 
-void Tier::handle(ClockReading, LoadedSegment& done) {
+void Tier::handle(ClockReading, SegmentLoaded& done) {
     if (!done.problem.empty()) {
         ++counters_.readErrors;
         log("disk tier: " + done.problem);
@@ -366,7 +366,7 @@
     catalog_.segmentLoaded(done.name.number, done.name.queue, done.bytes);
 }
 
-void Tier::handle(ClockReading, LoadedAll&) {
+void Tier::handle(ClockReading, LoadFinished&) {
     if (state_ != State::loading) return;
     state_ = State::ready;
     dropLoadingParts_ = false;
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -110,15 +110,15 @@
         std::int64_t createdMs = 0;
     };
 
-    void handle(ClockReading now, OpenedFolder& done);
-    void handle(ClockReading now, LoadedSegment& done);
-    void handle(ClockReading now, LoadedAll& done);
-    void handle(ClockReading now, Placed& done);
-    void handle(ClockReading now, NotPlaced& done);
-    void handle(ClockReading now, Sealed& done);
-    void handle(ClockReading now, Moved& done);
-    void handle(ClockReading now, Rewritten& done);
-    void handle(ClockReading now, Removed& done);
+    void handle(ClockReading now, FolderOpened& done);
+    void handle(ClockReading now, SegmentLoaded& done);
+    void handle(ClockReading now, LoadFinished& done);
+    void handle(ClockReading now, RecordAppended& done);
+    void handle(ClockReading now, AppendFailed& done);
+    void handle(ClockReading now, SegmentSealed& done);
+    void handle(ClockReading now, RecordMoved& done);
+    void handle(ClockReading now, SegmentRewritten& done);
+    void handle(ClockReading now, SegmentRemoved& done);
     void handle(ClockReading now, PurgesPersisted& done);
     void handle(ClockReading now, ReadDone& done);
 
--- a/src/disktool/main.cpp
+++ b/src/disktool/main.cpp
@@ -83,7 +83,7 @@
     if (table)
         std::printf("%-8s %10s %14s %8s %8s %s\n", "part", "bytes", "minted_ms", "group", "segment",
                     "object");
-    disk::listParts(calls, arguments.folder, found, [&](const disk::Listed& one) {
+    disk::listParts(calls, arguments.folder, found, [&](const disk::ListedPart& one) {
         if (one.purged || one.key.object.rfind(arguments.prefix, 0) != 0) return true;
         if (table)
             std::printf("%-8lld %10llu %14lld %8lld %8u %s\n", static_cast<long long>(one.key.part),
@@ -109,7 +109,7 @@
     // Never by the tables: they are not what is verified.
     const disk::Survey found = disk::survey(calls, arguments.folder, false);
     if (!found.problem.empty()) return refused(found.problem);
-    const disk::Verified result = disk::verify(calls, arguments.folder, found);
+    const disk::VerifyResult result = disk::verify(calls, arguments.folder, found);
     std::size_t torn = 0, unreadable = result.unreadable;
     for (const auto& segment : found.segments) {
         torn += segment.tornTail;
@@ -138,17 +138,17 @@
     if (arguments.group) entries.push_back({Kind::group, static_cast<std::uint64_t>(*arguments.group), at});
     if (arguments.all) entries.push_back({Kind::watermark, 0, at});
     if (entries.empty()) return refused("purge needs --object, --group or --all");
-    const disk::Changed result = disk::addPurges(calls, arguments.folder, entries);
+    const disk::ChangeResult result = disk::addPurges(calls, arguments.folder, entries);
     if (!result.problem.empty()) return refused(result.problem, result.busy);
     print(arguments, {{"marks", entries.size()}, {"at_ms", at}});
     return kDone;
 }
 
 int compact(const Arguments& arguments, disk::FileCalls& calls) {
-    const disk::Changed result =
+    const disk::ChangeResult result =
         disk::compact(calls, arguments.folder, arguments.segmentMb * std::uint32_t{1 << 20});
     if (!result.problem.empty()) return refused(result.problem, result.busy);
-    print(arguments, {{"bytes_before", result.before}, {"bytes_after", result.after}});
+    print(arguments, {{"bytes_before", result.bytesBefore}, {"bytes_after", result.bytesAfter}});
     return kDone;
 }
 
