--- a/bench/disk.cpp
+++ b/bench/disk.cpp
@@ -123,16 +123,16 @@
     return options;
 }
 
-void fill(Desk& desk, std::uint64_t parts, std::size_t bytes) {
+void fill(TierHarness& harness, std::uint64_t parts, std::size_t bytes) {
     for (std::uint64_t i = 0; i < parts; ++i) {
-        while (desk.tier.queuedBytes() > (24U << 20)) {
-            desk.tier.turn(desk.now);
+        while (harness.tier.queuedBytes() > (24U << 20)) {
+            harness.tier.turn(harness.now);
             ::usleep(200);
         }
-        desk.tier.offer(desk.now, benchKey(i), 1, copyOf(i, bytes));
-        if (i % 64 == 0) desk.tier.turn(desk.now);
+        harness.tier.offer(harness.now, benchKey(i), 1, copyOf(i, bytes));
+        if (i % 64 == 0) harness.tier.turn(harness.now);
     }
-    desk.until([&] { return desk.tier.queuedBytes() == 0; });
+    harness.until([&] { return harness.tier.queuedBytes() == 0; });
 }
 
 void reads() {
@@ -140,8 +140,8 @@
     constexpr std::size_t kBytes = 64 * 1024;
     std::printf("parts of 64 KB a second, in the page cache\n");
     TemporaryFolder folder, files;
-    Desk desk(benchOptions(folder, std::uint64_t{4} << 30, 65536));
-    const double filled = secondsOf([&] { fill(desk, kParts, kBytes); });
+    TierHarness harness(benchOptions(folder, std::uint64_t{4} << 30, 65536));
+    const double filled = secondsOf([&] { fill(harness, kParts, kBytes); });
     const double wrote = secondsOf([&] {
         for (std::uint64_t i = 0; i < kParts; ++i) {
             const std::string path = files.path + "/" + std::to_string(i);
@@ -162,17 +162,17 @@
     const double ours = secondsOf([&] {
         while (done < kReads) {
             while (asked < kReads && asked - done < 32) {
-                const auto ticket = desk.tier.lookUp(desk.now, benchKey(mix(asked) % kParts), 0,
-                                                     [&](std::optional<Copy> copy) {
-                                                         ++done;
-                                                         bytes += copy ? copy->body.size() : 0;
-                                                     });
+                const auto ticket = harness.tier.lookUp(harness.now, benchKey(mix(asked) % kParts), 0,
+                                                        [&](std::optional<Copy> copy) {
+                                                            ++done;
+                                                            bytes += copy ? copy->body.size() : 0;
+                                                        });
                 ++asked;
                 done += ticket == 0;
             }
-            pollfd waits{desk.tier.wakeDescriptor(), POLLIN, 0};
+            pollfd waits{harness.tier.wakeDescriptor(), POLLIN, 0};
             ::poll(&waits, 1, 100);
-            desk.tier.turn(desk.now);
+            harness.tier.turn(harness.now);
         }
     });
     std::printf("  write: one file a part %8.0f (1.00), tier %8.0f (%.2f)\n", kParts / wrote, kParts / filled,
@@ -190,15 +190,15 @@
         TemporaryFolder folder;
         TierOptions options = benchOptions(folder, std::uint64_t{8} << 30, parts + parts / 4);
         {
-            Desk desk(options);
-            fill(desk, parts, 1000);
+            TierHarness harness(options);
+            fill(harness, parts, 1000);
         }
         const auto start = [&](bool tables) {
             options.worker.tables = tables;
             std::size_t found = 0;
             const double seconds = secondsOf([&] {
-                Desk desk(options);
-                found = desk.tier.catalog().parts();
+                TierHarness harness(options);
+                found = harness.tier.catalog().parts();
             });
             if (found != parts)
                 std::printf("  only %zu of %llu parts came back\n", found,
@@ -221,17 +221,18 @@
     std::vector<double> ours, plain;
     const Copy copy = copyOf(1, kBytes);
     {
-        Desk desk(benchOptions(folder, std::uint64_t{1} << 30, 65536));
+        TierHarness harness(benchOptions(folder, std::uint64_t{1} << 30, 65536));
         for (int i = 0; i < kTurns; ++i)
             ours.push_back(1e6 * secondsOf([&] {
-                               desk.tier.offer(desk.now, benchKey(static_cast<std::uint64_t>(i)), 1, copy);
-                               (void)desk.tier.lookUp(desk.now,
-                                                      benchKey(mix(static_cast<std::uint64_t>(i)) % 1000), 0,
-                                                      [](std::optional<Copy>) {});
-                               desk.tier.turn(desk.now);
+                               harness.tier.offer(harness.now, benchKey(static_cast<std::uint64_t>(i)), 1,
+                                                  copy);
+                               (void)harness.tier.lookUp(harness.now,
+                                                         benchKey(mix(static_cast<std::uint64_t>(i)) % 1000),
+                                                         0, [](std::optional<Copy>) {});
+                               harness.tier.turn(harness.now);
                            }));
         std::printf("  offered %d, dropped as the queue was full %llu\n", kTurns,
-                    static_cast<unsigned long long>(desk.tier.counters().queueFull));
+                    static_cast<unsigned long long>(harness.tier.counters().queueFull));
     }
     for (int i = 0; i < kTurns / 10; ++i)
         plain.push_back(1e6 * secondsOf([&] {
--- a/bench/disk_policies.cpp
+++ b/bench/disk_policies.cpp
@@ -16,10 +16,10 @@
 
 using namespace lotuslead::disk;
 
-constexpr std::uint64_t kCapacity = std::uint64_t{1} << 30;
-constexpr std::size_t kFilter = 20'000;  // names that the module's LRU filter remembers
+constexpr std::uint64_t kCapacityBytes = std::uint64_t{1} << 30;
+constexpr std::size_t kFilterObjects = 20'000;  // names that the module's LRU filter remembers
 
-struct Asked {
+struct TraceRequest {
     std::uint64_t part = 0, object = 0;
     std::uint32_t bytes = 0;
 };
@@ -33,13 +33,13 @@
     }
 
 private:
-    LruMap<std::uint64_t, char> filter_{kFilter};
+    LruMap<std::uint64_t, char> filter_{kFilterObjects};
 };
 
 class Lru {
 public:
     virtual ~Lru() = default;
-    bool request(const Asked& a, int rank) {
+    bool request(const TraceRequest& a, int rank) {
         touched(a.part);
         const auto found = index_.find(a.part);
         if (found != index_.end()) {
@@ -50,7 +50,7 @@
         order_.push_front(a);
         index_[a.part] = order_.begin();
         bytes_ += a.bytes;
-        while (bytes_ > kCapacity) {
+        while (bytes_ > kCapacityBytes) {
             bytes_ -= order_.back().bytes;
             index_.erase(order_.back().part);
             order_.pop_back();
@@ -60,33 +60,34 @@
 
 protected:
     virtual void touched(std::uint64_t) {}
-    virtual bool admits(const Asked&) { return true; }
-    bool full(std::uint32_t bytes) const { return bytes_ + bytes > kCapacity; }
-    const Asked& victim() const { return order_.back(); }
+    virtual bool admits(const TraceRequest&) { return true; }
+    bool full(std::uint32_t bytes) const { return bytes_ + bytes > kCapacityBytes; }
+    const TraceRequest& victim() const { return order_.back(); }
 
 private:
-    std::list<Asked> order_;
-    std::unordered_map<std::uint64_t, std::list<Asked>::iterator> index_;
+    std::list<TraceRequest> order_;
+    std::unordered_map<std::uint64_t, std::list<TraceRequest>::iterator> index_;
     std::uint64_t bytes_ = 0;
 };
 
 // A newcomer must be more popular than what would go for it (TinyLFU, 3.1).
 class TinyLfu : public Lru {
     void touched(std::uint64_t part) override { sketch_.add(part); }
-    bool admits(const Asked& a) override {
+    bool admits(const TraceRequest& a) override {
         return !full(a.bytes) || sketch_.estimate(a.part) > sketch_.estimate(victim().part);
     }
     FrequencySketch sketch_{1 << 16};
 };
 
-std::vector<Asked> trace(bool scans, bool oneOff, bool drift, std::uint64_t seed) {
+std::vector<TraceRequest> trace(bool scans, bool oneOff, bool drift, std::uint64_t seed) {
     constexpr std::size_t kObjects = 30'000, kRequests = 1'500'000;
-    std::vector<double> upTo(kObjects);
+    std::vector<double> cumulativeWeight(kObjects);
     double sum = 0;
-    for (std::size_t i = 0; i < kObjects; ++i) upTo[i] = sum += 1 / std::pow(static_cast<double>(i + 1), 0.9);
+    for (std::size_t i = 0; i < kObjects; ++i)
+        cumulativeWeight[i] = sum += 1 / std::pow(static_cast<double>(i + 1), 0.9);
     std::mt19937_64 random(seed);
     std::uniform_real_distribution<double> uniform(0, 1);
-    std::vector<Asked> all;
+    std::vector<TraceRequest> all;
     std::uint64_t fresh = 1;
     while (all.size() < kRequests) {
         const double kind = uniform(random);
@@ -99,7 +100,8 @@
             all.push_back({combine(object, 0), object, 64 << 10});
         } else {
             auto i = static_cast<std::uint64_t>(
-                std::lower_bound(upTo.begin(), upTo.end(), uniform(random) * sum) - upTo.begin());
+                std::lower_bound(cumulativeWeight.begin(), cumulativeWeight.end(), uniform(random) * sum) -
+                cumulativeWeight.begin());
             if (drift) i = (i + all.size() / 50) % kObjects;  // another is the most popular every 50 requests
             const std::uint64_t object = mix(i + 1);
             const std::uint64_t part = random() % (1 + object % 8);
@@ -111,10 +113,10 @@
 }
 
 template <class Cache>
-double ratio(const std::vector<Asked>& trace, bool filtered, Cache request) {
+double ratio(const std::vector<TraceRequest>& trace, bool filtered, Cache request) {
     Ranks ranks;
     std::size_t hits = 0, counted = 0, number = 0;
-    for (const Asked& a : trace) {
+    for (const TraceRequest& a : trace) {
         const int rank = ranks.of(a.object);
         const bool hit = request(a, filtered ? rank : 1);
         if (++number <= trace.size() / 3) continue;  // warming up
@@ -142,21 +144,22 @@
         const auto all = trace(kind.scans, kind.oneOff, kind.drift, 17);
         Lru lru, filtered;
         TinyLfu tiny;
-        const double base = ratio(all, false, [&](const Asked& a, int rank) { return lru.request(a, rank); });
+        const double base =
+            ratio(all, false, [&](const TraceRequest& a, int rank) { return lru.request(a, rank); });
         std::printf("%-22s %8.4f", kind.name, base);
         const auto show = [&](double r) { std::printf("  %.4f (%.3f)", r, r / base); };
-        show(ratio(all, true, [&](const Asked& a, int rank) { return filtered.request(a, rank); }));
-        show(ratio(all, true, [&](const Asked& a, int rank) { return tiny.request(a, rank); }));
+        show(ratio(all, true, [&](const TraceRequest& a, int rank) { return filtered.request(a, rank); }));
+        show(ratio(all, true, [&](const TraceRequest& a, int rank) { return tiny.request(a, rank); }));
         for (const AdmissionHistory admissionHistory :
              {AdmissionHistory::none, AdmissionHistory::ghost, AdmissionHistory::sketch}) {
             SegmentCatalogOptions options;
-            options.capacityBytes = kCapacity;
+            options.capacityBytes = kCapacityBytes;
             options.segmentBytes = 16 << 20;
             options.maxParts = 1 << 16;
             options.admissionHistory = admissionHistory;
-            PaperDisk disk(options);
+            SimulatedDisk disk(options);
             show(ratio(all, true,
-                       [&](const Asked& a, int rank) { return disk.request(a.part, rank, a.bytes); }));
+                       [&](const TraceRequest& a, int rank) { return disk.request(a.part, rank, a.bytes); }));
             std::printf(" %.2f", static_cast<double>(disk.written) /
                                      static_cast<double>(disk.catalog.counters().admittedBytes));
         }
--- a/tests/audit_disk.cpp
+++ b/tests/audit_disk.cpp
@@ -30,7 +30,7 @@
 using namespace lotuslead::disk;
 
 constexpr int kObjects = 60, kParts = 6, kGroups = 9;
-constexpr std::int64_t kGraceMs =
+constexpr std::int64_t kBusPurgeGraceMs =
     500;  // after which a purge that was told holds, whatever the child has read
 
 std::int64_t unixMs() {
@@ -87,7 +87,7 @@
 class SlowFiles : public FileCalls {
 public:
     SlowFiles(const std::string& note, std::uint64_t seed)
-        : note_(static_cast<int>(FileCalls::open(note, O_WRONLY | O_CREAT | O_APPEND).bytes)),
+        : syncNotesFd_(static_cast<int>(FileCalls::open(note, O_WRONLY | O_CREAT | O_APPEND).bytes)),
           random_(seed) {}
 
     IoResult open(const std::string& path, int flags) override {
@@ -106,7 +106,7 @@
         struct stat about {};
         ::fstat(fd, &about);
         const Synced synced{about.st_ino, static_cast<std::uint64_t>(about.st_size)};
-        (void)!::write(note_, &synced, sizeof synced);
+        (void)!::write(syncNotesFd_, &synced, sizeof synced);
         return 0;
     }
 
@@ -114,7 +114,7 @@
     // Used by the writer's thread alone.
     void pause() { std::this_thread::sleep_for(std::chrono::microseconds{random_() % 2000}); }
 
-    int note_;
+    int syncNotesFd_;
     int log_ = -1;
     std::mt19937_64 random_;
 };
@@ -135,16 +135,16 @@
         while (true) {
             tier_.turn(now());
             readBus();
-            answer();
+            reportPersistedPurges();
             const bool ready = tier_.state() == Tier::State::ready;
-            if (ready && !std::exchange(toldReady_, true)) say("ready");
+            if (ready && !std::exchange(toldReady_, true)) report("ready");
             const bool walking = next < kObjects * kParts;
             for (int i = 0; i < 6 && ready; ++i) {
                 if (next < kObjects * kParts) {
                     look(static_cast<int>(next) / kParts, static_cast<int>(next) % kParts, true);
                     ++next;
                 } else if (!last_) {
-                    work();
+                    doRandomWork();
                 }
             }
             if (last_ && ready && !walking && looking_ == 0) return 0;
@@ -173,7 +173,7 @@
                 [](const Facts&) { return std::uint64_t{0}; }};
     }
     static ClockReading now() { return {monotonicMs(), unixMs()}; }
-    void say(const std::string& line) {
+    void report(const std::string& line) {
         const std::string whole = line + "\n";  // one write: a kill leaves no half of it
         (void)!::write(STDOUT_FILENO, whole.data(), whole.size());
     }
@@ -198,11 +198,11 @@
         if (!numbers.empty()) unacknowledged_ = last;
     }
 
-    void answer() {
+    void reportPersistedPurges() {
         if (!tier_.purgesPersisted()) return;
-        if (unacknowledged_ > 0) say("ack " + std::to_string(std::exchange(unacknowledged_, 0)));
+        if (unacknowledged_ > 0) report("ack " + std::to_string(std::exchange(unacknowledged_, 0)));
         for (const auto& [object, ms] : std::exchange(ownPurges_, {}))
-            say("purged " + std::to_string(object) + " " + std::to_string(ms));
+            report("purged " + std::to_string(object) + " " + std::to_string(ms));
     }
 
     void look(int object, int part, bool walk) {
@@ -212,9 +212,9 @@
                 --looking_;
                 if (copy) {
                     const bool whole = copy->body == auditBody(object, part, copy->createdMs);
-                    say(std::string(whole ? "served " : "torn ") + std::to_string(object) + " " +
-                        std::to_string(part) + " " + std::to_string(copy->createdMs) + " " +
-                        std::to_string(begun));
+                    report(std::string(whole ? "served " : "torn ") + std::to_string(object) + " " +
+                           std::to_string(part) + " " + std::to_string(copy->createdMs) + " " +
+                           std::to_string(begun));
                 } else if (!walk) {
                     fetch(object, part);
                 }
@@ -227,7 +227,7 @@
         tier_.offer(now(), auditKey(object, part), 1 + static_cast<int>(random_() % 2),
                     {createdMs, {{"etag", "\"a\""}}, auditBody(object, part, createdMs)});
     }
-    void work() {
+    void doRandomWork() {
         const auto object = static_cast<int>(random_() % kObjects);
         const auto part = static_cast<int>(random_() % kParts);
         if (random_() % 400 == 0) {
@@ -261,7 +261,7 @@
     int run() {
         for (int i = 0; i < kills_; ++i) {
             life(false);
-            meanwhile();
+            changeWhileDown();
         }
         life(true);
         const bool enough = served_ >= static_cast<std::uint64_t>(kills_) * 20;
@@ -390,8 +390,8 @@
         for (const Purge& purge : purges_) {
             const BusEvent& e = purge.event;
             if ((e.group ? object % kGroups : object) != e.name || createdMs > e.atMs) continue;
-            const bool holds =
-                e.number <= acknowledged_ || purge.toldMs < bornMs_ || purge.toldMs + kGraceMs <= begun;
+            const bool holds = e.number <= acknowledged_ || purge.toldMs < bornMs_ ||
+                               purge.toldMs + kBusPurgeGraceMs <= begun;
             if (holds) return stale("purged by the bus", e.atMs);
         }
         for (const auto& [name, ms] : own_)
@@ -399,7 +399,7 @@
     }
 
     // Between a kill and the next start.
-    void meanwhile() {
+    void changeWhileDown() {
         for (auto n = random_() % 3; n > 0; --n) tell();
         // The bus forgets what was acknowledged, and now and then more than that.
         if (random_() % 2 == 0) forgotten_ = std::max(forgotten_, acknowledged_);
@@ -409,12 +409,12 @@
         }
         std::erase_if(events_, [&](const BusEvent& e) { return e.number <= forgotten_; });
         if (random_() % 3 == 0) damage();
-        losePurges();
+        dropUnsyncedPurges();
         if (random_() % 5 == 0)  // a line of the purge log that was being written
             std::ofstream(folder_.tier() + "/purges", std::ios::app | std::ios::binary) << "LLM1";
     }
     // A power failure: of the purge log stays what was synced.
-    void losePurges() {
+    void dropUnsyncedPurges() {
         const std::string log = folder_.tier() + "/purges";
         struct stat about {};
         if (::stat(log.c_str(), &about) != 0) return;
--- a/tests/disk_faults_test.cpp
+++ b/tests/disk_faults_test.cpp
@@ -15,7 +15,7 @@
 using Faults = FaultyFiles::Faults;
 
 constexpr int kPurgesUntilRewritten = 20'000;
-constexpr std::chrono::milliseconds kAllRewritten{500};
+constexpr std::chrono::milliseconds kRewriteSettleTime{500};
 
 // The log is written anew under another name, renamed, and only the sync of the folder fails: what comes next
 // must not go to the file that the new one has replaced.
@@ -25,22 +25,22 @@
     options.maxPurgeEntries = 600;
     {
         FaultyFiles files;
-        Desk desk(options, &files);
-        for (int i = 0; i < 12; ++i) ASSERT_TRUE(desk.store(i, 1000));
+        TierHarness harness(options, &files);
+        for (int i = 0; i < 12; ++i) ASSERT_TRUE(harness.store(i, 1000));
         files.failFolderSyncs(EIO);
         for (int i = 0; i < kPurgesUntilRewritten; ++i)
-            desk.tier.purgeObject("/files/x" + std::to_string(i % 500), 1000);
-        ASSERT_TRUE(desk.until([&] { return files.failedFolderSyncs() > 0; }));
+            harness.tier.purgeObject("/files/x" + std::to_string(i % 500), 1000);
+        ASSERT_TRUE(harness.until([&] { return files.failedFolderSyncs() > 0; }));
         // No log that is written anew after this hides what became of the last one.
-        std::this_thread::sleep_for(kAllRewritten);
-        desk.tier.turn(desk.now);
+        std::this_thread::sleep_for(kRewriteSettleTime);
+        harness.tier.turn(harness.now);
         files.clear();
-        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
-        desk.tier.purgeObject("/files/8", 1000);
-        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
+        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
+        harness.tier.purgeObject("/files/8", 1000);
+        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
     }
-    Desk desk(options);
-    for (int i = 0; i < 12; ++i) EXPECT_EQ(desk.has(i, 1000), i != 8) << i;
+    TierHarness harness(options);
+    for (int i = 0; i < 12; ++i) EXPECT_EQ(harness.has(i, 1000), i != 8) << i;
 }
 
 TEST(DiskFaults, AFolderThatFailsForAMomentAtTheStartIsTriedAgain) {
@@ -50,12 +50,12 @@
             TemporaryFolder folder;
             FaultyFiles files;
             files.set(file, faults);
-            Desk desk(optionsFor(folder), &files, false);
-            ASSERT_TRUE(desk.until([&] { return !desk.lines.empty(); }));
+            TierHarness harness(optionsFor(folder), &files, false);
+            ASSERT_TRUE(harness.until([&] { return !harness.lines.empty(); }));
             files.clear();
-            desk.tier.retryOpen();
-            ASSERT_TRUE(desk.until([&] { return desk.tier.state() == Tier::State::ready; })) << file;
-            EXPECT_TRUE(desk.store(1, 1000));
+            harness.tier.retryOpen();
+            ASSERT_TRUE(harness.until([&] { return harness.tier.state() == Tier::State::ready; })) << file;
+            EXPECT_TRUE(harness.store(1, 1000));
         }
     }
 }
@@ -65,18 +65,18 @@
     constexpr std::int64_t kCreatedMs = 1'000'000, kBehindMs = 100'000;
     TemporaryFolder folder;
     {
-        Desk desk(optionsFor(folder));
-        ASSERT_TRUE(desk.store(1, kCreatedMs));
+        TierHarness harness(optionsFor(folder));
+        ASSERT_TRUE(harness.store(1, kCreatedMs));
     }
     std::filesystem::remove(folder.tier() + "/purges");
-    Desk desk(optionsFor(folder), nullptr, false);
-    desk.now.unixMs = kCreatedMs - kBehindMs;
-    ASSERT_TRUE(desk.until([&] { return desk.tier.state() == Tier::State::ready; }));
-    EXPECT_TRUE(desk.logged("the purge log is damaged"));
-    desk.now.unixMs = kCreatedMs + kBehindMs;
-    EXPECT_FALSE(desk.load(1));
-    EXPECT_TRUE(desk.store(2, kCreatedMs + kBehindMs));
-    EXPECT_TRUE(desk.has(2, kCreatedMs + kBehindMs));
+    TierHarness harness(optionsFor(folder), nullptr, false);
+    harness.now.unixMs = kCreatedMs - kBehindMs;
+    ASSERT_TRUE(harness.until([&] { return harness.tier.state() == Tier::State::ready; }));
+    EXPECT_TRUE(harness.logged("the purge log is damaged"));
+    harness.now.unixMs = kCreatedMs + kBehindMs;
+    EXPECT_FALSE(harness.load(1));
+    EXPECT_TRUE(harness.store(2, kCreatedMs + kBehindMs));
+    EXPECT_TRUE(harness.has(2, kCreatedMs + kBehindMs));
 }
 
 // Nobody may forget the damage before what it has cost is written down: not a tool that adds a purge, and not
@@ -84,10 +84,10 @@
 TEST(DiskFaults, ADamagedLogIsDamagedUntilAFloorIsKept) {
     TemporaryFolder folder;
     {
-        Desk desk(optionsFor(folder));
-        ASSERT_TRUE(desk.store(1, 1000));
-        for (int i = 5; i < 15; ++i) desk.tier.purgeObject("/files/" + std::to_string(i), 1000);
-        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
+        TierHarness harness(optionsFor(folder));
+        ASSERT_TRUE(harness.store(1, 1000));
+        for (int i = 5; i < 15; ++i) harness.tier.purgeObject("/files/" + std::to_string(i), 1000);
+        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
     }
     std::fstream(folder.tier() + "/purges", std::ios::in | std::ios::out | std::ios::binary)
         .seekp(50)
@@ -102,14 +102,14 @@
         ASSERT_TRUE(log.load(Folder::Access::write).torn);
     }
     {
-        Desk desk(optionsFor(folder));
-        EXPECT_TRUE(desk.logged("the purge log is damaged"));
-        EXPECT_FALSE(desk.load(1));
-        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
+        TierHarness harness(optionsFor(folder));
+        EXPECT_TRUE(harness.logged("the purge log is damaged"));
+        EXPECT_FALSE(harness.load(1));
+        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
     }
-    Desk desk(optionsFor(folder));
-    EXPECT_FALSE(desk.logged("the purge log is damaged"));
-    EXPECT_FALSE(desk.load(1));
+    TierHarness harness(optionsFor(folder));
+    EXPECT_FALSE(harness.logged("the purge log is damaged"));
+    EXPECT_FALSE(harness.load(1));
 }
 
 }  // namespace
--- a/tests/disk_policy_test.cpp
+++ b/tests/disk_policy_test.cpp
@@ -190,7 +190,7 @@
 }
 
 TEST(DiskShelf, TakesOnlyWhatTheModuleRanks) {
-    PaperDisk disk(small());
+    SimulatedDisk disk(small());
     EXPECT_FALSE(disk.request(1, 0, 1000));
     EXPECT_FALSE(disk.request(1, 1, 1000));
     EXPECT_TRUE(disk.request(1, 1, 1000));
@@ -198,7 +198,7 @@
 }
 
 TEST(DiskShelf, AScanFlushesNothingThatIsInUse) {
-    PaperDisk disk(small());
+    SimulatedDisk disk(small());
     // 400 names of 1 KB that are asked for again and again.
     for (int round = 0; round < 12; ++round)
         for (std::uint64_t i = 0; i < 400; ++i) disk.request(mix(i), 1, 1000);
@@ -215,7 +215,7 @@
 TEST(DiskShelf, NeverTakesMoreThanItsBytesAndRewritesWithinItsShare) {
     for (const AdmissionHistory admissionHistory :
          {AdmissionHistory::ghost, AdmissionHistory::sketch, AdmissionHistory::none}) {
-        PaperDisk disk(small(admissionHistory));
+        SimulatedDisk disk(small(admissionHistory));
         std::mt19937_64 random(11);
         for (int i = 0; i < 60'000; ++i) {
             const double u = static_cast<double>(random() % 1'000'000 + 1) / 1e6;
@@ -247,7 +247,7 @@
 }
 
 TEST(DiskShelf, SweepsWhatMarksCoverInSlices) {
-    PaperDisk disk(small());
+    SimulatedDisk disk(small());
     for (std::uint64_t i = 1; i <= 500; ++i) disk.request(mix(i), 1, 100);
     PurgeTombstones tombstones(100, 0);
     for (std::uint64_t i = 1; i <= 50; ++i) tombstones.add({PurgeEntry::Kind::object, mix(i), 10});
@@ -260,7 +260,7 @@
 }
 
 TEST(DiskShelf, DropsDeadSegmentsFirstAndAtNoCost) {
-    PaperDisk disk(small());
+    SimulatedDisk disk(small());
     for (std::uint64_t i = 1; i <= 64; ++i) disk.request(mix(i), 1, 1000);  // two segments
     PurgeTombstones tombstones(10, 0);
     tombstones.add({PurgeEntry::Kind::watermark, 0, 5});
--- a/tests/disk_story_test.cpp
+++ b/tests/disk_story_test.cpp
@@ -56,7 +56,7 @@
     Folder folder;
 };
 
-void warm(Program& program, Repository& server) {
+void warmUp(Program& program, Repository& server) {
     for (int i = 0; i < 3; ++i) {
         Connection c(program.port());
         const Got file = get(c, "/files/tool.bin");
@@ -66,7 +66,7 @@
 }
 
 // Until what was offered is written: a kill now loses nothing of it.
-void settle(Program& program) {
+void awaitWritesDone(Program& program) {
     for (int i = 0; i < 400; ++i) {
         program.signal(SIGUSR1);
         std::this_thread::sleep_for(10ms);
@@ -76,13 +76,13 @@
 }
 
 // The bytes that one download after a kill and a restart brings over the link.
-std::size_t fetchedAfterRestart(Site& site, const std::string& disk) {
+std::size_t bytesFetchedAfterRestart(Site& site, const std::string& disk) {
     const Program::Variables variables =
         disk.empty() ? Program::Variables{} : Program::Variables{{"LB_DISK", disk}};
     {
         Program program(site.settings, "LB_REPOSITORY", 1024, variables);
-        warm(program, site.server);
-        if (!disk.empty()) settle(program);
+        warmUp(program, site.server);
+        if (!disk.empty()) awaitWritesDone(program);
         program.signal(SIGKILL);
         program.exitCode();
     }
@@ -95,27 +95,27 @@
     return site.server.bytesSent() - before;
 }
 
-void aRestartFetchesLittleAgain() {
+void restartRefetchesLittle() {
     Site without, with;
-    const std::size_t cold = fetchedAfterRestart(without, "");
-    const std::size_t warmed = fetchedAfterRestart(with, with.folder.file());
+    const std::size_t cold = bytesFetchedAfterRestart(without, "");
+    const std::size_t warmed = bytesFetchedAfterRestart(with, with.folder.file());
     std::fprintf(stderr, "fetched after a restart: %zu bytes without the tier, %zu with it\n", cold, warmed);
     assert(cold >= without.server.file.size() && warmed * 10 <= cold);
 }
 
 // A life that ends without notice once its copies are on the disk.
-void warmAndKill(Site& site, const Program::Variables& variables) {
+void warmUpAndKill(Site& site, const Program::Variables& variables) {
     Program program(site.settings, "LB_REPOSITORY", 1024, variables);
-    warm(program, site.server);
-    settle(program);
+    warmUp(program, site.server);
+    awaitWritesDone(program);
     program.signal(SIGKILL);
     program.exitCode();
 }
 
-void aPurgeWhileDownIsKept() {
+void purgeWhileDownTakesEffect() {
     Site site;
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
-    warmAndKill(site, variables);
+    warmUpAndKill(site, variables);
     site.server.version = 2;
     site.bus.note({{"ban", {{"url", "/index/plugins.json"}, {"ts", unixMs() + 2000}}}});
     Program program(site.settings, "LB_REPOSITORY", 1024, variables);
@@ -128,10 +128,10 @@
     assert(site.server.bytesSent() - before <= 2 * 65536);
 }
 
-void withoutProofNothingIsServed() {
+void missingBusEventsDropAllCopies() {
     Site site;
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
-    warmAndKill(site, variables);
+    warmUpAndKill(site, variables);
     // The purge is among the events that the bus tells no more: it can't be known which copies it named.
     site.server.version = 2;
     site.bus.note({{"ban", {{"url", "/index/plugins.json"}, {"ts", unixMs()}}}});
@@ -146,13 +146,13 @@
     assert(site.server.bytesSent() - before >= site.server.file.size());
 }
 
-void damageIsFetchedAnew() {
+void damagedRecordIsRefetched() {
     Site site;
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
     {
         Program program(site.settings, "LB_REPOSITORY", 1024, variables);
-        warm(program, site.server);
-        settle(program);
+        warmUp(program, site.server);
+        awaitWritesDone(program);
         program.signal(SIGTERM);
         assert(program.exitCode() == 0);
     }
@@ -173,14 +173,14 @@
 }
 
 // Parts of two versions never meet in one download, also where the tier has not seen both in this process.
-void anotherVersionPushesTheOldOneOut() {
+void newVersionReplacesOldParts() {
     Site site;
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
     {
         Program program(site.settings, "LB_REPOSITORY", 1024, variables);
         Connection c(program.port());  // once: the first part was not ranked, and so is not held
         assert(get(c, "/files/tool.bin").body == site.server.file);
-        settle(program);
+        awaitWritesDone(program);
         program.signal(SIGTERM);
         program.exitCode();
     }
@@ -196,16 +196,16 @@
     assert(counter(program, "disk_kept", "superseded") >= 1);
 }
 
-void oneFolderHasOneProcess() {
+void onlyOneProcessHoldsTheFolder() {
     Site site;
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
     auto first = std::make_unique<Program>(site.settings, "LB_REPOSITORY", 1024, variables);
     first->awaitLog(" segments at ");
     Program second(site.settings, "LB_REPOSITORY", 1024, variables);
     second.awaitLog("another process holds");
-    warm(second, site.server);
-    warm(*first, site.server);
-    settle(*first);
+    warmUp(second, site.server);
+    warmUp(*first, site.server);
+    awaitWritesDone(*first);
     first->signal(SIGTERM);
     assert(first->exitCode() == 0);
     second.awaitLog(" segments at ");
@@ -216,7 +216,7 @@
 }
 
 // The platform's front has no part in the proof on its own platform, but elsewhere it keeps copies as well.
-void thePlatformsFrontKeepsCopiesToo() {
+void platformFrontServesFromDisk() {
     Folder folder;
     std::atomic<int> pulled{0};
     Peer box(store([&](Connection& c, const std::vector<std::string>& w) {
@@ -237,7 +237,7 @@
     {
         Program program(settings, "LB_CONFIG", 1024, variables);
         for (int i = 0; i < 3; ++i) assert(ask(program).at(3) == "the object");
-        settle(program);
+        awaitWritesDone(program);
         const int before = pulled;
         assert(ask(program).at(3) == "the object" && pulled == before);
         const auto current = ask(program, ",cached=4be0c1927d55a6f3");
@@ -256,7 +256,7 @@
 }
 
 // A process that takes another's place without a gap takes the folder, too.
-void aSuccessorIsHandedTheFolder() {
+void successorTakesOverTheFolder() {
     Folder folder, meeting;
     Fleet fleet;
     std::atomic<int> pulled{0};
@@ -283,7 +283,7 @@
         call(c, "1");
         assert(c.readResp().at(1) == "SERVED");
     }
-    settle(*older);
+    awaitWritesDone(*older);
     auto newer = start();
     newer->awaitLog("another process holds");
     newer->awaitLog("serving on");
@@ -296,7 +296,7 @@
     assert(c.readResp().at(3) == "the object" && pulled == before);
 }
 
-void badFilesAreRefused() {
+void invalidDiskFilesAreRefused() {
     Site site(10);
     const std::vector<std::pair<json, std::string>> bad{
         {{{"folder", ""}}, "field 'repository.folder'"},
@@ -318,13 +318,13 @@
 }  // namespace
 
 int main() {
-    badFilesAreRefused();
-    aRestartFetchesLittleAgain();
-    aPurgeWhileDownIsKept();
-    withoutProofNothingIsServed();
-    damageIsFetchedAnew();
-    anotherVersionPushesTheOldOneOut();
-    oneFolderHasOneProcess();
-    thePlatformsFrontKeepsCopiesToo();
-    aSuccessorIsHandedTheFolder();
+    invalidDiskFilesAreRefused();
+    restartRefetchesLittle();
+    purgeWhileDownTakesEffect();
+    missingBusEventsDropAllCopies();
+    damagedRecordIsRefetched();
+    newVersionReplacesOldParts();
+    onlyOneProcessHoldsTheFolder();
+    platformFrontServesFromDisk();
+    successorTakesOverTheFolder();
 }
--- a/tests/disk_tier_harness.hpp
+++ b/tests/disk_tier_harness.hpp
@@ -162,9 +162,9 @@
 }
 
 // A tier and the loop that it thinks it has.
-class Desk {
+class TierHarness {
 public:
-    explicit Desk(const TierOptions& options, FileCalls* calls = nullptr, bool awaitReady = true)
+    explicit TierHarness(const TierOptions& options, FileCalls* calls = nullptr, bool awaitReady = true)
         : tier(calls ? *calls : plain_, options,
                {[this](const std::string& line) { lines.push_back(line); },
                 [this](std::int64_t position) { resumeBusFrom = position; },
--- a/tests/disk_tier_test.cpp
+++ b/tests/disk_tier_test.cpp
@@ -16,14 +16,14 @@
         TierOptions options = optionsFor(folder);
         options.worker.tables = tables;
         {
-            Desk desk(options);
-            for (int i = 0; i < 200; ++i) ASSERT_TRUE(desk.store(i, 500 + i));
-            for (int i = 0; i < 20; ++i) ASSERT_TRUE(desk.store(i, 900 + i));  // newer copies
+            TierHarness harness(options);
+            for (int i = 0; i < 200; ++i) ASSERT_TRUE(harness.store(i, 500 + i));
+            for (int i = 0; i < 20; ++i) ASSERT_TRUE(harness.store(i, 900 + i));  // newer copies
         }
         EXPECT_EQ(folder.files(".table").empty(), !tables);
-        Desk desk(options);
-        EXPECT_EQ(desk.tier.catalog().parts(), 200U);
-        for (int i = 0; i < 200; ++i) ASSERT_TRUE(desk.has(i, i < 20 ? 900 + i : 500 + i)) << i;
+        TierHarness harness(options);
+        EXPECT_EQ(harness.tier.catalog().parts(), 200U);
+        for (int i = 0; i < 200; ++i) ASSERT_TRUE(harness.has(i, i < 20 ? 900 + i : 500 + i)) << i;
     }
 }
 
@@ -31,42 +31,42 @@
     TemporaryFolder folder;
     const TierOptions options = optionsFor(folder);
     {
-        Desk desk(options);
-        for (int i = 0; i < 14; ++i) ASSERT_TRUE(desk.store(i, 1000));
-        desk.now.unixMs = 3000;
-        EXPECT_TRUE(desk.load(0, 2000));
-        EXPECT_FALSE(desk.load(0, 1999));
-        desk.tier.purgeObject("/files/3", 1000);
-        desk.tier.purgeGroup(5, 1000);
-        EXPECT_FALSE(desk.tier.purgesPersisted());
-        EXPECT_FALSE(desk.load(3));  // at once, whatever the log does
-        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
-        EXPECT_FALSE(desk.store(3, 1000));  // nor is it taken again
-        EXPECT_TRUE(desk.store(3, 1001));
+        TierHarness harness(options);
+        for (int i = 0; i < 14; ++i) ASSERT_TRUE(harness.store(i, 1000));
+        harness.now.unixMs = 3000;
+        EXPECT_TRUE(harness.load(0, 2000));
+        EXPECT_FALSE(harness.load(0, 1999));
+        harness.tier.purgeObject("/files/3", 1000);
+        harness.tier.purgeGroup(5, 1000);
+        EXPECT_FALSE(harness.tier.purgesPersisted());
+        EXPECT_FALSE(harness.load(3));  // at once, whatever the log does
+        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
+        EXPECT_FALSE(harness.store(3, 1000));  // nor is it taken again
+        EXPECT_TRUE(harness.store(3, 1001));
     }
-    Desk desk(options);
-    desk.now.unixMs = 3000;
-    EXPECT_TRUE(desk.has(3, 1001));
-    EXPECT_FALSE(desk.load(5));
-    EXPECT_FALSE(desk.load(12));
-    EXPECT_TRUE(desk.has(6, 1000));
-    desk.now.unixMs = 500;  // a clock that went back: these are from the future
-    EXPECT_FALSE(desk.load(6));
+    TierHarness harness(options);
+    harness.now.unixMs = 3000;
+    EXPECT_TRUE(harness.has(3, 1001));
+    EXPECT_FALSE(harness.load(5));
+    EXPECT_FALSE(harness.load(12));
+    EXPECT_TRUE(harness.has(6, 1000));
+    harness.now.unixMs = 500;  // a clock that went back: these are from the future
+    EXPECT_FALSE(harness.load(6));
 }
 
 TEST(DiskTier, APurgeThatComesWhileItIsReadHolds) {
     TemporaryFolder folder;
-    Desk desk(optionsFor(folder));
-    ASSERT_TRUE(desk.store(1, 1000));
+    TierHarness harness(optionsFor(folder));
+    ASSERT_TRUE(harness.store(1, 1000));
     bool told = false, served = false;
-    ASSERT_NE(desk.tier.lookUp(desk.now, keyOf(1), 0,
-                               [&](std::optional<Copy> copy) {
-                                   told = true;
-                                   served = copy.has_value();
-                               }),
+    ASSERT_NE(harness.tier.lookUp(harness.now, keyOf(1), 0,
+                                  [&](std::optional<Copy> copy) {
+                                      told = true;
+                                      served = copy.has_value();
+                                  }),
               0U);
-    desk.tier.purgeObject("/files/1", 1000);
-    ASSERT_TRUE(desk.until([&] { return told; }));
+    harness.tier.purgeObject("/files/1", 1000);
+    ASSERT_TRUE(harness.until([&] { return told; }));
     EXPECT_FALSE(served);
 }
 
@@ -76,53 +76,53 @@
     options.purges.bus = true;
     const std::vector<std::int64_t> next{6};
     {
-        Desk desk(options);
-        EXPECT_FALSE(desk.resumeBusFrom);
-        desk.tier.busBatchReceived(desk.now, 5, 5, {});
-        ASSERT_TRUE(desk.store(1, 1000));
-        EXPECT_TRUE(desk.has(1, 1000));
-        desk.now.monotonicMs += 2001;
-        EXPECT_FALSE(desk.load(1));
-        desk.tier.busBatchReceived(desk.now, 5, 6, next);
-        EXPECT_TRUE(desk.has(1, 1000));
-        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
+        TierHarness harness(options);
+        EXPECT_FALSE(harness.resumeBusFrom);
+        harness.tier.busBatchReceived(harness.now, 5, 5, {});
+        ASSERT_TRUE(harness.store(1, 1000));
+        EXPECT_TRUE(harness.has(1, 1000));
+        harness.now.monotonicMs += 2001;
+        EXPECT_FALSE(harness.load(1));
+        harness.tier.busBatchReceived(harness.now, 5, 6, next);
+        EXPECT_TRUE(harness.has(1, 1000));
+        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
     }
-    Desk desk(options);
-    ASSERT_EQ(desk.resumeBusFrom, 6);
-    desk.tier.busBatchReceived(desk.now, 8, 9, {});  // asked before; proves nothing
-    EXPECT_FALSE(desk.load(1));
-    desk.tier.busBatchReceived(desk.now, 6, 6, {});
-    EXPECT_TRUE(desk.has(1, 1000));
+    TierHarness harness(options);
+    ASSERT_EQ(harness.resumeBusFrom, 6);
+    harness.tier.busBatchReceived(harness.now, 8, 9, {});  // asked before; proves nothing
+    EXPECT_FALSE(harness.load(1));
+    harness.tier.busBatchReceived(harness.now, 6, 6, {});
+    EXPECT_TRUE(harness.has(1, 1000));
 }
 
 TEST(DiskTier, AFullDiskCostsAdmissionsOnly) {
     TemporaryFolder folder;
     FaultyFiles files;
-    Desk desk(optionsFor(folder), &files);
-    ASSERT_TRUE(desk.store(1, 1000));
+    TierHarness harness(optionsFor(folder), &files);
+    ASSERT_TRUE(harness.store(1, 1000));
     Faults full;
     full.write = ENOSPC;
     full.writeAtMost = 700;
     full.writesUntilFault = 2;  // it fills up in the middle of a record
     files.set("probation", full);
-    for (int i = 2; i < 6; ++i) EXPECT_FALSE(desk.store(i, 1000));
-    EXPECT_TRUE(desk.logged("No space left on device; nothing is admitted for 1 s"));
-    EXPECT_EQ(desk.tier.counters().writeErrors, 3U);
-    EXPECT_EQ(desk.tier.counters().paused, 1U);
-    EXPECT_TRUE(desk.has(1, 1000));
+    for (int i = 2; i < 6; ++i) EXPECT_FALSE(harness.store(i, 1000));
+    EXPECT_TRUE(harness.logged("No space left on device; nothing is admitted for 1 s"));
+    EXPECT_EQ(harness.tier.counters().writeErrors, 3U);
+    EXPECT_EQ(harness.tier.counters().paused, 1U);
+    EXPECT_TRUE(harness.has(1, 1000));
     files.clear();
-    EXPECT_FALSE(desk.store(6, 1000));
-    desk.now.monotonicMs += 1000;
-    EXPECT_TRUE(desk.store(6, 1000));
-    EXPECT_TRUE(desk.has(1, 1000) && desk.has(6, 1000));
+    EXPECT_FALSE(harness.store(6, 1000));
+    harness.now.monotonicMs += 1000;
+    EXPECT_TRUE(harness.store(6, 1000));
+    EXPECT_TRUE(harness.has(1, 1000) && harness.has(6, 1000));
 }
 
 TEST(DiskTier, AHalfWrittenRecordIsNeverServed) {
     TemporaryFolder folder;
     FaultyFiles files;
     {
-        Desk desk(optionsFor(folder), &files);
-        for (int i = 0; i < 5; ++i) ASSERT_TRUE(desk.store(i, 1000));
+        TierHarness harness(optionsFor(folder), &files);
+        for (int i = 0; i < 5; ++i) ASSERT_TRUE(harness.store(i, 1000));
         Faults torn;
         torn.write = EIO;
         torn.writeAtMost = 1500;
@@ -130,16 +130,16 @@
         torn.truncate = EIO;  // and its tail can't be cut off
         files.set("probation", torn);
         files.set("table", Faults{.open = EIO});  // nor is there a table
-        EXPECT_FALSE(desk.store(5, 1000));
+        EXPECT_FALSE(harness.store(5, 1000));
     }
     files.clear();
-    Desk desk(optionsFor(folder), &files);
-    EXPECT_TRUE(desk.logged("ends in the middle of a record"));
-    EXPECT_EQ(desk.tier.counters().truncatedTails, 1U);
-    for (int i = 0; i < 5; ++i) EXPECT_TRUE(desk.has(i, 1000));
-    EXPECT_FALSE(desk.load(5));
-    EXPECT_TRUE(desk.store(5, 1001));  // into a segment of its own
-    EXPECT_TRUE(desk.has(5, 1001));
+    TierHarness harness(optionsFor(folder), &files);
+    EXPECT_TRUE(harness.logged("ends in the middle of a record"));
+    EXPECT_EQ(harness.tier.counters().truncatedTails, 1U);
+    for (int i = 0; i < 5; ++i) EXPECT_TRUE(harness.has(i, 1000));
+    EXPECT_FALSE(harness.load(5));
+    EXPECT_TRUE(harness.store(5, 1001));  // into a segment of its own
+    EXPECT_TRUE(harness.has(5, 1001));
 }
 
 TEST(DiskTier, ShortWritesMakeWholeRecords) {
@@ -148,34 +148,34 @@
     files.set("probation", Faults{.writeAtMost = 13});
     files.set("purges", Faults{.writeAtMost = 5});
     {
-        Desk desk(optionsFor(folder), &files);
-        for (int i = 0; i < 10; ++i) ASSERT_TRUE(desk.store(i, 1000));
-        desk.tier.purgeObject("/files/4", 1000);
-        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
+        TierHarness harness(optionsFor(folder), &files);
+        for (int i = 0; i < 10; ++i) ASSERT_TRUE(harness.store(i, 1000));
+        harness.tier.purgeObject("/files/4", 1000);
+        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
     }
-    Desk desk(optionsFor(folder), &files);
-    for (int i = 0; i < 10; ++i) EXPECT_EQ(desk.has(i, 1000), i != 4);
+    TierHarness harness(optionsFor(folder), &files);
+    for (int i = 0; i < 10; ++i) EXPECT_EQ(harness.has(i, 1000), i != 4);
 }
 
 TEST(DiskTier, WhatCannotBeReadIsAMissAndGoes) {
     TemporaryFolder folder;
     FaultyFiles files;
-    Desk desk(optionsFor(folder), &files);
-    ASSERT_TRUE(desk.store(1, 1000) && desk.store(2, 1000));
+    TierHarness harness(optionsFor(folder), &files);
+    ASSERT_TRUE(harness.store(1, 1000) && harness.store(2, 1000));
     files.set("probation", Faults{.read = EIO});
-    EXPECT_FALSE(desk.load(1));
+    EXPECT_FALSE(harness.load(1));
     files.clear();
-    EXPECT_FALSE(desk.load(1));
-    EXPECT_TRUE(desk.has(2, 1000));
-    EXPECT_EQ(desk.tier.counters().readErrors, 1U);
-    EXPECT_TRUE(desk.logged("Input/output error"));
+    EXPECT_FALSE(harness.load(1));
+    EXPECT_TRUE(harness.has(2, 1000));
+    EXPECT_EQ(harness.tier.counters().readErrors, 1U);
+    EXPECT_TRUE(harness.logged("Input/output error"));
 }
 
 TEST(DiskTier, FlippedBitsOnDiskAreFoundAndDropped) {
     TemporaryFolder folder;
     {
-        Desk desk(optionsFor(folder));
-        for (int i = 0; i < 30; ++i) ASSERT_TRUE(desk.store(i, 1000));
+        TierHarness harness(optionsFor(folder));
+        for (int i = 0; i < 30; ++i) ASSERT_TRUE(harness.store(i, 1000));
     }
     const std::string path = folder.files(".probation").front();
     std::fstream file(path, std::ios::in | std::ios::out | std::ios::binary);
@@ -186,24 +186,24 @@
         file.put(static_cast<char>(was ^ 0x20));
     }
     file.close();
-    Desk desk(optionsFor(folder));
+    TierHarness harness(optionsFor(folder));
     int whole = 0;
     for (int i = 0; i < 30; ++i) {
-        const auto copy = desk.load(i);
+        const auto copy = harness.load(i);
         if (copy) {
             ASSERT_EQ(copy->body, bodyOf(i, 1000));
             ++whole;
         }
     }
     EXPECT_EQ(whole, 28);
-    EXPECT_EQ(desk.tier.counters().torn, 2U);
+    EXPECT_EQ(harness.tier.counters().torn, 2U);
 }
 
 TEST(DiskTier, MissingSegmentsAndLyingTablesCostOnlyWhatIsGone) {
     TemporaryFolder folder;
     {
-        Desk desk(optionsFor(folder));
-        for (int i = 0; i < 150; ++i) ASSERT_TRUE(desk.store(i, 1000));
+        TierHarness harness(optionsFor(folder));
+        for (int i = 0; i < 150; ++i) ASSERT_TRUE(harness.store(i, 1000));
     }
     const auto segments = folder.files(".probation");
     ASSERT_GE(segments.size(), 3U);
@@ -211,35 +211,35 @@
     std::filesystem::resize_file(segments[1], 20'000);  // its table tells of more
     const auto tables = folder.files(".table");
     std::fstream(tables[2], std::ios::in | std::ios::out | std::ios::binary).seekp(40).put('\x55');
-    Desk desk(optionsFor(folder));
+    TierHarness harness(optionsFor(folder));
     int whole = 0;
     for (int i = 0; i < 150; ++i) {
-        const auto copy = desk.load(i);
+        const auto copy = harness.load(i);
         ASSERT_TRUE(!copy || copy->body == bodyOf(i, 1000));
         whole += copy.has_value();
     }
     EXPECT_GT(whole, 50);
     EXPECT_LT(whole, 120);
-    EXPECT_EQ(desk.tier.counters().truncatedTails, 1U);
+    EXPECT_EQ(harness.tier.counters().truncatedTails, 1U);
 }
 
 TEST(DiskTier, WithoutAWorkingPurgeLogNothingIsServed) {
     TemporaryFolder folder;
     FaultyFiles files;
-    Desk desk(optionsFor(folder), &files);
-    ASSERT_TRUE(desk.store(1, 1000) && desk.store(2, 1000));
+    TierHarness harness(optionsFor(folder), &files);
+    ASSERT_TRUE(harness.store(1, 1000) && harness.store(2, 1000));
     for (const Faults& faults : {Faults{.write = ENOSPC}, Faults{.sync = EIO}}) {
         files.set("purges", faults);
-        desk.tier.purgeObject("/files/1", 1000);
-        ASSERT_TRUE(desk.until([&] { return desk.logged("nothing is served from it"); }));
-        EXPECT_FALSE(desk.tier.purgesPersisted());
-        EXPECT_FALSE(desk.load(2));
-        EXPECT_FALSE(desk.store(3, 1000));
+        harness.tier.purgeObject("/files/1", 1000);
+        ASSERT_TRUE(harness.until([&] { return harness.logged("nothing is served from it"); }));
+        EXPECT_FALSE(harness.tier.purgesPersisted());
+        EXPECT_FALSE(harness.load(2));
+        EXPECT_FALSE(harness.store(3, 1000));
         files.clear();
-        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
-        EXPECT_TRUE(desk.has(2, 1000));
-        EXPECT_FALSE(desk.load(1));
-        desk.lines.clear();
+        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
+        EXPECT_TRUE(harness.has(2, 1000));
+        EXPECT_FALSE(harness.load(1));
+        harness.lines.clear();
     }
 }
 
@@ -247,22 +247,22 @@
     for (const bool lost : {true, false}) {
         TemporaryFolder folder;
         {
-            Desk desk(optionsFor(folder));
-            ASSERT_TRUE(desk.store(1, 1000));
-            for (int i = 5; i < 15; ++i) desk.tier.purgeObject("/files/" + std::to_string(i), 1000);
-            ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
+            TierHarness harness(optionsFor(folder));
+            ASSERT_TRUE(harness.store(1, 1000));
+            for (int i = 5; i < 15; ++i) harness.tier.purgeObject("/files/" + std::to_string(i), 1000);
+            ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
         }
         const std::string log = folder.tier() + "/purges";
         if (lost)
             std::filesystem::remove(log);
         else
             std::fstream(log, std::ios::in | std::ios::out | std::ios::binary).seekp(50).put('\x77');
-        Desk desk(optionsFor(folder));
-        EXPECT_TRUE(desk.logged("the purge log is damaged"));
-        EXPECT_FALSE(desk.load(1));
-        EXPECT_TRUE(desk.store(1, desk.now.unixMs + 1));
-        desk.now.unixMs += 10;
-        EXPECT_TRUE(desk.has(1, desk.now.unixMs - 9));
+        TierHarness harness(optionsFor(folder));
+        EXPECT_TRUE(harness.logged("the purge log is damaged"));
+        EXPECT_FALSE(harness.load(1));
+        EXPECT_TRUE(harness.store(1, harness.now.unixMs + 1));
+        harness.now.unixMs += 10;
+        EXPECT_TRUE(harness.has(1, harness.now.unixMs - 9));
     }
 }
 
@@ -270,55 +270,55 @@
 TEST(DiskTier, AHalfWrittenMarkIsCutOff) {
     TemporaryFolder folder;
     {
-        Desk desk(optionsFor(folder));
-        ASSERT_TRUE(desk.store(1, 1000) && desk.store(2, 1000));
-        desk.tier.purgeObject("/files/1", 1000);
-        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
+        TierHarness harness(optionsFor(folder));
+        ASSERT_TRUE(harness.store(1, 1000) && harness.store(2, 1000));
+        harness.tier.purgeObject("/files/1", 1000);
+        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
     }
     const std::string log = folder.tier() + "/purges";
     std::ofstream(log, std::ios::app | std::ios::binary) << "LLM1half";
     {
-        Desk desk(optionsFor(folder));
-        EXPECT_FALSE(desk.load(1));
-        EXPECT_TRUE(desk.has(2, 1000));
-        desk.tier.purgeObject("/files/2", 1000);
-        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
+        TierHarness harness(optionsFor(folder));
+        EXPECT_FALSE(harness.load(1));
+        EXPECT_TRUE(harness.has(2, 1000));
+        harness.tier.purgeObject("/files/2", 1000);
+        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
     }
-    Desk desk(optionsFor(folder));
-    EXPECT_FALSE(desk.logged("damaged"));
-    EXPECT_FALSE(desk.load(1) || desk.load(2));
+    TierHarness harness(optionsFor(folder));
+    EXPECT_FALSE(harness.logged("damaged"));
+    EXPECT_FALSE(harness.load(1) || harness.load(2));
 }
 
 TEST(DiskTier, ASlowDiskDropsAdmissionsAndHoldsNobodyUp) {
     TemporaryFolder folder;
     FaultyFiles files;
-    Desk desk(optionsFor(folder), &files);
-    ASSERT_TRUE(desk.store(1, 1000));
+    TierHarness harness(optionsFor(folder), &files);
+    ASSERT_TRUE(harness.store(1, 1000));
     files.set("probation", Faults{.holdWrites = true});
     for (int i = 100; i < 900; ++i)
-        desk.tier.offer(desk.now, keyOf(i), 1, {1000, {}, bodyOf(i, 1000)});  // returns at once
-    EXPECT_GT(desk.tier.counters().queueFull, 300U);
-    EXPECT_LE(desk.tier.queuedBytes(), 1U << 20);
-    EXPECT_TRUE(desk.has(1, 1000));
+        harness.tier.offer(harness.now, keyOf(i), 1, {1000, {}, bodyOf(i, 1000)});  // returns at once
+    EXPECT_GT(harness.tier.counters().queueFull, 300U);
+    EXPECT_LE(harness.tier.queuedBytes(), 1U << 20);
+    EXPECT_TRUE(harness.has(1, 1000));
     files.clear();
-    ASSERT_TRUE(desk.until([&] { return desk.tier.queuedBytes() == 0; }));
-    EXPECT_TRUE(desk.has(100, 1000));
+    ASSERT_TRUE(harness.until([&] { return harness.tier.queuedBytes() == 0; }));
+    EXPECT_TRUE(harness.has(100, 1000));
 }
 
 TEST(DiskTier, AFolderThatCannotBeUsedLeavesTheTierOff) {
     TemporaryFolder folder;
     FaultyFiles files;
     files.set("lock", Faults{.open = EROFS});
-    Desk desk(optionsFor(folder), &files, false);
-    ASSERT_TRUE(desk.until([&] { return desk.tier.state() == Tier::State::off; }));
-    EXPECT_TRUE(desk.logged("Read-only file system; the tier is off"));
-    EXPECT_FALSE(desk.load(1));
-    EXPECT_FALSE(desk.store(1, 1000));
-    EXPECT_TRUE(desk.tier.purgesPersisted());  // nothing is held that a purge could concern
+    TierHarness harness(optionsFor(folder), &files, false);
+    ASSERT_TRUE(harness.until([&] { return harness.tier.state() == Tier::State::off; }));
+    EXPECT_TRUE(harness.logged("Read-only file system; the tier is off"));
+    EXPECT_FALSE(harness.load(1));
+    EXPECT_FALSE(harness.store(1, 1000));
+    EXPECT_TRUE(harness.tier.purgesPersisted());  // nothing is held that a purge could concern
     files.clear();
 
     std::ofstream(folder.tier() + "/format") << "lotuslead disk tier 9\n";
-    Desk other(optionsFor(folder), nullptr, false);
+    TierHarness other(optionsFor(folder), nullptr, false);
     ASSERT_TRUE(other.until([&] { return other.tier.state() == Tier::State::off; }));
     EXPECT_TRUE(other.logged("has a form that this version does not know"));
 }
@@ -326,9 +326,9 @@
 // A successor hears purges before it holds the folder, and brings them along.
 TEST(DiskTier, ASecondHolderWaitsAndBringsItsPurgesAlong) {
     TemporaryFolder folder;
-    auto first = std::make_unique<Desk>(optionsFor(folder));
+    auto first = std::make_unique<TierHarness>(optionsFor(folder));
     ASSERT_TRUE(first->store(1, 1000) && first->store(2, 1000));
-    Desk second(optionsFor(folder), nullptr, false);
+    TierHarness second(optionsFor(folder), nullptr, false);
     ASSERT_TRUE(second.until([&] { return second.tier.state() == Tier::State::waiting; }));
     EXPECT_TRUE(second.logged("another process holds"));
     second.tier.purgeObject("/files/1", 1000);
@@ -343,7 +343,7 @@
     EXPECT_FALSE(second.load(1));
     EXPECT_TRUE(second.has(2, 1000));
     second.tier.close();
-    Desk third(optionsFor(folder), nullptr, false);
+    TierHarness third(optionsFor(folder), nullptr, false);
     for (int i = 0; i < 100 && third.tier.state() != Tier::State::ready; ++i) {
         third.until([&] {
             return third.tier.state() == Tier::State::ready || third.tier.state() == Tier::State::waiting;
@@ -360,27 +360,28 @@
     const TierOptions options = optionsFor(folder);
     std::uint64_t admitted = 0, moved = 0;
     {
-        Desk desk(options);
+        TierHarness harness(options);
         std::uint64_t state = 5;
         for (int i = 0; i < 6000; ++i) {
             state = mix(state + 1);
             const int name = static_cast<int>(state % 400 < 300 ? state % 300 : state % 9000);
-            if (!desk.load(name)) desk.store(name, 1000);
-            ASSERT_LE(desk.tier.catalog().bytes(), options.catalog.capacityBytes);
+            if (!harness.load(name)) harness.store(name, 1000);
+            ASSERT_LE(harness.tier.catalog().bytes(), options.catalog.capacityBytes);
         }
-        admitted = desk.tier.catalog().counters().admittedBytes;
-        moved = desk.tier.catalog().counters().movedBytes;
-        EXPECT_GT(desk.tier.catalog().counters().reclaimed, 10U);
-        EXPECT_EQ(desk.tier.counters().torn, 0U);
+        admitted = harness.tier.catalog().counters().admittedBytes;
+        moved = harness.tier.catalog().counters().movedBytes;
+        EXPECT_GT(harness.tier.catalog().counters().reclaimed, 10U);
+        EXPECT_EQ(harness.tier.counters().torn, 0U);
     }
     // Removals trail behind by a segment or two.
     EXPECT_LE(folder.bytes(), options.catalog.capacityBytes + 4 * options.catalog.segmentBytes);
     EXPECT_GT(moved, 0U);
     EXPECT_LE(moved, admitted);
-    Desk desk(options);
-    EXPECT_LE(desk.tier.catalog().bytes(), options.catalog.capacityBytes + 4 * options.catalog.segmentBytes);
+    TierHarness harness(options);
+    EXPECT_LE(harness.tier.catalog().bytes(),
+              options.catalog.capacityBytes + 4 * options.catalog.segmentBytes);
     int whole = 0;
-    for (int i = 0; i < 300; ++i) whole += desk.has(i, 1000);
+    for (int i = 0; i < 300; ++i) whole += harness.has(i, 1000);
     EXPECT_GT(whole, 200);
 }
 
@@ -389,17 +390,17 @@
     TierOptions options = optionsFor(folder);
     options.maxPurgeEntries = 600;
     {
-        Desk desk(options);
-        for (int i = 0; i < 12; ++i) ASSERT_TRUE(desk.store(i, 1000));
-        desk.tier.purgeObject("/files/7", 1000);
-        for (int i = 0; i < 20'000; ++i) desk.tier.purgeObject("/files/x" + std::to_string(i % 500), 1000);
-        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
-        desk.tier.purgeObject("/files/8", 1000);
-        ASSERT_TRUE(desk.until([&] { return desk.tier.purgesPersisted(); }));
+        TierHarness harness(options);
+        for (int i = 0; i < 12; ++i) ASSERT_TRUE(harness.store(i, 1000));
+        harness.tier.purgeObject("/files/7", 1000);
+        for (int i = 0; i < 20'000; ++i) harness.tier.purgeObject("/files/x" + std::to_string(i % 500), 1000);
+        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
+        harness.tier.purgeObject("/files/8", 1000);
+        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
         EXPECT_LT(std::filesystem::file_size(folder.tier() + "/purges"), 20'000U * kPurgeEntryBytes / 2);
     }
-    Desk desk(options);
-    for (int i = 0; i < 12; ++i) EXPECT_EQ(desk.has(i, 1000), i != 7 && i != 8);
+    TierHarness harness(options);
+    for (int i = 0; i < 12; ++i) EXPECT_EQ(harness.has(i, 1000), i != 7 && i != 8);
 }
 
 }  // namespace
--- a/tests/disk_tool_test.cpp
+++ b/tests/disk_tool_test.cpp
@@ -30,9 +30,9 @@
 class DiskTool : public ::testing::Test {
 protected:
     void SetUp() override {
-        Desk desk(optionsFor(folder));
-        for (int i = 0; i < 100; ++i) ASSERT_TRUE(desk.store(i, 1000));
-        for (int i = 0; i < 10; ++i) ASSERT_TRUE(desk.store(i, 2000));
+        TierHarness harness(optionsFor(folder));
+        for (int i = 0; i < 100; ++i) ASSERT_TRUE(harness.store(i, 1000));
+        for (int i = 0; i < 10; ++i) ASSERT_TRUE(harness.store(i, 2000));
     }
     TemporaryFolder folder;
 };
@@ -65,11 +65,11 @@
 TEST_F(DiskTool, PurgesWhatTheNextStartThenDoesNotServe) {
     EXPECT_EQ(run("purge " + folder.tier() + " --object /files/7 --at 2000").code, 0);
     EXPECT_EQ(run("purge " + folder.tier() + " --group 3 --at 1000").code, 0);
-    Desk desk(optionsFor(folder));
-    EXPECT_FALSE(desk.load(7));
-    EXPECT_FALSE(desk.load(17));     // of group 3
-    EXPECT_TRUE(desk.has(3, 2000));  // as well, but newer
-    EXPECT_TRUE(desk.has(18, 1000));
+    TierHarness harness(optionsFor(folder));
+    EXPECT_FALSE(harness.load(7));
+    EXPECT_FALSE(harness.load(17));     // of group 3
+    EXPECT_TRUE(harness.has(3, 2000));  // as well, but newer
+    EXPECT_TRUE(harness.has(18, 1000));
 }
 
 TEST_F(DiskTool, CompactsAndLosesNothingThatLives) {
@@ -78,15 +78,15 @@
     EXPECT_LT(result["bytes_after"].get<std::uint64_t>(), result["bytes_before"].get<std::uint64_t>());
     EXPECT_EQ(folder.bytes(), result["bytes_after"].get<std::uint64_t>());
     EXPECT_EQ(run("verify " + folder.tier()).code, 0);
-    Desk desk(optionsFor(folder));
+    TierHarness harness(optionsFor(folder));
     for (int i = 0; i < 100; ++i) {
         const bool purged = i % 7 == 3 && i >= 10;
-        EXPECT_EQ(desk.has(i, i < 10 ? 2000 : 1000), !purged) << i;
+        EXPECT_EQ(harness.has(i, i < 10 ? 2000 : 1000), !purged) << i;
     }
 }
 
 TEST_F(DiskTool, BesideAProcessItReadsAndChangesNothing) {
-    Desk desk(optionsFor(folder));
+    TierHarness harness(optionsFor(folder));
     EXPECT_EQ(figures("stat " + folder.tier())["held"], true);
     EXPECT_EQ(run("verify " + folder.tier()).code, 0);
     for (const char* change : {"purge --all ", "compact "}) {
@@ -94,7 +94,7 @@
         EXPECT_EQ(ran.code, 3);
         EXPECT_NE(ran.out.find("another process holds"), std::string::npos);
     }
-    EXPECT_TRUE(desk.has(1, 2000));
+    EXPECT_TRUE(harness.has(1, 2000));
 }
 
 TEST_F(DiskTool, RefusesInOneLineWhatItCannotUse) {
--- a/tests/simulated_disk.hpp
+++ b/tests/simulated_disk.hpp
@@ -8,9 +8,9 @@
 
 namespace lotuslead::disk {
 
-class PaperDisk {
+class SimulatedDisk {
 public:
-    explicit PaperDisk(const SegmentCatalogOptions& options) : catalog(options) {}
+    explicit SimulatedDisk(const SegmentCatalogOptions& options) : catalog(options) {}
 
     // One request for a part: true where it was held; else it is fetched and offered with this rank.
     bool request(std::uint64_t name, int rank, std::uint32_t bytes, std::int64_t createdMs = 1) {
