--- a/src/disk/io_worker.cpp
+++ b/src/disk/io_worker.cpp
@@ -129,10 +129,10 @@
     return number;
 }
 
-void IoWorker::rewritePurgeLog(std::vector<PurgeEntry> all) {
+void IoWorker::rewritePurgeLog(std::vector<PurgeEntry> rewritten) {
     {
         const std::lock_guard lock(mutex_);
-        pendingRewrite_ = std::move(all);
+        pendingRewrite_ = std::move(rewritten);
         entriesInRewrite_ = unwrittenPurges_.size();
     }
     writerWakeup_.notify_one();
@@ -193,29 +193,29 @@
 }
 
 bool IoWorker::openFolder() {
-    FolderOpened told;
+    FolderOpened result;
     auto opened = folder_.open(Folder::Access::write);
-    told.problem = std::move(opened.problem);
-    told.busy = opened.busy;
-    told.retryable = opened.retryable();
-    if (told.problem.empty()) {
+    result.problem = std::move(opened.problem);
+    result.busy = opened.busy;
+    result.retryable = opened.retryable();
+    if (result.problem.empty()) {
         PurgeLog::Loaded log = log_.load(Folder::Access::write);
-        told.problem = std::move(log.problem);
-        told.retryable = log.retryable;
-        told.entries = std::move(log.entries);
-        told.busPosition = log.busPosition;
+        result.problem = std::move(log.problem);
+        result.retryable = log.retryable;
+        result.entries = std::move(log.entries);
+        result.busPosition = log.busPosition;
         // A log that is new has a first line. Without it, it is not the one that belongs to these segments.
-        told.empty = folder_.segments().empty();
-        told.damaged = log.torn || (log_.entryCount() == 0 && !told.empty);
-        if (told.problem.empty() && log_.entryCount() == 0)
+        result.empty = folder_.segments().empty();
+        result.damaged = log.torn || (log_.entryCount() == 0 && !result.empty);
+        if (result.problem.empty() && log_.entryCount() == 0)
             if (const int error = log_.append({PurgeEntry{PurgeEntry::Kind::watermark, 0, 0}})) {
-                told.problem = describeError("write", folder_.pathOf("purges"), error);
-                told.retryable = isTransient(error);
+                result.problem = describeError("write", folder_.pathOf("purges"), error);
+                result.retryable = isTransient(error);
             }
-        if (!told.problem.empty()) folder_.close();
+        if (!result.problem.empty()) folder_.close();
     }
-    const bool good = told.problem.empty();
-    post(std::move(told));
+    const bool good = result.problem.empty();
+    post(std::move(result));
     return good;
 }
 
@@ -233,14 +233,14 @@
         if (opened.error == 0)
             files_.add(name.number, std::make_shared<File>(static_cast<int>(opened.bytes)));
         Folder::Contents found = folder_.readSegment(name, options_.tables);
-        SegmentLoaded told;
-        told.name = name;
-        told.parts = std::move(found.parts);
-        told.bytes = found.fileBytes;
-        told.fromTable = found.fromTable;
-        told.torn = found.bytes < found.fileBytes;
-        told.problem = std::move(found.problem);
-        post(std::move(told));
+        SegmentLoaded result;
+        result.name = name;
+        result.parts = std::move(found.parts);
+        result.bytes = found.fileBytes;
+        result.fromTable = found.fromTable;
+        result.torn = found.bytes < found.fileBytes;
+        result.problem = std::move(found.problem);
+        post(std::move(result));
     }
     post(LoadFinished{});
 }
@@ -248,24 +248,25 @@
 // Called with the lock held, which it lets go of while it writes.
 void IoWorker::writePurges(std::unique_lock<std::mutex>& lock) {
     std::vector<PurgeEntry> entries = std::exchange(unwrittenPurges_, {});
-    std::optional<std::vector<PurgeEntry>> all = std::exchange(pendingRewrite_, {});
+    std::optional<std::vector<PurgeEntry>> rewritten = std::exchange(pendingRewrite_, {});
     const std::size_t held = std::exchange(entriesInRewrite_, 0);
     const std::uint64_t upTo = purgesQueued_;
     lock.unlock();
     int error = entries.empty() ? 0 : log_.append(entries);
     // It holds all that was given before it.
-    if (error == 0 && all) {
-        all->insert(all->end(), entries.begin() + static_cast<std::ptrdiff_t>(held), entries.end());
-        error = log_.rewrite(*all);
+    if (error == 0 && rewritten) {
+        rewritten->insert(rewritten->end(), entries.begin() + static_cast<std::ptrdiff_t>(held),
+                          entries.end());
+        error = log_.rewrite(*rewritten);
         error = 0;  // the old log, or the new one, holds all that was given
     }
-    PurgesPersisted told;
+    PurgesPersisted result;
     if (error == 0)
-        told.upTo = upTo;
+        result.upTo = upTo;
     else
-        told.problem = describeError("write", folder_.pathOf("purges"), error);
+        result.problem = describeError("write", folder_.pathOf("purges"), error);
     const bool failed = error != 0;
-    post(std::move(told));
+    post(std::move(result));
     lock.lock();
     if (!failed) return;
     unwrittenPurges_.insert(unwrittenPurges_.begin(), entries.begin(), entries.end());
@@ -279,7 +280,7 @@
 
 void IoWorker::execute(AppendJob& job) {
     std::string record;
-    Written written;
+    WriteResult written;
     Part part;
     if (!encodeRecord(job.key, *job.copy, record)) {
         written.problem = "larger than a record may be";
@@ -301,7 +302,7 @@
     Problem problem;
     const std::shared_ptr<File> from = files_.get(job.segment);
     std::string record;
-    for (const Part& part : job.keep) {
+    for (const Part& part : job.survivors) {
         {
             std::unique_lock lock(mutex_);
             if (closing_) break;
@@ -312,12 +313,12 @@
             from ? readAll(calls_, from->get(), record, part.location.offset) : IoResult{0, ENOENT};
         // What is damaged is not handed on; it goes with its segment.
         if (read.error != 0 || read.bytes != record.size() || !decodeRecord(record)) continue;
-        Written written = writeRecord(job.into, part, record);
+        WriteResult written = writeRecord(job.targetQueue, part, record);
         if (!written.problem.empty()) {
             problem = std::move(written.problem);
             break;
         }
-        post(RecordMoved{part.fingerprint, part.location, written.location, job.into});
+        post(RecordMoved{part.fingerprint, part.location, written.location, job.targetQueue});
     }
     post(SegmentRewritten{job.segment, std::move(problem)});
 }
@@ -331,7 +332,7 @@
     post(SegmentRemoved{job.segment, std::move(problem)});
 }
 
-IoWorker::Written IoWorker::writeRecord(Queue queue, Part part, std::span<const char> record) {
+IoWorker::WriteResult IoWorker::writeRecord(Queue queue, Part part, std::span<const char> record) {
     auto held = open_.find(queue);
     if (held != open_.end() && held->second.bytes + record.size() > options_.segmentBytes) {
         seal(held->second);
--- a/src/disk/io_worker.hpp
+++ b/src/disk/io_worker.hpp
@@ -41,8 +41,8 @@
 };
 struct RewriteJob {  // the parts of a segment that stay; then Rewritten is told
     std::uint32_t segment = 0;
-    Queue into = Queue::main;
-    std::vector<Part> keep;
+    Queue targetQueue = Queue::main;
+    std::vector<Part> survivors;
 };
 struct RemoveJob {
     std::uint32_t segment = 0;
@@ -173,11 +173,11 @@
     void execute(AppendJob& job);
     void execute(RewriteJob& job);
     void execute(const RemoveJob& job);
-    struct Written {
+    struct WriteResult {
         RecordLocation location;
         Problem problem;
     };
-    Written writeRecord(Queue queue, Part part, std::span<const char> record);
+    WriteResult writeRecord(Queue queue, Part part, std::span<const char> record);
     Problem openSegment(Queue queue);
     void seal(OpenSegment& segment);
     ReadDone readOne(const ReadJob& job);
--- a/src/disk/segment_catalog.hpp
+++ b/src/disk/segment_catalog.hpp
@@ -46,7 +46,7 @@
     // One that is to be rewritten in part and then dropped.
     struct ReclaimTask {
         std::uint32_t segment = 0;
-        Queue into = Queue::main;
+        Queue targetQueue = Queue::main;
         std::vector<Part> survivors;
     };
 
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -226,7 +226,7 @@
     std::erase_if(next->survivors, [&](const Part& part) {
         return tombstones_.mayCover(part.object, part.group, part.createdMs);
     });
-    worker_.rewrite({next->segment, next->into, std::move(next->survivors)});
+    worker_.rewrite({next->segment, next->targetQueue, std::move(next->survivors)});
 }
 
 void Tier::handle(ClockReading, RecordMoved& done) {
--- a/tests/simulated_disk.hpp
+++ b/tests/simulated_disk.hpp
@@ -31,8 +31,8 @@
     void reclaim() {
         while (const auto next = catalog.nextReclaim(0)) {
             for (const Part& part : next->survivors) {
-                catalog.partMoved(part.fingerprint, part.location, append(next->into, part.location.bytes),
-                                  next->into);
+                catalog.partMoved(part.fingerprint, part.location,
+                                  append(next->targetQueue, part.location.bytes), next->targetQueue);
                 written += part.location.bytes;
             }
             catalog.dropSegment(next->segment);
