--- a/src/disk/folder.cpp
+++ b/src/disk/folder.cpp
@@ -71,53 +71,53 @@
     }
 }
 
-Folder::Opened Folder::failed(const std::string& what, const std::string& path, int error) {
+Folder::OpenResult Folder::openFailure(const std::string& what, const std::string& path, int error) {
     return {describeError(what, path, error), false, isTransient(error)};
 }
 
-Folder::Opened Folder::open(Access access) {
+Folder::OpenResult Folder::open(Access access) {
     if (access == Access::read) return checkFormat(access);
-    if (::mkdir(path_.c_str(), 0750) != 0 && errno != EEXIST) return failed("make", path_, errno);
+    if (::mkdir(path_.c_str(), 0750) != 0 && errno != EEXIST) return openFailure("make", path_, errno);
     const std::string lockPath = pathOf("lock");
     const IoResult opened = calls_.open(lockPath, O_RDWR | O_CREAT);
-    if (opened.error != 0) return failed("open", lockPath, opened.error);
+    if (opened.error != 0) return openFailure("open", lockPath, opened.error);
     File lock(static_cast<int>(opened.bytes));
     if (::flock(lock.get(), LOCK_EX | LOCK_NB) != 0) {
-        if (errno != EWOULDBLOCK) return failed("lock", lockPath, errno);
+        if (errno != EWOULDBLOCK) return openFailure("lock", lockPath, errno);
         return {"another process holds " + path_, true};
     }
-    if (Opened checked = checkFormat(access); !checked.problem.empty()) return checked;
+    if (OpenResult checked = checkFormat(access); !checked.problem.empty()) return checked;
     lock_ = std::move(lock);
     return {};
 }
 
-Folder::Opened Folder::checkFormat(Access access) {
+Folder::OpenResult Folder::checkFormat(Access access) {
     const std::string path = pathOf("format");
     const IoResult opened = calls_.open(path, O_RDONLY);
     if (opened.error == 0) {
         const File file(static_cast<int>(opened.bytes));
         std::string text(64, '\0');
         const IoResult read = readAll(calls_, file.get(), text, 0);
-        if (read.error != 0) return failed("read", path, read.error);
+        if (read.error != 0) return openFailure("read", path, read.error);
         text.resize(read.bytes);
         if (text == kFormat) return {};
         // A crash right after the first start leaves it short; there is nothing else in the folder then.
         if (!(kFormat.starts_with(text) && access == Access::write && segments().empty()))
             return {path_ + " has a form that this version does not know"};
     } else if (opened.error != ENOENT) {
-        return failed("open", path, opened.error);
+        return openFailure("open", path, opened.error);
     } else if (access == Access::read) {
         return {path_ + " is no folder of a disk tier"};
     } else if (!segments().empty()) {
         return {path_ + " has segments but no file 'format'"};
     }
     const IoResult made = calls_.open(path, O_WRONLY | O_CREAT);
-    if (made.error != 0) return failed("make", path, made.error);
+    if (made.error != 0) return openFailure("make", path, made.error);
     const File file(static_cast<int>(made.bytes));
     const IoResult written = writeAll(calls_, file.get(), kFormat, 0);
-    if (written.error != 0) return failed("write", path, written.error);
-    if (const int error = calls_.sync(file.get())) return failed("sync", path, error);
-    if (const int error = syncFolder()) return failed("sync", path_, error);
+    if (written.error != 0) return openFailure("write", path, written.error);
+    if (const int error = calls_.sync(file.get())) return openFailure("sync", path, error);
+    if (const int error = syncFolder()) return openFailure("sync", path_, error);
     return {};
 }
 
@@ -139,8 +139,8 @@
     return calls_.sync(file.get());
 }
 
-Folder::Contents Folder::readSegment(const SegmentName& name, bool useTable) {
-    Contents contents;
+Folder::SegmentContents Folder::readSegment(const SegmentName& name, bool useTable) {
+    SegmentContents contents;
     const std::string path = pathOf(segmentFile(name));
     const IoResult opened = calls_.open(path, O_RDONLY);
     if (opened.error != 0) {
@@ -175,16 +175,16 @@
         constexpr std::size_t kFirstReadBytes = 512;
         head.resize(kFirstReadBytes);
         IoResult read = readAll(calls_, file.get(), head, contents.bytes);
-        const auto names = metadataBytesOf(std::span(head).first(read.bytes));
-        if (read.error == 0 && names && kRecordHeaderBytes + *names > read.bytes) {
-            head.resize(kRecordHeaderBytes + *names);
+        const auto metadataBytes = metadataBytesOf(std::span(head).first(read.bytes));
+        if (read.error == 0 && metadataBytes && kRecordHeaderBytes + *metadataBytes > read.bytes) {
+            head.resize(kRecordHeaderBytes + *metadataBytes);
             read = readAll(calls_, file.get(), head, contents.bytes);
         }
         if (read.error != 0) {
             contents.problem = describeError("read", path, read.error);
             break;
         }
-        auto found = names ? decodeRecordHeader(std::span(head).first(read.bytes)) : std::nullopt;
+        auto found = metadataBytes ? decodeRecordHeader(std::span(head).first(read.bytes)) : std::nullopt;
         if (!found || contents.bytes + found->part.location.bytes > contents.fileBytes) break;
         found->part.location.segment = name.number;
         found->part.location.offset = static_cast<std::uint32_t>(contents.bytes);
@@ -196,13 +196,14 @@
 
 // Under another name first: a table is whole, or it is not there.
 Problem Folder::writeTable(const SegmentTable& table, std::uint32_t number) {
-    const std::string path = pathOf(tableFile(number)), fresh = path + ".new";
-    const IoResult opened = calls_.open(fresh, O_WRONLY | O_CREAT | O_TRUNC);
-    if (opened.error != 0) return describeError("make", fresh, opened.error);
+    const std::string path = pathOf(tableFile(number)), temporaryPath = path + ".new";
+    const IoResult opened = calls_.open(temporaryPath, O_WRONLY | O_CREAT | O_TRUNC);
+    if (opened.error != 0) return describeError("make", temporaryPath, opened.error);
     const File file(static_cast<int>(opened.bytes));
     const IoResult written = writeAll(calls_, file.get(), encodeTable(table, number), 0);
-    if (written.error != 0) return describeError("write", fresh, written.error);
-    if (const int error = calls_.rename(fresh, path)) return describeError("rename", fresh, error);
+    if (written.error != 0) return describeError("write", temporaryPath, written.error);
+    if (const int error = calls_.rename(temporaryPath, path))
+        return describeError("rename", temporaryPath, error);
     return {};
 }
 
@@ -216,8 +217,8 @@
     return {};
 }
 
-PurgeLog::Loaded PurgeLog::load(Folder::Access access) {
-    Loaded loaded;
+PurgeLog::LoadResult PurgeLog::load(Folder::Access access) {
+    LoadResult loaded;
     const std::string path = folder_.pathOf(kPurgeLogFile);
     const bool writes = access == Folder::Access::write;
     const IoResult opened = calls_.open(path, writes ? O_RDWR | O_CREAT : O_RDONLY);
@@ -248,8 +249,8 @@
     }
     // A line that a crash left half-written was never acknowledged; more than that is damage, and stays to be
     // seen until a floor has been written in its place.
-    loaded.torn = read.bytes - bytes_ >= kPurgeEntryBytes;
-    damaged_ = loaded.torn;
+    loaded.damaged = read.bytes - bytes_ >= kPurgeEntryBytes;
+    damaged_ = loaded.damaged;
     if (writes && bytes_ < size && !damaged_) {
         if (const int error = calls_.truncate(file.get(), bytes_)) fail("cut", error);
     }
@@ -280,8 +281,8 @@
 }
 
 int PurgeLog::rewrite(const std::vector<PurgeEntry>& entries) {
-    const std::string path = folder_.pathOf(kPurgeLogFile), fresh = path + ".new";
-    const IoResult opened = calls_.open(fresh, O_RDWR | O_CREAT | O_TRUNC);
+    const std::string path = folder_.pathOf(kPurgeLogFile), temporaryPath = path + ".new";
+    const IoResult opened = calls_.open(temporaryPath, O_RDWR | O_CREAT | O_TRUNC);
     if (opened.error != 0) return opened.error;
     File file(static_cast<int>(opened.bytes));
     std::string bytes;
@@ -289,7 +290,7 @@
     const IoResult written = writeAll(calls_, file.get(), bytes, 0);
     if (written.error != 0) return written.error;
     if (const int error = calls_.sync(file.get())) return error;
-    if (const int error = calls_.rename(fresh, path)) return error;
+    if (const int error = calls_.rename(temporaryPath, path)) return error;
     // From here on the name leads to the new file: whatever fails now, the replaced one is not written again.
     file_ = std::move(file);
     bytes_ = bytes.size();
--- a/src/disk/folder.hpp
+++ b/src/disk/folder.hpp
@@ -41,13 +41,13 @@
 
     Folder(FileCalls& calls, std::string path) : calls_(calls), path_(std::move(path)) {}
 
-    struct Opened {
+    struct OpenResult {
         Problem problem;
         bool busy = false;       // another process holds it
         bool transient = false;  // it fails for a while
         bool retryable() const { return busy || transient; }
     };
-    [[nodiscard]] Opened open(Access access);
+    [[nodiscard]] OpenResult open(Access access);
     void close() { lock_ = File(); }
 
     const std::string& path() const { return path_; }
@@ -56,20 +56,20 @@
     [[nodiscard]] int syncFolder();                           // so that names are as lasting as their files
 
     // Reads what is in a segment: from its table, else by its heads up to the first that is no good.
-    struct Contents {
+    struct SegmentContents {
         std::vector<Part> parts;
         std::uint64_t bytes = 0;      // up to the end of the last whole head and its body
         std::uint64_t fileBytes = 0;  // beyond `bytes`: a torn tail
         bool fromTable = false;
         Problem problem;
     };
-    [[nodiscard]] Contents readSegment(const SegmentName& name, bool useTable);
+    [[nodiscard]] SegmentContents readSegment(const SegmentName& name, bool useTable);
     [[nodiscard]] Problem writeTable(const SegmentTable& table, std::uint32_t number);
     [[nodiscard]] Problem removeSegment(const SegmentName& name);
 
 private:
-    Opened checkFormat(Access access);
-    static Opened failed(const std::string& what, const std::string& path, int error);
+    OpenResult checkFormat(Access access);
+    static OpenResult openFailure(const std::string& what, const std::string& path, int error);
 
     FileCalls& calls_;
     std::string path_;
@@ -81,14 +81,14 @@
 public:
     PurgeLog(FileCalls& calls, Folder& folder) : calls_(calls), folder_(folder) {}
 
-    struct Loaded {
+    struct LoadResult {
         std::vector<PurgeEntry> entries;
         std::optional<std::int64_t> busPosition;  // of the bus; none: no event of a bus was ever applied here
-        bool torn = false;  // it ends in the middle, or is not as it was written: marks may be missing
+        bool damaged = false;  // it ends in the middle, or is not as it was written: marks may be missing
         Problem problem;
         bool retryable = false;  // the problem may pass
     };
-    [[nodiscard]] Loaded load(Folder::Access access);
+    [[nodiscard]] LoadResult load(Folder::Access access);
     // After this the marks are on disk. A half-written line is cut off again.
     [[nodiscard]] int append(const std::vector<PurgeEntry>& entries);
     // Exactly these from now on. Where only the folder can't be synced the new file holds all the same, and
--- a/src/disk/frequency_sketch.hpp
+++ b/src/disk/frequency_sketch.hpp
@@ -18,7 +18,7 @@
     // Made for about so many different names; takes 8 bytes a name.
     explicit FrequencySketch(std::size_t distinctKeys)
         : columns_(std::bit_ceil(std::max<std::size_t>(distinctKeys, 64))),
-          counters_(columns_ * kRows / 16) {}
+          packedCounters_(columns_ * kRows / 16) {}
 
     void add(std::uint64_t fingerprint) {
         bool grew = false;
@@ -28,7 +28,7 @@
                 const std::size_t at = counterIndex(fingerprint, row);
                 // Only the smallest are raised: the others are above the truth already.
                 if (counterAt(at) > least) continue;
-                counters_[at / 16] += std::uint64_t{1} << (at % 16 * 4);
+                packedCounters_[at / 16] += std::uint64_t{1} << (at % 16 * 4);
                 grew = true;
             }
         if (grew && ++added_ >= 10 * columns_) halve();
@@ -42,7 +42,7 @@
         return least;
     }
 
-    std::size_t memoryBytes() const { return counters_.size() * sizeof(std::uint64_t); }
+    std::size_t memoryBytes() const { return packedCounters_.size() * sizeof(std::uint64_t); }
 
 private:
     static constexpr unsigned kRows = 4, kMaxCount = 15;
@@ -51,15 +51,15 @@
         return row * columns_ + (mix(fingerprint + row * 0x9e3779b97f4a7c15ULL) & (columns_ - 1));
     }
     unsigned counterAt(std::size_t at) const {
-        return static_cast<unsigned>(counters_[at / 16] >> (at % 16 * 4)) & 15U;
+        return static_cast<unsigned>(packedCounters_[at / 16] >> (at % 16 * 4)) & 15U;
     }
     void halve() {
-        for (std::uint64_t& word : counters_) word = (word >> 1) & 0x7777777777777777ULL;
+        for (std::uint64_t& word : packedCounters_) word = (word >> 1) & 0x7777777777777777ULL;
         added_ /= 2;
     }
 
     std::size_t columns_;
-    std::vector<std::uint64_t> counters_;
+    std::vector<std::uint64_t> packedCounters_;
     std::size_t added_ = 0;
 };
 
--- a/src/disk/inspect.cpp
+++ b/src/disk/inspect.cpp
@@ -41,13 +41,13 @@
             queues_[segment.name.number] = segment.name.queue;
     }
     IoResult read(const RecordLocation& location, std::uint64_t bytes, std::string& into) {
-        if (location.segment != open_) {
+        if (location.segment != openSegment_) {
             const std::string path =
                 folder_.pathOf(segmentFile({location.segment, queues_[location.segment]}));
             const IoResult opened = calls_.open(path, O_RDONLY);
             if (opened.error != 0) return {0, opened.error};
             file_ = File(static_cast<int>(opened.bytes));
-            open_ = location.segment;
+            openSegment_ = location.segment;
         }
         into.resize(bytes);
         const IoResult read = readAll(calls_, file_.get(), into, location.offset);
@@ -59,7 +59,7 @@
     FileCalls& calls_;
     const Folder& folder_;
     std::map<std::uint32_t, Queue> queues_;
-    std::uint32_t open_ = 0;
+    std::uint32_t openSegment_ = 0;
     File file_;
 };
 
@@ -83,17 +83,17 @@
     if (!result.problem.empty()) return result;
     result.held = isHeld(calls, folder);
     PurgeLog log(calls, folder);
-    PurgeLog::Loaded loaded = log.load(Folder::Access::read);
+    PurgeLog::LoadResult loaded = log.load(Folder::Access::read);
     result.problem = std::move(loaded.problem);
     if (!result.problem.empty()) return result;
     result.entries = std::move(loaded.entries);
     result.busPosition = loaded.busPosition;
-    result.logDamaged = loaded.torn;
+    result.logDamaged = loaded.damaged;
     const PurgeTombstones tombstones = tombstonesOf(result);
 
     std::unordered_map<std::uint64_t, Part> latest;
     for (const SegmentName& name : folder.segments()) {
-        Folder::Contents contents = folder.readSegment(name, tables);
+        Folder::SegmentContents contents = folder.readSegment(name, tables);
         // Beside a process a segment may go between the listing and the reading.
         if (!contents.problem.empty() && result.held && contents.fileBytes == 0) continue;
         Survey::Segment segment;
@@ -182,15 +182,15 @@
     Folder folder(calls, path);
     result.problem = folder.open(Folder::Access::read).problem;  // never makes a folder
     if (!result.problem.empty()) return result;
-    const Folder::Opened opened = folder.open(Folder::Access::write);
+    const Folder::OpenResult opened = folder.open(Folder::Access::write);
     result.problem = opened.problem;
     result.busy = opened.busy;
     if (!result.problem.empty()) return result;
     PurgeLog log(calls, folder);
-    PurgeLog::Loaded loaded = log.load(Folder::Access::write);
+    PurgeLog::LoadResult loaded = log.load(Folder::Access::write);
     result.problem = std::move(loaded.problem);
     if (!result.problem.empty()) return result;
-    if (loaded.torn) {
+    if (loaded.damaged) {
         result.problem = "the purge log of " + path + " is damaged; the next start drops all copies";
         return result;
     }
--- a/src/disk/io_worker.cpp
+++ b/src/disk/io_worker.cpp
@@ -199,14 +199,14 @@
     result.busy = opened.busy;
     result.retryable = opened.retryable();
     if (result.problem.empty()) {
-        PurgeLog::Loaded log = log_.load(Folder::Access::write);
+        PurgeLog::LoadResult log = log_.load(Folder::Access::write);
         result.problem = std::move(log.problem);
         result.retryable = log.retryable;
         result.entries = std::move(log.entries);
         result.busPosition = log.busPosition;
         // A log that is new has a first line. Without it, it is not the one that belongs to these segments.
         result.empty = folder_.segments().empty();
-        result.damaged = log.torn || (log_.entryCount() == 0 && !result.empty);
+        result.damaged = log.damaged || (log_.entryCount() == 0 && !result.empty);
         if (result.problem.empty() && log_.entryCount() == 0)
             if (const int error = log_.append({PurgeEntry{PurgeEntry::Kind::watermark, 0, 0}})) {
                 result.problem = describeError("write", folder_.pathOf("purges"), error);
@@ -232,7 +232,7 @@
         const IoResult opened = calls_.open(folder_.pathOf(segmentFile(name)), O_RDONLY);
         if (opened.error == 0)
             files_.add(name.number, std::make_shared<File>(static_cast<int>(opened.bytes)));
-        Folder::Contents found = folder_.readSegment(name, options_.tables);
+        Folder::SegmentContents found = folder_.readSegment(name, options_.tables);
         SegmentLoaded result;
         result.name = name;
         result.parts = std::move(found.parts);
--- a/src/disk/part_index.cpp
+++ b/src/disk/part_index.cpp
@@ -33,7 +33,8 @@
         firstFree_ = node(id).next;
     } else {
         id = usedNodes_++;
-        if (id / kChunk >= chunks_.size()) chunks_.push_back(std::make_unique<Node[]>(kChunk));
+        if (id / kNodesPerChunk >= chunks_.size())
+            chunks_.push_back(std::make_unique<Node[]>(kNodesPerChunk));
     }
     node(id) = {part, kNone, kNone};
     node(id).part.occupied = true;
@@ -79,7 +80,8 @@
 }
 
 std::size_t PartIndex::memoryBytes() const {
-    return table_.capacity() * sizeof(Id) + chunks_.size() * (kChunk * sizeof(Node) + sizeof(chunks_[0]));
+    return table_.capacity() * sizeof(Id) +
+           chunks_.size() * (kNodesPerChunk * sizeof(Node) + sizeof(chunks_[0]));
 }
 
 }  // namespace lotuslead::disk
--- a/src/disk/part_index.hpp
+++ b/src/disk/part_index.hpp
@@ -60,10 +60,10 @@
         Part part;
         Id previous = kNone, next = kNone;
     };
-    static constexpr std::size_t kChunk = 4096;
+    static constexpr std::size_t kNodesPerChunk = 4096;
 
-    Node& node(Id id) { return chunks_[id / kChunk][id % kChunk]; }
-    const Node& node(Id id) const { return chunks_[id / kChunk][id % kChunk]; }
+    Node& node(Id id) { return chunks_[id / kNodesPerChunk][id % kNodesPerChunk]; }
+    const Node& node(Id id) const { return chunks_[id / kNodesPerChunk][id % kNodesPerChunk]; }
     std::size_t homeSlot(std::uint64_t fingerprint) const;
 
     std::size_t maxParts_;
--- a/src/disk/record.cpp
+++ b/src/disk/record.cpp
@@ -71,9 +71,9 @@
     return fixed;
 }
 
-std::uint64_t headerChecksumOf(const FixedHeader& fixed, std::string_view names) {
+std::uint64_t headerChecksumOf(const FixedHeader& fixed, std::string_view metadata) {
     std::string covered(reinterpret_cast<const char*>(&fixed), offsetof(FixedHeader, headerChecksum));
-    covered += names;
+    covered += metadata;
     return checksumOf(covered);
 }
 
@@ -115,13 +115,13 @@
 bool encodeRecord(const Key& key, const Copy& copy, std::string& out) {
     const std::size_t metadataBytes = metadataBytesFor(key, copy);
     if (metadataBytes > kMaxMetadataBytes || copy.body.size() > kMaxBodyBytes) return false;
-    std::string names;
-    names.reserve(metadataBytes);
-    putText(names, key.object);
-    putText(names, key.className);
+    std::string metadata;
+    metadata.reserve(metadataBytes);
+    putText(metadata, key.object);
+    putText(metadata, key.className);
     for (const auto& [name, value] : copy.facts) {
-        putText(names, name);
-        putText(names, value);
+        putText(metadata, name);
+        putText(metadata, value);
     }
     FixedHeader fixed;
     fixed.metadataBytes = static_cast<std::uint32_t>(metadataBytes);
@@ -133,10 +133,10 @@
     fixed.createdMs = copy.createdMs;
     fixed.variant = key.variant;
     fixed.bodyChecksum = checksumOf(copy.body);
-    fixed.headerChecksum = headerChecksumOf(fixed, names);
+    fixed.headerChecksum = headerChecksumOf(fixed, metadata);
     out.reserve(out.size() + sizeof fixed + metadataBytes + copy.body.size());
     out.append(reinterpret_cast<const char*>(&fixed), sizeof fixed);
-    out += names;
+    out += metadata;
     out += copy.body;
     return true;
 }
@@ -150,8 +150,8 @@
 std::optional<RecordHeader> decodeRecordHeader(std::span<const char> bytes) {
     const auto fixed = fixedHeaderOf(bytes);
     if (!fixed || bytes.size() < sizeof(FixedHeader) + fixed->metadataBytes) return {};
-    const std::string_view names(bytes.data() + sizeof(FixedHeader), fixed->metadataBytes);
-    if (headerChecksumOf(*fixed, names) != fixed->headerChecksum) return {};
+    const std::string_view metadata(bytes.data() + sizeof(FixedHeader), fixed->metadataBytes);
+    if (headerChecksumOf(*fixed, metadata) != fixed->headerChecksum) return {};
     return RecordHeader{partOf(*fixed), fixed->metadataBytes};
 }
 
@@ -159,8 +159,8 @@
     if (!decodeRecordHeader(bytes)) return {};
     const FixedHeader fixed = *fixedHeaderOf(bytes);
     Key key;
-    Reader names(bytes.subspan(sizeof fixed, fixed.metadataBytes));
-    if (!names.text(key.object) || !names.text(key.className)) return {};
+    Reader metadata(bytes.subspan(sizeof fixed, fixed.metadataBytes));
+    if (!metadata.text(key.object) || !metadata.text(key.className)) return {};
     key.group = fixed.group;
     key.part = fixed.part;
     key.variant = fixed.variant;
@@ -175,11 +175,11 @@
     if (checksumOf({body.data(), body.size()}) != fixed.bodyChecksum) return {};
     std::pair<Key, Copy> result;
     auto& [key, copy] = result;
-    Reader names(record.subspan(sizeof fixed, fixed.metadataBytes));
-    if (!names.text(key.object) || !names.text(key.className)) return {};
-    while (!names.empty()) {
+    Reader metadata(record.subspan(sizeof fixed, fixed.metadataBytes));
+    if (!metadata.text(key.object) || !metadata.text(key.className)) return {};
+    while (!metadata.empty()) {
         auto& [name, value] = copy.facts.emplace_back();
-        if (!names.text(name) || !names.text(value)) return {};
+        if (!metadata.text(name) || !metadata.text(value)) return {};
     }
     key.group = fixed.group;
     key.part = fixed.part;
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -64,8 +64,8 @@
     if (state_ == State::closed) return;
     state_ = State::closed;
     worker_.beginClose();
-    auto waiting = std::exchange(lookups_, {});
-    for (auto& [ticket, one] : waiting) one.found({});
+    auto pending = std::exchange(lookups_, {});
+    for (auto& [ticket, lookup] : pending) lookup.callback({});
 }
 
 void Tier::reconfigure(const TierOptions& options) {
@@ -78,7 +78,7 @@
 // ----- reading -----
 
 // Whether a copy of then may be served now; the only place where that is decided.
-bool Tier::servable(ClockReading now, const Key& key, std::int64_t maxAgeMs, std::int64_t createdMs) {
+bool Tier::isServable(ClockReading now, const Key& key, std::int64_t maxAgeMs, std::int64_t createdMs) {
     if (purgeLogFailing_ || !purgeFeed_.isCurrent(now.monotonicMs)) {
         ++counters_.unproved;
         return false;
@@ -95,12 +95,12 @@
     return true;
 }
 
-std::uint64_t Tier::lookUp(ClockReading now, const Key& key, std::int64_t maxAgeMs, Found found) {
+std::uint64_t Tier::lookUp(ClockReading now, const Key& key, std::int64_t maxAgeMs, LookupCallback callback) {
     if (!holdsFolder()) return 0;
     const std::uint64_t fingerprint = key.fingerprint();
     catalog_.recordRequest(fingerprint);
     const auto part = catalog_.findForRead(fingerprint);
-    if (!part || !servable(now, key, maxAgeMs, part->createdMs)) {
+    if (!part || !isServable(now, key, maxAgeMs, part->createdMs)) {
         ++counters_.misses;
         return 0;
     }
@@ -110,7 +110,7 @@
         ++counters_.misses;
         return 0;
     }
-    lookups_.emplace(ticket, PendingLookup{key, maxAgeMs, std::move(found)});
+    lookups_.emplace(ticket, PendingLookup{key, maxAgeMs, std::move(callback)});
     return ticket;
 }
 
@@ -129,18 +129,18 @@
     if (!good) catalog_.partLost(done.fingerprint, done.location);
     const auto at = lookups_.find(done.ticket);
     if (at == lookups_.end()) return;
-    PendingLookup waiting = std::move(at->second);
+    PendingLookup lookup = std::move(at->second);
     lookups_.erase(at);
     // Names may share a fingerprint, and a purge may have come while it was read.
-    const bool same = good && done.record->first == waiting.key;
-    if (!same || !servable(now, waiting.key, waiting.maxAgeMs, done.record->second.createdMs) ||
-        !isLatest(waiting.key, done.record->second)) {
+    const bool same = good && done.record->first == lookup.key;
+    if (!same || !isServable(now, lookup.key, lookup.maxAgeMs, done.record->second.createdMs) ||
+        !isLatest(lookup.key, done.record->second)) {
         ++counters_.misses;
-        return waiting.found({});
+        return lookup.callback({});
     }
     ++counters_.hits;
     counters_.hitBytes += done.record->second.body.size();
-    waiting.found(std::move(done.record->second));
+    lookup.callback(std::move(done.record->second));
 }
 
 // ----- keeping -----
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -49,7 +49,7 @@
         std::function<std::uint64_t(const Facts&)> version;
     };
     // Empty: it is not to be served.
-    using Found = std::function<void(std::optional<Copy>)>;
+    using LookupCallback = std::function<void(std::optional<Copy>)>;
 
     // `calls` outlives it.
     Tier(FileCalls& calls, const TierOptions& options, Callbacks callbacks);
@@ -66,7 +66,8 @@
 
     // Zero: a miss, told at once. Else `found` is called by a later turn(), unless it is forgotten before.
     // `oldestMs`: an older copy will not do; zero: any age.
-    [[nodiscard]] std::uint64_t lookUp(ClockReading now, const Key& key, std::int64_t maxAgeMs, Found found);
+    [[nodiscard]] std::uint64_t lookUp(ClockReading now, const Key& key, std::int64_t maxAgeMs,
+                                       LookupCallback callback);
     void cancelLookup(std::uint64_t ticket) { lookups_.erase(ticket); }
     // A fetched copy. `rank`: the decision module's; zero: it is not to be kept.
     void offer(ClockReading now, const Key& key, int rank, const Copy& copy);
@@ -103,7 +104,7 @@
     struct PendingLookup {
         Key key;
         std::int64_t maxAgeMs = 0;
-        Found found;
+        LookupCallback callback;
     };
     struct Version {
         std::uint64_t version = 0;
@@ -123,7 +124,7 @@
     void handle(ClockReading now, ReadDone& done);
 
     bool holdsFolder() const { return state_ == State::loading || state_ == State::ready; }
-    bool servable(ClockReading now, const Key& key, std::int64_t maxAgeMs, std::int64_t createdMs);
+    bool isServable(ClockReading now, const Key& key, std::int64_t maxAgeMs, std::int64_t createdMs);
     void addPurge(const PurgeEntry& entry);
     void persist(std::vector<PurgeEntry> entries);
     void raiseWatermark(ClockReading now, const char* why);
--- a/src/disktool/main.cpp
+++ b/src/disktool/main.cpp
@@ -13,20 +13,20 @@
 using namespace lotuslead;
 using nlohmann::json;
 
-enum Exit { kDone = 0, kDamage = 1, kUnusable = 2, kHeld = 3 };
+enum Exit { kDone = 0, kDamage = 1, kUnusable = 2, kFolderHeld = 3 };
 
 struct Arguments {
     std::string folder, object, prefix, output = "table";
     std::optional<std::int64_t> group, atMs;
-    bool all = false, walk = false;
-    std::size_t most = 100;
+    bool all = false, ignoreTables = false;
+    std::size_t maxLines = 100;
     std::uint32_t segmentMb = 64;
 };
 
-int refused(const std::string& problem, bool busy = false) {
+int reportFailure(const std::string& problem, bool busy = false) {
     std::fprintf(stderr, "lotuslead_disk: %s%s\n", problem.c_str(),
                  busy ? "; stop it first, or purge by the event bus" : "");
-    return busy ? kHeld : kUnusable;
+    return busy ? kFolderHeld : kUnusable;
 }
 
 // A row of fields, as JSON or as lines that people read.
@@ -41,8 +41,8 @@
 }
 
 int stat(const Arguments& arguments, disk::FileCalls& calls) {
-    const disk::Survey found = disk::survey(calls, arguments.folder, !arguments.walk);
-    if (!found.problem.empty()) return refused(found.problem);
+    const disk::Survey found = disk::survey(calls, arguments.folder, !arguments.ignoreTables);
+    if (!found.problem.empty()) return reportFailure(found.problem);
     std::uint64_t bytes = 0, live = 0;
     std::size_t parts = 0, torn = 0, tables = 0, bad = 0;
     for (const auto& segment : found.segments) {
@@ -53,9 +53,9 @@
         tables += segment.fromTable;
         bad += !segment.problem.empty();
     }
-    std::int64_t floor = 0;
+    std::int64_t watermarkMs = 0;
     for (const disk::PurgeEntry& entry : found.entries)
-        if (entry.kind == disk::PurgeEntry::Kind::watermark) floor = std::max(floor, entry.atMs);
+        if (entry.kind == disk::PurgeEntry::Kind::watermark) watermarkMs = std::max(watermarkMs, entry.atMs);
     print(arguments, {{"folder", arguments.folder},
                       {"held", found.held},
                       {"segments", found.segments.size()},
@@ -70,37 +70,38 @@
                       {"unreadable", bad},
                       {"marks", found.entries.size()},
                       {"marks_damaged", found.logDamaged},
-                      {"floor_ms", floor},
+                      {"floor_ms", watermarkMs},
                       {"bus_position", found.busPosition ? json(*found.busPosition) : json("none")}});
     return kDone;
 }
 
 int list(const Arguments& arguments, disk::FileCalls& calls) {
-    const disk::Survey found = disk::survey(calls, arguments.folder, !arguments.walk);
-    if (!found.problem.empty()) return refused(found.problem);
+    const disk::Survey found = disk::survey(calls, arguments.folder, !arguments.ignoreTables);
+    if (!found.problem.empty()) return reportFailure(found.problem);
     std::size_t shown = 0;
     const bool table = arguments.output == "table";
     if (table)
         std::printf("%-8s %10s %14s %8s %8s %s\n", "part", "bytes", "minted_ms", "group", "segment",
                     "object");
-    disk::listParts(calls, arguments.folder, found, [&](const disk::ListedPart& one) {
-        if (one.purged || one.key.object.rfind(arguments.prefix, 0) != 0) return true;
+    disk::listParts(calls, arguments.folder, found, [&](const disk::ListedPart& listed) {
+        if (listed.purged || listed.key.object.rfind(arguments.prefix, 0) != 0) return true;
         if (table)
-            std::printf("%-8lld %10llu %14lld %8lld %8u %s\n", static_cast<long long>(one.key.part),
-                        static_cast<unsigned long long>(one.bodyBytes),
-                        static_cast<long long>(one.part.createdMs), static_cast<long long>(one.key.group),
-                        one.part.location.segment, one.key.object.c_str());
+            std::printf("%-8lld %10llu %14lld %8lld %8u %s\n", static_cast<long long>(listed.key.part),
+                        static_cast<unsigned long long>(listed.bodyBytes),
+                        static_cast<long long>(listed.part.createdMs),
+                        static_cast<long long>(listed.key.group), listed.part.location.segment,
+                        listed.key.object.c_str());
         else
-            std::printf("%s\n", json{{"object", one.key.object},
-                                     {"class", one.key.className},
-                                     {"part", one.key.part},
-                                     {"group", one.key.group},
-                                     {"bytes", one.bodyBytes},
-                                     {"minted_ms", one.part.createdMs},
-                                     {"segment", one.part.location.segment}}
+            std::printf("%s\n", json{{"object", listed.key.object},
+                                     {"class", listed.key.className},
+                                     {"part", listed.key.part},
+                                     {"group", listed.key.group},
+                                     {"bytes", listed.bodyBytes},
+                                     {"minted_ms", listed.part.createdMs},
+                                     {"segment", listed.part.location.segment}}
                                     .dump()
                                     .c_str());
-        return ++shown < arguments.most;
+        return ++shown < arguments.maxLines;
     });
     return kDone;
 }
@@ -108,7 +109,7 @@
 int verify(const Arguments& arguments, disk::FileCalls& calls) {
     // Never by the tables: they are not what is verified.
     const disk::Survey found = disk::survey(calls, arguments.folder, false);
-    if (!found.problem.empty()) return refused(found.problem);
+    if (!found.problem.empty()) return reportFailure(found.problem);
     const disk::VerifyResult result = disk::verify(calls, arguments.folder, found);
     std::size_t torn = 0, unreadable = result.unreadable;
     for (const auto& segment : found.segments) {
@@ -137,9 +138,9 @@
     if (!arguments.object.empty()) entries.push_back({Kind::object, fingerprint(arguments.object), at});
     if (arguments.group) entries.push_back({Kind::group, static_cast<std::uint64_t>(*arguments.group), at});
     if (arguments.all) entries.push_back({Kind::watermark, 0, at});
-    if (entries.empty()) return refused("purge needs --object, --group or --all");
+    if (entries.empty()) return reportFailure("purge needs --object, --group or --all");
     const disk::ChangeResult result = disk::addPurges(calls, arguments.folder, entries);
-    if (!result.problem.empty()) return refused(result.problem, result.busy);
+    if (!result.problem.empty()) return reportFailure(result.problem, result.busy);
     print(arguments, {{"marks", entries.size()}, {"at_ms", at}});
     return kDone;
 }
@@ -147,14 +148,14 @@
 int compact(const Arguments& arguments, disk::FileCalls& calls) {
     const disk::ChangeResult result =
         disk::compact(calls, arguments.folder, arguments.segmentMb * std::uint32_t{1 << 20});
-    if (!result.problem.empty()) return refused(result.problem, result.busy);
+    if (!result.problem.empty()) return reportFailure(result.problem, result.busy);
     print(arguments, {{"bytes_before", result.bytesBefore}, {"bytes_after", result.bytesAfter}});
     return kDone;
 }
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
     Arguments arguments;
     CLI::App app{"Looks into the folder of lotuslead's disk tier, and changes it where no process holds it."};
     app.set_version_flag("--version", "lotuslead_disk " LOTUSLEAD_VERSION);
@@ -177,9 +178,9 @@
     CLI::App* purgeCommand = command("purge", "nothing of then or older is served any more");
     CLI::App* compactCommand = command("compact", "write what lives into fresh segments, drop the rest");
     for (CLI::App* sub : {statCommand, listCommand})
-        sub->add_flag("--walk", arguments.walk, "walk each segment, and trust no table");
+        sub->add_flag("--walk", arguments.ignoreTables, "walk each segment, and trust no table");
     listCommand->add_option("--prefix", arguments.prefix, "only objects whose name begins so");
-    listCommand->add_option("--most", arguments.most, "lines at most")->check(CLI::PositiveNumber);
+    listCommand->add_option("--most", arguments.maxLines, "lines at most")->check(CLI::PositiveNumber);
     purgeCommand->add_option("--object", arguments.object, "an object's name");
     purgeCommand->add_option("--group", arguments.group, "a group's number");
     purgeCommand->add_flag("--all", arguments.all, "everything");
@@ -187,7 +188,7 @@
     compactCommand->add_option("--segment-mb", arguments.segmentMb, "size of a segment")
         ->check(CLI::Range(1, 1024));
     try {
-        app.parse(count, words);
+        app.parse(argc, argv);
     } catch (const CLI::ParseError& problem) {
         return app.exit(problem) == 0 ? kDone : kUnusable;
     }
--- a/tests/disk_faults_test.cpp
+++ b/tests/disk_faults_test.cpp
@@ -99,7 +99,7 @@
         Folder killed(files, folder.tier());
         ASSERT_TRUE(killed.open(Folder::Access::write).problem.empty());
         PurgeLog log(files, killed);
-        ASSERT_TRUE(log.load(Folder::Access::write).torn);
+        ASSERT_TRUE(log.load(Folder::Access::write).damaged);
     }
     {
         TierHarness harness(optionsFor(folder));
