--- a/bench/disk.cpp
+++ b/bench/disk.cpp
@@ -26,7 +26,7 @@
 using namespace lotuslead::disk;
 using Clock = std::chrono::steady_clock;
 
-double secondsOf(const std::function<void()>& work) {
+double secondsFor(const std::function<void()>& work) {
     const auto begin = Clock::now();
     work();
     return std::chrono::duration<double>(Clock::now() - begin).count();
@@ -38,7 +38,7 @@
 
 // ----- lookups: the index alone -----
 
-void lookups() {
+void benchLookups() {
     constexpr std::uint64_t kParts = 1'000'000, kLookups = 4'000'000;
     std::printf("lookups a second among 1,000,000 parts, random order\n");
     PartIndex index(kParts);
@@ -56,11 +56,11 @@
         names[i] = textKey(order[i]);
     }
     std::uint64_t found = 0;
-    const double map = secondsOf([&] {
+    const double map = secondsFor([&] {
         for (const auto& name : names) found += plain.count(name);
     });
     // With the fingerprint of the name, as a request pays for it.
-    const double ours = secondsOf([&] {
+    const double ours = secondsFor([&] {
         for (const auto& name : names) found += index.find(lotuslead::fingerprint(name)) != PartIndex::kNone;
     });
     std::printf("  unordered_map of names %10.0f (1.00)\n", kLookups / map);
@@ -84,7 +84,7 @@
     }
     mdb_txn_commit(txn);
     mdb_txn_begin(env, nullptr, MDB_RDONLY, &txn);
-    const double lmdb = secondsOf([&] {
+    const double lmdb = secondsFor([&] {
         for (auto& name : names) {
             MDB_val key{name.size(), name.data()}, value{};
             found += mdb_get(txn, db, &key, &value) == 0;
@@ -132,17 +132,17 @@
         harness.tier.offer(harness.now, benchKey(i), 1, copyOf(i, bytes));
         if (i % 64 == 0) harness.tier.turn(harness.now);
     }
-    harness.until([&] { return harness.tier.queuedBytes() == 0; });
+    harness.turnUntil([&] { return harness.tier.queuedBytes() == 0; });
 }
 
-void reads() {
+void benchReads() {
     constexpr std::uint64_t kParts = 4000, kReads = 20'000;
     constexpr std::size_t kBytes = 64 * 1024;
     std::printf("parts of 64 KB a second, in the page cache\n");
     TemporaryFolder folder, files;
     TierHarness harness(benchOptions(folder, std::uint64_t{4} << 30, 65536));
-    const double filled = secondsOf([&] { fill(harness, kParts, kBytes); });
-    const double wrote = secondsOf([&] {
+    const double filled = secondsFor([&] { fill(harness, kParts, kBytes); });
+    const double wrote = secondsFor([&] {
         for (std::uint64_t i = 0; i < kParts; ++i) {
             const std::string path = files.path + "/" + std::to_string(i);
             std::ofstream(path + ".new", std::ios::binary) << copyOf(i, kBytes).body;
@@ -150,7 +150,7 @@
         }
     });
     std::uint64_t bytes = 0;
-    const double plain = secondsOf([&] {
+    const double plain = secondsFor([&] {
         std::string body(kBytes, '\0');
         for (std::uint64_t i = 0; i < kReads; ++i) {
             std::ifstream file(files.path + "/" + std::to_string(mix(i) % kParts), std::ios::binary);
@@ -159,7 +159,7 @@
         }
     });
     std::uint64_t done = 0, asked = 0;
-    const double ours = secondsOf([&] {
+    const double ours = secondsFor([&] {
         while (done < kReads) {
             while (asked < kReads && asked - done < 32) {
                 const auto ticket = harness.tier.lookUp(harness.now, benchKey(mix(asked) % kParts), 0,
@@ -184,7 +184,7 @@
 
 // ----- recovery -----
 
-void recovery() {
+void benchRecovery() {
     std::printf("seconds until all parts are served after a start\n");
     for (const std::uint64_t parts : {std::uint64_t{100'000}, std::uint64_t{1'000'000}}) {
         TemporaryFolder folder;
@@ -196,7 +196,7 @@
         const auto start = [&](bool tables) {
             options.worker.tables = tables;
             std::size_t found = 0;
-            const double seconds = secondsOf([&] {
+            const double seconds = secondsFor([&] {
                 TierHarness harness(options);
                 found = harness.tier.catalog().parts();
             });
@@ -213,7 +213,7 @@
 
 // ----- the loop's turn while the writer is saturated -----
 
-void turns() {
+void benchTurns() {
     constexpr int kTurns = 20'000;
     constexpr std::size_t kBytes = 64 * 1024;
     std::printf("one turn of the loop (offer a part of 64 KB, look one up), microseconds\n");
@@ -223,7 +223,7 @@
     {
         TierHarness harness(benchOptions(folder, std::uint64_t{1} << 30, 65536));
         for (int i = 0; i < kTurns; ++i)
-            ours.push_back(1e6 * secondsOf([&] {
+            ours.push_back(1e6 * secondsFor([&] {
                                harness.tier.offer(harness.now, benchKey(static_cast<std::uint64_t>(i)), 1,
                                                   copy);
                                (void)harness.tier.lookUp(harness.now,
@@ -235,7 +235,7 @@
                     static_cast<unsigned long long>(harness.tier.counters().queueFull));
     }
     for (int i = 0; i < kTurns / 10; ++i)
-        plain.push_back(1e6 * secondsOf([&] {
+        plain.push_back(1e6 * secondsFor([&] {
                             const std::string path = files.path + "/" + std::to_string(i);
                             FileCalls calls;
                             const File file(static_cast<int>(calls.open(path, O_RDWR | O_CREAT).bytes));
@@ -260,11 +260,11 @@
 
 int main(int count, char** words) {
     using namespace lotuslead::bench;
-    const std::vector<std::pair<std::string, void (*)()>> parts{{"hits", hitRatios},
-                                                                {"lookups", lookups},
-                                                                {"reads", reads},
-                                                                {"recovery", recovery},
-                                                                {"turns", turns}};
+    const std::vector<std::pair<std::string, void (*)()>> parts{{"hits", benchHitRatios},
+                                                                {"lookups", benchLookups},
+                                                                {"reads", benchReads},
+                                                                {"recovery", benchRecovery},
+                                                                {"turns", benchTurns}};
     for (const auto& [name, run] : parts) {
         bool wanted = count == 1;
         for (int i = 1; i < count; ++i) wanted = wanted || name == words[i];
--- a/bench/disk.hpp
+++ b/bench/disk.hpp
@@ -4,6 +4,6 @@
 
 namespace lotuslead::bench {
 
-void hitRatios();  // by policy, at equal bytes, and how much was written for it
+void benchHitRatios();  // by policy, at equal bytes, and how much was written for it
 
 }  // namespace lotuslead::bench
--- a/bench/disk_policies.cpp
+++ b/bench/disk_policies.cpp
@@ -25,7 +25,7 @@
 };
 
 // The decision module's filter in little: a name that it does not know has no rank.
-class Ranks {
+class RankFilter {
 public:
     int of(std::uint64_t object) {
         const auto [record, found] = filter_.touch(object);
@@ -114,7 +114,7 @@
 
 template <class Cache>
 double ratio(const std::vector<TraceRequest>& trace, bool filtered, Cache request) {
-    Ranks ranks;
+    RankFilter ranks;
     std::size_t hits = 0, counted = 0, number = 0;
     for (const TraceRequest& a : trace) {
         const int rank = ranks.of(a.object);
@@ -128,7 +128,7 @@
 
 }  // namespace
 
-void hitRatios() {
+void benchHitRatios() {
     std::printf("hit ratio at 1 GiB (ratio to plain LRU), bytes written for a byte admitted\n");
     std::printf("%-22s %8s %16s %16s %22s %22s %22s\n", "trace", "LRU", "LRU+filter", "TinyLFU+filter",
                 "segments plain", "segments ghost", "segments sketch");
--- a/tests/audit_disk.cpp
+++ b/tests/audit_disk.cpp
@@ -80,14 +80,14 @@
 // ----- a disk that is slow, and loses at a power failure what was not synced -----
 
 // Which file, and how much of it is synced, of the purge log.
-struct Synced {
+struct SyncedSize {
     std::uint64_t inode = 0, bytes = 0;
 };
 
 class SlowFiles : public FileCalls {
 public:
-    SlowFiles(const std::string& note, std::uint64_t seed)
-        : syncNotesFd_(static_cast<int>(FileCalls::open(note, O_WRONLY | O_CREAT | O_APPEND).bytes)),
+    SlowFiles(const std::string& syncLog, std::uint64_t seed)
+        : syncNotesFd_(static_cast<int>(FileCalls::open(syncLog, O_WRONLY | O_CREAT | O_APPEND).bytes)),
           random_(seed) {}
 
     IoResult open(const std::string& path, int flags) override {
@@ -105,7 +105,7 @@
         pause();
         struct stat about {};
         ::fstat(fd, &about);
-        const Synced synced{about.st_ino, static_cast<std::uint64_t>(about.st_size)};
+        const SyncedSize synced{about.st_ino, static_cast<std::uint64_t>(about.st_size)};
         (void)!::write(syncNotesFd_, &synced, sizeof synced);
         return 0;
     }
@@ -121,9 +121,9 @@
 
 // ----- the child -----
 
-class Child {
+class TierProcess {
 public:
-    Child(const std::string& folder, std::string bus, std::uint64_t seed, bool last)
+    TierProcess(const std::string& folder, std::string bus, std::uint64_t seed, bool last)
         : bus_(std::move(bus)),
           random_(seed),
           last_(last),
@@ -137,7 +137,7 @@
             readBus();
             reportPersistedPurges();
             const bool ready = tier_.state() == Tier::State::ready;
-            if (ready && !std::exchange(toldReady_, true)) report("ready");
+            if (ready && !std::exchange(reportedReady_, true)) report("ready");
             const bool walking = next < kObjects * kParts;
             for (int i = 0; i < 6 && ready; ++i) {
                 if (next < kObjects * kParts) {
@@ -169,7 +169,7 @@
         return options;
     }
     Tier::Callbacks callbacks() {
-        return {[](const std::string&) {}, [this](std::int64_t position) { from_ = position; },
+        return {[](const std::string&) {}, [this](std::int64_t position) { busPosition_ = position; },
                 [](const Facts&) { return std::uint64_t{0}; }};
     }
     static ClockReading now() { return {monotonicMs(), unixMs()}; }
@@ -189,11 +189,11 @@
         BusEvent e;
         while (file >> e.number >> e.group >> e.name >> e.atMs) {
             last = std::max(last, e.number);
-            if (e.number <= from_) continue;
+            if (e.number <= busPosition_) continue;
             numbers.push_back(e.number);
             e.group ? tier_.purgeGroup(e.name, e.atMs) : tier_.purgeObject(nameOf(e.name), e.atMs);
         }
-        const std::int64_t from = std::exchange(from_, std::max(from_, last));
+        const std::int64_t from = std::exchange(busPosition_, std::max(busPosition_, last));
         tier_.busBatchReceived(now(), from, last, numbers);
         if (!numbers.empty()) unacknowledged_ = last;
     }
@@ -206,7 +206,7 @@
     }
 
     void look(int object, int part, bool walk) {
-        const auto begun = unixMs();
+        const auto requestedMs = unixMs();
         const auto ticket =
             tier_.lookUp(now(), auditKey(object, part), 0, [=, this](std::optional<Copy> copy) {
                 --looking_;
@@ -214,7 +214,7 @@
                     const bool whole = copy->body == auditBody(object, part, copy->createdMs);
                     report(std::string(whole ? "served " : "torn ") + std::to_string(object) + " " +
                            std::to_string(part) + " " + std::to_string(copy->createdMs) + " " +
-                           std::to_string(begun));
+                           std::to_string(requestedMs));
                 } else if (!walk) {
                     fetch(object, part);
                 }
@@ -243,10 +243,10 @@
     std::string bus_;
     std::mt19937_64 random_;
     bool last_;
-    std::int64_t from_ = 0, unacknowledged_ = 0;
+    std::int64_t busPosition_ = 0, unacknowledged_ = 0;
     std::vector<std::pair<int, std::int64_t>> ownPurges_;
     int looking_ = 0;
-    bool toldReady_ = false;
+    bool reportedReady_ = false;
     SlowFiles calls_;
     Tier tier_;
 };
@@ -260,15 +260,15 @@
 
     int run() {
         for (int i = 0; i < kills_; ++i) {
-            life(false);
+            runChild(false);
             changeWhileDown();
         }
-        life(true);
+        runChild(true);
         const bool enough = served_ >= static_cast<std::uint64_t>(kills_) * 20;
         if (!enough) std::printf("too little was served to mean anything\n");
         std::printf("lives=%d acknowledged=%llu own_purges=%zu bus_gaps=%d damaged=%d unsynced_marks=%d\n",
-                    kills_ + 1, static_cast<unsigned long long>(acknowledgements_), own_.size(), gaps_,
-                    damaged_, unsynced_);
+                    kills_ + 1, static_cast<unsigned long long>(acknowledgements_), childPurges_.size(),
+                    busGaps_, damagedSegments_, purgeLogsTruncated_);
         std::printf("kills=%d served=%llu torn=%llu stale=%llu\n", kills_,
                     static_cast<unsigned long long>(served_), static_cast<unsigned long long>(torn_),
                     static_cast<unsigned long long>(stale_));
@@ -278,10 +278,10 @@
 private:
     struct Purge {
         BusEvent event;
-        std::int64_t toldMs = 0;
+        std::int64_t publishedMs = 0;
     };
 
-    void tell() {
+    void publishPurge() {
         const bool group = random_() % 4 == 0;
         BusEvent e{++lastEvent_, group, static_cast<int>(random_() % (group ? kGroups : kObjects)), unixMs()};
         events_.push_back(e);
@@ -290,11 +290,11 @@
     }
     std::string bus() const { return folder_.path + "/bus"; }
 
-    void life(bool last) {
+    void runChild(bool last) {
         int pipes[2];
         if (::pipe(pipes) != 0) std::abort();
         writeBus(bus(), forgotten_, events_);
-        bornMs_ = unixMs();
+        childStartedMs_ = unixMs();
         const std::string seed = std::to_string(random_());
         const pid_t pid = ::fork();
         if (pid == 0) {
@@ -312,7 +312,7 @@
         const std::int64_t startedMs = monotonicMs();
         const bool diesLoading = random_() % 10 == 0;
         const auto lifeMs = static_cast<std::int64_t>(
-            diesLoading ? random_() % static_cast<std::uint64_t>(loadMs_) : 15 + random_() % 110);
+            diesLoading ? random_() % static_cast<std::uint64_t>(lastLoadMs_) : 15 + random_() % 110);
         const std::uint64_t enoughServed = served_ + random_() % 80;
         std::int64_t readyMs = 0;
         std::int64_t nextPurge = startedMs + static_cast<std::int64_t>(random_() % 40);
@@ -327,7 +327,7 @@
                 alive = false;
             }
             if (alive && !last && now >= nextPurge) {
-                tell();
+                publishPurge();
                 nextPurge = now + 5 + static_cast<std::int64_t>(random_() % 60);
             }
             pollfd waits{pipes[0], POLLIN, 0};
@@ -340,9 +340,9 @@
                 const std::string line = text.substr(0, end);
                 if (line == "ready") {
                     readyMs = monotonicMs();
-                    loadMs_ = 1 + readyMs - startedMs;
+                    lastLoadMs_ = 1 + readyMs - startedMs;
                 } else {
-                    judge(line);
+                    checkLine(line);
                 }
             }
         }
@@ -355,7 +355,7 @@
         }
     }
 
-    void judge(const std::string& line) {
+    void checkLine(const std::string& line) {
         std::istringstream words(line);
         std::string word;
         words >> word;
@@ -366,22 +366,22 @@
             int object = 0;
             std::int64_t ms = 0;
             words >> object >> ms;
-            own_.emplace_back(object, ms);
+            childPurges_.emplace_back(object, ms);
         } else {
             int object = 0, part = 0;
-            std::int64_t createdMs = 0, begun = 0;
-            words >> object >> part >> createdMs >> begun;
+            std::int64_t createdMs = 0, requestedMs = 0;
+            words >> object >> part >> createdMs >> requestedMs;
             ++served_;
             if (word == "torn") {
                 ++torn_;
                 std::printf("torn: object %d part %d minted %lld\n", object, part,
                             static_cast<long long>(createdMs));
             }
-            judgeAge(object, createdMs, begun);
+            checkAge(object, createdMs, requestedMs);
         }
     }
     // Older than a purge that was answered for, or told before this life began, or told long enough ago.
-    void judgeAge(int object, std::int64_t createdMs, std::int64_t begun) {
+    void checkAge(int object, std::int64_t createdMs, std::int64_t requestedMs) {
         const auto stale = [&](const char* by, std::int64_t ms) {
             ++stale_;
             std::printf("stale: object %d minted %lld, %s at %lld\n", object,
@@ -390,25 +390,25 @@
         for (const Purge& purge : purges_) {
             const BusEvent& e = purge.event;
             if ((e.group ? object % kGroups : object) != e.name || createdMs > e.atMs) continue;
-            const bool holds = e.number <= acknowledged_ || purge.toldMs < bornMs_ ||
-                               purge.toldMs + kBusPurgeGraceMs <= begun;
+            const bool holds = e.number <= acknowledged_ || purge.publishedMs < childStartedMs_ ||
+                               purge.publishedMs + kBusPurgeGraceMs <= requestedMs;
             if (holds) return stale("purged by the bus", e.atMs);
         }
-        for (const auto& [name, ms] : own_)
+        for (const auto& [name, ms] : childPurges_)
             if (name == object && createdMs <= ms) return stale("purged by the process", ms);
     }
 
     // Between a kill and the next start.
     void changeWhileDown() {
-        for (auto n = random_() % 3; n > 0; --n) tell();
+        for (auto n = random_() % 3; n > 0; --n) publishPurge();
         // The bus forgets what was acknowledged, and now and then more than that.
         if (random_() % 2 == 0) forgotten_ = std::max(forgotten_, acknowledged_);
         if (random_() % 25 == 0 && lastEvent_ > acknowledged_) {
             forgotten_ = lastEvent_;
-            ++gaps_;
+            ++busGaps_;
         }
         std::erase_if(events_, [&](const BusEvent& e) { return e.number <= forgotten_; });
-        if (random_() % 3 == 0) damage();
+        if (random_() % 3 == 0) damageSegment();
         dropUnsyncedPurges();
         if (random_() % 5 == 0)  // a line of the purge log that was being written
             std::ofstream(folder_.tier() + "/purges", std::ios::app | std::ios::binary) << "LLM1";
@@ -419,15 +419,15 @@
         struct stat about {};
         if (::stat(log.c_str(), &about) != 0) return;
         std::uint64_t kept = 0;
-        std::ifstream note(bus() + ".synced", std::ios::binary);
-        for (Synced one; note.read(reinterpret_cast<char*>(&one), sizeof one);)
+        std::ifstream syncLog(bus() + ".synced", std::ios::binary);
+        for (SyncedSize one; syncLog.read(reinterpret_cast<char*>(&one), sizeof one);)
             if (one.inode == about.st_ino) kept = one.bytes;
         if (static_cast<std::uint64_t>(about.st_size) <= kept) return;
         std::filesystem::resize_file(log, kept);
-        ++unsynced_;
+        ++purgeLogsTruncated_;
     }
     // Segments are never synced here, so any byte of theirs may be lost; as zeros, or as a shorter file.
-    void damage() {
+    void damageSegment() {
         std::vector<std::string> segments;
         for (const char* end : {".main", ".probation"})
             for (const std::string& path : folder_.files(end)) segments.push_back(path);
@@ -435,7 +435,7 @@
         const std::string path = segments[random_() % segments.size()];
         const std::uint64_t size = std::filesystem::file_size(path);
         if (size < 8192) return;
-        ++damaged_;
+        ++damagedSegments_;
         if (random_() % 3 == 0) {
             std::filesystem::resize_file(path, random_() % size);
         } else {
@@ -451,11 +451,11 @@
     TemporaryFolder folder_;
     std::vector<BusEvent> events_;
     std::vector<Purge> purges_;
-    std::vector<std::pair<int, std::int64_t>> own_;
-    std::int64_t lastEvent_ = 0, forgotten_ = 0, acknowledged_ = 0, bornMs_ = 0;
-    std::int64_t loadMs_ = 15;  // from a start to ready, as the last one took
+    std::vector<std::pair<int, std::int64_t>> childPurges_;
+    std::int64_t lastEvent_ = 0, forgotten_ = 0, acknowledged_ = 0, childStartedMs_ = 0;
+    std::int64_t lastLoadMs_ = 15;  // from a start to ready, as the last one took
     std::uint64_t served_ = 0, torn_ = 0, stale_ = 0, acknowledgements_ = 0;
-    int gaps_ = 0, damaged_ = 0, unsynced_ = 0;
+    int busGaps_ = 0, damagedSegments_ = 0, purgeLogsTruncated_ = 0;
 };
 
 }  // namespace
@@ -463,7 +463,8 @@
 int main(int count, char** words) {
     const std::vector<std::string> all(words, words + count);
     if (all.size() == 6 && all[1] == "--child")
-        return Child(all[2], all[3], std::strtoull(all[4].c_str(), nullptr, 10), all[5] == "last").run();
+        return TierProcess(all[2], all[3], std::strtoull(all[4].c_str(), nullptr, 10), all[5] == "last")
+            .run();
     int kills = 0;
     std::uint64_t seed = 0;
     for (std::size_t i = 1; i + 1 < all.size(); i += 2) {
--- a/tests/disk_faults_test.cpp
+++ b/tests/disk_faults_test.cpp
@@ -30,14 +30,14 @@
         files.failFolderSyncs(EIO);
         for (int i = 0; i < kPurgesUntilRewritten; ++i)
             harness.tier.purgeObject("/files/x" + std::to_string(i % 500), 1000);
-        ASSERT_TRUE(harness.until([&] { return files.failedFolderSyncs() > 0; }));
+        ASSERT_TRUE(harness.turnUntil([&] { return files.failedFolderSyncs() > 0; }));
         // No log that is written anew after this hides what became of the last one.
         std::this_thread::sleep_for(kRewriteSettleTime);
         harness.tier.turn(harness.now);
         files.clear();
-        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
+        ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
         harness.tier.purgeObject("/files/8", 1000);
-        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
+        ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
     }
     TierHarness harness(options);
     for (int i = 0; i < 12; ++i) EXPECT_EQ(harness.has(i, 1000), i != 8) << i;
@@ -51,10 +51,11 @@
             FaultyFiles files;
             files.set(file, faults);
             TierHarness harness(optionsFor(folder), &files, false);
-            ASSERT_TRUE(harness.until([&] { return !harness.lines.empty(); }));
+            ASSERT_TRUE(harness.turnUntil([&] { return !harness.logLines.empty(); }));
             files.clear();
             harness.tier.retryOpen();
-            ASSERT_TRUE(harness.until([&] { return harness.tier.state() == Tier::State::ready; })) << file;
+            ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.state() == Tier::State::ready; }))
+                << file;
             EXPECT_TRUE(harness.store(1, 1000));
         }
     }
@@ -71,7 +72,7 @@
     std::filesystem::remove(folder.tier() + "/purges");
     TierHarness harness(optionsFor(folder), nullptr, false);
     harness.now.unixMs = kCreatedMs - kBehindMs;
-    ASSERT_TRUE(harness.until([&] { return harness.tier.state() == Tier::State::ready; }));
+    ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.state() == Tier::State::ready; }));
     EXPECT_TRUE(harness.logged("the purge log is damaged"));
     harness.now.unixMs = kCreatedMs + kBehindMs;
     EXPECT_FALSE(harness.load(1));
@@ -87,7 +88,7 @@
         TierHarness harness(optionsFor(folder));
         ASSERT_TRUE(harness.store(1, 1000));
         for (int i = 5; i < 15; ++i) harness.tier.purgeObject("/files/" + std::to_string(i), 1000);
-        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
+        ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
     }
     std::fstream(folder.tier() + "/purges", std::ios::in | std::ios::out | std::ios::binary)
         .seekp(50)
@@ -105,7 +106,7 @@
         TierHarness harness(optionsFor(folder));
         EXPECT_TRUE(harness.logged("the purge log is damaged"));
         EXPECT_FALSE(harness.load(1));
-        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
+        ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
     }
     TierHarness harness(optionsFor(folder));
     EXPECT_FALSE(harness.logged("the purge log is damaged"));
--- a/tests/disk_story_test.cpp
+++ b/tests/disk_story_test.cpp
@@ -45,8 +45,8 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
-struct Site {
-    explicit Site(std::size_t size = 3'000'000) : server(size) {
+struct RepositorySetup {
+    explicit RepositorySetup(std::size_t size = 3'000'000) : server(size) {
         settings = repository(server, server);
         settings["bus"] = bus.address();
     }
@@ -76,7 +76,7 @@
 }
 
 // The bytes that one download after a kill and a restart brings over the link.
-std::size_t bytesFetchedAfterRestart(Site& site, const std::string& disk) {
+std::size_t bytesFetchedAfterRestart(RepositorySetup& site, const std::string& disk) {
     const Program::Variables variables =
         disk.empty() ? Program::Variables{} : Program::Variables{{"LB_DISK", disk}};
     {
@@ -96,7 +96,7 @@
 }
 
 void restartRefetchesLittle() {
-    Site without, with;
+    RepositorySetup without, with;
     const std::size_t cold = bytesFetchedAfterRestart(without, "");
     const std::size_t warmed = bytesFetchedAfterRestart(with, with.folder.file());
     std::fprintf(stderr, "fetched after a restart: %zu bytes without the tier, %zu with it\n", cold, warmed);
@@ -104,7 +104,7 @@
 }
 
 // A life that ends without notice once its copies are on the disk.
-void warmUpAndKill(Site& site, const Program::Variables& variables) {
+void warmUpAndKill(RepositorySetup& site, const Program::Variables& variables) {
     Program program(site.settings, "LB_REPOSITORY", 1024, variables);
     warmUp(program, site.server);
     awaitWritesDone(program);
@@ -113,7 +113,7 @@
 }
 
 void purgeWhileDownTakesEffect() {
-    Site site;
+    RepositorySetup site;
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
     warmUpAndKill(site, variables);
     site.server.version = 2;
@@ -129,7 +129,7 @@
 }
 
 void missingBusEventsDropAllCopies() {
-    Site site;
+    RepositorySetup site;
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
     warmUpAndKill(site, variables);
     // The purge is among the events that the bus tells no more: it can't be known which copies it named.
@@ -147,7 +147,7 @@
 }
 
 void damagedRecordIsRefetched() {
-    Site site;
+    RepositorySetup site;
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
     {
         Program program(site.settings, "LB_REPOSITORY", 1024, variables);
@@ -174,7 +174,7 @@
 
 // Parts of two versions never meet in one download, also where the tier has not seen both in this process.
 void newVersionReplacesOldParts() {
-    Site site;
+    RepositorySetup site;
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
     {
         Program program(site.settings, "LB_REPOSITORY", 1024, variables);
@@ -197,7 +197,7 @@
 }
 
 void onlyOneProcessHoldsTheFolder() {
-    Site site;
+    RepositorySetup site;
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
     auto first = std::make_unique<Program>(site.settings, "LB_REPOSITORY", 1024, variables);
     first->awaitLog(" segments at ");
@@ -297,7 +297,7 @@
 }
 
 void invalidDiskFilesAreRefused() {
-    Site site(10);
+    RepositorySetup site(10);
     const std::vector<std::pair<json, std::string>> bad{
         {{{"folder", ""}}, "field 'repository.folder'"},
         {{{"capacity_mb", 1}}, "field 'repository.capacity_mb'"},
--- a/tests/disk_tier_harness.hpp
+++ b/tests/disk_tier_harness.hpp
@@ -165,13 +165,13 @@
 class TierHarness {
 public:
     explicit TierHarness(const TierOptions& options, FileCalls* calls = nullptr, bool awaitReady = true)
-        : tier(calls ? *calls : plain_, options,
-               {[this](const std::string& line) { lines.push_back(line); },
+        : tier(calls ? *calls : realFiles_, options,
+               {[this](const std::string& line) { logLines.push_back(line); },
                 [this](std::int64_t position) { resumeBusFrom = position; },
                 [](const Facts&) { return std::uint64_t{0}; }}) {
-        if (awaitReady) until([&] { return tier.state() == Tier::State::ready; });
+        if (awaitReady) turnUntil([&] { return tier.state() == Tier::State::ready; });
     }
-    bool until(const std::function<bool()>& done) {
+    bool turnUntil(const std::function<bool()>& done) {
         for (int i = 0; i < 2000; ++i) {
             tier.turn(now);
             if (done()) return true;
@@ -184,17 +184,17 @@
         const auto before = tier.catalog().counters().admitted;
         tier.offer(now, keyOf(i), rank, {createdMs, {{"etag", "v"}}, bodyOf(i, createdMs)});
         return tier.catalog().counters().admitted > before &&
-               until([&] { return tier.queuedBytes() == 0; }) &&
+               turnUntil([&] { return tier.queuedBytes() == 0; }) &&
                tier.catalog().contains(keyOf(i).fingerprint());
     }
     std::optional<Copy> load(int i, std::int64_t maxAgeMs = 0) {
         std::optional<Copy> result;
-        bool told = false;
+        bool completed = false;
         const auto ticket = tier.lookUp(now, keyOf(i), maxAgeMs, [&](std::optional<Copy> copy) {
-            told = true;
+            completed = true;
             result = std::move(copy);
         });
-        if (ticket != 0) until([&] { return told; });
+        if (ticket != 0) turnUntil([&] { return completed; });
         return result;
     }
     // Held, and the very bytes.
@@ -203,17 +203,17 @@
         return copy && copy->createdMs == createdMs && copy->body == bodyOf(i, createdMs);
     }
     bool logged(const std::string& words) const {
-        for (const std::string& line : lines)
+        for (const std::string& line : logLines)
             if (line.find(words) != std::string::npos) return true;
         return false;
     }
 
-    std::vector<std::string> lines;
+    std::vector<std::string> logLines;
     std::optional<std::int64_t> resumeBusFrom;
     ClockReading now{10'000, 1'000'000};
 
 private:
-    FileCalls plain_;
+    FileCalls realFiles_;
 
 public:
     Tier tier;
--- a/tests/disk_tier_test.cpp
+++ b/tests/disk_tier_test.cpp
@@ -40,7 +40,7 @@
         harness.tier.purgeGroup(5, 1000);
         EXPECT_FALSE(harness.tier.purgesPersisted());
         EXPECT_FALSE(harness.load(3));  // at once, whatever the log does
-        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
+        ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
         EXPECT_FALSE(harness.store(3, 1000));  // nor is it taken again
         EXPECT_TRUE(harness.store(3, 1001));
     }
@@ -58,15 +58,15 @@
     TemporaryFolder folder;
     TierHarness harness(optionsFor(folder));
     ASSERT_TRUE(harness.store(1, 1000));
-    bool told = false, served = false;
+    bool completed = false, served = false;
     ASSERT_NE(harness.tier.lookUp(harness.now, keyOf(1), 0,
                                   [&](std::optional<Copy> copy) {
-                                      told = true;
+                                      completed = true;
                                       served = copy.has_value();
                                   }),
               0U);
     harness.tier.purgeObject("/files/1", 1000);
-    ASSERT_TRUE(harness.until([&] { return told; }));
+    ASSERT_TRUE(harness.turnUntil([&] { return completed; }));
     EXPECT_FALSE(served);
 }
 
@@ -85,7 +85,7 @@
         EXPECT_FALSE(harness.load(1));
         harness.tier.busBatchReceived(harness.now, 5, 6, next);
         EXPECT_TRUE(harness.has(1, 1000));
-        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
+        ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
     }
     TierHarness harness(options);
     ASSERT_EQ(harness.resumeBusFrom, 6);
@@ -151,7 +151,7 @@
         TierHarness harness(optionsFor(folder), &files);
         for (int i = 0; i < 10; ++i) ASSERT_TRUE(harness.store(i, 1000));
         harness.tier.purgeObject("/files/4", 1000);
-        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
+        ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
     }
     TierHarness harness(optionsFor(folder), &files);
     for (int i = 0; i < 10; ++i) EXPECT_EQ(harness.has(i, 1000), i != 4);
@@ -231,15 +231,15 @@
     for (const Faults& faults : {Faults{.write = ENOSPC}, Faults{.sync = EIO}}) {
         files.set("purges", faults);
         harness.tier.purgeObject("/files/1", 1000);
-        ASSERT_TRUE(harness.until([&] { return harness.logged("nothing is served from it"); }));
+        ASSERT_TRUE(harness.turnUntil([&] { return harness.logged("nothing is served from it"); }));
         EXPECT_FALSE(harness.tier.purgesPersisted());
         EXPECT_FALSE(harness.load(2));
         EXPECT_FALSE(harness.store(3, 1000));
         files.clear();
-        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
+        ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
         EXPECT_TRUE(harness.has(2, 1000));
         EXPECT_FALSE(harness.load(1));
-        harness.lines.clear();
+        harness.logLines.clear();
     }
 }
 
@@ -250,7 +250,7 @@
             TierHarness harness(optionsFor(folder));
             ASSERT_TRUE(harness.store(1, 1000));
             for (int i = 5; i < 15; ++i) harness.tier.purgeObject("/files/" + std::to_string(i), 1000);
-            ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
+            ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
         }
         const std::string log = folder.tier() + "/purges";
         if (lost)
@@ -273,7 +273,7 @@
         TierHarness harness(optionsFor(folder));
         ASSERT_TRUE(harness.store(1, 1000) && harness.store(2, 1000));
         harness.tier.purgeObject("/files/1", 1000);
-        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
+        ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
     }
     const std::string log = folder.tier() + "/purges";
     std::ofstream(log, std::ios::app | std::ios::binary) << "LLM1half";
@@ -282,7 +282,7 @@
         EXPECT_FALSE(harness.load(1));
         EXPECT_TRUE(harness.has(2, 1000));
         harness.tier.purgeObject("/files/2", 1000);
-        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
+        ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
     }
     TierHarness harness(optionsFor(folder));
     EXPECT_FALSE(harness.logged("damaged"));
@@ -301,7 +301,7 @@
     EXPECT_LE(harness.tier.queuedBytes(), 1U << 20);
     EXPECT_TRUE(harness.has(1, 1000));
     files.clear();
-    ASSERT_TRUE(harness.until([&] { return harness.tier.queuedBytes() == 0; }));
+    ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.queuedBytes() == 0; }));
     EXPECT_TRUE(harness.has(100, 1000));
 }
 
@@ -310,7 +310,7 @@
     FaultyFiles files;
     files.set("lock", Faults{.open = EROFS});
     TierHarness harness(optionsFor(folder), &files, false);
-    ASSERT_TRUE(harness.until([&] { return harness.tier.state() == Tier::State::off; }));
+    ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.state() == Tier::State::off; }));
     EXPECT_TRUE(harness.logged("Read-only file system; the tier is off"));
     EXPECT_FALSE(harness.load(1));
     EXPECT_FALSE(harness.store(1, 1000));
@@ -319,7 +319,7 @@
 
     std::ofstream(folder.tier() + "/format") << "lotuslead disk tier 9\n";
     TierHarness other(optionsFor(folder), nullptr, false);
-    ASSERT_TRUE(other.until([&] { return other.tier.state() == Tier::State::off; }));
+    ASSERT_TRUE(other.turnUntil([&] { return other.tier.state() == Tier::State::off; }));
     EXPECT_TRUE(other.logged("has a form that this version does not know"));
 }
 
@@ -329,7 +329,7 @@
     auto first = std::make_unique<TierHarness>(optionsFor(folder));
     ASSERT_TRUE(first->store(1, 1000) && first->store(2, 1000));
     TierHarness second(optionsFor(folder), nullptr, false);
-    ASSERT_TRUE(second.until([&] { return second.tier.state() == Tier::State::waiting; }));
+    ASSERT_TRUE(second.turnUntil([&] { return second.tier.state() == Tier::State::waiting; }));
     EXPECT_TRUE(second.logged("another process holds"));
     second.tier.purgeObject("/files/1", 1000);
     EXPECT_TRUE(second.tier.purgesPersisted());
@@ -338,18 +338,18 @@
     EXPECT_FALSE(first->load(2));
     first.reset();
     second.tier.retryOpen();
-    ASSERT_TRUE(second.until(
+    ASSERT_TRUE(second.turnUntil(
         [&] { return second.tier.state() == Tier::State::ready && second.tier.purgesPersisted(); }));
     EXPECT_FALSE(second.load(1));
     EXPECT_TRUE(second.has(2, 1000));
     second.tier.close();
     TierHarness third(optionsFor(folder), nullptr, false);
     for (int i = 0; i < 100 && third.tier.state() != Tier::State::ready; ++i) {
-        third.until([&] {
+        third.turnUntil([&] {
             return third.tier.state() == Tier::State::ready || third.tier.state() == Tier::State::waiting;
         });
         third.tier.retryOpen();
-        third.until([&] { return third.tier.state() == Tier::State::ready; });
+        third.turnUntil([&] { return third.tier.state() == Tier::State::ready; });
     }
     EXPECT_FALSE(third.load(1));
     EXPECT_TRUE(third.has(2, 1000));
@@ -394,9 +394,9 @@
         for (int i = 0; i < 12; ++i) ASSERT_TRUE(harness.store(i, 1000));
         harness.tier.purgeObject("/files/7", 1000);
         for (int i = 0; i < 20'000; ++i) harness.tier.purgeObject("/files/x" + std::to_string(i % 500), 1000);
-        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
+        ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
         harness.tier.purgeObject("/files/8", 1000);
-        ASSERT_TRUE(harness.until([&] { return harness.tier.purgesPersisted(); }));
+        ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
         EXPECT_LT(std::filesystem::file_size(folder.tier() + "/purges"), 20'000U * kPurgeEntryBytes / 2);
     }
     TierHarness harness(options);
--- a/tests/simulated_disk.hpp
+++ b/tests/simulated_disk.hpp
@@ -13,14 +13,14 @@
     explicit SimulatedDisk(const SegmentCatalogOptions& options) : catalog(options) {}
 
     // One request for a part: true where it was held; else it is fetched and offered with this rank.
-    bool request(std::uint64_t name, int rank, std::uint32_t bytes, std::int64_t createdMs = 1) {
-        catalog.recordRequest(name);
-        if (catalog.findForRead(name)) return true;
-        if (const auto queue = catalog.admit(name, rank, bytes, 0)) {
+    bool request(std::uint64_t fingerprint, int rank, std::uint32_t bytes, std::int64_t createdMs = 1) {
+        catalog.recordRequest(fingerprint);
+        if (catalog.findForRead(fingerprint)) return true;
+        if (const auto queue = catalog.admit(fingerprint, rank, bytes, 0)) {
             Part part;
-            part.fingerprint = name;
+            part.fingerprint = fingerprint;
             part.createdMs = createdMs;
-            part.object = static_cast<std::uint32_t>(name >> 32);
+            part.object = static_cast<std::uint32_t>(fingerprint >> 32);
             part.location = append(*queue, bytes);
             catalog.partAppended(part, *queue, rank);
             written += bytes;
@@ -43,22 +43,22 @@
     std::uint64_t written = 0;
 
 private:
-    struct Open {
+    struct OpenSegment {
         std::uint32_t number = 0;
         std::uint32_t bytes = 0;
     };
     RecordLocation append(Queue queue, std::uint32_t bytes) {
-        Open& open = open_[queue];
+        OpenSegment& open = open_[queue];
         if (open.number == 0 || open.bytes + bytes > catalog.options().segmentBytes) {
             if (open.number != 0) catalog.segmentSealed(open.number);
-            open = {++last_, 0};
+            open = {++lastSegment_, 0};
         }
         open.bytes += bytes;
         return {open.number, open.bytes - bytes, bytes};
     }
 
-    std::map<Queue, Open> open_;
-    std::uint32_t last_ = 0;
+    std::map<Queue, OpenSegment> open_;
+    std::uint32_t lastSegment_ = 0;
 };
 
 }  // namespace lotuslead::disk
