--- a/src/disk/caching_carrier.cpp
+++ b/src/disk/caching_carrier.cpp
@@ -56,7 +56,8 @@
 
 ClockReading CachingCarrier::clockReadingAt(Micros now) const { return {msOf(now), msOf(now + unixAhead_)}; }
 
-// Only what is read, and may be read from any copy.
+// Only requests for a named object, without a body and without side effects, whose class allows stored
+// copies.
 bool CachingCarrier::isCacheable(const core::Request& request) const {
     if (tier_ == nullptr || classes_ == nullptr || request.object.empty() || !request.body.empty())
         return false;
@@ -64,7 +65,8 @@
     return !c.neverKept && c.effect == Effect::safe && !c.streamed;
 }
 
-// Rounded down: a copy that is younger in whole milliseconds is younger.
+// The age limits are rounded down to milliseconds, so that a copy within the rounded limit is also within the
+// exact one.
 std::int64_t CachingCarrier::maxAgeMs(const core::Request& request, const core::Verdict& send) const {
     const ClassSettings& c = classes_->at(static_cast<std::size_t>(request.classIndex));
     std::int64_t maxAge = msOf(std::chrono::duration_cast<Micros>(c.freshFor));
@@ -108,7 +110,7 @@
     if (copy) {
         const std::string tag = traits_.tagFact ? factOf(copy->facts, traits_.tagFact) : std::string{};
         end.payload.unchanged = !tag.empty() && tag == request.known;
-        // On its link a tag costs a twentieth of the bytes.
+        // An answer that only confirms the client's tag costs a twentieth of the bytes on the link.
         const std::size_t bytes = end.payload.unchanged ? copy->body.size() / 20 : copy->body.size();
         if (pacer_.finishTime(now_, bytes) > request.deadline) {
             ++counters_.linkFull;
@@ -152,7 +154,8 @@
         fetches_.erase(at);
         const bool fetched = end.outcome == Outcome::served && !end.payload.unchanged && tier_ != nullptr;
         if (fetched && traits_.storable(fetch.key, end.payload)) {
-            // Lent, not copied: most are not taken.
+            // The payload is moved into the copy and back: most offers are rejected, and copying it each time
+            // would be wasted.
             Copy copy{end.payload.mintedMs, std::move(end.payload.facts), std::move(end.payload.body)};
             tier_->offer(clockReadingAt(now), fetch.key, fetch.rank, copy);
             end.payload.facts = std::move(copy.facts);
--- a/src/disk/caching_carrier.hpp
+++ b/src/disk/caching_carrier.hpp
@@ -1,5 +1,6 @@
-// The tier before a carrier: an attempt that a copy of the gateway's own can answer does not go out, and what
-// comes back is offered to the tier. Without a tier it passes everything on. Used on the loop's thread.
+// A carrier that wraps another one and caches on disk: it answers an attempt from the disk tier where a
+// usable copy is held, forwards it otherwise, and offers the answers that it receives to the tier. Without a
+// tier it forwards everything. Runs on the event loop's thread.
 #pragma once
 
 #include <functional>
@@ -15,15 +16,18 @@
 
 namespace lotuslead::disk {
 
+// `bus`: an event bus is configured.
 TierOptions tierOptions(const settings::DiskSettings& settings, bool bus);
 
-// What a front knows of its payloads.
+// How a front's payloads are cached.
 struct PayloadTraits {
-    std::function<bool(const Key&, const core::Payload&)> storable;  // may it be kept at all?
-    std::function<std::uint64_t(const Facts&)> version;              // as Tier::Users has it
-    const char* tagFact =
-        nullptr;  // the fact that `Request::known` is compared with; none: the front compares
-    bool datedByGatewayClock = false;  // copies are dated by this gateway's wall clock, not by their origin's
+    std::function<bool(const Key&, const core::Payload&)>
+        storable;                                        // whether the payload may be cached at all
+    std::function<std::uint64_t(const Facts&)> version;  // as Tier::Callbacks::version
+    const char* tagFact = nullptr;  // name of the fact that is compared with `Request::known`; null: the
+                                    // front compares by itself
+    bool datedByGatewayClock =
+        false;  // copies carry the date of this gateway's wall clock, not of their origin's
 };
 
 class CachingCarrier : public core::Carrier {
@@ -37,17 +41,18 @@
         : inner_(inner), unixAhead_(unixAhead), traits_(std::move(traits)) {}
 
     void listen(std::function<void(core::AttemptEnd)> ended) { ended_ = std::move(ended); }
-    // None: what is out goes on without it. `form`: what else a key must agree in.
+    // Without a tier (nullptr), attempts are forwarded.
     void attachTier(Tier* tier, const settings::DiskSettings& settings, const LinkPacer& pacer);
+    // `variant`: the value of Key::variant for objects that are fetched in parts.
     void reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t variant,
                      const LinkPacer& pacer);
 
     void send(Micros now, const core::Request& request, const core::Verdict& send) override;
     bool cancel(Micros now, RequestId request, int attempt) override;
-    // From the inner carrier.
+    // Called with each result of the inner carrier.
     void ended(Micros now, core::AttemptEnd end);
 
-    void turn(Micros now);  // reads that take too long are given up, and the attempt goes out
+    void turn(Micros now);  // gives up disk reads that exceed the read timeout and forwards their attempts
     Micros nextTurn() const;
     ClockReading clockReadingAt(Micros now) const;
     const PayloadTraits& traits() const { return traits_; }
@@ -55,7 +60,7 @@
 
 private:
     struct PendingLookup {
-        const core::Request* request;  // lives at least as long as the attempt is out
+        const core::Request* request;  // outlives the attempt
         core::Verdict send;
         Key key;
         std::uint64_t ticket = 0;
@@ -81,7 +86,7 @@
     std::uint64_t keyVariant_ = 0;
     Micros readTimeout_{};
     LinkPacer pacer_{0, 0};
-    Micros now_{};  // of the turn in hand
+    Micros now_{};  // time of the current call
     std::unordered_map<RequestId, PendingLookup> lookups_;
     std::multimap<Micros, RequestId> lookupDeadlines_;
     std::unordered_map<RequestId, PendingFetch> fetches_;
--- a/src/disk/file_calls.cpp
+++ b/src/disk/file_calls.cpp
@@ -54,7 +54,6 @@
     return all;
 }
 
-// Fewer bytes than asked for, without an error: the file ends there.
 IoResult readAll(FileCalls& calls, int fd, std::span<char> bytes, std::uint64_t at) {
     IoResult all;
     while (all.bytes < bytes.size()) {
--- a/src/disk/file_calls.hpp
+++ b/src/disk/file_calls.hpp
@@ -1,5 +1,5 @@
-// The calls on files that the tier makes, so that a test can have each of them fail. Used by the writer's and
-// the reader's threads; an object of it has no state of its own that two threads could meet in.
+// The file system calls of the disk tier, virtual so that a test can make each of them fail. Called from the
+// writer and the reader thread; FileCalls itself has no state, so that needs no lock.
 #pragma once
 
 #include <sys/types.h>
@@ -12,7 +12,7 @@
 
 namespace lotuslead::disk {
 
-// `error` is an errno; zero: it went well.
+// `error` is an errno value; zero means success.
 struct IoResult {
     std::size_t bytes = 0;
     int error = 0;
@@ -21,9 +21,9 @@
 class FileCalls {
 public:
     virtual ~FileCalls() = default;
-    // The descriptor in `bytes`.
+    // Returns the descriptor in `bytes`.
     [[nodiscard]] virtual IoResult open(const std::string& path, int flags);
-    // As pwrite and pread: fewer bytes than asked for are no error.
+    // Like pwrite and pread: a short count is not an error.
     [[nodiscard]] virtual IoResult write(int fd, std::span<const char> bytes, std::uint64_t at);
     [[nodiscard]] virtual IoResult read(int fd, std::span<char> bytes, std::uint64_t at);
     [[nodiscard]] virtual int sync(int fd);  // fdatasync
@@ -32,11 +32,12 @@
     [[nodiscard]] virtual int unlink(const std::string& path);
 };
 
-// Until all is done. Where it ends early `bytes` tells how much was.
+// Repeat the call until all bytes are transferred. After an error, `bytes` is the number transferred before
+// it. readAll returns a short count without an error at the end of the file.
 [[nodiscard]] IoResult writeAll(FileCalls& calls, int fd, std::span<const char> bytes, std::uint64_t at);
 [[nodiscard]] IoResult readAll(FileCalls& calls, int fd, std::span<char> bytes, std::uint64_t at);
 
-// A descriptor that closes itself.
+// Owns a file descriptor and closes it.
 class File {
 public:
     File() = default;
--- a/src/disk/folder.cpp
+++ b/src/disk/folder.cpp
@@ -77,7 +77,7 @@
 
 Folder::OpenResult Folder::open(Access access) {
     if (access == Access::read) return checkFormat(access);
-    if (::mkdir(path_.c_str(), 0750) != 0 && errno != EEXIST) return openFailure("make", path_, errno);
+    if (::mkdir(path_.c_str(), 0750) != 0 && errno != EEXIST) return openFailure("create", path_, errno);
     const std::string lockPath = pathOf("lock");
     const IoResult opened = calls_.open(lockPath, O_RDWR | O_CREAT);
     if (opened.error != 0) return openFailure("open", lockPath, opened.error);
@@ -101,7 +101,7 @@
         if (read.error != 0) return openFailure("read", path, read.error);
         text.resize(read.bytes);
         if (text == kFormat) return {};
-        // A crash right after the first start leaves it short; there is nothing else in the folder then.
+        // A crash during the first start leaves a short file; the folder then holds no segments yet.
         if (!(kFormat.starts_with(text) && access == Access::write && segments().empty()))
             return {path_ + " has a form that this version does not know"};
     } else if (opened.error != ENOENT) {
@@ -112,7 +112,7 @@
         return {path_ + " has segments but no file 'format'"};
     }
     const IoResult made = calls_.open(path, O_WRONLY | O_CREAT);
-    if (made.error != 0) return openFailure("make", path, made.error);
+    if (made.error != 0) return openFailure("create", path, made.error);
     const File file(static_cast<int>(made.bytes));
     const IoResult written = writeAll(calls_, file.get(), kFormat, 0);
     if (written.error != 0) return openFailure("write", path, written.error);
@@ -156,7 +156,7 @@
         std::string bytes(size, '\0');
         const bool whole = tableFd && readAll(calls_, tableFd.get(), bytes, 0).bytes == size;
         auto known = whole ? decodeTable(bytes, name.number) : std::nullopt;
-        // A table of a longer file tells of records that are no longer there.
+        // A table written for a longer file lists records that no longer exist.
         const bool fits =
             known && known->segmentBytes <= contents.fileBytes &&
             std::all_of(known->parts.begin(), known->parts.end(), [&](const Part& part) {
@@ -171,7 +171,7 @@
     }
     std::string head;
     while (contents.bytes + kRecordHeaderBytes <= contents.fileBytes) {
-        // Names are short as a rule: one read gets them with the head.
+        // The metadata is usually short: one read then returns it together with the header.
         constexpr std::size_t kFirstReadBytes = 512;
         head.resize(kFirstReadBytes);
         IoResult read = readAll(calls_, file.get(), head, contents.bytes);
@@ -194,11 +194,11 @@
     return contents;
 }
 
-// Under another name first: a table is whole, or it is not there.
+// Written under a temporary name and renamed, so that a table is either complete or absent.
 Problem Folder::writeTable(const SegmentTable& table, std::uint32_t number) {
     const std::string path = pathOf(tableFile(number)), temporaryPath = path + ".new";
     const IoResult opened = calls_.open(temporaryPath, O_WRONLY | O_CREAT | O_TRUNC);
-    if (opened.error != 0) return describeError("make", temporaryPath, opened.error);
+    if (opened.error != 0) return describeError("create", temporaryPath, opened.error);
     const File file(static_cast<int>(opened.bytes));
     const IoResult written = writeAll(calls_, file.get(), encodeTable(table, number), 0);
     if (written.error != 0) return describeError("write", temporaryPath, written.error);
@@ -210,7 +210,8 @@
 Problem Folder::removeSegment(const SegmentName& name) {
     const std::string path = pathOf(segmentFile(name));
     const int error = calls_.unlink(path);
-    // The table after it: without its segment it is nothing, and the other way round costs a walk.
+    // The table is removed after the segment: a table without its segment is ignored, while a segment without
+    // its table costs a scan at the next start.
     const int table = calls_.unlink(pathOf(tableFile(name.number)));
     if (error != 0 && error != ENOENT) return describeError("remove", path, error);
     if (table != 0 && table != ENOENT) return describeError("remove", pathOf(tableFile(name.number)), table);
@@ -247,12 +248,13 @@
         else
             loaded.entries.push_back(*entry);
     }
-    // A line that a crash left half-written was never acknowledged; more than that is damage, and stays to be
-    // seen until a floor has been written in its place.
+    // A partial entry at the end was never acknowledged and may be truncated. Anything more is damage: it
+    // stays in the file until a watermark has been written over it, so that a restart before then detects it
+    // again.
     loaded.damaged = read.bytes - bytes_ >= kPurgeEntryBytes;
     damaged_ = loaded.damaged;
     if (writes && bytes_ < size && !damaged_) {
-        if (const int error = calls_.truncate(file.get(), bytes_)) fail("cut", error);
+        if (const int error = calls_.truncate(file.get(), bytes_)) fail("truncate", error);
     }
     if (writes) file_ = std::move(file);
     return loaded;
@@ -267,7 +269,7 @@
     if (error == 0) error = calls_.sync(file_.get());
     if (error == 0) error = syncFolderIfDue();
     if (error != 0) {
-        // What comes next begins where this began, so a half line is never followed by a whole one.
+        // The next append starts at the same offset, so a partial entry is never followed by a complete one.
         if (!damaged_) (void)calls_.truncate(file_.get(), bytes_);
         return error;
     }
@@ -275,7 +277,7 @@
     const bool raisesWatermark = std::any_of(entries.begin(), entries.end(), [](const PurgeEntry& entry) {
         return entry.kind == PurgeEntry::Kind::watermark && entry.atMs > 0;
     });
-    // Where the rest can't be cut off the next start only drops its copies once more.
+    // If this truncation fails, the next start merely drops all copies once more.
     if (damaged_ && raisesWatermark) damaged_ = calls_.truncate(file_.get(), bytes_) != 0;
     return 0;
 }
@@ -291,7 +293,8 @@
     if (written.error != 0) return written.error;
     if (const int error = calls_.sync(file.get())) return error;
     if (const int error = calls_.rename(temporaryPath, path)) return error;
-    // From here on the name leads to the new file: whatever fails now, the replaced one is not written again.
+    // The name now refers to the new file: even if the sync below fails, nothing may be appended to the
+    // replaced one.
     file_ = std::move(file);
     bytes_ = bytes.size();
     damaged_ = false;
--- a/src/disk/folder.hpp
+++ b/src/disk/folder.hpp
@@ -1,11 +1,11 @@
-// The folder of a tier: who holds it, what is in it, and its purge log. Blocking calls; used by the writer's
-// thread and by the operators' tool, never on a loop's thread.
+// The folder of a disk tier: its lock, its segment files and its purge log. All calls block; they are made on
+// the writer thread and in the operators' tool, never on an event loop's thread.
 //
-//   format                  the form, in words; another form is not touched
-//   lock                    held (flock) by the one process that writes here
-//   purges                  marks, one behind the other
-//   NNNNNNNN.probation/main segments
-//   NNNNNNNN.table          of a sealed segment; can be made anew from it
+//   format                    layout version, as text; a folder of another version is not touched
+//   lock                      locked (flock) by the one process that writes here
+//   purges                    the purge log, a sequence of entries of fixed size
+//   NNNNNNNN.probation/.main  segments
+//   NNNNNNNN.table            index of a sealed segment; can be rebuilt from the segment
 #pragma once
 
 #include <cstdint>
@@ -28,23 +28,23 @@
 std::string segmentFile(const SegmentName& name);
 std::string tableFile(std::uint32_t number);
 
-// An error in words, with the path; empty: none.
+// The text of an error, with the path; empty means no error.
 using Problem = std::string;
 Problem describeError(const std::string& what, const std::string& path, int error);
-// Whether the same call may succeed later without anybody's doing: no room, a device that fails, no
-// descriptor.
+// Whether the same call may succeed later without a change by the operator: no space, a failing device, no
+// free descriptor.
 bool isTransient(int error);
 
 class Folder {
 public:
-    enum class Access { write, read };  // read: beside a process that writes, and changing nothing
+    enum class Access { write, read };  // read: changes nothing and may run beside a process that writes
 
     Folder(FileCalls& calls, std::string path) : calls_(calls), path_(std::move(path)) {}
 
     struct OpenResult {
         Problem problem;
-        bool busy = false;       // another process holds it
-        bool transient = false;  // it fails for a while
+        bool busy = false;       // another process holds the lock
+        bool transient = false;  // the error may go away by itself
         bool retryable() const { return busy || transient; }
     };
     [[nodiscard]] OpenResult open(Access access);
@@ -52,14 +52,15 @@
 
     const std::string& path() const { return path_; }
     std::string pathOf(const std::string& file) const { return path_ + "/" + file; }
-    [[nodiscard]] std::vector<SegmentName> segments() const;  // in the order of their numbers
-    [[nodiscard]] int syncFolder();                           // so that names are as lasting as their files
+    [[nodiscard]] std::vector<SegmentName> segments() const;  // sorted by number
+    [[nodiscard]] int syncFolder();  // makes created and renamed files durable under their names
 
-    // Reads what is in a segment: from its table, else by its heads up to the first that is no good.
+    // The parts in a segment: read from its table, or else by a scan of the record headers up to the first
+    // one that is damaged.
     struct SegmentContents {
         std::vector<Part> parts;
-        std::uint64_t bytes = 0;      // up to the end of the last whole head and its body
-        std::uint64_t fileBytes = 0;  // beyond `bytes`: a torn tail
+        std::uint64_t bytes = 0;      // up to the end of the last complete record
+        std::uint64_t fileBytes = 0;  // larger than `bytes` where the file ends with an incomplete record
         bool fromTable = false;
         Problem problem;
     };
@@ -76,23 +77,24 @@
     File lock_;
 };
 
-// The marks, lasting. Append and sync; written anew once most of it is out of date.
+// The durable log of purges. Entries are appended and synced; the log is rewritten once most of its entries
+// are obsolete.
 class PurgeLog {
 public:
     PurgeLog(FileCalls& calls, Folder& folder) : calls_(calls), folder_(folder) {}
 
     struct LoadResult {
         std::vector<PurgeEntry> entries;
-        std::optional<std::int64_t> busPosition;  // of the bus; none: no event of a bus was ever applied here
-        bool damaged = false;  // it ends in the middle, or is not as it was written: marks may be missing
+        std::optional<std::int64_t> busPosition;  // none: no event of a bus was ever applied to this folder
+        bool damaged = false;                     // an entry is damaged, so purges may be missing
         Problem problem;
-        bool retryable = false;  // the problem may pass
+        bool retryable = false;  // the error may go away by itself
     };
     [[nodiscard]] LoadResult load(Folder::Access access);
-    // After this the marks are on disk. A half-written line is cut off again.
+    // On success the entries are on disk. After a failed write the partial entry is truncated.
     [[nodiscard]] int append(const std::vector<PurgeEntry>& entries);
-    // Exactly these from now on. Where only the folder can't be synced the new file holds all the same, and
-    // no mark is acknowledged before that has been made up for.
+    // Replaces the log by these entries. If only the sync of the folder fails, the new file is still the one
+    // in use, and append() reports success again only after a later sync of the folder has succeeded.
     [[nodiscard]] int rewrite(const std::vector<PurgeEntry>& entries);
     std::uint64_t entryCount() const { return bytes_ / kPurgeEntryBytes; }
 
@@ -103,8 +105,9 @@
     Folder& folder_;
     File file_;
     std::uint64_t bytes_ = 0;
-    bool damaged_ = false;        // behind `bytes_` stands what could not be read
-    bool folderSyncDue_ = false;  // after a crash the name may still be the replaced file's
+    bool damaged_ = false;  // the file has unreadable data behind `bytes_`
+    bool folderSyncDue_ =
+        false;  // the rename is not yet synced: after a crash the name may refer to the replaced file
 };
 
 }  // namespace lotuslead::disk
--- a/src/disk/frequency_sketch.hpp
+++ b/src/disk/frequency_sketch.hpp
@@ -1,6 +1,5 @@
-// How often something was asked for lately, in little memory and about right: a count-min sketch of four rows
-// of 4-bit counters that are halved now and then (Einziger, Friedman and Manes, "TinyLFU", 2017, 3.2
-// and 3.3).
+// Estimates how often a key was requested recently: a count-min sketch of four rows of 4-bit counters that
+// are halved periodically (Einziger, Friedman and Manes, "TinyLFU", 2017, sections 3.2 and 3.3).
 #pragma once
 
 #include <algorithm>
@@ -15,7 +14,7 @@
 
 class FrequencySketch {
 public:
-    // Made for about so many different names; takes 8 bytes a name.
+    // Sized for about this many distinct keys; takes 2 to 4 bytes for each.
     explicit FrequencySketch(std::size_t distinctKeys)
         : columns_(std::bit_ceil(std::max<std::size_t>(distinctKeys, 64))),
           packedCounters_(columns_ * kRows / 16) {}
@@ -26,7 +25,8 @@
         if (least < kMaxCount)
             for (unsigned row = 0; row < kRows; ++row) {
                 const std::size_t at = counterIndex(fingerprint, row);
-                // Only the smallest are raised: the others are above the truth already.
+                // Conservative update: only the smallest counters are raised, since the others already
+                // overestimate.
                 if (counterAt(at) > least) continue;
                 packedCounters_[at / 16] += std::uint64_t{1} << (at % 16 * 4);
                 grew = true;
@@ -34,7 +34,7 @@
         if (grew && ++added_ >= 10 * columns_) halve();
     }
 
-    // Never under the truth since the last halving; 15 at most.
+    // Never less than the true count since the last halving, up to the maximum of 15.
     unsigned estimate(std::uint64_t fingerprint) const {
         unsigned least = kMaxCount;
         for (unsigned row = 0; row < kRows; ++row)
--- a/src/disk/ghost_queue.hpp
+++ b/src/disk/ghost_queue.hpp
@@ -1,5 +1,5 @@
-// Names that went not long ago: a FIFO of fingerprints without a list. Each has its number; one that lies
-// more than `capacity` numbers back counts as gone, and its place is taken by the next that needs one.
+// A ghost queue: the fingerprints of recently evicted parts, as a FIFO in a set-associative table. Each entry
+// has a sequence number; an entry more than `capacity` numbers old counts as removed, and its slot is reused.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +15,8 @@
 
 class GhostQueue {
 public:
-    // Takes about 11 to 21 bytes a name. Two names in four billion are taken for one another.
+    // Takes about 11 to 21 bytes for each entry. Two fingerprints are confused with a probability of about 1
+    // in 4 billion.
     explicit GhostQueue(std::size_t capacity)
         : capacity_(static_cast<std::uint32_t>(std::clamp<std::size_t>(capacity, 16, std::size_t{1} << 30))),
           buckets_(std::bit_ceil(std::size_t{capacity_} * 4 / 3 / kWays + 1)) {}
@@ -23,7 +24,7 @@
     void add(std::uint64_t fingerprint) {
         ++sequence_;
         Bucket& bucket = bucketOf(fingerprint);
-        // Its own place, else the one whose name went longest ago.
+        // The slot of this fingerprint, or else the oldest one of the bucket.
         Slot* slot = &bucket[0];
         for (Slot& s : bucket) {
             if (s.tag == tagOf(fingerprint)) {
@@ -35,7 +36,7 @@
         *slot = {tagOf(fingerprint), sequence_};
     }
 
-    // Tells whether it was there, and takes it out: it is admitted now.
+    // Returns whether the fingerprint was present, and removes it.
     bool takeIfPresent(std::uint64_t fingerprint) {
         for (Slot& s : bucketOf(fingerprint))
             if (s.tag == tagOf(fingerprint) && sequence_ - s.sequence < capacity_) {
@@ -51,7 +52,7 @@
 private:
     static constexpr std::size_t kWays = 4;
     struct Slot {
-        std::uint32_t tag = 0;  // zero: free
+        std::uint32_t tag = 0;  // zero: the slot is free
         std::uint32_t sequence = 0;
     };
     using Bucket = std::array<Slot, kWays>;
@@ -62,7 +63,7 @@
     Bucket& bucketOf(std::uint64_t fingerprint) { return buckets_[mix(fingerprint) & (buckets_.size() - 1)]; }
 
     std::uint32_t capacity_;
-    std::uint32_t sequence_ = 0;  // wraps around; differences stay right
+    std::uint32_t sequence_ = 0;  // wraps around; differences remain correct
     std::vector<Bucket> buckets_;
 };
 
--- a/src/disk/inspect.cpp
+++ b/src/disk/inspect.cpp
@@ -32,7 +32,7 @@
     return tombstones;
 }
 
-// A segment's file, kept open while its parts are read in a row.
+// Reads records; keeps the segment file of the last one open.
 class SegmentReader {
 public:
     SegmentReader(FileCalls& calls, const Folder& folder, const Survey& survey)
@@ -63,7 +63,7 @@
     File file_;
 };
 
-// Waits for the worker's next completions; `take` returns true to end it.
+// Passes the worker's completions to `take` until it returns true.
 template <class Take>
 void awaitCompletions(IoWorker& worker, Take take) {
     while (true) {
@@ -94,7 +94,7 @@
     std::unordered_map<std::uint64_t, Part> latest;
     for (const SegmentName& name : folder.segments()) {
         Folder::SegmentContents contents = folder.readSegment(name, tables);
-        // Beside a process a segment may go between the listing and the reading.
+        // A process that holds the folder may remove a segment between the listing and the read.
         if (!contents.problem.empty() && result.held && contents.fileBytes == 0) continue;
         Survey::Segment segment;
         segment.name = name;
@@ -161,7 +161,8 @@
         const auto addProblem = [&](const std::string& what) {
             if (result.problems.size() < kMaxProblems) result.problems.push_back(where + ": " + what);
         };
-        if (read.error == ENOENT && survey.held) continue;  // reclaimed meanwhile
+        if (read.error == ENOENT && survey.held)
+            continue;  // removed meanwhile by the process that holds the folder
         if (read.error != 0) {
             ++result.unreadable;
             addProblem(describeError("read", path, read.error));
@@ -180,7 +181,8 @@
 ChangeResult addPurges(FileCalls& calls, const std::string& path, const std::vector<PurgeEntry>& entries) {
     ChangeResult result;
     Folder folder(calls, path);
-    result.problem = folder.open(Folder::Access::read).problem;  // never makes a folder
+    result.problem = folder.open(Folder::Access::read)
+                         .problem;  // fails where there is no folder, which opening for writing would create
     if (!result.problem.empty()) return result;
     const Folder::OpenResult opened = folder.open(Folder::Access::write);
     result.problem = opened.problem;
@@ -228,7 +230,7 @@
     });
     if (damaged) result.problem = "the purge log of " + path + " is damaged; the next start drops all copies";
     if (!result.problem.empty()) return result;
-    // Each segment is dropped only after all that lives in it stands elsewhere.
+    // Each segment is removed only after its live parts have been rewritten.
     for (auto& [number, parts] : keep) {
         worker.rewrite({number, queues[number], std::move(parts)});
         awaitCompletions(worker, [&](Completion& completion) {
--- a/src/disk/inspect.hpp
+++ b/src/disk/inspect.hpp
@@ -1,5 +1,5 @@
-// Looking into the folder of a tier from outside, and changing it where no process holds it. Blocking; for
-// the operators' tool and for tests.
+// Offline access to the folder of a disk tier: inspecting it at any time, and changing it while no process
+// holds it. All calls block; for the operators' tool and for tests.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,8 @@
 namespace lotuslead::disk {
 
 struct Survey {
-    Problem problem;    // then nothing else holds
-    bool held = false;  // a process writes there now: the last segments are in the making
+    Problem problem;    // if set, the other fields are not valid
+    bool held = false;  // a process holds the folder now, and the last segments are still being written
     std::vector<PurgeEntry> entries;
     std::optional<std::int64_t> busPosition;
     bool logDamaged = false;
@@ -26,39 +26,40 @@
         Problem problem;
     };
     std::vector<Segment> segments;
-    std::vector<Part> live;  // what a start would serve: the latest copies that no mark covers for sure
+    std::vector<Part>
+        live;  // the latest copies, without those that a purge may cover: what a start would serve
     std::uint64_t superseded = 0, purged = 0;
 };
-// `tables`: trusts them; else each segment is walked.
+// `tables`: read the segment tables; otherwise scan each segment.
 [[nodiscard]] Survey survey(FileCalls& calls, const std::string& folder, bool tables);
 
 struct ListedPart {
     Key key;
     Part part;
     std::uint64_t bodyBytes = 0;
-    bool purged = false;  // by the marks, which know the whole name here
+    bool purged = false;  // by a purge, compared by the whole object fingerprint and group
 };
-// Each live part, segment by segment; false from `visit` ends it.
+// Visits each live part, segment by segment, until `visit` returns false.
 void listParts(FileCalls& calls, const std::string& folder, const Survey& survey,
                const std::function<bool(const ListedPart&)>& visit);
 
 struct VerifyResult {
     std::uint64_t records = 0, bytes = 0, damaged = 0, unreadable = 0;
-    std::vector<std::string> problems;  // the first ones, a line each
+    std::vector<std::string> problems;  // the first ones only
 };
-// Reads every live part whole and looks at its checksums.
+// Reads every live part and verifies its checksums.
 [[nodiscard]] VerifyResult verify(FileCalls& calls, const std::string& folder, const Survey& survey);
 
-// These need the folder for themselves. `busy`: a process holds it, and nothing was done.
+// The functions below need the folder's lock. `busy`: another process holds it, and nothing was changed.
 struct ChangeResult {
     Problem problem;
     bool busy = false;
-    std::uint64_t bytesBefore = 0, bytesAfter = 0;  // bytes of segments
+    std::uint64_t bytesBefore = 0, bytesAfter = 0;  // total size of the segment files
 };
-// The marks are on disk when it returns.
+// Appends purges to the log; they are on disk when it returns without a problem.
 [[nodiscard]] ChangeResult addPurges(FileCalls& calls, const std::string& folder,
                                      const std::vector<PurgeEntry>& entries);
-// Writes what lives into fresh segments and drops the rest.
+// Rewrites the live parts into new segments and drops everything else.
 [[nodiscard]] ChangeResult compact(FileCalls& calls, const std::string& folder, std::uint32_t segmentBytes);
 
 }  // namespace lotuslead::disk
--- a/src/disk/io_worker.cpp
+++ b/src/disk/io_worker.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr auto kPurgeLogRetryDelay = 100ms;  // after the purge log could not be written
+constexpr auto kPurgeLogRetryDelay = 100ms;  // after a failed write of the purge log
 
 }  // namespace
 
@@ -151,7 +151,7 @@
     return queuedBytes_;
 }
 
-// ----- the writer's thread -----
+// ----- writer thread -----
 
 void IoWorker::writeLoop() {
     opened_ = openFolder();
@@ -168,7 +168,7 @@
             lock.lock();
             continue;
         }
-        // Marks go before all else: an acknowledgement waits for them.
+        // Purges are written first: acknowledgements wait for them.
         if (!unwrittenPurges_.empty() || pendingRewrite_) {
             writePurges(lock);
             continue;
@@ -204,7 +204,8 @@
         result.retryable = log.retryable;
         result.entries = std::move(log.entries);
         result.busPosition = log.busPosition;
-        // A log that is new has a first line. Without it, it is not the one that belongs to these segments.
+        // A new log gets a first entry. An empty log beside segments is therefore not the log that belongs to
+        // them.
         result.empty = folder_.segments().empty();
         result.damaged = log.damaged || (log_.entryCount() == 0 && !result.empty);
         if (result.problem.empty() && log_.entryCount() == 0)
@@ -245,7 +246,7 @@
     post(LoadFinished{});
 }
 
-// Called with the lock held, which it lets go of while it writes.
+// Called with the lock held; releases it during the write.
 void IoWorker::writePurges(std::unique_lock<std::mutex>& lock) {
     std::vector<PurgeEntry> entries = std::exchange(unwrittenPurges_, {});
     std::optional<std::vector<PurgeEntry>> rewritten = std::exchange(pendingRewrite_, {});
@@ -253,12 +254,12 @@
     const std::uint64_t upTo = purgesQueued_;
     lock.unlock();
     int error = entries.empty() ? 0 : log_.append(entries);
-    // It holds all that was given before it.
+    // The rewrite contains all entries that were submitted before it; later ones are added here.
     if (error == 0 && rewritten) {
         rewritten->insert(rewritten->end(), entries.begin() + static_cast<std::ptrdiff_t>(held),
                           entries.end());
         error = log_.rewrite(*rewritten);
-        error = 0;  // the old log, or the new one, holds all that was given
+        error = 0;  // not a failure: either the old log or the new one holds all entries
     }
     PurgesPersisted result;
     if (error == 0)
@@ -272,7 +273,8 @@
     unwrittenPurges_.insert(unwrittenPurges_.begin(), entries.begin(), entries.end());
     if (pendingRewrite_) entriesInRewrite_ += entries.size();
     if (closing_) {
-        unwrittenPurges_.clear();  // they were never acknowledged, and the position stays behind them
+        unwrittenPurges_
+            .clear();  // they were never acknowledged, and the bus position in the log is before them
         return;
     }
     writerWakeup_.wait_for(lock, kPurgeLogRetryDelay, [this] { return closing_; });
@@ -283,7 +285,7 @@
     WriteResult written;
     Part part;
     if (!encodeRecord(job.key, *job.copy, record)) {
-        written.problem = "larger than a record may be";
+        written.problem = "the copy exceeds the size limits of a record";
     } else {
         part = decodeRecordHeader(std::span(record).first(record.size()))->part;
         written = writeRecord(job.queue, part, record);
@@ -297,7 +299,7 @@
     post(RecordAppended{part, job.queue, job.rank, job.bytes});
 }
 
-// Record by record, with the marks in between: a purge does not wait for a segment's worth of copying.
+// Purges are written between records, so that they do not wait for the copying of a whole segment.
 void IoWorker::execute(RewriteJob& job) {
     Problem problem;
     const std::shared_ptr<File> from = files_.get(job.segment);
@@ -311,7 +313,7 @@
         record.resize(part.location.bytes);
         const IoResult read =
             from ? readAll(calls_, from->get(), record, part.location.offset) : IoResult{0, ENOENT};
-        // What is damaged is not handed on; it goes with its segment.
+        // Damaged records are not rewritten; they are removed with their segment.
         if (read.error != 0 || read.bytes != record.size() || !decodeRecord(record)) continue;
         WriteResult written = writeRecord(job.targetQueue, part, record);
         if (!written.problem.empty()) {
@@ -349,8 +351,8 @@
     int error = written.error;
     if (error == 0 && options_.sync == SyncPolicy::each) error = calls_.sync(segment.file->get());
     if (error != 0) {
-        // The next record begins where this one did. If the rest can't be cut off, it is written over, or
-        // left as a torn tail.
+        // The next record starts at the same offset. If the truncation fails, the partial record is
+        // overwritten, or stays as a torn tail.
         (void)calls_.truncate(segment.file->get(), segment.bytes);
         return {{}, describeError("write", path, error)};
     }
@@ -366,7 +368,7 @@
     segment.name = {nextSegment_, queue};
     const std::string path = folder_.pathOf(segmentFile(segment.name));
     const IoResult opened = calls_.open(path, O_RDWR | O_CREAT | O_EXCL);
-    if (opened.error != 0) return describeError("make", path, opened.error);
+    if (opened.error != 0) return describeError("create", path, opened.error);
     ++nextSegment_;
     segment.file = std::make_shared<File>(static_cast<int>(opened.bytes));
     files_.add(segment.name.number, segment.file);
@@ -385,7 +387,7 @@
     post(SegmentSealed{segment.name.number, std::move(problem)});
 }
 
-// ----- the reader's thread -----
+// ----- reader thread -----
 
 void IoWorker::readLoop() {
     std::unique_lock lock(mutex_);
@@ -403,7 +405,7 @@
 ReadDone IoWorker::readOne(const ReadJob& job) {
     ReadDone done{job.ticket, job.fingerprint, job.location, {}, false, {}};
     const std::shared_ptr<File> file = files_.get(job.location.segment);
-    // Kept from read to read: clearing a fresh one costs as much as the checksum.
+    // Reused between reads: zeroing a new buffer costs as much as the checksum.
     if (readBuffer_.size() < job.location.bytes) readBuffer_.resize(job.location.bytes);
     const std::span<char> record = std::span(readBuffer_).first(job.location.bytes);
     const IoResult read =
--- a/src/disk/io_worker.hpp
+++ b/src/disk/io_worker.hpp
@@ -1,6 +1,6 @@
-// The two threads of a tier that touch files. The writer owns the folder, open segments and the purge log;
-// the reader only reads records of segments. Neither decides anything: what they did is told in completions,
-// which the loop's thread takes when `wakeDescriptor` turns readable.
+// The file I/O of the disk tier, on two threads. The writer owns the folder, the open segments and the purge
+// log; the reader only reads records. Neither makes decisions: results are reported as completions, which the
+// event loop's thread collects when `wakeDescriptor` becomes readable.
 #pragma once
 
 #include <condition_variable>
@@ -19,18 +19,19 @@
 
 namespace lotuslead::disk {
 
-// When a record is made to last. What was not synced may be lost or torn by a power failure, never wrong.
+// When records are synced: never, when their segment is sealed, or each one. Unsynced records may be lost or
+// torn by a power failure, which their checksums detect.
 enum class SyncPolicy : std::uint8_t { never, sealed, each };
 
 struct IoWorkerOptions {
     std::uint32_t segmentBytes = std::uint32_t{64} << 20;
-    std::uint64_t queueBytes = std::uint64_t{32} << 20;  // of records that wait for the writer
-    std::size_t maxQueuedReads = 64;                     // that wait for the reader
+    std::uint64_t queueBytes = std::uint64_t{32} << 20;  // limit for records that wait for the writer
+    std::size_t maxQueuedReads = 64;                     // limit for reads that wait for the reader
     SyncPolicy sync = SyncPolicy::sealed;
-    bool tables = true;  // are written and read: the checkpoint
+    bool tables = true;  // write and use segment tables
 };
 
-// ----- what is asked for -----
+// ----- jobs -----
 
 struct AppendJob {
     Key key;
@@ -39,7 +40,7 @@
     int rank = 0;
     std::uint64_t bytes = 0;
 };
-struct RewriteJob {  // the parts of a segment that stay; then Rewritten is told
+struct RewriteJob {  // rewrites the survivors of a segment and then reports SegmentRewritten
     std::uint32_t segment = 0;
     Queue targetQueue = Queue::main;
     std::vector<Part> survivors;
@@ -53,16 +54,16 @@
     RecordLocation location;
 };
 
-// ----- what is told -----
+// ----- completions -----
 
-struct FolderOpened {  // first of all, or again after each attempt to open it
+struct FolderOpened {  // the first completion, and one for each further attempt to open the folder
     Problem problem;
-    bool busy = false;       // another process holds it
-    bool retryable = false;  // it is held, or fails for a while
+    bool busy = false;       // another process holds the lock
+    bool retryable = false;  // the lock is held, or the error may go away by itself
     std::vector<PurgeEntry> entries;
     std::optional<std::int64_t> busPosition;
-    bool damaged = false;  // marks may be missing
-    bool empty = false;    // no segment is there
+    bool damaged = false;  // purges may be missing
+    bool empty = false;    // the folder has no segments
 };
 struct SegmentLoaded {
     SegmentName name;
@@ -76,7 +77,7 @@
     Part part;
     Queue queue = Queue::probation;
     int rank = 0;
-    std::uint64_t bytes = 0;  // of the job
+    std::uint64_t bytes = 0;  // size of the job, as it was queued
 };
 struct AppendFailed {
     std::uint64_t bytes = 0;
@@ -84,7 +85,7 @@
 };
 struct SegmentSealed {
     std::uint32_t segment = 0;
-    Problem problem;  // of its table, or its sync
+    Problem problem;  // of writing its table, or of its sync
 };
 struct RecordMoved {
     std::uint64_t fingerprint = 0;
@@ -99,8 +100,8 @@
     std::uint32_t segment = 0;
     Problem problem;
 };
-struct PurgesPersisted {  // all up to this number are on disk; with a problem: they are not, and it is tried
-                          // again
+struct PurgesPersisted {  // all purges up to this number are on disk; with a problem, they are not yet, and
+                          // the write is retried
     std::uint64_t upTo = 0;
     Problem problem;
 };
@@ -108,14 +109,14 @@
     std::uint64_t ticket = 0, fingerprint = 0;
     RecordLocation location;
     std::optional<std::pair<Key, Copy>> record;
-    bool torn = false;  // it was read, and is not as it was written
+    bool torn = false;  // the record was read, but it is incomplete or damaged
     Problem problem;
 };
 using Completion =
     std::variant<FolderOpened, SegmentLoaded, LoadFinished, RecordAppended, AppendFailed, SegmentSealed,
                  RecordMoved, SegmentRewritten, SegmentRemoved, PurgesPersisted, ReadDone>;
 
-// A map of the files in use, for both threads. A file that is removed stays readable to who holds it.
+// The open segment files, shared by both threads. A removed file stays readable to whoever still holds it.
 class SegmentFiles {
 public:
     void add(std::uint32_t number, std::shared_ptr<File> file);
@@ -130,27 +131,28 @@
 
 class IoWorker {
 public:
-    // `calls` outlives it. The threads begin at once with opening the folder.
+    // `calls` must outlive the worker. The threads start at once by opening the folder.
     IoWorker(FileCalls& calls, std::string folder, const IoWorkerOptions& options);
-    // Ends both threads; see close().
     ~IoWorker();
 
     int wakeDescriptor() const { return completionEvent_.get(); }
     std::vector<Completion> completions();
 
-    // From the loop's thread; none of these blocks on the disk. False: no room, and nothing is done.
+    // To be called on the event loop's thread; none of these blocks on the disk. False means that the queue
+    // is full and the job was not accepted.
     [[nodiscard]] bool append(AppendJob job);
     [[nodiscard]] bool read(ReadJob job);
     void rewrite(RewriteJob job);
     void remove(RemoveJob job);
-    // Numbered from 1; `all`: what a rewritten log would hold, where it is time for that.
+    // Returns the number of the last entry; entries are numbered from 1.
     std::uint64_t appendPurges(std::vector<PurgeEntry> entries);
+    // Replaces the log by these entries and those that are submitted later.
     void rewritePurgeLog(std::vector<PurgeEntry> all);
-    void retryOpen();  // where the folder was busy
-    // Writes what is queued, seals the open segments and lets go of the folder; both threads end by
+    void retryOpen();  // after a failed attempt to open the folder
+    // Writes the queued jobs, seals the open segments and releases the folder; both threads then end by
     // themselves.
     void beginClose();
-    // As that, and waits for it: blocks for as long as the disk takes.
+    // As beginClose(), and waits for both threads; blocks for as long as the disk takes.
     void close();
 
     std::uint64_t queuedBytes() const;
@@ -189,22 +191,23 @@
     File completionEvent_;
     SegmentFiles files_;
 
-    // The writer's own.
+    // Used by the writer thread only.
     std::map<Queue, OpenSegment> open_;
-    std::map<std::uint32_t, Queue> segmentQueues_;  // segments there are
+    std::map<std::uint32_t, Queue> segmentQueues_;  // of all segments in the folder
     std::uint32_t nextSegment_ = 1;
     bool opened_ = false;
 
-    std::string readBuffer_;  // the reader's own; as large as the largest record read
+    std::string readBuffer_;  // used by the reader thread only; as large as the largest record read so far
 
-    mutable std::mutex mutex_;  // of all below
+    mutable std::mutex mutex_;  // guards the members below
     std::condition_variable writerWakeup_, readerWakeup_;
     std::deque<Job> jobs_;
     std::uint64_t queuedBytes_ = 0;
     std::vector<PurgeEntry> unwrittenPurges_;
     std::uint64_t purgesQueued_ = 0;
     std::optional<std::vector<PurgeEntry>> pendingRewrite_;
-    std::size_t entriesInRewrite_ = 0;  // so many of `marks_` are in it
+    std::size_t entriesInRewrite_ =
+        0;  // the first entries of `unwrittenPurges_`, which the rewrite already contains
     std::deque<ReadJob> reads_;
     std::vector<Completion> completions_;
     bool retryOpen_ = false, closing_ = false;
--- a/src/disk/link_pacer.hpp
+++ b/src/disk/link_pacer.hpp
@@ -1,5 +1,6 @@
-// The gateway's own link: one transfer runs at a pace at most, and all share the link in the order of their
-// answers (PROTOCOL, copies of its own). It says when an answer that is given now would be over. No clock.
+// Models the gateway's outgoing link: each transfer has a maximum rate, and all transfers share the link in
+// the order of their answers (PROTOCOL, copies of its own). Computes when an answer that starts now would be
+// complete. Reads no clock.
 #pragma once
 
 #include <algorithm>
@@ -12,15 +13,16 @@
 public:
     using Micros = std::chrono::microseconds;
 
-    // Bytes a second; zero: no bound.
+    // A rate of zero means no limit.
     LinkPacer(double flowBytesPerSecond, double linkBytesPerSecond)
         : flowBytesPerSecond_(flowBytesPerSecond), linkBytesPerSecond_(linkBytesPerSecond) {}
 
+    // When a transfer that starts now would be complete.
     Micros finishTime(Micros now, std::size_t bytes) const {
         return std::max({now + transferTime(bytes, flowBytesPerSecond_),
                          std::max(now, freeAt_) + transferTime(bytes, linkBytesPerSecond_)});
     }
-    // The answer is given.
+    // Records that an answer of this size starts now.
     void reserve(Micros now, std::size_t bytes) {
         freeAt_ = std::max(now, freeAt_) + transferTime(bytes, linkBytesPerSecond_);
     }
--- a/src/disk/part_index.cpp
+++ b/src/disk/part_index.cpp
@@ -14,7 +14,7 @@
 __extension__ using Wide = unsigned __int128;
 }
 
-// The upper bits, scaled: any number of places will do, not only powers of two.
+// Maps the fingerprint to a slot by its upper bits, so that the table size need not be a power of two.
 std::size_t PartIndex::homeSlot(std::uint64_t fingerprint) const {
     return static_cast<std::size_t>((static_cast<Wide>(fingerprint) * table_.size()) >> 64);
 }
@@ -45,7 +45,8 @@
     return id;
 }
 
-// Those behind it move up, so that a search never meets a hole before what it seeks (Knuth, vol. 3, 6.4 R).
+// Backward-shift deletion: later entries move up, so that no search ends at a hole before its entry (Knuth,
+// vol. 3, 6.4, algorithm R).
 void PartIndex::erase(Id id) {
     std::size_t hole = homeSlot(node(id).part.fingerprint);
     while (table_[hole] != id) hole = hole + 1 == table_.size() ? 0 : hole + 1;
@@ -55,7 +56,7 @@
         if (table_[at] == kNone) break;
         const std::size_t wanted = homeSlot(node(table_[at]).part.fingerprint);
         const std::size_t fromWanted = (at + size - wanted) % size, fromHole = (at + size - hole) % size;
-        if (fromWanted < fromHole) continue;  // its own way begins behind the hole
+        if (fromWanted < fromHole) continue;  // its probe sequence starts after the hole
         table_[hole] = table_[at];
         hole = at;
     }
--- a/src/disk/part_index.hpp
+++ b/src/disk/part_index.hpp
@@ -1,6 +1,6 @@
-// Where each part is: a table without names. A part is known by a fingerprint of 64 bits; its full key stands
-// in its record only and is compared when that is read. 54 bytes a part at most, all of it taken at the
-// start, so no insertion ever moves the table.
+// The in-memory index of cached parts: an open-addressing hash table from fingerprints of 64 bits to record
+// locations. The full key is only in the record and is compared when the record is read. Takes at most 54
+// bytes for each part; the table is allocated at the start, so that no insertion causes a rehash.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,7 @@
 
 namespace lotuslead::disk {
 
-// Bytes of one segment's file.
+// The byte range of a record within a segment file.
 struct RecordLocation {
     std::uint32_t segment = 0;
     std::uint32_t offset = 0;
@@ -20,13 +20,13 @@
 };
 
 struct Part {
-    std::uint64_t fingerprint = 0;  // of object, class, part and form
-    std::int64_t createdMs = 0;     // Unix milliseconds: it is of then or later
-    std::uint32_t object = 0;       // the upper half of the object's fingerprint; for sweeping only
-    std::uint32_t group = 0;        // the group folded; for sweeping only
+    std::uint64_t fingerprint = 0;  // of object, class, part and variant
+    std::int64_t createdMs = 0;     // Unix milliseconds: the copy is of this time or later
+    std::uint32_t object = 0;       // objectHash32 of the object; for purge sweeps only
+    std::uint32_t group = 0;        // groupHash32 of the group; for purge sweeps only
     RecordLocation location;
-    std::uint8_t uses = 0;  // since it was written, 3 at most
-    bool occupied = false;  // the index's own: its place there is taken
+    std::uint8_t uses = 0;  // reads since it was written, 3 at most
+    bool occupied = false;  // set by the index: the node is in use
 };
 
 class PartIndex {
@@ -37,16 +37,16 @@
     explicit PartIndex(std::size_t maxParts);
 
     [[nodiscard]] Id find(std::uint64_t fingerprint) const;
-    // The part must not be there. kNone: the table is full.
+    // The part must not be present yet. Returns kNone when the index is full.
     [[nodiscard]] Id insert(const Part& part);
     void erase(Id id);
     Part& at(Id id) { return node(id).part; }
     const Part& at(Id id) const { return node(id).part; }
-    // What may be there or not, for a walk over all in slices.
+    // For an incremental scan over all ids up to end(), of which some are unused.
     bool isOccupied(Id id) const { return id < usedNodes_ && node(id).part.occupied; }
     Id end() const { return usedNodes_; }
 
-    // A row of parts, such as those of one segment: the caller holds its first.
+    // Intrusive lists of parts, such as those of one segment; the caller holds the id of the first.
     void link(Id& first, Id id);
     void unlink(Id& first, Id id);
     Id nextInList(Id id) const { return node(id).next; }
@@ -67,10 +67,10 @@
     std::size_t homeSlot(std::uint64_t fingerprint) const;
 
     std::size_t maxParts_;
-    std::vector<Id> table_;  // linear probing; 3/4 full at most
+    std::vector<Id> table_;  // linear probing; load factor at most 3/4
     std::vector<std::unique_ptr<Node[]>> chunks_;
     std::size_t size_ = 0;
-    Id usedNodes_ = 0, firstFree_ = kNone;  // nodes once used; the first of the free ones
+    Id usedNodes_ = 0, firstFree_ = kNone;  // number of nodes ever used; head of the free list
 };
 
 }  // namespace lotuslead::disk
--- a/src/disk/purge_tombstones.cpp
+++ b/src/disk/purge_tombstones.cpp
@@ -50,7 +50,8 @@
     }
 }
 
-// The oldest eighth goes, and the floor rises to the youngest of it: dropped copies, never a stale one.
+// Drops the oldest eighth of the purges and raises the watermark to the latest of them. This may drop copies
+// that are still valid, but never serves a stale one.
 template <class Table>
 void PurgeTombstones::enforceLimit(Table& table) {
     if (table.size() <= maxEntries_) return;
@@ -83,7 +84,8 @@
     started_ = true;
     StartResult result;
     if (!options.bus) {
-        result.raiseWatermark = loggedPosition.has_value();  // a bus that we can't ask may have told purges
+        result.raiseWatermark =
+            loggedPosition.has_value();  // a bus that is no longer configured may have published purges
     } else if (!options.keepsPositions || !loggedPosition) {
         result.raiseWatermark = true;
     } else if (!position_ || *position_ != *loggedPosition) {
@@ -98,8 +100,8 @@
                                      std::span<const std::int64_t> eventNumbers, bool complete) {
     bool missing = false;
     if (resumeFrom_) {
-        if (from > *resumeFrom_) return false;  // asked before it was known how far back to go
-        missing = last < *resumeFrom_;          // another bus
+        if (from > *resumeFrom_) return false;  // the batch was requested before the reader went back
+        missing = last < *resumeFrom_;          // event numbers are behind ours: this is another bus
         resumeFrom_.reset();
     } else if (position_ && from > *position_) {
         missing = true;
--- a/src/disk/purge_tombstones.hpp
+++ b/src/disk/purge_tombstones.hpp
@@ -1,5 +1,5 @@
-// Which copies are too old: what purges have said, and what could not be proved. No I/O and no clock; used on
-// the loop's thread.
+// Decides which copies are invalidated by purges, and whether all purges are known. No I/O and no clock; used
+// on the event loop's thread.
 #pragma once
 
 #include <cstddef>
@@ -10,27 +10,31 @@
 
 namespace lotuslead::disk {
 
-// One line of the purge log.
+// One entry of the purge log: a purge of an object or a group, a watermark (everything up to its time is
+// purged), or the position on the event bus up to which purges are applied. The values are stored on disk.
 struct PurgeEntry {
     enum class Kind : std::uint8_t { object = 1, group = 2, watermark = 3, busPosition = 4 };
     Kind kind = Kind::watermark;
-    std::uint64_t target = 0;  // the object's fingerprint, or the group
-    std::int64_t atMs = 0;     // Unix milliseconds; position: the last event of the bus that was applied
+    std::uint64_t target = 0;  // the object's fingerprint, or the number of the group
+    std::int64_t atMs =
+        0;  // Unix milliseconds; for busPosition, the number of the last event that was applied
     bool operator==(const PurgeEntry&) const = default;
 };
 
+// The purges that copies on disk are checked against, bounded in number.
 class PurgeTombstones {
 public:
-    // At most so many objects and as many groups are told apart. `slackMs`: a copy must be younger than a
-    // mark by more than this, since the clocks of two machines differ.
+    // Holds at most `maxEntries` objects and as many groups. `clockSkewMs`: a copy must be newer than a purge
+    // by more than this, since the clocks of two machines differ.
     PurgeTombstones(std::size_t maxEntries, std::int64_t clockSkewMs)
         : maxEntries_(maxEntries), clockSkewMs_(clockSkewMs) {}
 
-    // Positions are passed over.
+    // Entries of kind busPosition are ignored.
     void add(const PurgeEntry& entry);
-    // Whether a copy of then may be older than a purge.
+    // Whether a copy of this time may be older than a purge that applies to it.
     [[nodiscard]] bool covers(std::uint64_t object, std::int64_t group, std::int64_t createdMs) const;
-    // As that by the folded names of an index, which may take one name for another: never too few.
+    // Like covers(), by the 32-bit hashes that an index holds. Collisions give false positives, never false
+    // negatives.
     [[nodiscard]] bool mayCover(std::uint32_t object, std::uint32_t group, std::int64_t createdMs) const;
 
     std::int64_t watermarkMs() const { return watermarkMs_; }
@@ -53,50 +57,53 @@
 
     std::size_t maxEntries_;
     std::int64_t clockSkewMs_;
-    std::int64_t watermarkMs_ = 0;  // zero: none
+    std::int64_t watermarkMs_ = 0;  // zero: no watermark
     std::unordered_map<std::uint64_t, std::int64_t> objects_;
     std::unordered_map<std::int64_t, std::int64_t> groups_;
-    // The same by the halves that an index holds: the youngest of those that share one.
+    // The same purges by 32-bit hash, as an index holds it; on a collision the latest purge is kept.
     std::unordered_map<std::uint32_t, std::int64_t> objectsByHash_, groupsByHash_;
 };
 
+// The hashes of an object's fingerprint and of a group that a PartIndex holds.
 std::uint32_t objectHash32(std::uint64_t object);
 std::uint32_t groupHash32(std::int64_t group);
 
-// Whether all purges up to now are known, also those told while no process held the folder.
+// Tracks whether all purges up to now are known, including those published on the event bus while no process
+// held the folder.
 class PurgeFeedTracker {
 public:
     struct Options {
-        bool bus = false;               // there is one
-        bool keepsPositions = false;    // its numbers hold across our starts
-        std::int64_t maxSilenceMs = 0;  // unheard for so long, it may have told what we don't know
+        bool bus = false;               // an event bus is configured
+        bool keepsPositions = false;    // event numbers remain valid across restarts of the gateway
+        std::int64_t maxSilenceMs = 0;  // after a longer silence of the bus, purges may have been missed
     };
     struct StartResult {
-        bool raiseWatermark = false;             // what is held can't be proved
-        std::optional<std::int64_t> resumeFrom;  // the reader must go back to here
+        bool raiseWatermark = false;             // the copies on disk may have missed purges
+        std::optional<std::int64_t> resumeFrom;  // the bus reader must go back to this event number
     };
 
-    // `logged`: the position in the purge log; none: no bus has ever been applied to this folder.
+    // `loggedPosition`: the bus position in the purge log; none if no event was ever applied to this folder.
     [[nodiscard]] StartResult start(Options options, std::optional<std::int64_t> loggedPosition);
-    // A batch asked for from behind `from` had these numbers and ended at `last`. True: events are missing,
-    // and the floor must rise. `nowMs` is monotonic, in milliseconds. Not `complete`: the bus has more to
-    // tell, so that nothing is proved before that has come.
+    // A batch of the events after `from` had these numbers and ended at `last`. Returns true when events are
+    // missing, so that the watermark must be raised. `nowMs` is monotonic. If not `complete`, the bus has
+    // more events, and the state is not current before they have been received.
     [[nodiscard]] bool batchReceived(std::int64_t nowMs, std::int64_t from, std::int64_t last,
                                      std::span<const std::int64_t> eventNumbers, bool complete = true);
-    // Whether there is a bus, and its silence, from now on.
     void reconfigure(bool bus, std::int64_t maxSilenceMs) {
         options_.bus = bus;
         options_.maxSilenceMs = maxSilenceMs;
     }
 
+    // Whether copies may be served: no purge can have been missed.
     [[nodiscard]] bool isCurrent(std::int64_t nowMs) const;
-    // Up to which all is known; none while the reader has yet to go back.
+    // The event number up to which all purges are known; none until the reader has gone back as start()
+    // requested.
     std::optional<std::int64_t> position() const { return resumeFrom_ ? std::nullopt : position_; }
 
 private:
     Options options_;
-    std::optional<std::int64_t> resumeFrom_;  // what is behind this must be told first
-    std::optional<std::int64_t> position_;    // applied
+    std::optional<std::int64_t> resumeFrom_;  // events after this number must be received first
+    std::optional<std::int64_t> position_;    // number of the last event that was applied
     std::optional<std::int64_t> lastHeardMs_;
     bool started_ = false;
 };
--- a/src/disk/record.cpp
+++ b/src/disk/record.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-static_assert(std::endian::native == std::endian::little, "records are written as they lie in memory");
+static_assert(std::endian::native == std::endian::little,
+              "records are written in host byte order, which must be little-endian");
 
 constexpr std::uint32_t kRecordMagic = 0x31544c4c;  // "LLT1"
 constexpr std::uint32_t kPurgeEntryMagic = 0x314d4c4c;
@@ -27,7 +28,7 @@
     out.append(bytes, sizeof number);
 }
 
-// Takes from the front; false where too little is left.
+// Reads numbers and texts in sequence; false where too few bytes are left.
 class Reader {
 public:
     explicit Reader(std::span<const char> bytes) : rest_(bytes.data(), bytes.size()) {}
@@ -51,7 +52,7 @@
     std::string_view rest_;
 };
 
-// As it lies in the file. `headSum` covers what is before it, and the names.
+// The header as it is in the file. `headerChecksum` covers the fields before it and the metadata.
 struct FixedHeader {
     std::uint32_t magic = kRecordMagic;
     std::uint32_t metadataBytes = 0, bodyBytes = 0, reserved = 0;
--- a/src/disk/record.hpp
+++ b/src/disk/record.hpp
@@ -1,6 +1,7 @@
-// The form of a record: a head of fixed size, names and facts, then the body. Head and body have each a
-// checksum (XXH3, 64 bits), so that a segment can be walked by its heads, and no body is served unread. All
-// numbers are little-endian. Functions without state: any thread may call them.
+// The binary format of records, purge log entries and segment tables. A record is a header of fixed size,
+// metadata (names and facts) and the body. Header and body each have a checksum (XXH3, 64 bits), so that a
+// segment can be scanned by its headers, and no body is served unverified. All numbers are little-endian. The
+// functions have no state and may be called on any thread.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +18,7 @@
 
 namespace lotuslead::disk {
 
-// What a copy is found by. `form`: what else must agree, such as the size of parts.
+// Identifies a cached copy. `variant`: what else must be equal, such as the size of the parts.
 struct Key {
     std::string object;
     std::string className;
@@ -25,49 +26,51 @@
     std::int64_t part = 0;
     std::uint64_t variant = 0;
 
-    std::uint64_t fingerprint() const;        // of all but the group
-    std::uint64_t objectFingerprint() const;  // what marks on it go by
+    std::uint64_t fingerprint() const;        // of all fields except the group
+    std::uint64_t objectFingerprint() const;  // by which purges name it
     bool operator==(const Key&) const = default;
 };
 
+// Names and values that a front keeps with a copy, such as header fields.
 using Facts = std::vector<std::pair<std::string, std::string>>;
 
 struct Copy {
-    std::int64_t createdMs = 0;  // Unix milliseconds: it is of then or later
+    std::int64_t createdMs = 0;  // Unix milliseconds: the copy is of this time or later
     Facts facts;
     std::string body;
 };
 
-inline constexpr std::size_t kRecordHeaderBytes = 80;        // bytes that are always there
-inline constexpr std::size_t kMaxMetadataBytes = 64 * 1024;  // bytes of names and facts
+inline constexpr std::size_t kRecordHeaderBytes = 80;
+inline constexpr std::size_t kMaxMetadataBytes = 64 * 1024;
 inline constexpr std::uint32_t kMaxBodyBytes = 64U << 20;
 
-// Bytes that the record of this copy takes.
+// The size of the record of this copy.
 std::size_t recordBytes(const Key& key, const Copy& copy);
-// Nothing where names and facts, or the body, are larger than a record holds.
+// Appends the record to `out`. False where the metadata or the body exceeds its limit.
 [[nodiscard]] bool encodeRecord(const Key& key, const Copy& copy, std::string& out);
 
-// What a head tells without its names.
+// The decoded header of a record.
 struct RecordHeader {
-    Part part;                        // its place has no segment and no offset yet
-    std::uint32_t metadataBytes = 0;  // between head and body
+    Part part;                        // its location has no segment and no offset yet
+    std::uint32_t metadataBytes = 0;  // between header and body
 };
-// From the head and the names behind it; nothing where either is not as it was written.
+// Decode the header and the metadata behind it. No value where either fails its checksum; metadataBytesOf
+// reads only the fixed fields.
 [[nodiscard]] std::optional<std::uint32_t> metadataBytesOf(std::span<const char> head);
 [[nodiscard]] std::optional<RecordHeader> decodeRecordHeader(std::span<const char> headerAndMetadata);
-// Whose it is, from the head and the names behind it.
+// The key, from the header and the metadata behind it.
 [[nodiscard]] std::optional<Key> decodeRecordKey(std::span<const char> headerAndMetadata);
-// The whole record; nothing where any byte of it is not as it was written.
+// Decodes a whole record; no value where any checksum fails.
 [[nodiscard]] std::optional<std::pair<Key, Copy>> decodeRecord(std::span<const char> record);
 
-// A line of the purge log has a fixed size and a checksum of its own.
+// Each purge log entry has this size, including its own checksum.
 inline constexpr std::size_t kPurgeEntryBytes = 32;
 void encodePurgeEntry(const PurgeEntry& entry, std::string& out);
 [[nodiscard]] std::optional<PurgeEntry> decodePurgeEntry(std::span<const char> bytes);
 
-// The table of a sealed segment: the checkpoint of its part of the index.
+// The table of a sealed segment: a checkpoint of its entries in the index.
 struct SegmentTable {
-    std::uint64_t segmentBytes = 0;  // of the file that it describes
+    std::uint64_t segmentBytes = 0;  // size of the segment file that it describes
     std::vector<Part> parts;
 };
 std::string encodeTable(const SegmentTable& table, std::uint32_t segment);
--- a/src/disk/segment_catalog.cpp
+++ b/src/disk/segment_catalog.cpp
@@ -7,8 +7,9 @@
 namespace {
 
 constexpr std::uint8_t kMaxUses = 3;
-constexpr unsigned kPopularEstimate = 3;  // times asked for lately, by the sketch
-// Segments that may be open or under rewriting besides those that are full: one a queue, and one to move to.
+constexpr unsigned kPopularEstimate = 3;  // recent requests, as estimated by the sketch
+// Space kept free for segments that are not full yet: one open segment for each queue, and one that survivors
+// are rewritten to.
 constexpr std::uint64_t kReservedSegments = 3;
 
 std::size_t sketchCapacity(const SegmentCatalogOptions& options) {
@@ -48,7 +49,8 @@
         ++counters_.unranked;
         return {};
     }
-    // A record and its segment are never larger than the bytes may be; reclamation may lag behind admissions.
+    // A record must fit into a segment. Reclamation may lag behind admissions, so the capacity is checked
+    // here as well.
     const bool room =
         bytes_ + pendingBytes + bytes <= options_.capacityBytes && bytes <= options_.segmentBytes;
     if (!room || index_.size() >= index_.maxParts()) {
@@ -63,7 +65,7 @@
                            ? sketch_.estimate(fingerprint) >= kPopularEstimate
                            : false;
     const PartIndex::Id held = index_.find(fingerprint);
-    // A new copy of what is in the main queue stays there.
+    // A new copy of a part in the main queue stays in that queue.
     const bool wasMain =
         held != PartIndex::kNone && segments_.at(index_.at(held).location.segment).queue == Queue::main;
     if (!known && !wasMain) return Queue::probation;
@@ -80,7 +82,7 @@
 void SegmentCatalog::insert(Part part, Queue queue) {
     const PartIndex::Id id = index_.insert(part);
     Segment& segment = segmentOf(part.location.segment, queue);
-    if (id == PartIndex::kNone) return;  // its bytes are dead
+    if (id == PartIndex::kNone) return;  // the index is full: the record is garbage
     index_.link(segment.firstPart, id);
     segment.liveBytes += part.location.bytes;
     liveBytes_ += part.location.bytes;
@@ -102,7 +104,7 @@
     if (segment.queue == Queue::probation) probationBytes_ += part.location.bytes;
     const PartIndex::Id held = index_.find(part.fingerprint);
     if (held != PartIndex::kNone) {
-        if (index_.at(held).createdMs > part.createdMs) return;  // a later one has overtaken it
+        if (index_.at(held).createdMs > part.createdMs) return;  // the copy that is held is newer
         part.uses = index_.at(held).uses;
         erase(held);
         ++counters_.replaced;
@@ -167,7 +169,7 @@
     auto chosen = segments_.end();
     for (auto at = segments_.begin(); at != segments_.end(); ++at)
         if (at->second.sealed && at->second.liveBytes == 0) {
-            chosen = at;  // at no cost
+            chosen = at;  // nothing to rewrite
             break;
         }
     if (chosen == segments_.end()) {
@@ -192,14 +194,16 @@
     return ReclaimTask{chosen->first, Queue::main, survivorsOf(chosen->second)};
 }
 
-// The most used first, and of these those that were written last.
+// The parts to rewrite, as many as the share allows: the most used first, and the latest written first among
+// equals.
 std::vector<Part> SegmentCatalog::survivorsOf(const Segment& segment) const {
     std::vector<Part> survivors;
     for (PartIndex::Id id = segment.firstPart; id != PartIndex::kNone; id = index_.nextInList(id))
         if (index_.at(id).uses > 0) survivors.push_back(index_.at(id));
     std::stable_sort(survivors.begin(), survivors.end(),
                      [](const Part& a, const Part& b) { return a.uses > b.uses; });
-    // A part leaves probation once only; in the main queue it could be written for ever.
+    // No limit in probation, which a part leaves only once; in the main queue a part could otherwise be
+    // rewritten endlessly.
     const double share = segment.queue == Queue::probation ? 1.0 : options_.rewriteShare;
     const auto maxBytes = static_cast<std::uint64_t>(share * static_cast<double>(segment.bytes));
     std::uint64_t bytes = 0;
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -6,13 +6,12 @@
 
 namespace {
 
-constexpr std::size_t kSweepSliceParts = 4096;     // parts a turn: well under a millisecond
-constexpr std::size_t kMaxTrackedVersions = 4096;  // objects whose version is remembered
-constexpr int kWriteFailuresToPause = 3;           // writes in a row
+constexpr std::size_t kSweepSliceParts = 4096;  // for each turn; takes well under a millisecond
+constexpr std::size_t kMaxTrackedVersions = 4096;
+constexpr int kWriteFailuresToPause = 3;  // consecutive failures
 constexpr std::int64_t kFirstPauseMs = 1000, kLongestPauseMs = 60'000;
-constexpr std::int64_t kBusPositionIntervalMs = 1000;  // where no purge carries it along
-constexpr std::uint64_t kMinLogEntriesToRewrite =
-    4096;  // lines, and twice the marks: then it is written anew
+constexpr std::int64_t kBusPositionIntervalMs = 1000;    // when no purge is written with it
+constexpr std::uint64_t kMinLogEntriesToRewrite = 4096;  // and at least twice the number of tombstones
 
 }  // namespace
 
@@ -77,7 +76,7 @@
 
 // ----- reading -----
 
-// Whether a copy of then may be served now; the only place where that is decided.
+// Whether a copy of this creation time may be served now. All such decisions are made here.
 bool Tier::isServable(ClockReading now, const Key& key, std::int64_t maxAgeMs, std::int64_t createdMs) {
     if (purgeLogFailing_ || !purgeFeed_.isCurrent(now.monotonicMs)) {
         ++counters_.unproved;
@@ -125,13 +124,13 @@
         log("disk tier: a record in segment " + std::to_string(done.location.segment) + " at byte " +
             std::to_string(done.location.offset) + " is not as it was written, dropped");
     }
-    // A part that has moved meanwhile is somewhere else, and stays.
+    // A part that was moved meanwhile has another location and is kept.
     if (!good) catalog_.partLost(done.fingerprint, done.location);
     const auto at = lookups_.find(done.ticket);
     if (at == lookups_.end()) return;
     PendingLookup lookup = std::move(at->second);
     lookups_.erase(at);
-    // Names may share a fingerprint, and a purge may have come while it was read.
+    // Two keys may share a fingerprint, and a purge may have arrived during the read.
     const bool same = good && done.record->first == lookup.key;
     if (!same || !isServable(now, lookup.key, lookup.maxAgeMs, done.record->second.createdMs) ||
         !isLatest(lookup.key, done.record->second)) {
@@ -143,7 +142,7 @@
     lookup.callback(std::move(done.record->second));
 }
 
-// ----- keeping -----
+// ----- admission and writing -----
 
 void Tier::offer(ClockReading now, const Key& key, int rank, const Copy& copy) {
     ++counters_.offered;
@@ -159,7 +158,8 @@
         ++counters_.purged;
         return;
     }
-    // Fetched only since nothing could be proved just now: what is held will do again.
+    // The copy was fetched only because the purge state is not current at the moment; the copy that is held
+    // will be usable again.
     if (!purgeFeed_.isCurrent(now.monotonicMs) && catalog_.contains(fingerprint)) return;
     const std::uint64_t bytes = recordBytes(key, copy);
     if (pendingWriteBytes_ + bytes > options_.worker.queueBytes) {
@@ -177,8 +177,8 @@
     noteCreated(copy.createdMs);
 }
 
-// Parts of two versions must not meet in one download: where two have been seen, what is held of the one seen
-// first goes.
+// Parts of two versions must not be combined in one download: when a second version of an object is seen, the
+// parts of the older one are purged.
 bool Tier::isLatest(const Key& key, const Copy& copy) {
     const std::uint64_t version = callbacks_.version(copy.facts);
     if (version == 0) return true;
@@ -217,12 +217,12 @@
     if (!done.problem.empty()) log("disk tier: " + done.problem);
 }
 
-// ----- giving space back -----
+// ----- reclaiming space -----
 
 void Tier::reclaim() {
     auto next = catalog_.nextReclaim(pendingWriteBytes_);
     if (!next) return;
-    // What a purge covers is not carried on.
+    // Purged parts are not rewritten.
     std::erase_if(next->survivors, [&](const Part& part) {
         return tombstones_.mayCover(part.object, part.group, part.createdMs);
     });
@@ -236,7 +236,7 @@
 void Tier::handle(ClockReading, SegmentRewritten& done) {
     if (!done.problem.empty()) {
         ++counters_.writeErrors;
-        log("disk tier: " + done.problem + "; what a segment had in use goes with it");
+        log("disk tier: " + done.problem + "; the remaining parts of the segment are dropped");
     }
     catalog_.dropSegment(done.segment);
     worker_.remove({done.segment});
@@ -264,7 +264,7 @@
     persist({entry});
 }
 
-// Where no folder is held all marks are written when it is.
+// While no folder is held, nothing is written: all tombstones are written when it is opened.
 void Tier::persist(std::vector<PurgeEntry> entries) {
     if (!holdsFolder()) return;
     logEntries_ += entries.size();
@@ -291,7 +291,8 @@
 void Tier::submitBusPosition(ClockReading now) {
     const auto position = purgeFeed_.position();
     if (!position || !holdsFolder() || position == submittedPosition_) return;
-    // With a purge at once, so that it need not be told again; else now and then.
+    // Together with a purge it is written at once, so that the purge need not be received again after a
+    // restart; otherwise only at intervals.
     if (purgesPersisted() && submittedPosition_ &&
         now.monotonicMs - positionSubmittedMs_ < kBusPositionIntervalMs)
         return;
@@ -303,7 +304,7 @@
 void Tier::raiseWatermark(ClockReading now, const char* why) {
     ++counters_.floors;
     log(std::string("disk tier: what is held can't be proved newer than every purge (") + why + "), dropped");
-    // The clock that dated a copy may be ahead of this machine's.
+    // Copies may carry a later time than this machine's clock, which may be behind.
     dropLoadingParts_ = dropLoadingParts_ || state_ == State::loading;
     addPurge({PurgeEntry::Kind::watermark, 0, std::max(now.unixMs, latestCreatedMs_)});
 }
@@ -334,7 +335,7 @@
     }
     state_ = State::loading;
     lastProblem_.clear();
-    // First what this process has heard while it had no folder: it goes to the log.
+    // Purges that this process received before it held the folder; they must be written to the log as well.
     std::vector<PurgeEntry> heard;
     tombstones_.forEach([&](const PurgeEntry& entry) { heard.push_back(entry); });
     for (const PurgeEntry& entry : done.entries) tombstones_.add(entry);
@@ -344,9 +345,9 @@
         raiseWatermark(now, "the purge log is damaged");
     else if (started.raiseWatermark && !done.empty)
         raiseWatermark(now, "no bus tells what was purged meanwhile");
-    if (!heard.empty()) persist(std::move(heard));  // behind the floor, which makes good what is damaged
+    if (!heard.empty()) persist(std::move(heard));  // after the watermark, which repairs a damaged log
     if (started.resumeFrom) callbacks_.resumeBusFrom(*started.resumeFrom);
-    submitBusPosition(now);  // the bus may have been heard before
+    submitBusPosition(now);  // events may have been received before the folder was opened
 }
 
 void Tier::handle(ClockReading, SegmentLoaded& done) {
@@ -361,7 +362,7 @@
     for (const Part& part : done.parts) noteCreated(part.createdMs);
     if (dropLoadingParts_ && latestCreatedMs_ > tombstones_.watermarkMs())
         addPurge({PurgeEntry::Kind::watermark, 0, latestCreatedMs_});
-    // Too few places in the index: what does not fit is dead, and goes with its segment.
+    // If the index is full, the remaining parts are garbage and are removed with their segment.
     for (const Part& part : done.parts) catalog_.partLoaded(part, done.name.queue);
     catalog_.segmentLoaded(done.name.number, done.name.queue, done.bytes);
 }
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -1,6 +1,7 @@
-// A tier of copies on disk, as the loop's thread sees it: it puts the decisions (Shelf, PurgeMarks,
-// PurgeProof) to work on a Worker. No call blocks on the disk, but for the destructor. It reads no clock:
-// each call is told the time. What can't be had is a miss; nothing here ever fails a request.
+// The disk tier: a cache of copies on disk, as used from the event loop's thread. It combines the decisions
+// of SegmentCatalog, PurgeTombstones and PurgeFeedTracker with the I/O of an IoWorker. No call except the
+// destructor blocks on the disk. It reads no clock: each call is passed the time. Any failure is a cache
+// miss; the tier never fails a request.
 #pragma once
 
 #include <cstdint>
@@ -19,6 +20,7 @@
 
 namespace lotuslead::disk {
 
+// The time of a call on both clocks.
 struct ClockReading {
     std::int64_t monotonicMs = 0;
     std::int64_t unixMs = 0;
@@ -28,7 +30,7 @@
     std::string folder;
     SegmentCatalogOptions catalog;
     IoWorkerOptions worker;
-    std::size_t maxPurgeEntries = 65536;  // objects, and as many groups, that are told apart
+    std::size_t maxPurgeEntries = 65536;  // purged objects that are held one by one, and as many groups
     std::int64_t purgeClockSkewMs = 1000;
     PurgeFeedTracker::Options purges;
 };
@@ -43,52 +45,58 @@
         std::uint64_t hitBytes = 0;
     };
     struct Callbacks {
-        std::function<void(const std::string&)> log;               // one line
-        std::function<void(std::int64_t position)> resumeBusFrom;  // the bus's reader is to go back to here
-        // The same for all parts of one version of an object; zero: parts have none in common.
+        std::function<void(const std::string&)> log;  // writes one line
+        std::function<void(std::int64_t position)>
+            resumeBusFrom;  // makes the bus reader go back to this event number
+        // A number that is equal for all parts of one version of an object; zero if its parts carry no
+        // version.
         std::function<std::uint64_t(const Facts&)> version;
     };
-    // Empty: it is not to be served.
+    // Receives the copy, or none when it may not be served.
     using LookupCallback = std::function<void(std::optional<Copy>)>;
 
-    // `calls` outlives it.
+    // `calls` must outlive the tier.
     Tier(FileCalls& calls, const TierOptions& options, Callbacks callbacks);
     ~Tier();
     Tier(const Tier&) = delete;
 
-    // Readable when there is something for turn() to take.
+    // Readable when turn() has completions to process.
     int wakeDescriptor() const { return worker_.wakeDescriptor(); }
     void turn(ClockReading now);
-    // There is more to do, in slices, though nothing wakes it.
+    // turn() must be called again although the descriptor does not become readable: a purge sweep is in
+    // progress.
     bool hasMoreWork() const { return sweeping_ && state_ == State::ready; }
-    // Where another process holds the folder, it is tried again; to be called every second or so.
+    // Tries again to open the folder, if another process held it or the error was transient. To be called
+    // about every second.
     void retryOpen();
 
-    // Zero: a miss, told at once. Else `found` is called by a later turn(), unless it is forgotten before.
-    // `oldestMs`: an older copy will not do; zero: any age.
+    // Returns zero for a miss. Otherwise returns a ticket, and a later turn() calls `callback`, unless the
+    // lookup is cancelled before. `maxAgeMs`: the largest acceptable age; zero accepts any age.
     [[nodiscard]] std::uint64_t lookUp(ClockReading now, const Key& key, std::int64_t maxAgeMs,
                                        LookupCallback callback);
     void cancelLookup(std::uint64_t ticket) { lookups_.erase(ticket); }
-    // A fetched copy. `rank`: the decision module's; zero: it is not to be kept.
+    // Offers a fetched copy. `rank` comes from the decision module; zero means that the copy is not to be
+    // kept.
     void offer(ClockReading now, const Key& key, int rank, const Copy& copy);
 
     // ----- purges -----
 
     void purgeObject(const std::string& object, std::int64_t atMs);
     void purgeGroup(std::int64_t group, std::int64_t atMs);
-    // As PurgeProof::told; after the purges of that batch.
+    // As PurgeFeedTracker::batchReceived; to be called after the purges of that batch have been applied.
     void busBatchReceived(ClockReading now, std::int64_t from, std::int64_t last,
                           std::span<const std::int64_t> numbers, bool complete = true);
-    // What is held can be served, or nothing will be: before that a start is worth waiting with.
+    // The copies on disk can be served, or the tier is known to be unavailable. The gateway delays its start
+    // until then.
     bool startupComplete(ClockReading now) const {
         return state_ != State::opening && (!holdsFolder() || purgeFeed_.isCurrent(now.monotonicMs));
     }
-    // All marks are on disk, or there is no disk that holds a copy.
+    // All purges are on disk, or no folder is held that a copy could be served from.
     bool purgesPersisted() const { return persistedUpTo_ >= purgesSubmitted_; }
 
-    // Other limits that hold from now on; folder and sizes stay.
+    // Applies the purge options only; the folder and all sizes stay as they are.
     void reconfigure(const TierOptions& options);
-    // Lets go of the folder for another process; from here on all are misses.
+    // Releases the folder for another process; from then on every lookup is a miss.
     void close();
 
     State state() const { return state_; }
@@ -139,17 +147,17 @@
     Callbacks callbacks_;
     SegmentCatalog catalog_;
     PurgeTombstones tombstones_;
-    std::int64_t latestCreatedMs_ = 0;  // of all that is held or on its way
-    bool dropLoadingParts_ = false;     // what the segments still bring can't be proved either
+    std::int64_t latestCreatedMs_ = 0;  // of all copies that are held or being written
+    bool dropLoadingParts_ = false;     // drop the parts of segments that are still being loaded, too
 
     PurgeFeedTracker purgeFeed_;
     State state_ = State::opening;
-    std::string lastProblem_;  // told last
+    std::string lastProblem_;  // the last one that was logged
     std::uint64_t nextTicket_ = 1;
     std::unordered_map<std::uint64_t, PendingLookup> lookups_;
     LruMap<std::uint64_t, Version> versions_;
-    std::uint64_t pendingWriteBytes_ = 0;  // bytes that the writer has not written
-    int writeFailures_ = 0;                // in a row
+    std::uint64_t pendingWriteBytes_ = 0;
+    int writeFailures_ = 0;  // consecutive
     std::int64_t pausedUntilMs_ = 0, pauseMs_ = 0;
     bool purgeLogFailing_ = false;
     std::uint64_t purgesSubmitted_ = 0, persistedUpTo_ = 0, logEntries_ = 0;
@@ -157,7 +165,7 @@
     std::int64_t positionSubmittedMs_ = 0;
     bool sweeping_ = false, sweepAgain_ = false;
     Counters counters_;
-    IoWorker worker_;  // last: its threads are gone before the rest is
+    IoWorker worker_;  // last member: its threads end before the other members are destroyed
 };
 
 }  // namespace lotuslead::disk
