--- a/src/disktool/main.cpp
+++ b/src/disktool/main.cpp
@@ -1,4 +1,4 @@
-// lotuslead_disk: looks into the folder of a disk tier, and changes it where no process holds it.
+// lotuslead_disk: inspects the folder of a disk tier, and changes it while no process holds it.
 // Exit codes: 0 done, 1 damage was found, 2 bad arguments or not a folder of a tier, 3 a process holds it.
 #include <CLI/CLI.hpp>
 #include <chrono>
@@ -25,11 +25,11 @@
 
 int reportFailure(const std::string& problem, bool busy = false) {
     std::fprintf(stderr, "lotuslead_disk: %s%s\n", problem.c_str(),
-                 busy ? "; stop it first, or purge by the event bus" : "");
+                 busy ? "; stop it first, or purge over the event bus" : "");
     return busy ? kFolderHeld : kUnusable;
 }
 
-// A row of fields, as JSON or as lines that people read.
+// Prints named fields, as JSON or as a table.
 void print(const Arguments& arguments, const json& fields) {
     if (arguments.output == "json") {
         std::printf("%s\n", fields.dump().c_str());
@@ -107,7 +107,7 @@
 }
 
 int verify(const Arguments& arguments, disk::FileCalls& calls) {
-    // Never by the tables: they are not what is verified.
+    // Always scans the segments: their tables are not what is to be verified.
     const disk::Survey found = disk::survey(calls, arguments.folder, false);
     if (!found.problem.empty()) return reportFailure(found.problem);
     const disk::VerifyResult result = disk::verify(calls, arguments.folder, found);
@@ -124,7 +124,7 @@
                       {"torn_tails", torn},
                       {"marks_damaged", found.logDamaged},
                       {"held", found.held}});
-    // A tail in the making is none that is torn.
+    // While a process holds the folder, an incomplete tail is a record that is being written.
     const bool bad = result.damaged > 0 || unreadable > 0 || found.logDamaged || (torn > 0 && !found.held);
     return bad ? kDamage : kDone;
 }
@@ -157,7 +157,7 @@
 
 int main(int argc, char** argv) {
     Arguments arguments;
-    CLI::App app{"Looks into the folder of lotuslead's disk tier, and changes it where no process holds it."};
+    CLI::App app{"Inspects the folder of lotuslead's disk tier, and changes it while no process holds it."};
     app.set_version_flag("--version", "lotuslead_disk " LOTUSLEAD_VERSION);
     app.require_subcommand(1);
     app.footer(
@@ -167,25 +167,26 @@
         "holds it.");
     const auto command = [&](const char* name, const char* what) {
         CLI::App* sub = app.add_subcommand(name, what);
-        sub->add_option("folder", arguments.folder, "the folder of the tier")->required();
-        sub->add_option("--output", arguments.output, "how to print")
+        sub->add_option("folder", arguments.folder, "folder of the disk tier")->required();
+        sub->add_option("--output", arguments.output, "output format")
             ->check(CLI::IsMember({"table", "json"}));
         return sub;
     };
-    CLI::App* statCommand = command("stat", "what is in it, in figures");
-    CLI::App* listCommand = command("list", "the parts that a start would serve");
-    CLI::App* verifyCommand = command("verify", "read every part and look at its checksums");
-    CLI::App* purgeCommand = command("purge", "nothing of then or older is served any more");
-    CLI::App* compactCommand = command("compact", "write what lives into fresh segments, drop the rest");
+    CLI::App* statCommand = command("stat", "print statistics of the folder");
+    CLI::App* listCommand = command("list", "list the parts that a gateway would serve after a start");
+    CLI::App* verifyCommand = command("verify", "read every part and verify its checksums");
+    CLI::App* purgeCommand = command("purge", "invalidate copies that are as old as the given time or older");
+    CLI::App* compactCommand = command("compact", "rewrite live parts into new segments and drop the rest");
     for (CLI::App* sub : {statCommand, listCommand})
-        sub->add_flag("--walk", arguments.ignoreTables, "walk each segment, and trust no table");
-    listCommand->add_option("--prefix", arguments.prefix, "only objects whose name begins so");
-    listCommand->add_option("--most", arguments.maxLines, "lines at most")->check(CLI::PositiveNumber);
-    purgeCommand->add_option("--object", arguments.object, "an object's name");
-    purgeCommand->add_option("--group", arguments.group, "a group's number");
-    purgeCommand->add_flag("--all", arguments.all, "everything");
-    purgeCommand->add_option("--at", arguments.atMs, "Unix milliseconds; now, where it is not given");
-    compactCommand->add_option("--segment-mb", arguments.segmentMb, "size of a segment")
+        sub->add_flag("--walk", arguments.ignoreTables, "scan each segment instead of reading its table");
+    listCommand->add_option("--prefix", arguments.prefix, "only objects whose names start with this");
+    listCommand->add_option("--most", arguments.maxLines, "maximum number of lines")
+        ->check(CLI::PositiveNumber);
+    purgeCommand->add_option("--object", arguments.object, "name of the object");
+    purgeCommand->add_option("--group", arguments.group, "number of the group");
+    purgeCommand->add_flag("--all", arguments.all, "all objects");
+    purgeCommand->add_option("--at", arguments.atMs, "time in Unix milliseconds; default: now");
+    compactCommand->add_option("--segment-mb", arguments.segmentMb, "size of a segment in MiB")
         ->check(CLI::Range(1, 1024));
     try {
         app.parse(argc, argv);
