--- a/tests/audit_disk.cpp
+++ b/tests/audit_disk.cpp
@@ -1,9 +1,9 @@
-// Kills a process that writes to a disk tier, again and again, and checks every part that its successors
-// serve: whole, of the right key, and newer than any purge. The process is this program itself with --child;
-// what it serves is told by a pipe and judged here. Purges come by a stand-in for the event bus (a file that
-// only the parent writes) while the child is up and while it is down, and by the child itself, which answers
-// for those once they are kept. After a kill some bytes that were never synced are lost, as a power failure
-// would do.
+// Repeatedly kills a process that writes to a disk tier, and checks every part that its successors serve: it
+// must be complete, have the right key, and be newer than every purge that applies. The process is this
+// program with --child; it reports what it serves over a pipe, and the parent checks it. Purges come from a
+// stand-in for the event bus (a file that only the parent writes), both while the child runs and while it is
+// down, and from the child itself, which reports its own purges once they are on disk. After a kill some
+// bytes that were never synced are removed, as in a power failure.
 //
 //   audit_disk --kills N --seed S      last line: kills=N served=... torn=... stale=...
 #include <poll.h>
@@ -31,7 +31,7 @@
 
 constexpr int kObjects = 60, kParts = 6, kGroups = 9;
 constexpr std::int64_t kBusPurgeGraceMs =
-    500;  // after which a purge that was told holds, whatever the child has read
+    500;  // after this time a published purge must hold, whether or not the child has read it
 
 std::int64_t unixMs() {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -44,7 +44,7 @@
 
 std::string nameOf(int object) { return "/files/tool-" + std::to_string(object); }
 Key auditKey(int object, int part) { return {nameOf(object), "installer", object % kGroups, part, 65536}; }
-// No two copies have a block of bytes in common.
+// The bodies of any two copies differ in every block.
 std::string auditBody(int object, int part, std::int64_t createdMs) {
     std::uint64_t state =
         combine(static_cast<std::uint64_t>(object * kParts + part), static_cast<std::uint64_t>(createdMs));
@@ -56,8 +56,7 @@
     return body;
 }
 
-// ----- the event bus, as a file: a line an event, and before them the number up to which they are forgotten
-// -----
+// ----- the event bus, as a file: the number up to which events are forgotten, then one event per line -----
 
 struct BusEvent {
     std::int64_t number = 0;
@@ -77,9 +76,9 @@
     std::rename((path + ".new").c_str(), path.c_str());
 }
 
-// ----- a disk that is slow, and loses at a power failure what was not synced -----
+// ----- a slow disk that loses unsynced data in a power failure -----
 
-// Which file, and how much of it is synced, of the purge log.
+// The inode of the purge log's file and its size at the last sync.
 struct SyncedSize {
     std::uint64_t inode = 0, bytes = 0;
 };
@@ -101,7 +100,7 @@
         return FileCalls::write(fd, bytes, at);
     }
     int sync(int fd) override {
-        if (fd != log_) return 0;  // segments: what is not synced may be lost, and here all may be
+        if (fd != log_) return 0;  // segments are never synced here, so any of their data may be lost
         pause();
         struct stat about {};
         ::fstat(fd, &about);
@@ -111,7 +110,7 @@
     }
 
 private:
-    // Used by the writer's thread alone.
+    // Used by the writer thread only.
     void pause() { std::this_thread::sleep_for(std::chrono::microseconds{random_() % 2000}); }
 
     int syncNotesFd_;
@@ -131,7 +130,7 @@
           tier_(calls_, options(folder), callbacks()) {}
 
     int run() {
-        std::size_t next = 0;  // of the walk over all that may be held
+        std::size_t next = 0;  // next part of the scan over all parts that may be held
         while (true) {
             tier_.turn(now());
             readBus();
@@ -163,7 +162,7 @@
         options.catalog.maxParts = 4096;
         options.worker.queueBytes = 512 << 10;
         options.worker.sync = SyncPolicy::never;
-        options.maxPurgeEntries = 40;  // few, so that the floor rises at times
+        options.maxPurgeEntries = 40;  // few, so that the watermark is raised now and then
         options.purgeClockSkewMs = 0;
         options.purges = {true, true, 2000};
         return options;
@@ -174,11 +173,11 @@
     }
     static ClockReading now() { return {monotonicMs(), unixMs()}; }
     void report(const std::string& line) {
-        const std::string whole = line + "\n";  // one write: a kill leaves no half of it
+        const std::string whole = line + "\n";  // a single write, so that a kill leaves no partial line
         (void)!::write(STDOUT_FILENO, whole.data(), whole.size());
     }
 
-    // Until the folder is held nobody asks: the reader may yet be sent back.
+    // The bus is not read before the folder is opened: opening it may send the reader back.
     void readBus() {
         if (tier_.state() == Tier::State::opening) return;
         std::ifstream file(bus_);
@@ -234,7 +233,7 @@
             ownPurges_.emplace_back(object, unixMs());
             tier_.purgeObject(nameOf(object), ownPurges_.back().second);
         } else if (random_() % 8 == 0) {
-            fetch(object, part);  // a newer copy
+            fetch(object, part);  // fetch a newer copy
         } else {
             look(object, part, false);
         }
@@ -265,7 +264,7 @@
         }
         runChild(true);
         const bool enough = served_ >= static_cast<std::uint64_t>(kills_) * 20;
-        if (!enough) std::printf("too little was served to mean anything\n");
+        if (!enough) std::printf("too few parts were served for a meaningful result\n");
         std::printf("lives=%d acknowledged=%llu own_purges=%zu bus_gaps=%d damaged=%d unsynced_marks=%d\n",
                     kills_ + 1, static_cast<unsigned long long>(acknowledgements_), childPurges_.size(),
                     busGaps_, damagedSegments_, purgeLogsTruncated_);
@@ -307,8 +306,9 @@
             ::_exit(127);
         }
         ::close(pipes[1]);
-        // Some die while they load, within the time the last one took. The others live from when they are
-        // ready and have served a few parts, so that a slow machine has lives as full as a fast one.
+        // Some children are killed while they load, within the time that the last load took. The others are
+        // killed some time after they are ready and have served a few parts, so that a slow machine tests as
+        // much as a fast one.
         const std::int64_t startedMs = monotonicMs();
         const bool diesLoading = random_() % 10 == 0;
         const auto lifeMs = static_cast<std::int64_t>(
@@ -350,7 +350,7 @@
         int status = 0;
         ::waitpid(pid, &status, 0);
         if (last ? !WIFEXITED(status) || WEXITSTATUS(status) != 0 : !WIFSIGNALED(status)) {
-            std::printf("a child ended by itself, status %d\n", status);
+            std::printf("a child ended without being killed, status %d\n", status);
             ++torn_;
         }
     }
@@ -380,7 +380,8 @@
             checkAge(object, createdMs, requestedMs);
         }
     }
-    // Older than a purge that was answered for, or told before this life began, or told long enough ago.
+    // Counts the copy as stale if it is older than a purge that was acknowledged, was published before this
+    // child started, or was published long enough ago.
     void checkAge(int object, std::int64_t createdMs, std::int64_t requestedMs) {
         const auto stale = [&](const char* by, std::int64_t ms) {
             ++stale_;
@@ -398,10 +399,10 @@
             if (name == object && createdMs <= ms) return stale("purged by the process", ms);
     }
 
-    // Between a kill and the next start.
+    // Changes between a kill and the next start.
     void changeWhileDown() {
         for (auto n = random_() % 3; n > 0; --n) publishPurge();
-        // The bus forgets what was acknowledged, and now and then more than that.
+        // The bus forgets events that were acknowledged, and sometimes later ones as well.
         if (random_() % 2 == 0) forgotten_ = std::max(forgotten_, acknowledged_);
         if (random_() % 25 == 0 && lastEvent_ > acknowledged_) {
             forgotten_ = lastEvent_;
@@ -410,10 +411,10 @@
         std::erase_if(events_, [&](const BusEvent& e) { return e.number <= forgotten_; });
         if (random_() % 3 == 0) damageSegment();
         dropUnsyncedPurges();
-        if (random_() % 5 == 0)  // a line of the purge log that was being written
+        if (random_() % 5 == 0)  // a partial entry at the end of the purge log
             std::ofstream(folder_.tier() + "/purges", std::ios::app | std::ios::binary) << "LLM1";
     }
-    // A power failure: of the purge log stays what was synced.
+    // Simulates a power failure: truncates the purge log to its synced size.
     void dropUnsyncedPurges() {
         const std::string log = folder_.tier() + "/purges";
         struct stat about {};
@@ -426,7 +427,7 @@
         std::filesystem::resize_file(log, kept);
         ++purgeLogsTruncated_;
     }
-    // Segments are never synced here, so any byte of theirs may be lost; as zeros, or as a shorter file.
+    // Segments are never synced here, so any of their bytes may be lost: zeroed, or cut off at the end.
     void damageSegment() {
         std::vector<std::string> segments;
         for (const char* end : {".main", ".probation"})
@@ -453,7 +454,7 @@
     std::vector<Purge> purges_;
     std::vector<std::pair<int, std::int64_t>> childPurges_;
     std::int64_t lastEvent_ = 0, forgotten_ = 0, acknowledged_ = 0, childStartedMs_ = 0;
-    std::int64_t lastLoadMs_ = 15;  // from a start to ready, as the last one took
+    std::int64_t lastLoadMs_ = 15;  // time from the last start to ready
     std::uint64_t served_ = 0, torn_ = 0, stale_ = 0, acknowledgements_ = 0;
     int busGaps_ = 0, damagedSegments_ = 0, purgeLogsTruncated_ = 0;
 };
--- a/tests/disk_faults_test.cpp
+++ b/tests/disk_faults_test.cpp
@@ -1,5 +1,5 @@
-// The disk tier where its folder fails for a while, and where the machine's clock is behind: purges that were
-// taken on hold after a restart.
+// Tests of the disk tier with a folder that fails temporarily and with a clock that is behind: acknowledged
+// purges must hold after a restart.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -17,8 +17,8 @@
 constexpr int kPurgesUntilRewritten = 20'000;
 constexpr std::chrono::milliseconds kRewriteSettleTime{500};
 
-// The log is written anew under another name, renamed, and only the sync of the folder fails: what comes next
-// must not go to the file that the new one has replaced.
+// The log is rewritten under a temporary name and renamed, and only the sync of the folder fails. Later
+// purges must not be appended to the replaced file, where a restart would not find them.
 TEST(DiskFaults, PurgesLastThoughTheFolderOfANewLogCannotBeSynced) {
     TemporaryFolder folder;
     TierOptions options = optionsFor(folder);
@@ -31,7 +31,7 @@
         for (int i = 0; i < kPurgesUntilRewritten; ++i)
             harness.tier.purgeObject("/files/x" + std::to_string(i % 500), 1000);
         ASSERT_TRUE(harness.turnUntil([&] { return files.failedFolderSyncs() > 0; }));
-        // No log that is written anew after this hides what became of the last one.
+        // Waits until no further rewrite of the log can hide the effect of the failed one.
         std::this_thread::sleep_for(kRewriteSettleTime);
         harness.tier.turn(harness.now);
         files.clear();
@@ -46,7 +46,7 @@
 TEST(DiskFaults, AFolderThatFailsForAMomentAtTheStartIsTriedAgain) {
     for (const Faults& faults : {Faults{.open = EIO}, Faults{.open = ENFILE}, Faults{.write = ENOSPC}}) {
         for (const char* file : {"lock", "format", "purges"}) {
-            if (faults.write != 0 && std::string(file) == "lock") continue;  // nothing is written to it
+            if (faults.write != 0 && std::string(file) == "lock") continue;  // the lock file is never written
             TemporaryFolder folder;
             FaultyFiles files;
             files.set(file, faults);
@@ -61,7 +61,8 @@
     }
 }
 
-// What can't be proved is dropped for good, also where the wall clock is behind the one that dated it.
+// Copies that may have missed purges are dropped for good, also when the wall clock is behind the clock that
+// dated them.
 TEST(DiskFaults, AClockThatIsBehindLeavesNothingUnproved) {
     constexpr std::int64_t kCreatedMs = 1'000'000, kBehindMs = 100'000;
     TemporaryFolder folder;
@@ -80,8 +81,8 @@
     EXPECT_TRUE(harness.has(2, kCreatedMs + kBehindMs));
 }
 
-// Nobody may forget the damage before what it has cost is written down: not a tool that adds a purge, and not
-// a start that is killed.
+// A damaged log must be reported as damaged until the watermark that drops all copies is on disk. Neither a
+// tool that adds a purge nor a start that is killed may hide the damage.
 TEST(DiskFaults, ADamagedLogIsDamagedUntilAFloorIsKept) {
     TemporaryFolder folder;
     {
--- a/tests/disk_policy_test.cpp
+++ b/tests/disk_policy_test.cpp
@@ -1,4 +1,4 @@
-// The decisions of the disk tier, without a file or a clock, and the form of its records.
+// Tests of the disk tier's policies, without files or a clock, and of its record format.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -28,7 +28,8 @@
     std::unordered_map<std::uint64_t, std::uint32_t> truth;
     std::mt19937_64 random(7);
     for (int i = 0; i < 200'000; ++i) {
-        // Names whose homes lie close together: long rows, that wrap around the end of the table.
+        // Fingerprints with neighbouring home slots: long probe sequences, some of which wrap around the end
+        // of the table.
         const std::uint64_t name =
             ~std::uint64_t{0} - (random() % 900) * 0x0004000000000000ULL % 0x7000000000000000ULL;
         const auto id = index.find(name);
@@ -61,9 +62,9 @@
     int recent = 0, old = 0;
     for (std::uint64_t i = 4200; i < 5000; ++i) recent += ghost.takeIfPresent(mix(i));
     for (std::uint64_t i = 0; i < 4000; ++i) old += ghost.takeIfPresent(mix(i));
-    EXPECT_GT(recent, 760);  // some lose their place to others of their bucket
+    EXPECT_GT(recent, 760);  // some lose their slot to others of their bucket
     EXPECT_EQ(old, 0);
-    EXPECT_FALSE(ghost.takeIfPresent(mix(4999)));  // taken before
+    EXPECT_FALSE(ghost.takeIfPresent(mix(4999)));  // already removed
 }
 
 TEST(DiskSketch, NeverSaysLessThanWasAddedAndForgetsInTime) {
@@ -84,10 +85,10 @@
 TEST(DiskMarks, CoverWhatIsOlderAndNothingElse) {
     PurgeTombstones tombstones(100, 50);
     tombstones.add({PurgeEntry::Kind::object, 7, 1000});
-    tombstones.add({PurgeEntry::Kind::object, 7, 900});  // an older word changes nothing
+    tombstones.add({PurgeEntry::Kind::object, 7, 900});  // an older purge changes nothing
     tombstones.add({PurgeEntry::Kind::group, static_cast<std::uint64_t>(-3), 2000});
     EXPECT_TRUE(tombstones.covers(7, 1, 1000));
-    EXPECT_TRUE(tombstones.covers(7, 1, 1050));  // two clocks may differ by as much
+    EXPECT_TRUE(tombstones.covers(7, 1, 1050));  // within the allowed clock skew
     EXPECT_FALSE(tombstones.covers(7, 1, 1051));
     EXPECT_FALSE(tombstones.covers(8, 1, 1));
     EXPECT_TRUE(tombstones.covers(8, -3, 2000));
@@ -132,7 +133,7 @@
     EXPECT_FALSE(feed.isCurrent(0));
     EXPECT_FALSE(feed.batchReceived(10, 1, 1, {}));
     EXPECT_TRUE(feed.isCurrent(2010));
-    EXPECT_FALSE(feed.isCurrent(2011));  // unheard for too long
+    EXPECT_FALSE(feed.isCurrent(2011));  // silent for too long
 }
 
 TEST(DiskProof, GoesBackToWhereItStoodAndFindsWhatIsMissing) {
@@ -143,7 +144,7 @@
         const auto started = feed.start(options, 40);
         EXPECT_FALSE(started.raiseWatermark);
         ASSERT_EQ(started.resumeFrom, 40);
-        // An answer to what was asked before does not lead past it.
+        // A batch that was requested before the reader went back is ignored.
         EXPECT_FALSE(feed.batchReceived(1, 43, 43, {}));
         EXPECT_FALSE(feed.isCurrent(1));
         EXPECT_FALSE(feed.position());
@@ -151,7 +152,7 @@
         EXPECT_TRUE(feed.isCurrent(2));
         EXPECT_EQ(feed.position(), 43);
         EXPECT_FALSE(feed.batchReceived(3, 43, 43, {}));
-        EXPECT_TRUE(feed.batchReceived(4, 43, 50, {}));  // told to be there, and not told
+        EXPECT_TRUE(feed.batchReceived(4, 43, 50, {}));  // announced by the last number, but not received
     }
     for (const auto& numbers : {gap, late}) {
         PurgeFeedTracker feed;
@@ -160,12 +161,13 @@
     }
     PurgeFeedTracker other;
     (void)other.start(options, 40);
-    EXPECT_TRUE(other.batchReceived(2, 40, 12, {}));  // a bus that is behind is another
+    EXPECT_TRUE(other.batchReceived(2, 40, 12, {}));  // event numbers are behind ours: another bus
     PurgeFeedTracker fresh;
-    EXPECT_TRUE(fresh.start(options, {}).raiseWatermark);  // records, but no position: nothing is known
+    EXPECT_TRUE(fresh.start(options, {})
+                    .raiseWatermark);  // segments, but no bus position: purges may have been missed
 }
 
-// A page is applied, and the bus says that there is more: what is held may be purged by that.
+// Copies must not be served between two pages of events: the next page may purge them.
 TEST(DiskProof, ProvesNothingBeforeTheLastPage) {
     const std::vector<std::int64_t> first{41, 42}, second{43};
     PurgeFeedTracker feed;
@@ -175,8 +177,7 @@
     EXPECT_EQ(feed.position(), 42);
     EXPECT_FALSE(feed.batchReceived(2, 42, 43, second, true));
     EXPECT_TRUE(feed.isCurrent(2));
-    EXPECT_FALSE(
-        feed.batchReceived(3, 43, 43, {}, false));  // cut off for an hour, and the first answer after that
+    EXPECT_FALSE(feed.batchReceived(3, 43, 43, {}, false));  // the first page after a long interruption
     EXPECT_FALSE(feed.isCurrent(3));
 }
 
@@ -199,10 +200,10 @@
 
 TEST(DiskShelf, AScanFlushesNothingThatIsInUse) {
     SimulatedDisk disk(small());
-    // 400 names of 1 KB that are asked for again and again.
+    // 400 parts of 1 KB that are requested again and again.
     for (int round = 0; round < 12; ++round)
         for (std::uint64_t i = 0; i < 400; ++i) disk.request(mix(i), 1, 1000);
-    // One viewer reads ten times the tier's bytes, once, part after part.
+    // One client reads ten times the tier's capacity, once, part by part.
     for (std::uint64_t i = 0; i < 10'000; ++i) {
         disk.request(mix(1'000'000 + i), 1, 1000);
         if (i % 25 == 0) disk.request(mix(i / 25), 1, 1000);
@@ -234,13 +235,13 @@
 TEST(DiskShelf, ALaterCopyTakesThePlaceOfAnEarlierOneInWhateverOrderTheyAreFound) {
     SegmentCatalog catalog(small());
     catalog.partLoaded(partOf(5, 1, 0, 200), Queue::main);
-    catalog.partLoaded(partOf(5, 2, 0, 100), Queue::main);  // written later, minted before
+    catalog.partLoaded(partOf(5, 2, 0, 100), Queue::main);  // written later, but created before
     EXPECT_EQ(catalog.findForRead(5)->createdMs, 200);
-    catalog.partLoaded(partOf(5, 3, 0, 200), Queue::main);  // the same copy, rewritten
+    catalog.partLoaded(partOf(5, 3, 0, 200), Queue::main);  // the same copy, rewritten to another segment
     EXPECT_EQ(catalog.findForRead(5)->location.segment, 3U);
     catalog.partAppended(partOf(5, 4, 0, 150), Queue::main, 1);
     EXPECT_EQ(catalog.findForRead(5)->createdMs, 200);
-    catalog.partLost(5, {1, 0, 100});  // another place
+    catalog.partLost(5, {1, 0, 100});  // another location
     EXPECT_TRUE(catalog.contains(5));
     catalog.partLost(5, {3, 0, 100});
     EXPECT_FALSE(catalog.contains(5));
@@ -335,10 +336,10 @@
 }
 
 TEST(DiskPacer, SharesTheLinkInTheOrderOfAnswers) {
-    LinkPacer pacer(1000, 2000);                   // bytes a second
-    EXPECT_EQ(pacer.finishTime(1s, 500), 1500ms);  // one alone is held by its own pace
+    LinkPacer pacer(1000, 2000);                   // bytes per second
+    EXPECT_EQ(pacer.finishTime(1s, 500), 1500ms);  // a single transfer is limited by its own rate
     pacer.reserve(1s, 4000);
-    EXPECT_EQ(pacer.finishTime(1s, 2000), 4s);  // behind two seconds of others
+    EXPECT_EQ(pacer.finishTime(1s, 2000), 4s);  // after two seconds of other transfers
     EXPECT_EQ(pacer.finishTime(9s, 1000), 10s);
     EXPECT_EQ(LinkPacer(0, 0).finishTime(5s, 1 << 30), 5s);
 }
--- a/tests/disk_story_test.cpp
+++ b/tests/disk_story_test.cpp
@@ -1,4 +1,4 @@
-// The disk tier in the real program: warm up, kill, restart, with purges meanwhile.
+// Tests of the disk tier in the gateway program: warm up, kill, restart, with purges in between.
 #include <filesystem>
 
 #include "repository_server.hpp"
@@ -22,7 +22,7 @@
         }
         return found;
     }
-    // The file that LB_DISK names.
+    // Writes the settings file for LB_DISK and returns its path.
     std::string file(const json& more = json::object(), const char* front = "repository") const {
         json section = {{"folder", path + "/tier"}, {"capacity_mb", 64}, {"bus_keeps_positions", true}};
         section.update(more);
@@ -65,17 +65,17 @@
     }
 }
 
-// Until what was offered is written: a kill now loses nothing of it.
+// Waits until all admitted copies are written, so that a kill loses none of them.
 void awaitWritesDone(Program& program) {
     for (int i = 0; i < 400; ++i) {
         program.signal(SIGUSR1);
         std::this_thread::sleep_for(10ms);
         if (counter(program, "disk_kept", "queue") == 0 && counter(program, "disk_kept", "parts") > 0) return;
     }
-    assert(!"the writer never came to rest");
+    assert(!"the writer did not become idle");
 }
 
-// The bytes that one download after a kill and a restart brings over the link.
+// The bytes that one download fetches from the servers after a kill and a restart.
 std::size_t bytesFetchedAfterRestart(RepositorySetup& site, const std::string& disk) {
     const Program::Variables variables =
         disk.empty() ? Program::Variables{} : Program::Variables{{"LB_DISK", disk}};
@@ -103,7 +103,7 @@
     assert(cold >= without.server.file.size() && warmed * 10 <= cold);
 }
 
-// A life that ends without notice once its copies are on the disk.
+// Runs a gateway that is killed once its copies are on disk.
 void warmUpAndKill(RepositorySetup& site, const Program::Variables& variables) {
     Program program(site.settings, "LB_REPOSITORY", 1024, variables);
     warmUp(program, site.server);
@@ -123,7 +123,7 @@
     const std::size_t before = site.server.bytesSent();
     Connection c(program.port());
     assert(get(c, "/index/plugins.json").body == "version 2\n");
-    // What was not purged is still served from the disk.
+    // Copies that were not purged are still served from disk.
     assert(get(c, "/files/tool.bin").body == site.server.file);
     assert(site.server.bytesSent() - before <= 2 * 65536);
 }
@@ -132,7 +132,8 @@
     RepositorySetup site;
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
     warmUpAndKill(site, variables);
-    // The purge is among the events that the bus tells no more: it can't be known which copies it named.
+    // The bus no longer has the event with the purge: it is unknown which copies were purged, so all are
+    // dropped.
     site.server.version = 2;
     site.bus.note({{"ban", {{"url", "/index/plugins.json"}, {"ts", unixMs()}}}});
     site.bus.forget();
@@ -172,13 +173,15 @@
     assert(counter(program, "disk", "torn") >= 1 && counter(program, "disk", "hits") > 30);
 }
 
-// Parts of two versions never meet in one download, also where the tier has not seen both in this process.
+// Parts of two versions must not be combined in one download, also when this process has seen only one of
+// them.
 void newVersionReplacesOldParts() {
     RepositorySetup site;
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
     {
         Program program(site.settings, "LB_REPOSITORY", 1024, variables);
-        Connection c(program.port());  // once: the first part was not ranked, and so is not held
+        Connection c(
+            program.port());  // one download only: the first part had no rank yet and was not admitted
         assert(get(c, "/files/tool.bin").body == site.server.file);
         awaitWritesDone(program);
         program.signal(SIGTERM);
@@ -215,7 +218,7 @@
     assert((site.server.bytesSent() - before) * 10 <= site.server.file.size());
 }
 
-// The platform's front has no part in the proof on its own platform, but elsewhere it keeps copies as well.
+// The platform front uses the disk tier as well, and applies purges to it.
 void platformFrontServesFromDisk() {
     Folder folder;
     std::atomic<int> pulled{0};
@@ -255,7 +258,7 @@
     assert(ask(program).at(3) == "the object" && pulled == before + 1);
 }
 
-// A process that takes another's place without a gap takes the folder, too.
+// In a hand-over the successor also takes over the folder.
 void successorTakesOverTheFolder() {
     Folder folder, meeting;
     Fleet fleet;
--- a/tests/disk_tier_harness.hpp
+++ b/tests/disk_tier_harness.hpp
@@ -1,5 +1,6 @@
-// For tests of the disk tier with real files and threads: time is the test's, and every file call can be made
-// to fail. Waits end by an event of the tier's; the time limit only ends a test that has failed.
+// Helpers for tests of the disk tier with real files and threads. The test sets the time, and every file
+// system call can be made to fail. Waits end with an event of the tier; their time limit only ends a test
+// that has failed.
 #pragma once
 
 #include <fcntl.h>
@@ -22,21 +23,21 @@
 
 namespace lotuslead::disk {
 
-// Fails what it is told to, by what the file's name contains.
+// Injects faults into calls on files whose path contains a given text.
 class FaultyFiles : public FileCalls {
 public:
     struct Faults {
-        int write = 0, read = 0, sync = 0, open = 0, truncate = 0;  // an errno; zero: none
-        std::size_t writeAtMost = 0;                                // bytes a call; zero: all
-        long writesUntilFault = 0;                                  // that still go well
-        bool holdWrites = false;                                    // until it is taken back
+        int write = 0, read = 0, sync = 0, open = 0, truncate = 0;  // an errno value; zero: no fault
+        std::size_t writeAtMost = 0;                                // largest write in bytes; zero: no limit
+        long writesUntilFault = 0;                                  // writes that succeed before the fault
+        bool holdWrites = false;                                    // blocks writes until it is cleared
     };
     void set(const std::string& names, const Faults& faults) {
         const std::lock_guard lock(mutex_);
         faults_[names] = faults;
         changed_.notify_all();
     }
-    // An errno for each sync of a folder, as against one of a file in it; zero: none.
+    // Makes each sync of a folder, but not of a file, fail with this errno; zero: no fault.
     void failFolderSyncs(int error) {
         const std::lock_guard lock(mutex_);
         folderSync_ = error;
@@ -93,7 +94,7 @@
             return folderSync_;
         }
         if (Faults* f = of(paths_[fd]); f && f->sync) return f->sync;
-        return 0;  // the page cache outlives what these tests do
+        return 0;  // no sync needed: these tests never lose the page cache
     }
     int truncate(int fd, std::uint64_t size) override {
         {
@@ -161,7 +162,7 @@
     return body;
 }
 
-// A tier and the loop that it thinks it has.
+// A tier, with an event loop and clocks that the test drives.
 class TierHarness {
 public:
     explicit TierHarness(const TierOptions& options, FileCalls* calls = nullptr, bool awaitReady = true)
@@ -197,7 +198,7 @@
         if (ticket != 0) turnUntil([&] { return completed; });
         return result;
     }
-    // Held, and the very bytes.
+    // Whether the tier serves this copy with the same bytes.
     bool has(int i, std::int64_t createdMs) {
         const auto copy = load(i);
         return copy && copy->createdMs == createdMs && copy->body == bodyOf(i, createdMs);
--- a/tests/disk_tier_test.cpp
+++ b/tests/disk_tier_test.cpp
@@ -1,4 +1,4 @@
-// The disk tier on real files: crashes, restarts, and file calls that fail.
+// Tests of the disk tier on real files: crashes, restarts, and failing file system calls.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -39,9 +39,9 @@
         harness.tier.purgeObject("/files/3", 1000);
         harness.tier.purgeGroup(5, 1000);
         EXPECT_FALSE(harness.tier.purgesPersisted());
-        EXPECT_FALSE(harness.load(3));  // at once, whatever the log does
+        EXPECT_FALSE(harness.load(3));  // at once, before the purge is on disk
         ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
-        EXPECT_FALSE(harness.store(3, 1000));  // nor is it taken again
+        EXPECT_FALSE(harness.store(3, 1000));  // nor is it admitted again
         EXPECT_TRUE(harness.store(3, 1001));
     }
     TierHarness harness(options);
@@ -50,7 +50,7 @@
     EXPECT_FALSE(harness.load(5));
     EXPECT_FALSE(harness.load(12));
     EXPECT_TRUE(harness.has(6, 1000));
-    harness.now.unixMs = 500;  // a clock that went back: these are from the future
+    harness.now.unixMs = 500;  // the clock went back: these copies are from the future
     EXPECT_FALSE(harness.load(6));
 }
 
@@ -89,7 +89,7 @@
     }
     TierHarness harness(options);
     ASSERT_EQ(harness.resumeBusFrom, 6);
-    harness.tier.busBatchReceived(harness.now, 8, 9, {});  // asked before; proves nothing
+    harness.tier.busBatchReceived(harness.now, 8, 9, {});  // requested before the reader went back; ignored
     EXPECT_FALSE(harness.load(1));
     harness.tier.busBatchReceived(harness.now, 6, 6, {});
     EXPECT_TRUE(harness.has(1, 1000));
@@ -103,7 +103,7 @@
     Faults full;
     full.write = ENOSPC;
     full.writeAtMost = 700;
-    full.writesUntilFault = 2;  // it fills up in the middle of a record
+    full.writesUntilFault = 2;  // the disk fills up in the middle of a record
     files.set("probation", full);
     for (int i = 2; i < 6; ++i) EXPECT_FALSE(harness.store(i, 1000));
     EXPECT_TRUE(harness.logged("No space left on device; nothing is admitted for 1 s"));
@@ -127,9 +127,9 @@
         torn.write = EIO;
         torn.writeAtMost = 1500;
         torn.writesUntilFault = 1;
-        torn.truncate = EIO;  // and its tail can't be cut off
+        torn.truncate = EIO;  // and the partial record can't be truncated
         files.set("probation", torn);
-        files.set("table", Faults{.open = EIO});  // nor is there a table
+        files.set("table", Faults{.open = EIO});  // and no table can be written
         EXPECT_FALSE(harness.store(5, 1000));
     }
     files.clear();
@@ -138,7 +138,7 @@
     EXPECT_EQ(harness.tier.counters().truncatedTails, 1U);
     for (int i = 0; i < 5; ++i) EXPECT_TRUE(harness.has(i, 1000));
     EXPECT_FALSE(harness.load(5));
-    EXPECT_TRUE(harness.store(5, 1001));  // into a segment of its own
+    EXPECT_TRUE(harness.store(5, 1001));  // into a new segment
     EXPECT_TRUE(harness.has(5, 1001));
 }
 
@@ -208,7 +208,7 @@
     const auto segments = folder.files(".probation");
     ASSERT_GE(segments.size(), 3U);
     std::filesystem::remove(segments[0]);
-    std::filesystem::resize_file(segments[1], 20'000);  // its table tells of more
+    std::filesystem::resize_file(segments[1], 20'000);  // its table lists more records
     const auto tables = folder.files(".table");
     std::fstream(tables[2], std::ios::in | std::ios::out | std::ios::binary).seekp(40).put('\x55');
     TierHarness harness(optionsFor(folder));
@@ -266,7 +266,8 @@
     }
 }
 
-// A line that a crash left half-written was never acknowledged: it is cut off, and the rest holds.
+// A crash may leave a partial entry at the end of the log. It was never acknowledged: it is truncated, and
+// the other entries hold.
 TEST(DiskTier, AHalfWrittenMarkIsCutOff) {
     TemporaryFolder folder;
     {
@@ -314,7 +315,7 @@
     EXPECT_TRUE(harness.logged("Read-only file system; the tier is off"));
     EXPECT_FALSE(harness.load(1));
     EXPECT_FALSE(harness.store(1, 1000));
-    EXPECT_TRUE(harness.tier.purgesPersisted());  // nothing is held that a purge could concern
+    EXPECT_TRUE(harness.tier.purgesPersisted());  // no copies are held that a purge could apply to
     files.clear();
 
     std::ofstream(folder.tier() + "/format") << "lotuslead disk tier 9\n";
@@ -323,7 +324,7 @@
     EXPECT_TRUE(other.logged("has a form that this version does not know"));
 }
 
-// A successor hears purges before it holds the folder, and brings them along.
+// Hand-over: a successor receives purges before it holds the folder and must apply them once it does.
 TEST(DiskTier, ASecondHolderWaitsAndBringsItsPurgesAlong) {
     TemporaryFolder folder;
     auto first = std::make_unique<TierHarness>(optionsFor(folder));
@@ -373,7 +374,7 @@
         EXPECT_GT(harness.tier.catalog().counters().reclaimed, 10U);
         EXPECT_EQ(harness.tier.counters().torn, 0U);
     }
-    // Removals trail behind by a segment or two.
+    // Removals may be behind by a segment or two.
     EXPECT_LE(folder.bytes(), options.catalog.capacityBytes + 4 * options.catalog.segmentBytes);
     EXPECT_GT(moved, 0U);
     EXPECT_LE(moved, admitted);
--- a/tests/disk_tool_test.cpp
+++ b/tests/disk_tool_test.cpp
@@ -1,4 +1,4 @@
-// lotuslead_disk, run as its users run it.
+// Tests of the lotuslead_disk tool, run as a process.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -54,7 +54,7 @@
 TEST_F(DiskTool, FindsDamage) {
     EXPECT_EQ(run("verify " + folder.tier()).code, 0);
     std::fstream file(folder.files(".probation").front(), std::ios::in | std::ios::out | std::ios::binary);
-    file.seekp(50'000);  // in a copy that no later one has overtaken
+    file.seekp(50'000);  // in a copy that is not superseded
     file.put('\x42').put('\x17');
     file.close();
     const Ran ran = run("verify " + folder.tier());
@@ -68,7 +68,7 @@
     TierHarness harness(optionsFor(folder));
     EXPECT_FALSE(harness.load(7));
     EXPECT_FALSE(harness.load(17));     // of group 3
-    EXPECT_TRUE(harness.has(3, 2000));  // as well, but newer
+    EXPECT_TRUE(harness.has(3, 2000));  // also of group 3, but newer
     EXPECT_TRUE(harness.has(18, 1000));
 }
 
--- a/tests/simulated_disk.hpp
+++ b/tests/simulated_disk.hpp
@@ -1,5 +1,5 @@
-// A disk on paper: it carries out what a Shelf decides, without files. For tests of the decisions and for the
-// benchmark of hit ratios.
+// Simulates the disk behind a SegmentCatalog without files: it carries out the catalog's decisions in memory.
+// For policy tests and for the benchmark of hit ratios.
 #pragma once
 
 #include <map>
@@ -12,7 +12,8 @@
 public:
     explicit SimulatedDisk(const SegmentCatalogOptions& options) : catalog(options) {}
 
-    // One request for a part: true where it was held; else it is fetched and offered with this rank.
+    // One request for a part. Returns whether it was held; otherwise it is fetched and offered with this
+    // rank.
     bool request(std::uint64_t fingerprint, int rank, std::uint32_t bytes, std::int64_t createdMs = 1) {
         catalog.recordRequest(fingerprint);
         if (catalog.findForRead(fingerprint)) return true;
