--- a/bench/disk.cpp
+++ b/bench/disk.cpp
@@ -1,4 +1,5 @@
-// The disk tier measured: bench_disk [hits|lookups|reads|recovery|turns ...]; all without a word.
+// Benchmark of the disk tier: bench_disk [hits|lookups|reads|recovery|turns ...]; runs all sections without
+// arguments.
 #include "disk.hpp"
 
 #include <poll.h>
@@ -36,7 +37,7 @@
     return "/files/tool-" + std::to_string(i / 32) + "#" + std::to_string(i % 32);
 }
 
-// ----- lookups: the index alone -----
+// ----- index lookups -----
 
 void benchLookups() {
     constexpr std::uint64_t kParts = 1'000'000, kLookups = 4'000'000;
@@ -59,7 +60,7 @@
     const double map = secondsFor([&] {
         for (const auto& name : names) found += plain.count(name);
     });
-    // With the fingerprint of the name, as a request pays for it.
+    // Includes the computation of the fingerprint, which each request pays for.
     const double ours = secondsFor([&] {
         for (const auto& name : names) found += index.find(lotuslead::fingerprint(name)) != PartIndex::kNone;
     });
@@ -211,7 +212,7 @@
     }
 }
 
-// ----- the loop's turn while the writer is saturated -----
+// ----- a turn of the event loop while the writer is saturated -----
 
 void benchTurns() {
     constexpr int kTurns = 20'000;
--- a/bench/disk.hpp
+++ b/bench/disk.hpp
@@ -1,9 +1,9 @@
-// The parts of the disk tier's benchmark. Each prints its figures with the ratio to a baseline of the same
+// The sections of the disk tier's benchmark. Each prints its results with the ratio to a baseline of the same
 // run.
 #pragma once
 
 namespace lotuslead::bench {
 
-void benchHitRatios();  // by policy, at equal bytes, and how much was written for it
+void benchHitRatios();  // by admission policy at equal capacity, with the bytes written
 
 }  // namespace lotuslead::bench
--- a/bench/disk_policies.cpp
+++ b/bench/disk_policies.cpp
@@ -1,4 +1,5 @@
-// Hit ratios on made-up traces, on paper: Zipf popularity, scans of large installers, one-off objects, drift.
+// Hit ratios on synthetic traces, with a simulated disk: Zipf popularity, scans of large installers, one-off
+// objects, drift.
 #include <cmath>
 #include <cstdio>
 #include <list>
@@ -17,14 +18,14 @@
 using namespace lotuslead::disk;
 
 constexpr std::uint64_t kCapacityBytes = std::uint64_t{1} << 30;
-constexpr std::size_t kFilterObjects = 20'000;  // names that the module's LRU filter remembers
+constexpr std::size_t kFilterObjects = 20'000;  // objects that the decision module's LRU filter remembers
 
 struct TraceRequest {
     std::uint64_t part = 0, object = 0;
     std::uint32_t bytes = 0;
 };
 
-// The decision module's filter in little: a name that it does not know has no rank.
+// A small version of the decision module's filter: an object that it does not know gets rank zero.
 class RankFilter {
 public:
     int of(std::uint64_t object) {
@@ -70,7 +71,7 @@
     std::uint64_t bytes_ = 0;
 };
 
-// A newcomer must be more popular than what would go for it (TinyLFU, 3.1).
+// A new part must be more popular than the one that would be evicted for it (TinyLFU, 3.1).
 class TinyLfu : public Lru {
     void touched(std::uint64_t part) override { sketch_.add(part); }
     bool admits(const TraceRequest& a) override {
@@ -91,7 +92,7 @@
     std::uint64_t fresh = 1;
     while (all.size() < kRequests) {
         const double kind = uniform(random);
-        if (scans && kind < 0.0005) {  // one viewer, one large installer, once
+        if (scans && kind < 0.0005) {  // one client downloads one large installer once
             const std::uint64_t object = mix(0xabcdef + ++fresh);
             for (std::uint64_t part = 0; part < 1000; ++part)
                 all.push_back({combine(object, part), object, 256 << 10});
@@ -102,7 +103,8 @@
             auto i = static_cast<std::uint64_t>(
                 std::lower_bound(cumulativeWeight.begin(), cumulativeWeight.end(), uniform(random) * sum) -
                 cumulativeWeight.begin());
-            if (drift) i = (i + all.size() / 50) % kObjects;  // another is the most popular every 50 requests
+            if (drift)
+                i = (i + all.size() / 50) % kObjects;  // every 50 requests another object is the most popular
             const std::uint64_t object = mix(i + 1);
             const std::uint64_t part = random() % (1 + object % 8);
             all.push_back(
@@ -119,7 +121,7 @@
     for (const TraceRequest& a : trace) {
         const int rank = ranks.of(a.object);
         const bool hit = request(a, filtered ? rank : 1);
-        if (++number <= trace.size() / 3) continue;  // warming up
+        if (++number <= trace.size() / 3) continue;  // warm-up
         ++counted;
         hits += hit;
     }
