--- a/bench/disk.cpp
+++ b/bench/disk.cpp
@@ -206,9 +206,9 @@
                             static_cast<unsigned long long>(parts));
             return seconds;
         };
-        const double walked = start(false), loaded = start(true);
+        const double scanned = start(false), loaded = start(true);
         std::printf("  %8llu parts: walked %.3f s (1.00), by tables %.3f s (%.3f)\n",
-                    static_cast<unsigned long long>(parts), walked, loaded, loaded / walked);
+                    static_cast<unsigned long long>(parts), scanned, loaded, loaded / scanned);
     }
 }
 
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -336,8 +336,8 @@
     state_ = State::loading;
     lastProblem_.clear();
     // Purges that this process received before it held the folder; they must be written to the log as well.
-    std::vector<PurgeEntry> heard;
-    tombstones_.forEach([&](const PurgeEntry& entry) { heard.push_back(entry); });
+    std::vector<PurgeEntry> receivedPurges;
+    tombstones_.forEach([&](const PurgeEntry& entry) { receivedPurges.push_back(entry); });
     for (const PurgeEntry& entry : done.entries) tombstones_.add(entry);
     logEntries_ = done.entries.size();
     const PurgeFeedTracker::StartResult started = purgeFeed_.start(options_.purges, done.busPosition);
@@ -345,7 +345,8 @@
         raiseWatermark(now, "the purge log is damaged");
     else if (started.raiseWatermark && !done.empty)
         raiseWatermark(now, "no bus tells what was purged meanwhile");
-    if (!heard.empty()) persist(std::move(heard));  // after the watermark, which repairs a damaged log
+    if (!receivedPurges.empty())
+        persist(std::move(receivedPurges));  // after the watermark, which repairs a damaged log
     if (started.resumeFrom) callbacks_.resumeBusFrom(*started.resumeFrom);
     submitBusPosition(now);  // events may have been received before the folder was opened
 }
--- a/tests/audit_disk.cpp
+++ b/tests/audit_disk.cpp
@@ -137,16 +137,16 @@
             reportPersistedPurges();
             const bool ready = tier_.state() == Tier::State::ready;
             if (ready && !std::exchange(reportedReady_, true)) report("ready");
-            const bool walking = next < kObjects * kParts;
+            const bool scanning = next < kObjects * kParts;
             for (int i = 0; i < 6 && ready; ++i) {
                 if (next < kObjects * kParts) {
-                    look(static_cast<int>(next) / kParts, static_cast<int>(next) % kParts, true);
+                    lookUp(static_cast<int>(next) / kParts, static_cast<int>(next) % kParts, true);
                     ++next;
                 } else if (!last_) {
                     doRandomWork();
                 }
             }
-            if (last_ && ready && !walking && looking_ == 0) return 0;
+            if (last_ && ready && !scanning && pendingLookups_ == 0) return 0;
             if (::getppid() == 1) return 1;
             pollfd waits{tier_.wakeDescriptor(), POLLIN, 0};
             ::poll(&waits, 1, 1);
@@ -204,22 +204,22 @@
             report("purged " + std::to_string(object) + " " + std::to_string(ms));
     }
 
-    void look(int object, int part, bool walk) {
+    void lookUp(int object, int part, bool scan) {
         const auto requestedMs = unixMs();
         const auto ticket =
             tier_.lookUp(now(), auditKey(object, part), 0, [=, this](std::optional<Copy> copy) {
-                --looking_;
+                --pendingLookups_;
                 if (copy) {
                     const bool whole = copy->body == auditBody(object, part, copy->createdMs);
                     report(std::string(whole ? "served " : "torn ") + std::to_string(object) + " " +
                            std::to_string(part) + " " + std::to_string(copy->createdMs) + " " +
                            std::to_string(requestedMs));
-                } else if (!walk) {
+                } else if (!scan) {
                     fetch(object, part);
                 }
             });
-        looking_ += ticket != 0;
-        if (ticket == 0 && !walk) fetch(object, part);
+        pendingLookups_ += ticket != 0;
+        if (ticket == 0 && !scan) fetch(object, part);
     }
     void fetch(int object, int part) {
         const std::int64_t createdMs = unixMs();
@@ -235,7 +235,7 @@
         } else if (random_() % 8 == 0) {
             fetch(object, part);  // fetch a newer copy
         } else {
-            look(object, part, false);
+            lookUp(object, part, false);
         }
     }
 
@@ -244,7 +244,7 @@
     bool last_;
     std::int64_t busPosition_ = 0, unacknowledged_ = 0;
     std::vector<std::pair<int, std::int64_t>> ownPurges_;
-    int looking_ = 0;
+    int pendingLookups_ = 0;
     bool reportedReady_ = false;
     SlowFiles calls_;
     Tier tier_;
