--- a/src/disk/io_worker.cpp
+++ b/src/disk/io_worker.cpp
@@ -154,17 +154,17 @@
 // ----- writer thread -----
 
 void IoWorker::writeLoop() {
-    opened_ = openFolder();
-    if (opened_) load();
+    folderOpen_ = openFolder();
+    if (folderOpen_) load();
     std::unique_lock lock(mutex_);
     while (true) {
-        if (!opened_) {
+        if (!folderOpen_) {
             writerWakeup_.wait(lock, [this] { return closing_ || retryOpen_; });
             if (closing_) return;
             retryOpen_ = false;
             lock.unlock();
-            opened_ = openFolder();
-            if (opened_) load();
+            folderOpen_ = openFolder();
+            if (folderOpen_) load();
             lock.lock();
             continue;
         }
@@ -187,8 +187,8 @@
         });
     }
     lock.unlock();
-    for (auto& [queue, segment] : open_) seal(segment);
-    open_.clear();
+    for (auto& [queue, segment] : openSegments_) seal(segment);
+    openSegments_.clear();
     folder_.close();
 }
 
@@ -335,15 +335,15 @@
 }
 
 IoWorker::WriteResult IoWorker::writeRecord(Queue queue, Part part, std::span<const char> record) {
-    auto held = open_.find(queue);
-    if (held != open_.end() && held->second.bytes + record.size() > options_.segmentBytes) {
+    auto held = openSegments_.find(queue);
+    if (held != openSegments_.end() && held->second.bytes + record.size() > options_.segmentBytes) {
         seal(held->second);
-        open_.erase(held);
-        held = open_.end();
+        openSegments_.erase(held);
+        held = openSegments_.end();
     }
-    if (held == open_.end()) {
+    if (held == openSegments_.end()) {
         if (Problem problem = openSegment(queue); !problem.empty()) return {{}, std::move(problem)};
-        held = open_.find(queue);
+        held = openSegments_.find(queue);
     }
     OpenSegment& segment = held->second;
     const std::string path = folder_.pathOf(segmentFile(segment.name));
@@ -373,7 +373,7 @@
     segment.file = std::make_shared<File>(static_cast<int>(opened.bytes));
     files_.add(segment.name.number, segment.file);
     segmentQueues_[segment.name.number] = queue;
-    open_[queue] = std::move(segment);
+    openSegments_[queue] = std::move(segment);
     return {};
 }
 
--- a/src/disk/io_worker.hpp
+++ b/src/disk/io_worker.hpp
@@ -192,10 +192,10 @@
     SegmentFiles files_;
 
     // Used by the writer thread only.
-    std::map<Queue, OpenSegment> open_;
+    std::map<Queue, OpenSegment> openSegments_;
     std::map<std::uint32_t, Queue> segmentQueues_;  // of all segments in the folder
     std::uint32_t nextSegment_ = 1;
-    bool opened_ = false;
+    bool folderOpen_ = false;
 
     std::string readBuffer_;  // used by the reader thread only; as large as the largest record read so far
 
--- a/src/disk/segment_catalog.cpp
+++ b/src/disk/segment_catalog.cpp
@@ -178,10 +178,11 @@
         const bool lowOnSpace = bytes_ + pendingBytes + reserve > options_.capacityBytes ||
                                 index_.size() + index_.maxParts() / 16 > index_.maxParts();
         if (!lowOnSpace) return {};
-        const auto share =
+        const auto probationLimitBytes =
             static_cast<std::uint64_t>(options_.probationShare * static_cast<double>(options_.capacityBytes));
-        const Queue from = probationBytes_ > share ? Queue::probation : Queue::main;
-        for (const Queue queue : {from, from == Queue::main ? Queue::probation : Queue::main}) {
+        const Queue preferredQueue = probationBytes_ > probationLimitBytes ? Queue::probation : Queue::main;
+        for (const Queue queue :
+             {preferredQueue, preferredQueue == Queue::main ? Queue::probation : Queue::main}) {
             chosen = std::find_if(segments_.begin(), segments_.end(), [&](const auto& entry) {
                 return entry.second.queue == queue && entry.second.sealed;
             });
--- a/tests/simulated_disk.hpp
+++ b/tests/simulated_disk.hpp
@@ -49,7 +49,7 @@
         std::uint32_t bytes = 0;
     };
     RecordLocation append(Queue queue, std::uint32_t bytes) {
-        OpenSegment& open = open_[queue];
+        OpenSegment& open = openSegments_[queue];
         if (open.number == 0 || open.bytes + bytes > catalog.options().segmentBytes) {
             if (open.number != 0) catalog.segmentSealed(open.number);
             open = {++lastSegment_, 0};
@@ -58,7 +58,7 @@
         return {open.number, open.bytes - bytes, bytes};
     }
 
-    std::map<Queue, OpenSegment> open_;
+    std::map<Queue, OpenSegment> openSegments_;
     std::uint32_t lastSegment_ = 0;
 };
 
