--- a/bench/disk.cpp
+++ b/bench/disk.cpp
@@ -1,4 +1,5 @@
-// The disk tier measured: bench_disk [hits|lookups|reads|recovery|turns ...]; all without a word.
+// Benchmark of the disk tier: bench_disk [hits|lookups|reads|recovery|turns ...]; runs all sections without
+// arguments.
 #include "disk.hpp"
 
 #include <poll.h>
@@ -14,7 +15,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "disk_desk.hpp"
+#include "disk_tier_harness.hpp"
 #ifdef LOTUSLEAD_LMDB
 #include <lmdb.h>
 #endif
@@ -26,7 +27,7 @@
 using namespace lotuslead::disk;
 using Clock = std::chrono::steady_clock;
 
-double secondsOf(const std::function<void()>& work) {
+double secondsFor(const std::function<void()>& work) {
     const auto begin = Clock::now();
     work();
     return std::chrono::duration<double>(Clock::now() - begin).count();
@@ -36,9 +37,9 @@
     return "/files/tool-" + std::to_string(i / 32) + "#" + std::to_string(i % 32);
 }
 
-// ----- lookups: the index alone -----
+// ----- index lookups -----
 
-void lookups() {
+void benchLookups() {
     constexpr std::uint64_t kParts = 1'000'000, kLookups = 4'000'000;
     std::printf("lookups a second among 1,000,000 parts, random order\n");
     PartIndex index(kParts);
@@ -56,11 +57,11 @@
         names[i] = textKey(order[i]);
     }
     std::uint64_t found = 0;
-    const double map = secondsOf([&] {
+    const double map = secondsFor([&] {
         for (const auto& name : names) found += plain.count(name);
     });
-    // With the fingerprint of the name, as a request pays for it.
-    const double ours = secondsOf([&] {
+    // Includes the computation of the fingerprint, which each request pays for.
+    const double ours = secondsFor([&] {
         for (const auto& name : names) found += index.find(lotuslead::fingerprint(name)) != PartIndex::kNone;
     });
     std::printf("  unordered_map of names %10.0f (1.00)\n", kLookups / map);
@@ -76,15 +77,15 @@
     if (mdb_env_open(env, folder.path.c_str(), MDB_NOSYNC, 0640) != 0) return;
     mdb_txn_begin(env, nullptr, 0, &txn);
     mdb_dbi_open(txn, nullptr, 0, &db);
-    Place place;
+    RecordLocation location;
     for (std::uint64_t i = 0; i < kParts; ++i) {
         std::string name = textKey(i);
-        MDB_val key{name.size(), name.data()}, value{sizeof place, &place};
+        MDB_val key{name.size(), name.data()}, value{sizeof location, &location};
         mdb_put(txn, db, &key, &value, 0);
     }
     mdb_txn_commit(txn);
     mdb_txn_begin(env, nullptr, MDB_RDONLY, &txn);
-    const double lmdb = secondsOf([&] {
+    const double lmdb = secondsFor([&] {
         for (auto& name : names) {
             MDB_val key{name.size(), name.data()}, value{};
             found += mdb_get(txn, db, &key, &value) == 0;
@@ -113,36 +114,36 @@
             65536};
 }
 
-TierRules benchRules(const TemporaryFolder& folder, std::uint64_t capacity, std::size_t parts) {
-    TierRules rules = rulesFor(folder);
-    rules.shelf.capacityBytes = capacity;
-    rules.shelf.segmentBytes = 64 << 20;
-    rules.shelf.mostParts = parts;
-    rules.worker.queueBytes = 32 << 20;
-    rules.worker.mostReads = 64;
-    return rules;
+TierOptions benchOptions(const TemporaryFolder& folder, std::uint64_t capacity, std::size_t parts) {
+    TierOptions options = optionsFor(folder);
+    options.catalog.capacityBytes = capacity;
+    options.catalog.segmentBytes = 64 << 20;
+    options.catalog.maxParts = parts;
+    options.worker.queueBytes = 32 << 20;
+    options.worker.maxQueuedReads = 64;
+    return options;
 }
 
-void fill(Desk& desk, std::uint64_t parts, std::size_t bytes) {
+void fill(TierHarness& harness, std::uint64_t parts, std::size_t bytes) {
     for (std::uint64_t i = 0; i < parts; ++i) {
-        while (desk.tier.queuedBytes() > (24U << 20)) {
-            desk.tier.turn(desk.now);
+        while (harness.tier.queuedBytes() > (24U << 20)) {
+            harness.tier.turn(harness.now);
             ::usleep(200);
         }
-        desk.tier.offer(desk.now, benchKey(i), 1, copyOf(i, bytes));
-        if (i % 64 == 0) desk.tier.turn(desk.now);
+        harness.tier.offer(harness.now, benchKey(i), 1, copyOf(i, bytes));
+        if (i % 64 == 0) harness.tier.turn(harness.now);
     }
-    desk.until([&] { return desk.tier.queuedBytes() == 0; });
+    harness.turnUntil([&] { return harness.tier.queuedBytes() == 0; });
 }
 
-void reads() {
+void benchReads() {
     constexpr std::uint64_t kParts = 4000, kReads = 20'000;
     constexpr std::size_t kBytes = 64 * 1024;
     std::printf("parts of 64 KB a second, in the page cache\n");
     TemporaryFolder folder, files;
-    Desk desk(benchRules(folder, std::uint64_t{4} << 30, 65536));
-    const double filled = secondsOf([&] { fill(desk, kParts, kBytes); });
-    const double wrote = secondsOf([&] {
+    TierHarness harness(benchOptions(folder, std::uint64_t{4} << 30, 65536));
+    const double filled = secondsFor([&] { fill(harness, kParts, kBytes); });
+    const double wrote = secondsFor([&] {
         for (std::uint64_t i = 0; i < kParts; ++i) {
             const std::string path = files.path + "/" + std::to_string(i);
             std::ofstream(path + ".new", std::ios::binary) << copyOf(i, kBytes).body;
@@ -150,7 +151,7 @@
         }
     });
     std::uint64_t bytes = 0;
-    const double plain = secondsOf([&] {
+    const double plain = secondsFor([&] {
         std::string body(kBytes, '\0');
         for (std::uint64_t i = 0; i < kReads; ++i) {
             std::ifstream file(files.path + "/" + std::to_string(mix(i) % kParts), std::ios::binary);
@@ -159,20 +160,20 @@
         }
     });
     std::uint64_t done = 0, asked = 0;
-    const double ours = secondsOf([&] {
+    const double ours = secondsFor([&] {
         while (done < kReads) {
             while (asked < kReads && asked - done < 32) {
-                const auto ticket = desk.tier.lookUp(desk.now, benchKey(mix(asked) % kParts), 0,
-                                                     [&](std::optional<Copy> copy) {
-                                                         ++done;
-                                                         bytes += copy ? copy->body.size() : 0;
-                                                     });
+                const auto ticket = harness.tier.lookUp(harness.now, benchKey(mix(asked) % kParts), 0,
+                                                        [&](std::optional<Copy> copy) {
+                                                            ++done;
+                                                            bytes += copy ? copy->body.size() : 0;
+                                                        });
                 ++asked;
                 done += ticket == 0;
             }
-            pollfd waits{desk.tier.wakeDescriptor(), POLLIN, 0};
+            pollfd waits{harness.tier.wakeDescriptor(), POLLIN, 0};
             ::poll(&waits, 1, 100);
-            desk.tier.turn(desk.now);
+            harness.tier.turn(harness.now);
         }
     });
     std::printf("  write: one file a part %8.0f (1.00), tier %8.0f (%.2f)\n", kParts / wrote, kParts / filled,
@@ -184,36 +185,36 @@
 
 // ----- recovery -----
 
-void recovery() {
+void benchRecovery() {
     std::printf("seconds until all parts are served after a start\n");
     for (const std::uint64_t parts : {std::uint64_t{100'000}, std::uint64_t{1'000'000}}) {
         TemporaryFolder folder;
-        TierRules rules = benchRules(folder, std::uint64_t{8} << 30, parts + parts / 4);
+        TierOptions options = benchOptions(folder, std::uint64_t{8} << 30, parts + parts / 4);
         {
-            Desk desk(rules);
-            fill(desk, parts, 1000);
+            TierHarness harness(options);
+            fill(harness, parts, 1000);
         }
         const auto start = [&](bool tables) {
-            rules.worker.tables = tables;
+            options.worker.tables = tables;
             std::size_t found = 0;
-            const double seconds = secondsOf([&] {
-                Desk desk(rules);
-                found = desk.tier.shelf().parts();
+            const double seconds = secondsFor([&] {
+                TierHarness harness(options);
+                found = harness.tier.catalog().parts();
             });
             if (found != parts)
                 std::printf("  only %zu of %llu parts came back\n", found,
                             static_cast<unsigned long long>(parts));
             return seconds;
         };
-        const double walked = start(false), loaded = start(true);
+        const double scanned = start(false), loaded = start(true);
         std::printf("  %8llu parts: walked %.3f s (1.00), by tables %.3f s (%.3f)\n",
-                    static_cast<unsigned long long>(parts), walked, loaded, loaded / walked);
+                    static_cast<unsigned long long>(parts), scanned, loaded, loaded / scanned);
     }
 }
 
-// ----- the loop's turn while the writer is saturated -----
+// ----- a turn of the event loop while the writer is saturated -----
 
-void turns() {
+void benchTurns() {
     constexpr int kTurns = 20'000;
     constexpr std::size_t kBytes = 64 * 1024;
     std::printf("one turn of the loop (offer a part of 64 KB, look one up), microseconds\n");
@@ -221,20 +222,21 @@
     std::vector<double> ours, plain;
     const Copy copy = copyOf(1, kBytes);
     {
-        Desk desk(benchRules(folder, std::uint64_t{1} << 30, 65536));
+        TierHarness harness(benchOptions(folder, std::uint64_t{1} << 30, 65536));
         for (int i = 0; i < kTurns; ++i)
-            ours.push_back(1e6 * secondsOf([&] {
-                               desk.tier.offer(desk.now, benchKey(static_cast<std::uint64_t>(i)), 1, copy);
-                               (void)desk.tier.lookUp(desk.now,
-                                                      benchKey(mix(static_cast<std::uint64_t>(i)) % 1000), 0,
-                                                      [](std::optional<Copy>) {});
-                               desk.tier.turn(desk.now);
+            ours.push_back(1e6 * secondsFor([&] {
+                               harness.tier.offer(harness.now, benchKey(static_cast<std::uint64_t>(i)), 1,
+                                                  copy);
+                               (void)harness.tier.lookUp(harness.now,
+                                                         benchKey(mix(static_cast<std::uint64_t>(i)) % 1000),
+                                                         0, [](std::optional<Copy>) {});
+                               harness.tier.turn(harness.now);
                            }));
         std::printf("  offered %d, dropped as the queue was full %llu\n", kTurns,
-                    static_cast<unsigned long long>(desk.tier.counters().queueFull));
+                    static_cast<unsigned long long>(harness.tier.counters().queueFull));
     }
     for (int i = 0; i < kTurns / 10; ++i)
-        plain.push_back(1e6 * secondsOf([&] {
+        plain.push_back(1e6 * secondsFor([&] {
                             const std::string path = files.path + "/" + std::to_string(i);
                             FileCalls calls;
                             const File file(static_cast<int>(calls.open(path, O_RDWR | O_CREAT).bytes));
@@ -259,11 +261,11 @@
 
 int main(int count, char** words) {
     using namespace lotuslead::bench;
-    const std::vector<std::pair<std::string, void (*)()>> parts{{"hits", hitRatios},
-                                                                {"lookups", lookups},
-                                                                {"reads", reads},
-                                                                {"recovery", recovery},
-                                                                {"turns", turns}};
+    const std::vector<std::pair<std::string, void (*)()>> parts{{"hits", benchHitRatios},
+                                                                {"lookups", benchLookups},
+                                                                {"reads", benchReads},
+                                                                {"recovery", benchRecovery},
+                                                                {"turns", benchTurns}};
     for (const auto& [name, run] : parts) {
         bool wanted = count == 1;
         for (int i = 1; i < count; ++i) wanted = wanted || name == words[i];
--- a/src/disk/inspect.cpp
+++ b/src/disk/inspect.cpp
@@ -10,14 +10,14 @@
 #include <map>
 #include <unordered_map>
 
-#include "worker.hpp"
+#include "io_worker.hpp"
 
 namespace lotuslead::disk {
 
 namespace {
 
-constexpr std::size_t kMostProblems = 20;
-constexpr std::size_t kAllMarks = std::numeric_limits<std::size_t>::max();
+constexpr std::size_t kMaxProblems = 20;
+constexpr std::size_t kUnlimitedEntries = std::numeric_limits<std::size_t>::max();
 
 bool isHeld(FileCalls& calls, const Folder& folder) {
     const IoResult opened = calls.open(folder.pathOf("lock"), O_RDONLY);
@@ -26,13 +26,13 @@
     return ::flock(lock.get(), LOCK_SH | LOCK_NB) != 0 && errno == EWOULDBLOCK;
 }
 
-PurgeMarks marksOf(const Survey& survey) {
-    PurgeMarks marks(kAllMarks, 0);
-    for (const Mark& mark : survey.marks) marks.add(mark);
-    return marks;
+PurgeTombstones tombstonesOf(const Survey& survey) {
+    PurgeTombstones tombstones(kUnlimitedEntries, 0);
+    for (const PurgeEntry& entry : survey.entries) tombstones.add(entry);
+    return tombstones;
 }
 
-// A segment's file, kept open while its parts are read in a row.
+// Reads records; keeps the segment file of the last one open.
 class SegmentReader {
 public:
     SegmentReader(FileCalls& calls, const Folder& folder, const Survey& survey)
@@ -40,16 +40,17 @@
         for (const Survey::Segment& segment : survey.segments)
             queues_[segment.name.number] = segment.name.queue;
     }
-    IoResult read(const Place& place, std::uint64_t bytes, std::string& into) {
-        if (place.segment != open_) {
-            const std::string path = folder_.pathOf(segmentFile({place.segment, queues_[place.segment]}));
+    IoResult read(const RecordLocation& location, std::uint64_t bytes, std::string& into) {
+        if (location.segment != openSegment_) {
+            const std::string path =
+                folder_.pathOf(segmentFile({location.segment, queues_[location.segment]}));
             const IoResult opened = calls_.open(path, O_RDONLY);
             if (opened.error != 0) return {0, opened.error};
             file_ = File(static_cast<int>(opened.bytes));
-            open_ = place.segment;
+            openSegment_ = location.segment;
         }
         into.resize(bytes);
-        const IoResult read = readAll(calls_, file_.get(), into, place.offset);
+        const IoResult read = readAll(calls_, file_.get(), into, location.offset);
         into.resize(read.bytes);
         return read;
     }
@@ -58,13 +59,13 @@
     FileCalls& calls_;
     const Folder& folder_;
     std::map<std::uint32_t, Queue> queues_;
-    std::uint32_t open_ = 0;
+    std::uint32_t openSegment_ = 0;
     File file_;
 };
 
-// Waits for the worker's next completions; `take` returns true to end it.
+// Passes the worker's completions to `take` until it returns true.
 template <class Take>
-void pump(Worker& worker, Take take) {
+void awaitCompletions(IoWorker& worker, Take take) {
     while (true) {
         for (Completion& completion : worker.completions())
             if (take(completion)) return;
@@ -82,18 +83,18 @@
     if (!result.problem.empty()) return result;
     result.held = isHeld(calls, folder);
     PurgeLog log(calls, folder);
-    PurgeLog::Loaded loaded = log.load(Folder::Access::read);
+    PurgeLog::LoadResult loaded = log.load(Folder::Access::read);
     result.problem = std::move(loaded.problem);
     if (!result.problem.empty()) return result;
-    result.marks = std::move(loaded.marks);
-    result.position = loaded.position;
-    result.logDamaged = loaded.torn;
-    const PurgeMarks marks = marksOf(result);
+    result.entries = std::move(loaded.entries);
+    result.busPosition = loaded.busPosition;
+    result.logDamaged = loaded.damaged;
+    const PurgeTombstones tombstones = tombstonesOf(result);
 
     std::unordered_map<std::uint64_t, Part> latest;
     for (const SegmentName& name : folder.segments()) {
-        Folder::Contents contents = folder.readSegment(name, tables);
-        // Beside a process a segment may go between the listing and the reading.
+        Folder::SegmentContents contents = folder.readSegment(name, tables);
+        // A process that holds the folder may remove a segment between the listing and the read.
         if (!contents.problem.empty() && result.held && contents.fileBytes == 0) continue;
         Survey::Segment segment;
         segment.name = name;
@@ -107,97 +108,101 @@
             const auto [at, isNew] = latest.emplace(part.fingerprint, part);
             if (isNew) continue;
             ++result.superseded;
-            if (part.mintedMs >= at->second.mintedMs) at->second = part;
+            if (part.createdMs >= at->second.createdMs) at->second = part;
         }
     }
     std::map<std::uint32_t, Survey::Segment*> byNumber;
     for (Survey::Segment& segment : result.segments) byNumber[segment.name.number] = &segment;
     for (const auto& [fingerprint, part] : latest) {
-        if (marks.mayCover(part.object, part.group, part.mintedMs)) {
+        if (tombstones.mayCover(part.object, part.group, part.createdMs)) {
             ++result.purged;
             continue;
         }
-        Survey::Segment& segment = *byNumber[part.place.segment];
+        Survey::Segment& segment = *byNumber[part.location.segment];
         ++segment.live;
-        segment.liveBytes += part.place.bytes;
+        segment.liveBytes += part.location.bytes;
         result.live.push_back(part);
     }
     std::sort(result.live.begin(), result.live.end(), [](const Part& a, const Part& b) {
-        return std::pair(a.place.segment, a.place.offset) < std::pair(b.place.segment, b.place.offset);
+        return std::pair(a.location.segment, a.location.offset) <
+               std::pair(b.location.segment, b.location.offset);
     });
     return result;
 }
 
 void listParts(FileCalls& calls, const std::string& path, const Survey& survey,
-               const std::function<bool(const Listed&)>& visit) {
+               const std::function<bool(const ListedPart&)>& visit) {
     const Folder folder(calls, path);
     SegmentReader reader(calls, folder, survey);
-    const PurgeMarks marks = marksOf(survey);
+    const PurgeTombstones tombstones = tombstonesOf(survey);
     std::string bytes;
     for (const Part& part : survey.live) {
-        const std::uint64_t most = std::min<std::uint64_t>(part.place.bytes, kRecordHead + kMostNames);
-        if (reader.read(part.place, most, bytes).error != 0) continue;
-        const auto key = readRecordKey(bytes);
+        const std::uint64_t most =
+            std::min<std::uint64_t>(part.location.bytes, kRecordHeaderBytes + kMaxMetadataBytes);
+        if (reader.read(part.location, most, bytes).error != 0) continue;
+        const auto key = decodeRecordKey(bytes);
         if (!key) continue;
-        Listed listed{*key, part, 0, false};
-        listed.bodyBytes = part.place.bytes - kRecordHead - *namesBytesOf(bytes);
-        listed.purged = marks.covers(key->objectFingerprint(), key->group, part.mintedMs);
+        ListedPart listed{*key, part, 0, false};
+        listed.bodyBytes = part.location.bytes - kRecordHeaderBytes - *metadataBytesOf(bytes);
+        listed.purged = tombstones.covers(key->objectFingerprint(), key->group, part.createdMs);
         if (!visit(listed)) return;
     }
 }
 
-Verified verify(FileCalls& calls, const std::string& path, const Survey& survey) {
-    Verified result;
+VerifyResult verify(FileCalls& calls, const std::string& path, const Survey& survey) {
+    VerifyResult result;
     const Folder folder(calls, path);
     SegmentReader reader(calls, folder, survey);
     std::string bytes;
     for (const Part& part : survey.live) {
-        const IoResult read = reader.read(part.place, part.place.bytes, bytes);
-        const std::string where =
-            "segment " + std::to_string(part.place.segment) + " byte " + std::to_string(part.place.offset);
-        const auto tell = [&](const std::string& what) {
-            if (result.problems.size() < kMostProblems) result.problems.push_back(where + ": " + what);
+        const IoResult read = reader.read(part.location, part.location.bytes, bytes);
+        const std::string where = "segment " + std::to_string(part.location.segment) + " byte " +
+                                  std::to_string(part.location.offset);
+        const auto addProblem = [&](const std::string& what) {
+            if (result.problems.size() < kMaxProblems) result.problems.push_back(where + ": " + what);
         };
-        if (read.error == ENOENT && survey.held) continue;  // reclaimed meanwhile
+        if (read.error == ENOENT && survey.held)
+            continue;  // removed meanwhile by the process that holds the folder
         if (read.error != 0) {
             ++result.unreadable;
-            tell(problemOf("read", path, read.error));
+            addProblem(describeError("read", path, read.error));
             continue;
         }
         ++result.records;
         result.bytes += bytes.size();
-        const auto record = readRecord(bytes);
+        const auto record = decodeRecord(bytes);
         if (record && record->first.fingerprint() == part.fingerprint) continue;
         ++result.damaged;
-        tell("not as it was written");
+        addProblem("not as it was written");
     }
     return result;
 }
 
-Changed addMarks(FileCalls& calls, const std::string& path, const std::vector<Mark>& marks) {
-    Changed result;
+ChangeResult addPurges(FileCalls& calls, const std::string& path, const std::vector<PurgeEntry>& entries) {
+    ChangeResult result;
     Folder folder(calls, path);
-    result.problem = folder.open(Folder::Access::read).problem;  // never makes a folder
+    result.problem = folder.open(Folder::Access::read)
+                         .problem;  // fails where there is no folder, which opening for writing would create
     if (!result.problem.empty()) return result;
-    const Folder::Opened opened = folder.open(Folder::Access::write);
+    const Folder::OpenResult opened = folder.open(Folder::Access::write);
     result.problem = opened.problem;
     result.busy = opened.busy;
     if (!result.problem.empty()) return result;
     PurgeLog log(calls, folder);
-    PurgeLog::Loaded loaded = log.load(Folder::Access::write);
+    PurgeLog::LoadResult loaded = log.load(Folder::Access::write);
     result.problem = std::move(loaded.problem);
     if (!result.problem.empty()) return result;
-    if (loaded.torn) {
+    if (loaded.damaged) {
         result.problem = "the purge log of " + path + " is damaged; the next start drops all copies";
         return result;
     }
-    if (const int error = log.append(marks))
-        result.problem = problemOf("write", folder.pathOf("purges"), error);
+    if (const int error = log.append(entries))
+        result.problem = describeError("write", folder.pathOf("purges"), error);
     return result;
 }
 
-Changed compact(FileCalls& calls, const std::string& path, std::uint32_t segmentBytes) {
-    Changed result;
+ChangeResult compact(FileCalls& calls, const std::string& path, std::uint32_t segmentBytes) {
+    ChangeResult result;
     const Survey known = survey(calls, path, true);
     result.problem = known.problem;
     if (!result.problem.empty()) return result;
@@ -206,31 +211,32 @@
     for (const Survey::Segment& segment : known.segments) {
         keep[segment.name.number];
         queues[segment.name.number] = segment.name.queue;
-        result.before += segment.fileBytes;
+        result.bytesBefore += segment.fileBytes;
     }
-    for (const Part& part : known.live) keep[part.place.segment].push_back(part);
+    for (const Part& part : known.live) keep[part.location.segment].push_back(part);
 
-    WorkerRules rules;
-    rules.segmentBytes = segmentBytes;
-    Worker worker(calls, path, rules);
+    IoWorkerOptions options;
+    options.segmentBytes = segmentBytes;
+    IoWorker worker(calls, path, options);
     bool damaged = false;
-    pump(worker, [&](Completion& completion) {
-        if (auto* opened = std::get_if<OpenedFolder>(&completion)) {
+    awaitCompletions(worker, [&](Completion& completion) {
+        if (auto* opened = std::get_if<FolderOpened>(&completion)) {
             result.problem = opened->problem;
             result.busy = opened->busy;
             damaged = opened->damaged;
             return !result.problem.empty() || damaged;
         }
-        return std::holds_alternative<LoadedAll>(completion);
+        return std::holds_alternative<LoadFinished>(completion);
     });
     if (damaged) result.problem = "the purge log of " + path + " is damaged; the next start drops all copies";
     if (!result.problem.empty()) return result;
-    // Each segment is dropped only after all that lives in it stands elsewhere.
+    // Each segment is removed only after its live parts have been rewritten.
     for (auto& [number, parts] : keep) {
         worker.rewrite({number, queues[number], std::move(parts)});
-        pump(worker, [&](Completion& completion) {
-            if (const auto* moved = std::get_if<Moved>(&completion)) result.after += moved->to.bytes;
-            const auto* done = std::get_if<Rewritten>(&completion);
+        awaitCompletions(worker, [&](Completion& completion) {
+            if (const auto* moved = std::get_if<RecordMoved>(&completion))
+                result.bytesAfter += moved->to.bytes;
+            const auto* done = std::get_if<SegmentRewritten>(&completion);
             if (done) result.problem = done->problem;
             return done != nullptr;
         });
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -6,24 +6,24 @@
 
 namespace {
 
-constexpr std::size_t kSweepSlice = 4096;  // parts a turn: well under a millisecond
-constexpr std::size_t kVersions = 4096;    // objects whose version is remembered
-constexpr int kFailuresToPause = 3;        // writes in a row
+constexpr std::size_t kSweepSliceParts = 4096;  // for each turn; takes well under a millisecond
+constexpr std::size_t kMaxTrackedVersions = 4096;
+constexpr int kWriteFailuresToPause = 3;  // consecutive failures
 constexpr std::int64_t kFirstPauseMs = 1000, kLongestPauseMs = 60'000;
-constexpr std::int64_t kPositionEveryMs = 1000;  // where no purge carries it along
-constexpr std::uint64_t kLongLog = 4096;         // lines, and twice the marks: then it is written anew
+constexpr std::int64_t kBusPositionIntervalMs = 1000;    // when no purge is written with it
+constexpr std::uint64_t kMinLogEntriesToRewrite = 4096;  // and at least twice the number of tombstones
 
 }  // namespace
 
-Tier::Tier(FileCalls& calls, const TierRules& rules, Users users)
-    : rules_(rules),
-      users_(std::move(users)),
-      shelf_(rules.shelf),
-      marks_(rules.mostMarks, rules.purgeSlackMs),
-      versions_(kVersions),
-      worker_(calls, rules.folder, [&] {
-          WorkerRules worker = rules.worker;
-          worker.segmentBytes = shelf_.rules().segmentBytes;
+Tier::Tier(FileCalls& calls, const TierOptions& options, Callbacks callbacks)
+    : options_(options),
+      callbacks_(std::move(callbacks)),
+      catalog_(options.catalog),
+      tombstones_(options.maxPurgeEntries, options.purgeClockSkewMs),
+      versions_(kMaxTrackedVersions),
+      worker_(calls, options.folder, [&] {
+          IoWorkerOptions worker = options.worker;
+          worker.segmentBytes = catalog_.options().segmentBytes;
           return worker;
       }()) {}
 
@@ -46,323 +46,335 @@
     }
 }
 
-void Tier::turn(Moment now) {
+void Tier::turn(ClockReading now) {
     for (Completion& completion : worker_.completions())
-        std::visit([&](auto& told) { take(now, told); }, completion);
+        std::visit([&](auto& done) { handle(now, done); }, completion);
     if (state_ != State::ready) return;
-    if (sweeping_ && shelf_.sweep(marks_, kSweepSlice)) sweeping_ = std::exchange(sweepAgain_, false);
+    if (sweeping_ && catalog_.sweep(tombstones_, kSweepSliceParts))
+        sweeping_ = std::exchange(sweepAgain_, false);
     reclaim();
 }
 
-void Tier::tryAgain() {
-    if (state_ == State::waiting) worker_.openAgain();
+void Tier::retryOpen() {
+    if (state_ == State::waiting) worker_.retryOpen();
 }
 
 void Tier::close() {
     if (state_ == State::closed) return;
     state_ = State::closed;
     worker_.beginClose();
-    auto waiting = std::exchange(waiting_, {});
-    for (auto& [ticket, one] : waiting) one.found({});
+    auto pending = std::exchange(lookups_, {});
+    for (auto& [ticket, lookup] : pending) lookup.callback({});
 }
 
-void Tier::reconfigure(const TierRules& rules) {
-    marks_.setSlack(rules.purgeSlackMs);
-    proof_.reconfigure(rules.purges.bus, rules.purges.silenceMs);
-    rules_.purgeSlackMs = rules.purgeSlackMs;
-    rules_.purges = rules.purges;
+void Tier::reconfigure(const TierOptions& options) {
+    tombstones_.setClockSkew(options.purgeClockSkewMs);
+    purgeFeed_.reconfigure(options.purges.bus, options.purges.maxSilenceMs);
+    options_.purgeClockSkewMs = options.purgeClockSkewMs;
+    options_.purges = options.purges;
 }
 
 // ----- reading -----
 
-// Whether a copy of then may be served now; the only place where that is decided.
-bool Tier::servable(Moment now, const Key& key, std::int64_t oldestMs, std::int64_t mintedMs) {
-    if (logFails_ || !proof_.holds(now.monotonicMs)) {
+// Whether a copy of this creation time may be served now. All such decisions are made here.
+bool Tier::isServable(ClockReading now, const Key& key, std::int64_t maxAgeMs, std::int64_t createdMs) {
+    if (purgeLogFailing_ || !purgeFeed_.isCurrent(now.monotonicMs)) {
         ++counters_.unproved;
         return false;
     }
-    if (marks_.covers(key.objectFingerprint(), key.group, mintedMs)) {
+    if (tombstones_.covers(key.objectFingerprint(), key.group, createdMs)) {
         ++counters_.purged;
         return false;
     }
-    const std::int64_t age = now.unixMs - mintedMs;
-    if (age < -rules_.purgeSlackMs || (oldestMs > 0 && age > oldestMs)) {
+    const std::int64_t age = now.unixMs - createdMs;
+    if (age < -options_.purgeClockSkewMs || (maxAgeMs > 0 && age > maxAgeMs)) {
         ++counters_.expired;
         return false;
     }
     return true;
 }
 
-std::uint64_t Tier::lookUp(Moment now, const Key& key, std::int64_t oldestMs, Found found) {
+std::uint64_t Tier::lookUp(ClockReading now, const Key& key, std::int64_t maxAgeMs, LookupCallback callback) {
     if (!holdsFolder()) return 0;
     const std::uint64_t fingerprint = key.fingerprint();
-    shelf_.asked(fingerprint);
-    const auto part = shelf_.look(fingerprint);
-    if (!part || !servable(now, key, oldestMs, part->mintedMs)) {
+    catalog_.recordRequest(fingerprint);
+    const auto part = catalog_.findForRead(fingerprint);
+    if (!part || !isServable(now, key, maxAgeMs, part->createdMs)) {
         ++counters_.misses;
         return 0;
     }
     const std::uint64_t ticket = nextTicket_++;
-    if (!worker_.read({ticket, fingerprint, part->place})) {
+    if (!worker_.read({ticket, fingerprint, part->location})) {
         ++counters_.busy;
         ++counters_.misses;
         return 0;
     }
-    waiting_.emplace(ticket, Waiting{key, oldestMs, std::move(found)});
+    lookups_.emplace(ticket, PendingLookup{key, maxAgeMs, std::move(callback)});
     return ticket;
 }
 
-void Tier::take(Moment now, ReadDone& told) {
-    const bool good = told.record.has_value();
-    if (!told.problem.empty()) {
+void Tier::handle(ClockReading now, ReadDone& done) {
+    const bool good = done.record.has_value();
+    if (!done.problem.empty()) {
         ++counters_.readErrors;
-        log("disk tier: " + told.problem);
+        log("disk tier: " + done.problem);
     }
-    if (told.torn) {
+    if (done.torn) {
         ++counters_.torn;
-        log("disk tier: a record in segment " + std::to_string(told.place.segment) + " at byte " +
-            std::to_string(told.place.offset) + " is not as it was written, dropped");
+        log("disk tier: a record in segment " + std::to_string(done.location.segment) + " at byte " +
+            std::to_string(done.location.offset) + " is not as it was written, dropped");
     }
-    // A part that has moved meanwhile is somewhere else, and stays.
-    if (!good) shelf_.lost(told.fingerprint, told.place);
-    const auto at = waiting_.find(told.ticket);
-    if (at == waiting_.end()) return;
-    Waiting waiting = std::move(at->second);
-    waiting_.erase(at);
-    // Names may share a fingerprint, and a purge may have come while it was read.
-    const bool same = good && told.record->first == waiting.key;
-    if (!same || !servable(now, waiting.key, waiting.oldestMs, told.record->second.mintedMs) ||
-        !isLatest(waiting.key, told.record->second)) {
+    // A part that was moved meanwhile has another location and is kept.
+    if (!good) catalog_.partLost(done.fingerprint, done.location);
+    const auto at = lookups_.find(done.ticket);
+    if (at == lookups_.end()) return;
+    PendingLookup lookup = std::move(at->second);
+    lookups_.erase(at);
+    // Two keys may share a fingerprint, and a purge may have arrived during the read.
+    const bool same = good && done.record->first == lookup.key;
+    if (!same || !isServable(now, lookup.key, lookup.maxAgeMs, done.record->second.createdMs) ||
+        !isLatest(lookup.key, done.record->second)) {
         ++counters_.misses;
-        return waiting.found({});
+        return lookup.callback({});
     }
     ++counters_.hits;
-    counters_.hitBytes += told.record->second.body.size();
-    waiting.found(std::move(told.record->second));
+    counters_.hitBytes += done.record->second.body.size();
+    lookup.callback(std::move(done.record->second));
 }
 
-// ----- keeping -----
+// ----- admission and writing -----
 
-void Tier::offer(Moment now, const Key& key, int rank, const Copy& copy) {
+void Tier::offer(ClockReading now, const Key& key, int rank, const Copy& copy) {
     ++counters_.offered;
     const std::uint64_t object = key.objectFingerprint();
     if (!isLatest(key, copy)) return;
-    if (!holdsFolder() || copy.mintedMs <= 0) return;
-    if (logFails_ || now.monotonicMs < pausedUntilMs_) {
+    if (!holdsFolder() || copy.createdMs <= 0) return;
+    if (purgeLogFailing_ || now.monotonicMs < pausedUntilMs_) {
         ++counters_.paused;
         return;
     }
     const std::uint64_t fingerprint = key.fingerprint();
-    if (marks_.covers(object, key.group, copy.mintedMs)) {
+    if (tombstones_.covers(object, key.group, copy.createdMs)) {
         ++counters_.purged;
         return;
     }
-    // Fetched only since nothing could be proved just now: what is held will do again.
-    if (!proof_.holds(now.monotonicMs) && shelf_.has(fingerprint)) return;
+    // The copy was fetched only because the purge state is not current at the moment; the copy that is held
+    // will be usable again.
+    if (!purgeFeed_.isCurrent(now.monotonicMs) && catalog_.contains(fingerprint)) return;
     const std::uint64_t bytes = recordBytes(key, copy);
-    if (onTheWay_ + bytes > rules_.worker.queueBytes) {
+    if (pendingWriteBytes_ + bytes > options_.worker.queueBytes) {
         ++counters_.queueFull;
         return;
     }
-    const auto queue = shelf_.admit(fingerprint, rank, bytes, onTheWay_);
+    const auto queue = catalog_.admit(fingerprint, rank, bytes, pendingWriteBytes_);
     if (!queue) return;
     AppendJob job{key, std::make_shared<const Copy>(copy), *queue, rank, bytes};
     if (!worker_.append(std::move(job))) {
         ++counters_.queueFull;
         return;
     }
-    onTheWay_ += bytes;
-    noteMinted(copy.mintedMs);
+    pendingWriteBytes_ += bytes;
+    noteCreated(copy.createdMs);
 }
 
-// Parts of two versions must not meet in one download: where two have been seen, what is held of the one seen
-// first goes.
+// Parts of two versions must not be combined in one download: when a second version of an object is seen, the
+// parts of the older one are purged.
 bool Tier::isLatest(const Key& key, const Copy& copy) {
-    const std::uint64_t version = users_.version(copy.facts);
+    const std::uint64_t version = callbacks_.version(copy.facts);
     if (version == 0) return true;
     const std::uint64_t object = key.objectFingerprint();
     auto [known, had] = versions_.touch(object);
     const bool other = had && known.version != version;
-    const bool latest = !other || copy.mintedMs >= known.mintedMs;
+    const bool isLatestVersion = !other || copy.createdMs >= known.createdMs;
     if (other) {
         ++counters_.superseded;
-        mark({Mark::What::object, object, std::max(copy.mintedMs, known.mintedMs) - rules_.purgeSlackMs - 1});
+        addPurge({PurgeEntry::Kind::object, object,
+                  std::max(copy.createdMs, known.createdMs) - options_.purgeClockSkewMs - 1});
     }
-    if (!had || (latest && copy.mintedMs >= known.mintedMs)) known = {version, copy.mintedMs};
-    return latest;
+    if (!had || (isLatestVersion && copy.createdMs >= known.createdMs)) known = {version, copy.createdMs};
+    return isLatestVersion;
 }
 
-void Tier::take(Moment, Placed& told) {
-    onTheWay_ -= told.bytes;
+void Tier::handle(ClockReading, RecordAppended& done) {
+    pendingWriteBytes_ -= done.bytes;
     writeFailures_ = 0;
     pauseMs_ = 0;
-    shelf_.placed(told.part, told.queue, told.rank);
+    catalog_.partAppended(done.part, done.queue, done.rank);
 }
 
-void Tier::take(Moment now, NotPlaced& told) {
-    onTheWay_ -= told.bytes;
+void Tier::handle(ClockReading now, AppendFailed& done) {
+    pendingWriteBytes_ -= done.bytes;
     ++counters_.writeErrors;
-    if (++writeFailures_ < kFailuresToPause) return;
+    if (++writeFailures_ < kWriteFailuresToPause) return;
     writeFailures_ = 0;
     pauseMs_ = std::clamp(pauseMs_ * 2, kFirstPauseMs, kLongestPauseMs);
     pausedUntilMs_ = now.monotonicMs + pauseMs_;
-    log("disk tier: " + told.problem + "; nothing is admitted for " + std::to_string(pauseMs_ / 1000) + " s");
+    log("disk tier: " + done.problem + "; nothing is admitted for " + std::to_string(pauseMs_ / 1000) + " s");
 }
 
-void Tier::take(Moment, Sealed& told) {
-    shelf_.sealed(told.segment);
-    if (!told.problem.empty()) log("disk tier: " + told.problem);
+void Tier::handle(ClockReading, SegmentSealed& done) {
+    catalog_.segmentSealed(done.segment);
+    if (!done.problem.empty()) log("disk tier: " + done.problem);
 }
 
-// ----- giving space back -----
+// ----- reclaiming space -----
 
 void Tier::reclaim() {
-    auto next = shelf_.nextReclaim(onTheWay_);
+    auto next = catalog_.nextReclaim(pendingWriteBytes_);
     if (!next) return;
-    // What a purge covers is not carried on.
-    std::erase_if(next->keep,
-                  [&](const Part& part) { return marks_.mayCover(part.object, part.group, part.mintedMs); });
-    worker_.rewrite({next->segment, next->into, std::move(next->keep)});
+    // Purged parts are not rewritten.
+    std::erase_if(next->survivors, [&](const Part& part) {
+        return tombstones_.mayCover(part.object, part.group, part.createdMs);
+    });
+    worker_.rewrite({next->segment, next->targetQueue, std::move(next->survivors)});
 }
 
-void Tier::take(Moment, Moved& told) { shelf_.moved(told.fingerprint, told.from, told.to, told.queue); }
+void Tier::handle(ClockReading, RecordMoved& done) {
+    catalog_.partMoved(done.fingerprint, done.from, done.to, done.queue);
+}
 
-void Tier::take(Moment, Rewritten& told) {
-    if (!told.problem.empty()) {
+void Tier::handle(ClockReading, SegmentRewritten& done) {
+    if (!done.problem.empty()) {
         ++counters_.writeErrors;
-        log("disk tier: " + told.problem + "; what a segment had in use goes with it");
+        log("disk tier: " + done.problem + "; the remaining parts of the segment are dropped");
     }
-    shelf_.drop(told.segment);
-    worker_.remove({told.segment});
+    catalog_.dropSegment(done.segment);
+    worker_.remove({done.segment});
 }
 
-void Tier::take(Moment, Removed& told) {
-    if (told.problem.empty()) return;
+void Tier::handle(ClockReading, SegmentRemoved& done) {
+    if (done.problem.empty()) return;
     ++counters_.writeErrors;
-    log("disk tier: " + told.problem);
+    log("disk tier: " + done.problem);
 }
 
 // ----- purges -----
 
 void Tier::purgeObject(const std::string& object, std::int64_t atMs) {
-    mark({Mark::What::object, fingerprint(object), atMs});
+    addPurge({PurgeEntry::Kind::object, fingerprint(object), atMs});
 }
 void Tier::purgeGroup(std::int64_t group, std::int64_t atMs) {
-    mark({Mark::What::group, static_cast<std::uint64_t>(group), atMs});
+    addPurge({PurgeEntry::Kind::group, static_cast<std::uint64_t>(group), atMs});
 }
 
-void Tier::mark(const Mark& mark) {
-    marks_.add(mark);
+void Tier::addPurge(const PurgeEntry& entry) {
+    tombstones_.add(entry);
     ++counters_.marks;
     (sweeping_ ? sweepAgain_ : sweeping_) = true;
-    keep({mark});
+    persist({entry});
 }
 
-// Where no folder is held all marks are written when it is.
-void Tier::keep(std::vector<Mark> marks) {
+// While no folder is held, nothing is written: all tombstones are written when it is opened.
+void Tier::persist(std::vector<PurgeEntry> entries) {
     if (!holdsFolder()) return;
-    linesGiven_ += marks.size();
-    given_ = worker_.keep(std::move(marks));
-    rewriteLogIfLong();
+    logEntries_ += entries.size();
+    purgesSubmitted_ = worker_.appendPurges(std::move(entries));
+    rewritePurgeLogIfLong();
 }
 
-void Tier::rewriteLogIfLong() {
-    if (linesGiven_ < kLongLog || linesGiven_ < 2 * marks_.size()) return;
-    std::vector<Mark> all{{Mark::What::floor, 0, marks_.floorMs()}};
-    marks_.forEach([&](const Mark& mark) { all.push_back(mark); });
-    if (positionGiven_) all.push_back({Mark::What::position, 0, *positionGiven_});
-    linesGiven_ = all.size();
-    worker_.rewriteLog(std::move(all));
+void Tier::rewritePurgeLogIfLong() {
+    if (logEntries_ < kMinLogEntriesToRewrite || logEntries_ < 2 * tombstones_.size()) return;
+    std::vector<PurgeEntry> all{{PurgeEntry::Kind::watermark, 0, tombstones_.watermarkMs()}};
+    tombstones_.forEach([&](const PurgeEntry& entry) { all.push_back(entry); });
+    if (submittedPosition_) all.push_back({PurgeEntry::Kind::busPosition, 0, *submittedPosition_});
+    logEntries_ = all.size();
+    worker_.rewritePurgeLog(std::move(all));
 }
 
-void Tier::told(Moment now, std::int64_t from, std::int64_t last, std::span<const std::int64_t> numbers,
-                bool complete) {
-    if (proof_.told(now.monotonicMs, from, last, numbers, complete))
-        raiseFloor(now, "events of the bus are missing");
-    givePosition(now);
+void Tier::busBatchReceived(ClockReading now, std::int64_t from, std::int64_t last,
+                            std::span<const std::int64_t> numbers, bool complete) {
+    if (purgeFeed_.batchReceived(now.monotonicMs, from, last, numbers, complete))
+        raiseWatermark(now, "events of the bus are missing");
+    submitBusPosition(now);
 }
 
-void Tier::givePosition(Moment now) {
-    const auto position = proof_.position();
-    if (!position || !holdsFolder() || position == positionGiven_) return;
-    // With a purge at once, so that it need not be told again; else now and then.
-    if (kept() && positionGiven_ && now.monotonicMs - positionGivenMs_ < kPositionEveryMs) return;
-    positionGiven_ = position;
-    positionGivenMs_ = now.monotonicMs;
-    keep({{Mark::What::position, 0, *position}});
+void Tier::submitBusPosition(ClockReading now) {
+    const auto position = purgeFeed_.position();
+    if (!position || !holdsFolder() || position == submittedPosition_) return;
+    // Together with a purge it is written at once, so that the purge need not be received again after a
+    // restart; otherwise only at intervals.
+    if (purgesPersisted() && submittedPosition_ &&
+        now.monotonicMs - positionSubmittedMs_ < kBusPositionIntervalMs)
+        return;
+    submittedPosition_ = position;
+    positionSubmittedMs_ = now.monotonicMs;
+    persist({{PurgeEntry::Kind::busPosition, 0, *position}});
 }
 
-void Tier::raiseFloor(Moment now, const char* why) {
+void Tier::raiseWatermark(ClockReading now, const char* why) {
     ++counters_.floors;
     log(std::string("disk tier: what is held can't be proved newer than every purge (") + why + "), dropped");
-    // The clock that dated a copy may be ahead of this machine's.
-    dropsLoading_ = dropsLoading_ || state_ == State::loading;
-    mark({Mark::What::floor, 0, std::max(now.unixMs, latestMintedMs_)});
+    // Copies may carry a later time than this machine's clock, which may be behind.
+    dropLoadingParts_ = dropLoadingParts_ || state_ == State::loading;
+    addPurge({PurgeEntry::Kind::watermark, 0, std::max(now.unixMs, latestCreatedMs_)});
 }
 
-void Tier::noteMinted(std::int64_t mintedMs) { latestMintedMs_ = std::max(latestMintedMs_, mintedMs); }
+void Tier::noteCreated(std::int64_t createdMs) { latestCreatedMs_ = std::max(latestCreatedMs_, createdMs); }
 
-void Tier::take(Moment, MarksKept& told) {
-    const bool failed = !told.problem.empty();
+void Tier::handle(ClockReading, PurgesPersisted& done) {
+    const bool failed = !done.problem.empty();
     if (failed) ++counters_.logErrors;
-    if (failed != logFails_)
-        log(failed ? "disk tier: " + told.problem + "; nothing is served from it until it can be written"
+    if (failed != purgeLogFailing_)
+        log(failed ? "disk tier: " + done.problem + "; nothing is served from it until it can be written"
                    : std::string("disk tier: the purge log can be written again"));
-    logFails_ = failed;
-    keptUpTo_ = std::max(keptUpTo_, told.upTo);
+    purgeLogFailing_ = failed;
+    persistedUpTo_ = std::max(persistedUpTo_, done.upTo);
 }
 
 // ----- starting -----
 
-void Tier::take(Moment now, OpenedFolder& told) {
+void Tier::handle(ClockReading now, FolderOpened& done) {
     if (state_ == State::closed) return;
-    if (!told.problem.empty()) {
-        state_ = told.tryAgain ? State::waiting : State::off;
-        if (told.problem != problem_)
-            log("disk tier: " + told.problem + (told.tryAgain ? "; it is tried again" : "; the tier is off"));
-        problem_ = told.problem;
+    if (!done.problem.empty()) {
+        state_ = done.retryable ? State::waiting : State::off;
+        if (done.problem != lastProblem_)
+            log("disk tier: " + done.problem +
+                (done.retryable ? "; it is tried again" : "; the tier is off"));
+        lastProblem_ = done.problem;
         return;
     }
     state_ = State::loading;
-    problem_.clear();
-    // First what this process has heard while it had no folder: it goes to the log.
-    std::vector<Mark> heard;
-    marks_.forEach([&](const Mark& mark) { heard.push_back(mark); });
-    for (const Mark& mark : told.marks) marks_.add(mark);
-    linesGiven_ = told.marks.size();
-    const PurgeProof::Begin begin = proof_.begin(rules_.purges, told.position);
-    if (told.damaged)
-        raiseFloor(now, "the purge log is damaged");
-    else if (begin.floor && !told.empty)
-        raiseFloor(now, "no bus tells what was purged meanwhile");
-    if (!heard.empty()) keep(std::move(heard));  // behind the floor, which makes good what is damaged
-    if (begin.askFrom) users_.askFrom(*begin.askFrom);
-    givePosition(now);  // the bus may have been heard before
+    lastProblem_.clear();
+    // Purges that this process received before it held the folder; they must be written to the log as well.
+    std::vector<PurgeEntry> receivedPurges;
+    tombstones_.forEach([&](const PurgeEntry& entry) { receivedPurges.push_back(entry); });
+    for (const PurgeEntry& entry : done.entries) tombstones_.add(entry);
+    logEntries_ = done.entries.size();
+    const PurgeFeedTracker::StartResult started = purgeFeed_.start(options_.purges, done.busPosition);
+    if (done.damaged)
+        raiseWatermark(now, "the purge log is damaged");
+    else if (started.raiseWatermark && !done.empty)
+        raiseWatermark(now, "no bus tells what was purged meanwhile");
+    if (!receivedPurges.empty())
+        persist(std::move(receivedPurges));  // after the watermark, which repairs a damaged log
+    if (started.resumeFrom) callbacks_.resumeBusFrom(*started.resumeFrom);
+    submitBusPosition(now);  // events may have been received before the folder was opened
 }
 
-void Tier::take(Moment, LoadedSegment& told) {
-    if (!told.problem.empty()) {
+void Tier::handle(ClockReading, SegmentLoaded& done) {
+    if (!done.problem.empty()) {
         ++counters_.readErrors;
-        log("disk tier: " + told.problem);
+        log("disk tier: " + done.problem);
     }
-    if (told.torn) {
-        ++counters_.cutTails;
-        log("disk tier: " + segmentFile(told.name) + " ends in the middle of a record, which is dropped");
+    if (done.torn) {
+        ++counters_.truncatedTails;
+        log("disk tier: " + segmentFile(done.name) + " ends in the middle of a record, which is dropped");
     }
-    for (const Part& part : told.parts) noteMinted(part.mintedMs);
-    if (dropsLoading_ && latestMintedMs_ > marks_.floorMs()) mark({Mark::What::floor, 0, latestMintedMs_});
-    // Too few places in the index: what does not fit is dead, and goes with its segment.
-    for (const Part& part : told.parts) shelf_.loaded(part, told.name.queue);
-    shelf_.segmentLoaded(told.name.number, told.name.queue, told.bytes);
+    for (const Part& part : done.parts) noteCreated(part.createdMs);
+    if (dropLoadingParts_ && latestCreatedMs_ > tombstones_.watermarkMs())
+        addPurge({PurgeEntry::Kind::watermark, 0, latestCreatedMs_});
+    // If the index is full, the remaining parts are garbage and are removed with their segment.
+    for (const Part& part : done.parts) catalog_.partLoaded(part, done.name.queue);
+    catalog_.segmentLoaded(done.name.number, done.name.queue, done.bytes);
 }
 
-void Tier::take(Moment, LoadedAll&) {
+void Tier::handle(ClockReading, LoadFinished&) {
     if (state_ != State::loading) return;
     state_ = State::ready;
-    dropsLoading_ = false;
+    dropLoadingParts_ = false;
     sweeping_ = true;
-    log("disk tier: " + std::to_string(shelf_.parts()) + " parts in " + std::to_string(shelf_.segments()) +
-        " segments at " + rules_.folder);
+    log("disk tier: " + std::to_string(catalog_.parts()) + " parts in " +
+        std::to_string(catalog_.segments()) + " segments at " + options_.folder);
 }
 
 }  // namespace lotuslead::disk
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -1,6 +1,7 @@
-// A tier of copies on disk, as the loop's thread sees it: it puts the decisions (Shelf, PurgeMarks,
-// PurgeProof) to work on a Worker. No call blocks on the disk, but for the destructor. It reads no clock:
-// each call is told the time. What can't be had is a miss; nothing here ever fails a request.
+// The disk tier: a cache of copies on disk, as used from the event loop's thread. It combines the decisions
+// of SegmentCatalog, PurgeTombstones and PurgeFeedTracker with the I/O of an IoWorker. No call except the
+// destructor blocks on the disk. It reads no clock: each call is passed the time. Any failure is a cache
+// miss; the tier never fails a request.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +14,25 @@
 #include <vector>
 
 #include "../support/lru_map.hpp"
-#include "marks.hpp"
-#include "shelf.hpp"
-#include "worker.hpp"
+#include "io_worker.hpp"
+#include "purge_tombstones.hpp"
+#include "segment_catalog.hpp"
 
 namespace lotuslead::disk {
 
-struct Moment {
+// The time of a call on both clocks.
+struct ClockReading {
     std::int64_t monotonicMs = 0;
     std::int64_t unixMs = 0;
 };
 
-struct TierRules {
+struct TierOptions {
     std::string folder;
-    ShelfRules shelf;
-    WorkerRules worker;
-    std::size_t mostMarks = 65536;  // objects, and as many groups, that are told apart
-    std::int64_t purgeSlackMs = 1000;
-    PurgeProof::Rules purges;
+    SegmentCatalogOptions catalog;
+    IoWorkerOptions worker;
+    std::size_t maxPurgeEntries = 65536;  // purged objects that are held one by one, and as many groups
+    std::int64_t purgeClockSkewMs = 1000;
+    PurgeFeedTracker::Options purges;
 };
 
 class Tier {
@@ -39,124 +41,131 @@
     struct Counters {
         std::uint64_t hits = 0, misses = 0, purged = 0, expired = 0, unproved = 0, torn = 0, readErrors = 0,
                       busy = 0, offered = 0, queueFull = 0, paused = 0, writeErrors = 0, marks = 0,
-                      floors = 0, superseded = 0, logErrors = 0, cutTails = 0;
+                      floors = 0, superseded = 0, logErrors = 0, truncatedTails = 0;
         std::uint64_t hitBytes = 0;
     };
-    struct Users {
-        std::function<void(const std::string&)> log;         // one line
-        std::function<void(std::int64_t position)> askFrom;  // the bus's reader is to go back to here
-        // The same for all parts of one version of an object; zero: parts have none in common.
+    struct Callbacks {
+        std::function<void(const std::string&)> log;  // writes one line
+        std::function<void(std::int64_t position)>
+            resumeBusFrom;  // makes the bus reader go back to this event number
+        // A number that is equal for all parts of one version of an object; zero if its parts carry no
+        // version.
         std::function<std::uint64_t(const Facts&)> version;
     };
-    // Empty: it is not to be served.
-    using Found = std::function<void(std::optional<Copy>)>;
+    // Receives the copy, or none when it may not be served.
+    using LookupCallback = std::function<void(std::optional<Copy>)>;
 
-    // `calls` outlives it.
-    Tier(FileCalls& calls, const TierRules& rules, Users users);
+    // `calls` must outlive the tier.
+    Tier(FileCalls& calls, const TierOptions& options, Callbacks callbacks);
     ~Tier();
     Tier(const Tier&) = delete;
 
-    // Readable when there is something for turn() to take.
+    // Readable when turn() has completions to process.
     int wakeDescriptor() const { return worker_.wakeDescriptor(); }
-    void turn(Moment now);
-    // There is more to do, in slices, though nothing wakes it.
-    bool wantsTurn() const { return sweeping_ && state_ == State::ready; }
-    // Where another process holds the folder, it is tried again; to be called every second or so.
-    void tryAgain();
-
-    // Zero: a miss, told at once. Else `found` is called by a later turn(), unless it is forgotten before.
-    // `oldestMs`: an older copy will not do; zero: any age.
-    [[nodiscard]] std::uint64_t lookUp(Moment now, const Key& key, std::int64_t oldestMs, Found found);
-    void forget(std::uint64_t ticket) { waiting_.erase(ticket); }
-    // A fetched copy. `rank`: the decision module's; zero: it is not to be kept.
-    void offer(Moment now, const Key& key, int rank, const Copy& copy);
+    void turn(ClockReading now);
+    // turn() must be called again although the descriptor does not become readable: a purge sweep is in
+    // progress.
+    bool hasMoreWork() const { return sweeping_ && state_ == State::ready; }
+    // Tries again to open the folder, if another process held it or the error was transient. To be called
+    // about every second.
+    void retryOpen();
+
+    // Returns zero for a miss. Otherwise returns a ticket, and a later turn() calls `callback`, unless the
+    // lookup is cancelled before. `maxAgeMs`: the largest acceptable age; zero accepts any age.
+    [[nodiscard]] std::uint64_t lookUp(ClockReading now, const Key& key, std::int64_t maxAgeMs,
+                                       LookupCallback callback);
+    void cancelLookup(std::uint64_t ticket) { lookups_.erase(ticket); }
+    // Offers a fetched copy. `rank` comes from the decision module; zero means that the copy is not to be
+    // kept.
+    void offer(ClockReading now, const Key& key, int rank, const Copy& copy);
 
     // ----- purges -----
 
     void purgeObject(const std::string& object, std::int64_t atMs);
     void purgeGroup(std::int64_t group, std::int64_t atMs);
-    // As PurgeProof::told; after the purges of that batch.
-    void told(Moment now, std::int64_t from, std::int64_t last, std::span<const std::int64_t> numbers,
-              bool complete = true);
-    // What is held can be served, or nothing will be: before that a start is worth waiting with.
-    bool settled(Moment now) const {
-        return state_ != State::opening && (!holdsFolder() || proof_.holds(now.monotonicMs));
+    // As PurgeFeedTracker::batchReceived; to be called after the purges of that batch have been applied.
+    void busBatchReceived(ClockReading now, std::int64_t from, std::int64_t last,
+                          std::span<const std::int64_t> numbers, bool complete = true);
+    // The copies on disk can be served, or the tier is known to be unavailable. The gateway delays its start
+    // until then.
+    bool startupComplete(ClockReading now) const {
+        return state_ != State::opening && (!holdsFolder() || purgeFeed_.isCurrent(now.monotonicMs));
     }
-    // All marks are on disk, or there is no disk that holds a copy.
-    bool kept() const { return keptUpTo_ >= given_; }
+    // All purges are on disk, or no folder is held that a copy could be served from.
+    bool purgesPersisted() const { return persistedUpTo_ >= purgesSubmitted_; }
 
-    // Other limits that hold from now on; folder and sizes stay.
-    void reconfigure(const TierRules& rules);
-    // Lets go of the folder for another process; from here on all are misses.
+    // Applies the purge options only; the folder and all sizes stay as they are.
+    void reconfigure(const TierOptions& options);
+    // Releases the folder for another process; from then on every lookup is a miss.
     void close();
 
     State state() const { return state_; }
     const char* stateName() const;
     const Counters& counters() const { return counters_; }
-    const Shelf& shelf() const { return shelf_; }
-    std::size_t markCount() const { return marks_.size(); }
-    std::int64_t floorMs() const { return marks_.floorMs(); }
-    std::uint64_t queuedBytes() const { return onTheWay_; }
-    const TierRules& rules() const { return rules_; }
+    const SegmentCatalog& catalog() const { return catalog_; }
+    std::size_t tombstoneCount() const { return tombstones_.size(); }
+    std::int64_t watermarkMs() const { return tombstones_.watermarkMs(); }
+    std::uint64_t queuedBytes() const { return pendingWriteBytes_; }
+    const TierOptions& options() const { return options_; }
 
 private:
-    struct Waiting {
+    struct PendingLookup {
         Key key;
-        std::int64_t oldestMs = 0;
-        Found found;
+        std::int64_t maxAgeMs = 0;
+        LookupCallback callback;
     };
     struct Version {
         std::uint64_t version = 0;
-        std::int64_t mintedMs = 0;
+        std::int64_t createdMs = 0;
     };
 
-    void take(Moment now, OpenedFolder& told);
-    void take(Moment now, LoadedSegment& told);
-    void take(Moment now, LoadedAll& told);
-    void take(Moment now, Placed& told);
-    void take(Moment now, NotPlaced& told);
-    void take(Moment now, Sealed& told);
-    void take(Moment now, Moved& told);
-    void take(Moment now, Rewritten& told);
-    void take(Moment now, Removed& told);
-    void take(Moment now, MarksKept& told);
-    void take(Moment now, ReadDone& told);
+    void handle(ClockReading now, FolderOpened& done);
+    void handle(ClockReading now, SegmentLoaded& done);
+    void handle(ClockReading now, LoadFinished& done);
+    void handle(ClockReading now, RecordAppended& done);
+    void handle(ClockReading now, AppendFailed& done);
+    void handle(ClockReading now, SegmentSealed& done);
+    void handle(ClockReading now, RecordMoved& done);
+    void handle(ClockReading now, SegmentRewritten& done);
+    void handle(ClockReading now, SegmentRemoved& done);
+    void handle(ClockReading now, PurgesPersisted& done);
+    void handle(ClockReading now, ReadDone& done);
 
     bool holdsFolder() const { return state_ == State::loading || state_ == State::ready; }
-    bool servable(Moment now, const Key& key, std::int64_t oldestMs, std::int64_t mintedMs);
-    void mark(const Mark& mark);
-    void keep(std::vector<Mark> marks);
-    void raiseFloor(Moment now, const char* why);
-    void noteMinted(std::int64_t mintedMs);
+    bool isServable(ClockReading now, const Key& key, std::int64_t maxAgeMs, std::int64_t createdMs);
+    void addPurge(const PurgeEntry& entry);
+    void persist(std::vector<PurgeEntry> entries);
+    void raiseWatermark(ClockReading now, const char* why);
+    void noteCreated(std::int64_t createdMs);
     bool isLatest(const Key& key, const Copy& copy);
-    void givePosition(Moment now);
+    void submitBusPosition(ClockReading now);
     void reclaim();
-    void rewriteLogIfLong();
-    void log(const std::string& line) const { users_.log(line); }
+    void rewritePurgeLogIfLong();
+    void log(const std::string& line) const { callbacks_.log(line); }
 
-    TierRules rules_;
-    Users users_;
-    Shelf shelf_;
-    PurgeMarks marks_;
-    std::int64_t latestMintedMs_ = 0;  // of all that is held or on its way
-    bool dropsLoading_ = false;        // what the segments still bring can't be proved either
+    TierOptions options_;
+    Callbacks callbacks_;
+    SegmentCatalog catalog_;
+    PurgeTombstones tombstones_;
+    std::int64_t latestCreatedMs_ = 0;  // of all copies that are held or being written
+    bool dropLoadingParts_ = false;     // drop the parts of segments that are still being loaded, too
 
-    PurgeProof proof_;
+    PurgeFeedTracker purgeFeed_;
     State state_ = State::opening;
-    std::string problem_;  // told last
+    std::string lastProblem_;  // the last one that was logged
     std::uint64_t nextTicket_ = 1;
-    std::unordered_map<std::uint64_t, Waiting> waiting_;
+    std::unordered_map<std::uint64_t, PendingLookup> lookups_;
     LruMap<std::uint64_t, Version> versions_;
-    std::uint64_t onTheWay_ = 0;  // bytes that the writer has not written
-    int writeFailures_ = 0;       // in a row
+    std::uint64_t pendingWriteBytes_ = 0;
+    int writeFailures_ = 0;  // consecutive
     std::int64_t pausedUntilMs_ = 0, pauseMs_ = 0;
-    bool logFails_ = false;
-    std::uint64_t given_ = 0, keptUpTo_ = 0, linesGiven_ = 0;
-    std::optional<std::int64_t> positionGiven_;
-    std::int64_t positionGivenMs_ = 0;
+    bool purgeLogFailing_ = false;
+    std::uint64_t purgesSubmitted_ = 0, persistedUpTo_ = 0, logEntries_ = 0;
+    std::optional<std::int64_t> submittedPosition_;
+    std::int64_t positionSubmittedMs_ = 0;
     bool sweeping_ = false, sweepAgain_ = false;
     Counters counters_;
-    Worker worker_;  // last: its threads are gone before the rest is
+    IoWorker worker_;  // last member: its threads end before the other members are destroyed
 };
 
 }  // namespace lotuslead::disk
--- a/src/disktool/main.cpp
+++ b/src/disktool/main.cpp
@@ -1,4 +1,4 @@
-// lotuslead_disk: looks into the folder of a disk tier, and changes it where no process holds it.
+// lotuslead_disk: inspects the folder of a disk tier, and changes it while no process holds it.
 // Exit codes: 0 done, 1 damage was found, 2 bad arguments or not a folder of a tier, 3 a process holds it.
 #include <CLI/CLI.hpp>
 #include <chrono>
@@ -13,23 +13,23 @@
 using namespace lotuslead;
 using nlohmann::json;
 
-enum Exit { kDone = 0, kDamage = 1, kUnusable = 2, kHeld = 3 };
+enum Exit { kDone = 0, kDamage = 1, kUnusable = 2, kFolderHeld = 3 };
 
 struct Arguments {
     std::string folder, object, prefix, output = "table";
     std::optional<std::int64_t> group, atMs;
-    bool all = false, walk = false;
-    std::size_t most = 100;
+    bool all = false, ignoreTables = false;
+    std::size_t maxLines = 100;
     std::uint32_t segmentMb = 64;
 };
 
-int refused(const std::string& problem, bool busy = false) {
+int reportFailure(const std::string& problem, bool busy = false) {
     std::fprintf(stderr, "lotuslead_disk: %s%s\n", problem.c_str(),
-                 busy ? "; stop it first, or purge by the event bus" : "");
-    return busy ? kHeld : kUnusable;
+                 busy ? "; stop it first, or purge over the event bus" : "");
+    return busy ? kFolderHeld : kUnusable;
 }
 
-// A row of fields, as JSON or as lines that people read.
+// Prints named fields, as JSON or as a table.
 void print(const Arguments& arguments, const json& fields) {
     if (arguments.output == "json") {
         std::printf("%s\n", fields.dump().c_str());
@@ -41,8 +41,8 @@
 }
 
 int stat(const Arguments& arguments, disk::FileCalls& calls) {
-    const disk::Survey found = disk::survey(calls, arguments.folder, !arguments.walk);
-    if (!found.problem.empty()) return refused(found.problem);
+    const disk::Survey found = disk::survey(calls, arguments.folder, !arguments.ignoreTables);
+    if (!found.problem.empty()) return reportFailure(found.problem);
     std::uint64_t bytes = 0, live = 0;
     std::size_t parts = 0, torn = 0, tables = 0, bad = 0;
     for (const auto& segment : found.segments) {
@@ -53,9 +53,9 @@
         tables += segment.fromTable;
         bad += !segment.problem.empty();
     }
-    std::int64_t floor = 0;
-    for (const disk::Mark& mark : found.marks)
-        if (mark.what == disk::Mark::What::floor) floor = std::max(floor, mark.atMs);
+    std::int64_t watermarkMs = 0;
+    for (const disk::PurgeEntry& entry : found.entries)
+        if (entry.kind == disk::PurgeEntry::Kind::watermark) watermarkMs = std::max(watermarkMs, entry.atMs);
     print(arguments, {{"folder", arguments.folder},
                       {"held", found.held},
                       {"segments", found.segments.size()},
@@ -68,48 +68,49 @@
                       {"purged", found.purged},
                       {"torn_tails", torn},
                       {"unreadable", bad},
-                      {"marks", found.marks.size()},
+                      {"marks", found.entries.size()},
                       {"marks_damaged", found.logDamaged},
-                      {"floor_ms", floor},
-                      {"bus_position", found.position ? json(*found.position) : json("none")}});
+                      {"floor_ms", watermarkMs},
+                      {"bus_position", found.busPosition ? json(*found.busPosition) : json("none")}});
     return kDone;
 }
 
 int list(const Arguments& arguments, disk::FileCalls& calls) {
-    const disk::Survey found = disk::survey(calls, arguments.folder, !arguments.walk);
-    if (!found.problem.empty()) return refused(found.problem);
+    const disk::Survey found = disk::survey(calls, arguments.folder, !arguments.ignoreTables);
+    if (!found.problem.empty()) return reportFailure(found.problem);
     std::size_t shown = 0;
     const bool table = arguments.output == "table";
     if (table)
         std::printf("%-8s %10s %14s %8s %8s %s\n", "part", "bytes", "minted_ms", "group", "segment",
                     "object");
-    disk::listParts(calls, arguments.folder, found, [&](const disk::Listed& one) {
-        if (one.purged || one.key.object.rfind(arguments.prefix, 0) != 0) return true;
+    disk::listParts(calls, arguments.folder, found, [&](const disk::ListedPart& listed) {
+        if (listed.purged || listed.key.object.rfind(arguments.prefix, 0) != 0) return true;
         if (table)
-            std::printf("%-8lld %10llu %14lld %8lld %8u %s\n", static_cast<long long>(one.key.part),
-                        static_cast<unsigned long long>(one.bodyBytes),
-                        static_cast<long long>(one.part.mintedMs), static_cast<long long>(one.key.group),
-                        one.part.place.segment, one.key.object.c_str());
+            std::printf("%-8lld %10llu %14lld %8lld %8u %s\n", static_cast<long long>(listed.key.part),
+                        static_cast<unsigned long long>(listed.bodyBytes),
+                        static_cast<long long>(listed.part.createdMs),
+                        static_cast<long long>(listed.key.group), listed.part.location.segment,
+                        listed.key.object.c_str());
         else
-            std::printf("%s\n", json{{"object", one.key.object},
-                                     {"class", one.key.className},
-                                     {"part", one.key.part},
-                                     {"group", one.key.group},
-                                     {"bytes", one.bodyBytes},
-                                     {"minted_ms", one.part.mintedMs},
-                                     {"segment", one.part.place.segment}}
+            std::printf("%s\n", json{{"object", listed.key.object},
+                                     {"class", listed.key.className},
+                                     {"part", listed.key.part},
+                                     {"group", listed.key.group},
+                                     {"bytes", listed.bodyBytes},
+                                     {"minted_ms", listed.part.createdMs},
+                                     {"segment", listed.part.location.segment}}
                                     .dump()
                                     .c_str());
-        return ++shown < arguments.most;
+        return ++shown < arguments.maxLines;
     });
     return kDone;
 }
 
 int verify(const Arguments& arguments, disk::FileCalls& calls) {
-    // Never by the tables: they are not what is verified.
+    // Always scans the segments: their tables are not what is to be verified.
     const disk::Survey found = disk::survey(calls, arguments.folder, false);
-    if (!found.problem.empty()) return refused(found.problem);
-    const disk::Verified result = disk::verify(calls, arguments.folder, found);
+    if (!found.problem.empty()) return reportFailure(found.problem);
+    const disk::VerifyResult result = disk::verify(calls, arguments.folder, found);
     std::size_t torn = 0, unreadable = result.unreadable;
     for (const auto& segment : found.segments) {
         torn += segment.tornTail;
@@ -123,7 +124,7 @@
                       {"torn_tails", torn},
                       {"marks_damaged", found.logDamaged},
                       {"held", found.held}});
-    // A tail in the making is none that is torn.
+    // While a process holds the folder, an incomplete tail is a record that is being written.
     const bool bad = result.damaged > 0 || unreadable > 0 || found.logDamaged || (torn > 0 && !found.held);
     return bad ? kDamage : kDone;
 }
@@ -132,31 +133,31 @@
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     const std::int64_t at =
         arguments.atMs.value_or(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
-    std::vector<disk::Mark> marks;
-    using What = disk::Mark::What;
-    if (!arguments.object.empty()) marks.push_back({What::object, fingerprint(arguments.object), at});
-    if (arguments.group) marks.push_back({What::group, static_cast<std::uint64_t>(*arguments.group), at});
-    if (arguments.all) marks.push_back({What::floor, 0, at});
-    if (marks.empty()) return refused("purge needs --object, --group or --all");
-    const disk::Changed result = disk::addMarks(calls, arguments.folder, marks);
-    if (!result.problem.empty()) return refused(result.problem, result.busy);
-    print(arguments, {{"marks", marks.size()}, {"at_ms", at}});
+    std::vector<disk::PurgeEntry> entries;
+    using Kind = disk::PurgeEntry::Kind;
+    if (!arguments.object.empty()) entries.push_back({Kind::object, fingerprint(arguments.object), at});
+    if (arguments.group) entries.push_back({Kind::group, static_cast<std::uint64_t>(*arguments.group), at});
+    if (arguments.all) entries.push_back({Kind::watermark, 0, at});
+    if (entries.empty()) return reportFailure("purge needs --object, --group or --all");
+    const disk::ChangeResult result = disk::addPurges(calls, arguments.folder, entries);
+    if (!result.problem.empty()) return reportFailure(result.problem, result.busy);
+    print(arguments, {{"marks", entries.size()}, {"at_ms", at}});
     return kDone;
 }
 
 int compact(const Arguments& arguments, disk::FileCalls& calls) {
-    const disk::Changed result =
+    const disk::ChangeResult result =
         disk::compact(calls, arguments.folder, arguments.segmentMb * std::uint32_t{1 << 20});
-    if (!result.problem.empty()) return refused(result.problem, result.busy);
-    print(arguments, {{"bytes_before", result.before}, {"bytes_after", result.after}});
+    if (!result.problem.empty()) return reportFailure(result.problem, result.busy);
+    print(arguments, {{"bytes_before", result.bytesBefore}, {"bytes_after", result.bytesAfter}});
     return kDone;
 }
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
     Arguments arguments;
-    CLI::App app{"Looks into the folder of lotuslead's disk tier, and changes it where no process holds it."};
+    CLI::App app{"Inspects the folder of lotuslead's disk tier, and changes it while no process holds it."};
     app.set_version_flag("--version", "lotuslead_disk " LOTUSLEAD_VERSION);
     app.require_subcommand(1);
     app.footer(
@@ -166,28 +167,29 @@
         "holds it.");
     const auto command = [&](const char* name, const char* what) {
         CLI::App* sub = app.add_subcommand(name, what);
-        sub->add_option("folder", arguments.folder, "the folder of the tier")->required();
-        sub->add_option("--output", arguments.output, "how to print")
+        sub->add_option("folder", arguments.folder, "folder of the disk tier")->required();
+        sub->add_option("--output", arguments.output, "output format")
             ->check(CLI::IsMember({"table", "json"}));
         return sub;
     };
-    CLI::App* statCommand = command("stat", "what is in it, in figures");
-    CLI::App* listCommand = command("list", "the parts that a start would serve");
-    CLI::App* verifyCommand = command("verify", "read every part and look at its checksums");
-    CLI::App* purgeCommand = command("purge", "nothing of then or older is served any more");
-    CLI::App* compactCommand = command("compact", "write what lives into fresh segments, drop the rest");
+    CLI::App* statCommand = command("stat", "print statistics of the folder");
+    CLI::App* listCommand = command("list", "list the parts that a gateway would serve after a start");
+    CLI::App* verifyCommand = command("verify", "read every part and verify its checksums");
+    CLI::App* purgeCommand = command("purge", "invalidate copies that are as old as the given time or older");
+    CLI::App* compactCommand = command("compact", "rewrite live parts into new segments and drop the rest");
     for (CLI::App* sub : {statCommand, listCommand})
-        sub->add_flag("--walk", arguments.walk, "walk each segment, and trust no table");
-    listCommand->add_option("--prefix", arguments.prefix, "only objects whose name begins so");
-    listCommand->add_option("--most", arguments.most, "lines at most")->check(CLI::PositiveNumber);
-    purgeCommand->add_option("--object", arguments.object, "an object's name");
-    purgeCommand->add_option("--group", arguments.group, "a group's number");
-    purgeCommand->add_flag("--all", arguments.all, "everything");
-    purgeCommand->add_option("--at", arguments.atMs, "Unix milliseconds; now, where it is not given");
-    compactCommand->add_option("--segment-mb", arguments.segmentMb, "size of a segment")
+        sub->add_flag("--walk", arguments.ignoreTables, "scan each segment instead of reading its table");
+    listCommand->add_option("--prefix", arguments.prefix, "only objects whose names start with this");
+    listCommand->add_option("--most", arguments.maxLines, "maximum number of lines")
+        ->check(CLI::PositiveNumber);
+    purgeCommand->add_option("--object", arguments.object, "name of the object");
+    purgeCommand->add_option("--group", arguments.group, "number of the group");
+    purgeCommand->add_flag("--all", arguments.all, "all objects");
+    purgeCommand->add_option("--at", arguments.atMs, "time in Unix milliseconds; default: now");
+    compactCommand->add_option("--segment-mb", arguments.segmentMb, "size of a segment in MiB")
         ->check(CLI::Range(1, 1024));
     try {
-        app.parse(count, words);
+        app.parse(argc, argv);
     } catch (const CLI::ParseError& problem) {
         return app.exit(problem) == 0 ? kDone : kUnusable;
     }
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "../core/service.hpp"
-#include "../disk/before.hpp"
+#include "../disk/caching_carrier.hpp"
 #include "../net/system_errors.hpp"
 #include "bus_reader.hpp"
 
@@ -56,7 +56,8 @@
         busReader_.setEndpoints(baseConfiguration(configuration_).bus);
     }
     bool prepared() const override {
-        return busReader_.caughtUp() && (!tier_ || tier_->settled(tierTransport_.momentOf(loop_.now())));
+        return busReader_.caughtUp() &&
+               (!tier_ || tier_->startupComplete(tierTransport_.clockReadingAt(loop_.now())));
     }
     bool catchingUp() const override { return busReader_.catchingUp(); }
     void open() override {
@@ -143,7 +144,7 @@
 
 protected:
     FrontService(net::Loop& loop, Source source, const char* listenLabel,
-                 core::RequestDispatcher::PurgeDuringFetch purgeDuringFetch, disk::FrontForm form)
+                 core::RequestDispatcher::PurgeDuringFetch purgeDuringFetch, disk::PayloadTraits traits)
         : loop_(loop),
           source_(std::move(source)),
           configuration_(source_()),
@@ -151,7 +152,7 @@
           transport_(loop_, configuration_),
           decisions_(baseConfiguration(configuration_).decoded, baseConfiguration(configuration_).seed,
                      loop_.now(), core::unixClockOffset()),
-          tierTransport_(transport_, core::unixClockOffset(), std::move(form)),
+          tierTransport_(transport_, core::unixClockOffset(), std::move(traits)),
           requests_(decisions_, tierTransport_, purgeDuringFetch),
           front_(loop_, requests_, configuration_),
           busReader_(loop_, [this](const settings::BusEvent& event) { applyEvent(event); }) {
@@ -167,10 +168,10 @@
         busReader_.setObserver({[this](std::int64_t from, std::int64_t last,
                                        const std::vector<std::int64_t>& offsets, bool complete) {
                                     if (tier_)
-                                        tier_->told(tierTransport_.momentOf(loop_.now()), from, last, offsets,
-                                                    complete);
+                                        tier_->busBatchReceived(tierTransport_.clockReadingAt(loop_.now()),
+                                                                from, last, offsets, complete);
                                 },
-                                [this] { return !tier_ || tier_->kept(); }});
+                                [this] { return !tier_ || tier_->purgesPersisted(); }});
     }
     virtual void printFrontCounters(const std::string& name) const = 0;
 
@@ -180,7 +181,7 @@
     const char* listenLabel_;
     Transport transport_;
     core::DecisionFacade decisions_;
-    disk::Before tierTransport_;
+    disk::CachingCarrier tierTransport_;
     core::RequestDispatcher requests_;
     Front front_;
 
@@ -205,29 +206,31 @@
     // Copies that we date ourselves are compared with our own time of the purge, if that is the later one.
     void purgeTier(const settings::BusEvent& event) {
         std::int64_t atMs = event.purgedMs;
-        if (tierTransport_.form().datedHere) atMs = std::max(atMs, decisions_.unixMsOf(loop_.now()));
+        if (tierTransport_.traits().datedByGatewayClock)
+            atMs = std::max(atMs, decisions_.unixMsOf(loop_.now()));
         if (event.purgedObject.empty())
             tier_->purgeGroup(event.purgedGroup, atMs);
         else
             tier_->purgeObject(event.purgedObject, atMs);
     }
 
-    disk::Pacer pacer() const {
+    disk::LinkPacer pacer() const {
         return {baseConfiguration(configuration_).flowBytesPerSecond,
                 baseConfiguration(configuration_).linkBytesPerSecond};
     }
     void openTier() {
         const bool bus = !baseConfiguration(configuration_).bus.empty();
         tier_ = std::make_unique<disk::Tier>(
-            fileCalls_, disk::tierRules(*diskSettings_, bus),
-            disk::Tier::Users{[this](const std::string& line) {
-                                  std::fprintf(stderr, "%s: %s\n",
-                                               baseConfiguration(configuration_).name.c_str(), line.c_str());
-                              },
-                              [this](std::int64_t position) { busReader_.rewindTo(position); },
-                              tierTransport_.form().version});
+            fileCalls_, disk::tierOptions(*diskSettings_, bus),
+            disk::Tier::Callbacks{[this](const std::string& line) {
+                                      std::fprintf(stderr, "%s: %s\n",
+                                                   baseConfiguration(configuration_).name.c_str(),
+                                                   line.c_str());
+                                  },
+                                  [this](std::int64_t position) { busReader_.rewindTo(position); },
+                                  tierTransport_.traits().version});
         tierHandlerId_ = loop_.add(tier_->wakeDescriptor(), EPOLLIN, *this);
-        tierTransport_.use(tier_.get(), *diskSettings_, pacer());
+        tierTransport_.attachTier(tier_.get(), *diskSettings_, pacer());
         scheduleTierRetry();
     }
     void closeTier() {
@@ -251,12 +254,12 @@
             diskSettings_->purgeSlackMs = updated->purgeSlackMs;
             diskSettings_->busSilenceMs = updated->busSilenceMs;
         }
-        tier_->reconfigure(disk::tierRules(*diskSettings_, !base.bus.empty()));
-        tierTransport_.use(tier_.get(), *diskSettings_, pacer());
+        tier_->reconfigure(disk::tierOptions(*diskSettings_, !base.bus.empty()));
+        tierTransport_.attachTier(tier_.get(), *diskSettings_, pacer());
     }
     void scheduleTierRetry() {
         tierTimer_ = loop_.after(std::chrono::seconds{1}, [this] {
-            tier_->tryAgain();
+            tier_->retryOpen();
             scheduleTierRetry();
         });
     }
@@ -266,7 +269,7 @@
     }
     void printTierCounters(const std::string& name) const {
         const auto& t = tier_->counters();
-        const auto& s = tier_->shelf().counters();
+        const auto& s = tier_->catalog().counters();
         const auto& b = tierTransport_.counters();
         core::printCounterLine(name, "disk",
                                {{"asked", b.asked},
@@ -279,14 +282,14 @@
                                 {"purged", t.purged + s.purged},
                                 {"expired", t.expired},
                                 {"unproved", t.unproved},
-                                {"torn", t.torn + t.cutTails},
+                                {"torn", t.torn + t.truncatedTails},
                                 {"read_errors", t.readErrors},
                                 {"busy", t.busy}});
         core::printCounterLine(name, "disk_kept",
-                               {{"parts", tier_->shelf().parts()},
-                                {"bytes", tier_->shelf().bytes()},
-                                {"live_bytes", tier_->shelf().liveBytes()},
-                                {"segments", tier_->shelf().segments()},
+                               {{"parts", tier_->catalog().parts()},
+                                {"bytes", tier_->catalog().bytes()},
+                                {"live_bytes", tier_->catalog().liveBytes()},
+                                {"segments", tier_->catalog().segments()},
                                 {"offered", t.offered},
                                 {"admitted", s.admitted},
                                 {"to_main", s.toMain},
@@ -299,7 +302,7 @@
                                 {"reclaimed", s.reclaimed},
                                 {"queue", tier_->queuedBytes()},
                                 {"write_errors", t.writeErrors},
-                                {"marks", tier_->markCount()},
+                                {"marks", tier_->tombstoneCount()},
                                 {"log_errors", t.logErrors},
                                 {"floors", t.floors},
                                 {"superseded", t.superseded}});
--- a/src/repository/service.cpp
+++ b/src/repository/service.cpp
@@ -18,11 +18,11 @@
 // whole file.
 bool storable(const disk::Key& key, const core::Payload& payload) {
     const std::string status = factOf(payload.metadata, kStatus);
-    const bool inParts = key.form != 0;
+    const bool inParts = key.variant != 0;
     if (status == "200") return !inParts || key.part == 0;
     if (status != "206" || !inParts) return false;
     return factOf(payload.metadata, kFirst) ==
-           std::to_string(static_cast<std::uint64_t>(key.part) * key.form);
+           std::to_string(static_cast<std::uint64_t>(key.part) * key.variant);
 }
 
 // The version of the file, which the front compares before it joins two parts.
--- a/tests/audit_disk.cpp
+++ b/tests/audit_disk.cpp
@@ -1,9 +1,9 @@
-// Kills a process that writes to a disk tier, again and again, and checks every part that its successors
-// serve: whole, of the right key, and newer than any purge. The process is this program itself with --child;
-// what it serves is told by a pipe and judged here. Purges come by a stand-in for the event bus (a file that
-// only the parent writes) while the child is up and while it is down, and by the child itself, which answers
-// for those once they are kept. After a kill some bytes that were never synced are lost, as a power failure
-// would do.
+// Repeatedly kills a process that writes to a disk tier, and checks every part that its successors serve: it
+// must be complete, have the right key, and be newer than every purge that applies. The process is this
+// program with --child; it reports what it serves over a pipe, and the parent checks it. Purges come from a
+// stand-in for the event bus (a file that only the parent writes), both while the child runs and while it is
+// down, and from the child itself, which reports its own purges once they are on disk. After a kill some
+// bytes that were never synced are removed, as in a power failure.
 //
 //   audit_disk --kills N --seed S      last line: kills=N served=... torn=... stale=...
 #include <poll.h>
@@ -22,7 +22,7 @@
 #include <thread>
 
 #include "disk/inspect.hpp"
-#include "disk_desk.hpp"
+#include "disk_tier_harness.hpp"
 
 namespace {
 
@@ -30,8 +30,8 @@
 using namespace lotuslead::disk;
 
 constexpr int kObjects = 60, kParts = 6, kGroups = 9;
-constexpr std::int64_t kGraceMs =
-    500;  // after which a purge that was told holds, whatever the child has read
+constexpr std::int64_t kBusPurgeGraceMs =
+    500;  // after this time a published purge must hold, whether or not the child has read it
 
 std::int64_t unixMs() {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -44,10 +44,10 @@
 
 std::string nameOf(int object) { return "/files/tool-" + std::to_string(object); }
 Key auditKey(int object, int part) { return {nameOf(object), "installer", object % kGroups, part, 65536}; }
-// No two copies have a block of bytes in common.
-std::string auditBody(int object, int part, std::int64_t mintedMs) {
+// The bodies of any two copies differ in every block.
+std::string auditBody(int object, int part, std::int64_t createdMs) {
     std::uint64_t state =
-        combine(static_cast<std::uint64_t>(object * kParts + part), static_cast<std::uint64_t>(mintedMs));
+        combine(static_cast<std::uint64_t>(object * kParts + part), static_cast<std::uint64_t>(createdMs));
     std::string body(500 + state % 24'000, '\0');
     for (std::size_t at = 0; at < body.size(); at += 8) {
         state = mix(state + at + 1);
@@ -56,8 +56,7 @@
     return body;
 }
 
-// ----- the event bus, as a file: a line an event, and before them the number up to which they are forgotten
-// -----
+// ----- the event bus, as a file: the number up to which events are forgotten, then one event per line -----
 
 struct BusEvent {
     std::int64_t number = 0;
@@ -77,17 +76,17 @@
     std::rename((path + ".new").c_str(), path.c_str());
 }
 
-// ----- a disk that is slow, and loses at a power failure what was not synced -----
+// ----- a slow disk that loses unsynced data in a power failure -----
 
-// Which file, and how much of it is synced, of the purge log.
-struct Synced {
+// The inode of the purge log's file and its size at the last sync.
+struct SyncedSize {
     std::uint64_t inode = 0, bytes = 0;
 };
 
 class SlowFiles : public FileCalls {
 public:
-    SlowFiles(const std::string& note, std::uint64_t seed)
-        : note_(static_cast<int>(FileCalls::open(note, O_WRONLY | O_CREAT | O_APPEND).bytes)),
+    SlowFiles(const std::string& syncLog, std::uint64_t seed)
+        : syncNotesFd_(static_cast<int>(FileCalls::open(syncLog, O_WRONLY | O_CREAT | O_APPEND).bytes)),
           random_(seed) {}
 
     IoResult open(const std::string& path, int flags) override {
@@ -101,53 +100,53 @@
         return FileCalls::write(fd, bytes, at);
     }
     int sync(int fd) override {
-        if (fd != log_) return 0;  // segments: what is not synced may be lost, and here all may be
+        if (fd != log_) return 0;  // segments are never synced here, so any of their data may be lost
         pause();
         struct stat about {};
         ::fstat(fd, &about);
-        const Synced synced{about.st_ino, static_cast<std::uint64_t>(about.st_size)};
-        (void)!::write(note_, &synced, sizeof synced);
+        const SyncedSize synced{about.st_ino, static_cast<std::uint64_t>(about.st_size)};
+        (void)!::write(syncNotesFd_, &synced, sizeof synced);
         return 0;
     }
 
 private:
-    // Used by the writer's thread alone.
+    // Used by the writer thread only.
     void pause() { std::this_thread::sleep_for(std::chrono::microseconds{random_() % 2000}); }
 
-    int note_;
+    int syncNotesFd_;
     int log_ = -1;
     std::mt19937_64 random_;
 };
 
 // ----- the child -----
 
-class Child {
+class TierProcess {
 public:
-    Child(const std::string& folder, std::string bus, std::uint64_t seed, bool last)
+    TierProcess(const std::string& folder, std::string bus, std::uint64_t seed, bool last)
         : bus_(std::move(bus)),
           random_(seed),
           last_(last),
           calls_(bus_ + ".synced", seed),
-          tier_(calls_, rules(folder), users()) {}
+          tier_(calls_, options(folder), callbacks()) {}
 
     int run() {
-        std::size_t next = 0;  // of the walk over all that may be held
+        std::size_t next = 0;  // next part of the scan over all parts that may be held
         while (true) {
             tier_.turn(now());
             readBus();
-            answer();
+            reportPersistedPurges();
             const bool ready = tier_.state() == Tier::State::ready;
-            if (ready && !std::exchange(toldReady_, true)) say("ready");
-            const bool walking = next < kObjects * kParts;
+            if (ready && !std::exchange(reportedReady_, true)) report("ready");
+            const bool scanning = next < kObjects * kParts;
             for (int i = 0; i < 6 && ready; ++i) {
                 if (next < kObjects * kParts) {
-                    look(static_cast<int>(next) / kParts, static_cast<int>(next) % kParts, true);
+                    lookUp(static_cast<int>(next) / kParts, static_cast<int>(next) % kParts, true);
                     ++next;
                 } else if (!last_) {
-                    work();
+                    doRandomWork();
                 }
             }
-            if (last_ && ready && !walking && looking_ == 0) return 0;
+            if (last_ && ready && !scanning && pendingLookups_ == 0) return 0;
             if (::getppid() == 1) return 1;
             pollfd waits{tier_.wakeDescriptor(), POLLIN, 0};
             ::poll(&waits, 1, 1);
@@ -155,30 +154,30 @@
     }
 
 private:
-    static TierRules rules(const std::string& folder) {
-        TierRules rules;
-        rules.folder = folder;
-        rules.shelf.capacityBytes = 6 << 20;
-        rules.shelf.segmentBytes = 256 << 10;
-        rules.shelf.mostParts = 4096;
-        rules.worker.queueBytes = 512 << 10;
-        rules.worker.sync = SyncPolicy::never;
-        rules.mostMarks = 40;  // few, so that the floor rises at times
-        rules.purgeSlackMs = 0;
-        rules.purges = {true, true, 2000};
-        return rules;
+    static TierOptions options(const std::string& folder) {
+        TierOptions options;
+        options.folder = folder;
+        options.catalog.capacityBytes = 6 << 20;
+        options.catalog.segmentBytes = 256 << 10;
+        options.catalog.maxParts = 4096;
+        options.worker.queueBytes = 512 << 10;
+        options.worker.sync = SyncPolicy::never;
+        options.maxPurgeEntries = 40;  // few, so that the watermark is raised now and then
+        options.purgeClockSkewMs = 0;
+        options.purges = {true, true, 2000};
+        return options;
     }
-    Tier::Users users() {
-        return {[](const std::string&) {}, [this](std::int64_t position) { from_ = position; },
+    Tier::Callbacks callbacks() {
+        return {[](const std::string&) {}, [this](std::int64_t position) { busPosition_ = position; },
                 [](const Facts&) { return std::uint64_t{0}; }};
     }
-    static Moment now() { return {monotonicMs(), unixMs()}; }
-    void say(const std::string& line) {
-        const std::string whole = line + "\n";  // one write: a kill leaves no half of it
+    static ClockReading now() { return {monotonicMs(), unixMs()}; }
+    void report(const std::string& line) {
+        const std::string whole = line + "\n";  // a single write, so that a kill leaves no partial line
         (void)!::write(STDOUT_FILENO, whole.data(), whole.size());
     }
 
-    // Until the folder is held nobody asks: the reader may yet be sent back.
+    // The bus is not read before the folder is opened: opening it may send the reader back.
     void readBus() {
         if (tier_.state() == Tier::State::opening) return;
         std::ifstream file(bus_);
@@ -189,64 +188,64 @@
         BusEvent e;
         while (file >> e.number >> e.group >> e.name >> e.atMs) {
             last = std::max(last, e.number);
-            if (e.number <= from_) continue;
+            if (e.number <= busPosition_) continue;
             numbers.push_back(e.number);
             e.group ? tier_.purgeGroup(e.name, e.atMs) : tier_.purgeObject(nameOf(e.name), e.atMs);
         }
-        const std::int64_t from = std::exchange(from_, std::max(from_, last));
-        tier_.told(now(), from, last, numbers);
+        const std::int64_t from = std::exchange(busPosition_, std::max(busPosition_, last));
+        tier_.busBatchReceived(now(), from, last, numbers);
         if (!numbers.empty()) unacknowledged_ = last;
     }
 
-    void answer() {
-        if (!tier_.kept()) return;
-        if (unacknowledged_ > 0) say("ack " + std::to_string(std::exchange(unacknowledged_, 0)));
+    void reportPersistedPurges() {
+        if (!tier_.purgesPersisted()) return;
+        if (unacknowledged_ > 0) report("ack " + std::to_string(std::exchange(unacknowledged_, 0)));
         for (const auto& [object, ms] : std::exchange(ownPurges_, {}))
-            say("purged " + std::to_string(object) + " " + std::to_string(ms));
+            report("purged " + std::to_string(object) + " " + std::to_string(ms));
     }
 
-    void look(int object, int part, bool walk) {
-        const auto begun = unixMs();
+    void lookUp(int object, int part, bool scan) {
+        const auto requestedMs = unixMs();
         const auto ticket =
             tier_.lookUp(now(), auditKey(object, part), 0, [=, this](std::optional<Copy> copy) {
-                --looking_;
+                --pendingLookups_;
                 if (copy) {
-                    const bool whole = copy->body == auditBody(object, part, copy->mintedMs);
-                    say(std::string(whole ? "served " : "torn ") + std::to_string(object) + " " +
-                        std::to_string(part) + " " + std::to_string(copy->mintedMs) + " " +
-                        std::to_string(begun));
-                } else if (!walk) {
+                    const bool whole = copy->body == auditBody(object, part, copy->createdMs);
+                    report(std::string(whole ? "served " : "torn ") + std::to_string(object) + " " +
+                           std::to_string(part) + " " + std::to_string(copy->createdMs) + " " +
+                           std::to_string(requestedMs));
+                } else if (!scan) {
                     fetch(object, part);
                 }
             });
-        looking_ += ticket != 0;
-        if (ticket == 0 && !walk) fetch(object, part);
+        pendingLookups_ += ticket != 0;
+        if (ticket == 0 && !scan) fetch(object, part);
     }
     void fetch(int object, int part) {
-        const std::int64_t minted = unixMs();
+        const std::int64_t createdMs = unixMs();
         tier_.offer(now(), auditKey(object, part), 1 + static_cast<int>(random_() % 2),
-                    {minted, {{"etag", "\"a\""}}, auditBody(object, part, minted)});
+                    {createdMs, {{"etag", "\"a\""}}, auditBody(object, part, createdMs)});
     }
-    void work() {
+    void doRandomWork() {
         const auto object = static_cast<int>(random_() % kObjects);
         const auto part = static_cast<int>(random_() % kParts);
         if (random_() % 400 == 0) {
             ownPurges_.emplace_back(object, unixMs());
             tier_.purgeObject(nameOf(object), ownPurges_.back().second);
         } else if (random_() % 8 == 0) {
-            fetch(object, part);  // a newer copy
+            fetch(object, part);  // fetch a newer copy
         } else {
-            look(object, part, false);
+            lookUp(object, part, false);
         }
     }
 
     std::string bus_;
     std::mt19937_64 random_;
     bool last_;
-    std::int64_t from_ = 0, unacknowledged_ = 0;
+    std::int64_t busPosition_ = 0, unacknowledged_ = 0;
     std::vector<std::pair<int, std::int64_t>> ownPurges_;
-    int looking_ = 0;
-    bool toldReady_ = false;
+    int pendingLookups_ = 0;
+    bool reportedReady_ = false;
     SlowFiles calls_;
     Tier tier_;
 };
@@ -260,15 +259,15 @@
 
     int run() {
         for (int i = 0; i < kills_; ++i) {
-            life(false);
-            meanwhile();
+            runChild(false);
+            changeWhileDown();
         }
-        life(true);
+        runChild(true);
         const bool enough = served_ >= static_cast<std::uint64_t>(kills_) * 20;
-        if (!enough) std::printf("too little was served to mean anything\n");
+        if (!enough) std::printf("too few parts were served for a meaningful result\n");
         std::printf("lives=%d acknowledged=%llu own_purges=%zu bus_gaps=%d damaged=%d unsynced_marks=%d\n",
-                    kills_ + 1, static_cast<unsigned long long>(acknowledgements_), own_.size(), gaps_,
-                    damaged_, unsynced_);
+                    kills_ + 1, static_cast<unsigned long long>(acknowledgements_), childPurges_.size(),
+                    busGaps_, damagedSegments_, purgeLogsTruncated_);
         std::printf("kills=%d served=%llu torn=%llu stale=%llu\n", kills_,
                     static_cast<unsigned long long>(served_), static_cast<unsigned long long>(torn_),
                     static_cast<unsigned long long>(stale_));
@@ -278,10 +277,10 @@
 private:
     struct Purge {
         BusEvent event;
-        std::int64_t toldMs = 0;
+        std::int64_t publishedMs = 0;
     };
 
-    void tell() {
+    void publishPurge() {
         const bool group = random_() % 4 == 0;
         BusEvent e{++lastEvent_, group, static_cast<int>(random_() % (group ? kGroups : kObjects)), unixMs()};
         events_.push_back(e);
@@ -290,11 +289,11 @@
     }
     std::string bus() const { return folder_.path + "/bus"; }
 
-    void life(bool last) {
+    void runChild(bool last) {
         int pipes[2];
         if (::pipe(pipes) != 0) std::abort();
         writeBus(bus(), forgotten_, events_);
-        bornMs_ = unixMs();
+        childStartedMs_ = unixMs();
         const std::string seed = std::to_string(random_());
         const pid_t pid = ::fork();
         if (pid == 0) {
@@ -307,12 +306,13 @@
             ::_exit(127);
         }
         ::close(pipes[1]);
-        // Some die while they load, within the time the last one took. The others live from when they are
-        // ready and have served a few parts, so that a slow machine has lives as full as a fast one.
+        // Some children are killed while they load, within the time that the last load took. The others are
+        // killed some time after they are ready and have served a few parts, so that a slow machine tests as
+        // much as a fast one.
         const std::int64_t startedMs = monotonicMs();
         const bool diesLoading = random_() % 10 == 0;
         const auto lifeMs = static_cast<std::int64_t>(
-            diesLoading ? random_() % static_cast<std::uint64_t>(loadMs_) : 15 + random_() % 110);
+            diesLoading ? random_() % static_cast<std::uint64_t>(lastLoadMs_) : 15 + random_() % 110);
         const std::uint64_t enoughServed = served_ + random_() % 80;
         std::int64_t readyMs = 0;
         std::int64_t nextPurge = startedMs + static_cast<std::int64_t>(random_() % 40);
@@ -327,7 +327,7 @@
                 alive = false;
             }
             if (alive && !last && now >= nextPurge) {
-                tell();
+                publishPurge();
                 nextPurge = now + 5 + static_cast<std::int64_t>(random_() % 60);
             }
             pollfd waits{pipes[0], POLLIN, 0};
@@ -340,9 +340,9 @@
                 const std::string line = text.substr(0, end);
                 if (line == "ready") {
                     readyMs = monotonicMs();
-                    loadMs_ = 1 + readyMs - startedMs;
+                    lastLoadMs_ = 1 + readyMs - startedMs;
                 } else {
-                    judge(line);
+                    checkLine(line);
                 }
             }
         }
@@ -350,12 +350,12 @@
         int status = 0;
         ::waitpid(pid, &status, 0);
         if (last ? !WIFEXITED(status) || WEXITSTATUS(status) != 0 : !WIFSIGNALED(status)) {
-            std::printf("a child ended by itself, status %d\n", status);
+            std::printf("a child ended without being killed, status %d\n", status);
             ++torn_;
         }
     }
 
-    void judge(const std::string& line) {
+    void checkLine(const std::string& line) {
         std::istringstream words(line);
         std::string word;
         words >> word;
@@ -366,68 +366,69 @@
             int object = 0;
             std::int64_t ms = 0;
             words >> object >> ms;
-            own_.emplace_back(object, ms);
+            childPurges_.emplace_back(object, ms);
         } else {
             int object = 0, part = 0;
-            std::int64_t minted = 0, begun = 0;
-            words >> object >> part >> minted >> begun;
+            std::int64_t createdMs = 0, requestedMs = 0;
+            words >> object >> part >> createdMs >> requestedMs;
             ++served_;
             if (word == "torn") {
                 ++torn_;
                 std::printf("torn: object %d part %d minted %lld\n", object, part,
-                            static_cast<long long>(minted));
+                            static_cast<long long>(createdMs));
             }
-            judgeAge(object, minted, begun);
+            checkAge(object, createdMs, requestedMs);
         }
     }
-    // Older than a purge that was answered for, or told before this life began, or told long enough ago.
-    void judgeAge(int object, std::int64_t minted, std::int64_t begun) {
+    // Counts the copy as stale if it is older than a purge that was acknowledged, was published before this
+    // child started, or was published long enough ago.
+    void checkAge(int object, std::int64_t createdMs, std::int64_t requestedMs) {
         const auto stale = [&](const char* by, std::int64_t ms) {
             ++stale_;
-            std::printf("stale: object %d minted %lld, %s at %lld\n", object, static_cast<long long>(minted),
-                        by, static_cast<long long>(ms));
+            std::printf("stale: object %d minted %lld, %s at %lld\n", object,
+                        static_cast<long long>(createdMs), by, static_cast<long long>(ms));
         };
         for (const Purge& purge : purges_) {
             const BusEvent& e = purge.event;
-            if ((e.group ? object % kGroups : object) != e.name || minted > e.atMs) continue;
-            const bool holds =
-                e.number <= acknowledged_ || purge.toldMs < bornMs_ || purge.toldMs + kGraceMs <= begun;
+            if ((e.group ? object % kGroups : object) != e.name || createdMs > e.atMs) continue;
+            const bool holds = e.number <= acknowledged_ || purge.publishedMs < childStartedMs_ ||
+                               purge.publishedMs + kBusPurgeGraceMs <= requestedMs;
             if (holds) return stale("purged by the bus", e.atMs);
         }
-        for (const auto& [name, ms] : own_)
-            if (name == object && minted <= ms) return stale("purged by the process", ms);
+        for (const auto& [name, ms] : childPurges_)
+            if (name == object && createdMs <= ms) return stale("purged by the process", ms);
     }
 
-    // Between a kill and the next start.
-    void meanwhile() {
-        for (auto n = random_() % 3; n > 0; --n) tell();
-        // The bus forgets what was acknowledged, and now and then more than that.
+    // Changes between a kill and the next start.
+    void changeWhileDown() {
+        for (auto n = random_() % 3; n > 0; --n) publishPurge();
+        // The bus forgets events that were acknowledged, and sometimes later ones as well.
         if (random_() % 2 == 0) forgotten_ = std::max(forgotten_, acknowledged_);
         if (random_() % 25 == 0 && lastEvent_ > acknowledged_) {
             forgotten_ = lastEvent_;
-            ++gaps_;
+            ++busGaps_;
         }
         std::erase_if(events_, [&](const BusEvent& e) { return e.number <= forgotten_; });
-        if (random_() % 3 == 0) damage();
-        losePurges();
-        if (random_() % 5 == 0)  // a line of the purge log that was being written
+        if (random_() % 3 == 0) damageSegment();
+        dropUnsyncedPurges();
+        if (random_() % 5 == 0)  // a partial entry at the end of the purge log
             std::ofstream(folder_.tier() + "/purges", std::ios::app | std::ios::binary) << "LLM1";
     }
-    // A power failure: of the purge log stays what was synced.
-    void losePurges() {
+    // Simulates a power failure: truncates the purge log to its synced size.
+    void dropUnsyncedPurges() {
         const std::string log = folder_.tier() + "/purges";
         struct stat about {};
         if (::stat(log.c_str(), &about) != 0) return;
         std::uint64_t kept = 0;
-        std::ifstream note(bus() + ".synced", std::ios::binary);
-        for (Synced one; note.read(reinterpret_cast<char*>(&one), sizeof one);)
+        std::ifstream syncLog(bus() + ".synced", std::ios::binary);
+        for (SyncedSize one; syncLog.read(reinterpret_cast<char*>(&one), sizeof one);)
             if (one.inode == about.st_ino) kept = one.bytes;
         if (static_cast<std::uint64_t>(about.st_size) <= kept) return;
         std::filesystem::resize_file(log, kept);
-        ++unsynced_;
+        ++purgeLogsTruncated_;
     }
-    // Segments are never synced here, so any byte of theirs may be lost; as zeros, or as a shorter file.
-    void damage() {
+    // Segments are never synced here, so any of their bytes may be lost: zeroed, or cut off at the end.
+    void damageSegment() {
         std::vector<std::string> segments;
         for (const char* end : {".main", ".probation"})
             for (const std::string& path : folder_.files(end)) segments.push_back(path);
@@ -435,7 +436,7 @@
         const std::string path = segments[random_() % segments.size()];
         const std::uint64_t size = std::filesystem::file_size(path);
         if (size < 8192) return;
-        ++damaged_;
+        ++damagedSegments_;
         if (random_() % 3 == 0) {
             std::filesystem::resize_file(path, random_() % size);
         } else {
@@ -451,11 +452,11 @@
     TemporaryFolder folder_;
     std::vector<BusEvent> events_;
     std::vector<Purge> purges_;
-    std::vector<std::pair<int, std::int64_t>> own_;
-    std::int64_t lastEvent_ = 0, forgotten_ = 0, acknowledged_ = 0, bornMs_ = 0;
-    std::int64_t loadMs_ = 15;  // from a start to ready, as the last one took
+    std::vector<std::pair<int, std::int64_t>> childPurges_;
+    std::int64_t lastEvent_ = 0, forgotten_ = 0, acknowledged_ = 0, childStartedMs_ = 0;
+    std::int64_t lastLoadMs_ = 15;  // time from the last start to ready
     std::uint64_t served_ = 0, torn_ = 0, stale_ = 0, acknowledgements_ = 0;
-    int gaps_ = 0, damaged_ = 0, unsynced_ = 0;
+    int busGaps_ = 0, damagedSegments_ = 0, purgeLogsTruncated_ = 0;
 };
 
 }  // namespace
@@ -463,7 +464,8 @@
 int main(int count, char** words) {
     const std::vector<std::string> all(words, words + count);
     if (all.size() == 6 && all[1] == "--child")
-        return Child(all[2], all[3], std::strtoull(all[4].c_str(), nullptr, 10), all[5] == "last").run();
+        return TierProcess(all[2], all[3], std::strtoull(all[4].c_str(), nullptr, 10), all[5] == "last")
+            .run();
     int kills = 0;
     std::uint64_t seed = 0;
     for (std::size_t i = 1; i + 1 < all.size(); i += 2) {
--- a/tests/disk_faults_test.cpp
+++ b/tests/disk_faults_test.cpp
@@ -1,5 +1,5 @@
-// The disk tier where its folder fails for a while, and where the machine's clock is behind: purges that were
-// taken on hold after a restart.
+// Tests of the disk tier with a folder that fails temporarily and with a clock that is behind: acknowledged
+// purges must hold after a restart.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -7,7 +7,7 @@
 #include <thread>
 
 #include "disk/inspect.hpp"
-#include "disk_desk.hpp"
+#include "disk_tier_harness.hpp"
 
 namespace lotuslead::disk {
 namespace {
@@ -15,101 +15,103 @@
 using Faults = FaultyFiles::Faults;
 
 constexpr int kPurgesUntilRewritten = 20'000;
-constexpr std::chrono::milliseconds kAllRewritten{500};
+constexpr std::chrono::milliseconds kRewriteSettleTime{500};
 
-// The log is written anew under another name, renamed, and only the sync of the folder fails: what comes next
-// must not go to the file that the new one has replaced.
+// The log is rewritten under a temporary name and renamed, and only the sync of the folder fails. Later
+// purges must not be appended to the replaced file, where a restart would not find them.
 TEST(DiskFaults, PurgesLastThoughTheFolderOfANewLogCannotBeSynced) {
     TemporaryFolder folder;
-    TierRules rules = rulesFor(folder);
-    rules.mostMarks = 600;
+    TierOptions options = optionsFor(folder);
+    options.maxPurgeEntries = 600;
     {
         FaultyFiles files;
-        Desk desk(rules, &files);
-        for (int i = 0; i < 12; ++i) ASSERT_TRUE(desk.store(i, 1000));
+        TierHarness harness(options, &files);
+        for (int i = 0; i < 12; ++i) ASSERT_TRUE(harness.store(i, 1000));
         files.failFolderSyncs(EIO);
         for (int i = 0; i < kPurgesUntilRewritten; ++i)
-            desk.tier.purgeObject("/files/x" + std::to_string(i % 500), 1000);
-        ASSERT_TRUE(desk.until([&] { return files.failedFolderSyncs() > 0; }));
-        // No log that is written anew after this hides what became of the last one.
-        std::this_thread::sleep_for(kAllRewritten);
-        desk.tier.turn(desk.now);
+            harness.tier.purgeObject("/files/x" + std::to_string(i % 500), 1000);
+        ASSERT_TRUE(harness.turnUntil([&] { return files.failedFolderSyncs() > 0; }));
+        // Waits until no further rewrite of the log can hide the effect of the failed one.
+        std::this_thread::sleep_for(kRewriteSettleTime);
+        harness.tier.turn(harness.now);
         files.clear();
-        ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
-        desk.tier.purgeObject("/files/8", 1000);
-        ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
+        ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
+        harness.tier.purgeObject("/files/8", 1000);
+        ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
     }
-    Desk desk(rules);
-    for (int i = 0; i < 12; ++i) EXPECT_EQ(desk.has(i, 1000), i != 8) << i;
+    TierHarness harness(options);
+    for (int i = 0; i < 12; ++i) EXPECT_EQ(harness.has(i, 1000), i != 8) << i;
 }
 
 TEST(DiskFaults, AFolderThatFailsForAMomentAtTheStartIsTriedAgain) {
     for (const Faults& faults : {Faults{.open = EIO}, Faults{.open = ENFILE}, Faults{.write = ENOSPC}}) {
         for (const char* file : {"lock", "format", "purges"}) {
-            if (faults.write != 0 && std::string(file) == "lock") continue;  // nothing is written to it
+            if (faults.write != 0 && std::string(file) == "lock") continue;  // the lock file is never written
             TemporaryFolder folder;
             FaultyFiles files;
             files.set(file, faults);
-            Desk desk(rulesFor(folder), &files, false);
-            ASSERT_TRUE(desk.until([&] { return !desk.lines.empty(); }));
+            TierHarness harness(optionsFor(folder), &files, false);
+            ASSERT_TRUE(harness.turnUntil([&] { return !harness.logLines.empty(); }));
             files.clear();
-            desk.tier.tryAgain();
-            ASSERT_TRUE(desk.until([&] { return desk.tier.state() == Tier::State::ready; })) << file;
-            EXPECT_TRUE(desk.store(1, 1000));
+            harness.tier.retryOpen();
+            ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.state() == Tier::State::ready; }))
+                << file;
+            EXPECT_TRUE(harness.store(1, 1000));
         }
     }
 }
 
-// What can't be proved is dropped for good, also where the wall clock is behind the one that dated it.
+// Copies that may have missed purges are dropped for good, also when the wall clock is behind the clock that
+// dated them.
 TEST(DiskFaults, AClockThatIsBehindLeavesNothingUnproved) {
-    constexpr std::int64_t kMinted = 1'000'000, kBehind = 100'000;
+    constexpr std::int64_t kCreatedMs = 1'000'000, kBehindMs = 100'000;
     TemporaryFolder folder;
     {
-        Desk desk(rulesFor(folder));
-        ASSERT_TRUE(desk.store(1, kMinted));
+        TierHarness harness(optionsFor(folder));
+        ASSERT_TRUE(harness.store(1, kCreatedMs));
     }
     std::filesystem::remove(folder.tier() + "/purges");
-    Desk desk(rulesFor(folder), nullptr, false);
-    desk.now.unixMs = kMinted - kBehind;
-    ASSERT_TRUE(desk.until([&] { return desk.tier.state() == Tier::State::ready; }));
-    EXPECT_TRUE(desk.logged("the purge log is damaged"));
-    desk.now.unixMs = kMinted + kBehind;
-    EXPECT_FALSE(desk.load(1));
-    EXPECT_TRUE(desk.store(2, kMinted + kBehind));
-    EXPECT_TRUE(desk.has(2, kMinted + kBehind));
+    TierHarness harness(optionsFor(folder), nullptr, false);
+    harness.now.unixMs = kCreatedMs - kBehindMs;
+    ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.state() == Tier::State::ready; }));
+    EXPECT_TRUE(harness.logged("the purge log is damaged"));
+    harness.now.unixMs = kCreatedMs + kBehindMs;
+    EXPECT_FALSE(harness.load(1));
+    EXPECT_TRUE(harness.store(2, kCreatedMs + kBehindMs));
+    EXPECT_TRUE(harness.has(2, kCreatedMs + kBehindMs));
 }
 
-// Nobody may forget the damage before what it has cost is written down: not a tool that adds a purge, and not
-// a start that is killed.
+// A damaged log must be reported as damaged until the watermark that drops all copies is on disk. Neither a
+// tool that adds a purge nor a start that is killed may hide the damage.
 TEST(DiskFaults, ADamagedLogIsDamagedUntilAFloorIsKept) {
     TemporaryFolder folder;
     {
-        Desk desk(rulesFor(folder));
-        ASSERT_TRUE(desk.store(1, 1000));
-        for (int i = 5; i < 15; ++i) desk.tier.purgeObject("/files/" + std::to_string(i), 1000);
-        ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
+        TierHarness harness(optionsFor(folder));
+        ASSERT_TRUE(harness.store(1, 1000));
+        for (int i = 5; i < 15; ++i) harness.tier.purgeObject("/files/" + std::to_string(i), 1000);
+        ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
     }
     std::fstream(folder.tier() + "/purges", std::ios::in | std::ios::out | std::ios::binary)
         .seekp(50)
         .put('\x77');
     FileCalls files;
-    const auto added = addMarks(files, folder.tier(), {Mark{Mark::What::group, 3, 1000}});
+    const auto added = addPurges(files, folder.tier(), {PurgeEntry{PurgeEntry::Kind::group, 3, 1000}});
     EXPECT_NE(added.problem.find("is damaged"), std::string::npos) << added.problem;
     {
         Folder killed(files, folder.tier());
         ASSERT_TRUE(killed.open(Folder::Access::write).problem.empty());
         PurgeLog log(files, killed);
-        ASSERT_TRUE(log.load(Folder::Access::write).torn);
+        ASSERT_TRUE(log.load(Folder::Access::write).damaged);
     }
     {
-        Desk desk(rulesFor(folder));
-        EXPECT_TRUE(desk.logged("the purge log is damaged"));
-        EXPECT_FALSE(desk.load(1));
-        ASSERT_TRUE(desk.until([&] { return desk.tier.kept(); }));
+        TierHarness harness(optionsFor(folder));
+        EXPECT_TRUE(harness.logged("the purge log is damaged"));
+        EXPECT_FALSE(harness.load(1));
+        ASSERT_TRUE(harness.turnUntil([&] { return harness.tier.purgesPersisted(); }));
     }
-    Desk desk(rulesFor(folder));
-    EXPECT_FALSE(desk.logged("the purge log is damaged"));
-    EXPECT_FALSE(desk.load(1));
+    TierHarness harness(optionsFor(folder));
+    EXPECT_FALSE(harness.logged("the purge log is damaged"));
+    EXPECT_FALSE(harness.load(1));
 }
 
 }  // namespace
--- a/tests/disk_story_test.cpp
+++ b/tests/disk_story_test.cpp
@@ -1,4 +1,4 @@
-// The disk tier in the real program: warm up, kill, restart, with purges meanwhile.
+// Tests of the disk tier in the gateway program: warm up, kill, restart, with purges in between.
 #include <filesystem>
 
 #include "repository_server.hpp"
@@ -22,7 +22,7 @@
         }
         return found;
     }
-    // The file that LB_DISK names.
+    // Writes the settings file for LB_DISK and returns its path.
     std::string file(const json& more = json::object(), const char* front = "repository") const {
         json section = {{"folder", path + "/tier"}, {"capacity_mb", 64}, {"bus_keeps_positions", true}};
         section.update(more);
@@ -45,8 +45,8 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
-struct Site {
-    explicit Site(std::size_t size = 3'000'000) : server(size) {
+struct RepositorySetup {
+    explicit RepositorySetup(std::size_t size = 3'000'000) : server(size) {
         settings = repositoryConfiguration(server, server);
         settings["bus"] = bus.address();
     }
@@ -56,7 +56,7 @@
     Folder folder;
 };
 
-void warm(Program& program, Repository& server) {
+void warmUp(Program& program, Repository& server) {
     for (int i = 0; i < 3; ++i) {
         Connection c(program.port());
         const Response file = get(c, "/files/tool.bin");
@@ -65,24 +65,24 @@
     }
 }
 
-// Until what was offered is written: a kill now loses nothing of it.
-void settle(Program& program) {
+// Waits until all admitted copies are written, so that a kill loses none of them.
+void awaitWritesDone(Program& program) {
     for (int i = 0; i < 400; ++i) {
         program.signal(SIGUSR1);
         std::this_thread::sleep_for(10ms);
         if (counter(program, "disk_kept", "queue") == 0 && counter(program, "disk_kept", "parts") > 0) return;
     }
-    assert(!"the writer never came to rest");
+    assert(!"the writer did not become idle");
 }
 
-// The bytes that one download after a kill and a restart brings over the link.
-std::size_t fetchedAfterRestart(Site& site, const std::string& disk) {
+// The bytes that one download fetches from the servers after a kill and a restart.
+std::size_t bytesFetchedAfterRestart(RepositorySetup& site, const std::string& disk) {
     const Program::Variables variables =
         disk.empty() ? Program::Variables{} : Program::Variables{{"LB_DISK", disk}};
     {
         Program program(site.settings, "LB_REPOSITORY", 1024, variables);
-        warm(program, site.server);
-        if (!disk.empty()) settle(program);
+        warmUp(program, site.server);
+        if (!disk.empty()) awaitWritesDone(program);
         program.signal(SIGKILL);
         program.exitCode();
     }
@@ -95,27 +95,27 @@
     return site.server.bytesSent() - before;
 }
 
-void aRestartFetchesLittleAgain() {
-    Site without, with;
-    const std::size_t cold = fetchedAfterRestart(without, "");
-    const std::size_t warmed = fetchedAfterRestart(with, with.folder.file());
+void restartRefetchesLittle() {
+    RepositorySetup without, with;
+    const std::size_t cold = bytesFetchedAfterRestart(without, "");
+    const std::size_t warmed = bytesFetchedAfterRestart(with, with.folder.file());
     std::fprintf(stderr, "fetched after a restart: %zu bytes without the tier, %zu with it\n", cold, warmed);
     assert(cold >= without.server.file.size() && warmed * 10 <= cold);
 }
 
-// A life that ends without notice once its copies are on the disk.
-void warmAndKill(Site& site, const Program::Variables& variables) {
+// Runs a gateway that is killed once its copies are on disk.
+void warmUpAndKill(RepositorySetup& site, const Program::Variables& variables) {
     Program program(site.settings, "LB_REPOSITORY", 1024, variables);
-    warm(program, site.server);
-    settle(program);
+    warmUp(program, site.server);
+    awaitWritesDone(program);
     program.signal(SIGKILL);
     program.exitCode();
 }
 
-void aPurgeWhileDownIsKept() {
-    Site site;
+void purgeWhileDownTakesEffect() {
+    RepositorySetup site;
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
-    warmAndKill(site, variables);
+    warmUpAndKill(site, variables);
     site.server.version = 2;
     site.bus.note({{"ban", {{"url", "/index/plugins.json"}, {"ts", unixMs() + 2000}}}});
     Program program(site.settings, "LB_REPOSITORY", 1024, variables);
@@ -123,16 +123,17 @@
     const std::size_t before = site.server.bytesSent();
     Connection c(program.port());
     assert(get(c, "/index/plugins.json").body == "version 2\n");
-    // What was not purged is still served from the disk.
+    // Copies that were not purged are still served from disk.
     assert(get(c, "/files/tool.bin").body == site.server.file);
     assert(site.server.bytesSent() - before <= 2 * 65536);
 }
 
-void withoutProofNothingIsServed() {
-    Site site;
+void missingBusEventsDropAllCopies() {
+    RepositorySetup site;
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
-    warmAndKill(site, variables);
-    // The purge is among the events that the bus tells no more: it can't be known which copies it named.
+    warmUpAndKill(site, variables);
+    // The bus no longer has the event with the purge: it is unknown which copies were purged, so all are
+    // dropped.
     site.server.version = 2;
     site.bus.note({{"ban", {{"url", "/index/plugins.json"}, {"ts", unixMs()}}}});
     site.bus.forget();
@@ -146,13 +147,13 @@
     assert(site.server.bytesSent() - before >= site.server.file.size());
 }
 
-void damageIsFetchedAnew() {
-    Site site;
+void damagedRecordIsRefetched() {
+    RepositorySetup site;
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
     {
         Program program(site.settings, "LB_REPOSITORY", 1024, variables);
-        warm(program, site.server);
-        settle(program);
+        warmUp(program, site.server);
+        awaitWritesDone(program);
         program.signal(SIGTERM);
         assert(program.exitCode() == 0);
     }
@@ -172,15 +173,17 @@
     assert(counter(program, "disk", "torn") >= 1 && counter(program, "disk", "hits") > 30);
 }
 
-// Parts of two versions never meet in one download, also where the tier has not seen both in this process.
-void anotherVersionPushesTheOldOneOut() {
-    Site site;
+// Parts of two versions must not be combined in one download, also when this process has seen only one of
+// them.
+void newVersionReplacesOldParts() {
+    RepositorySetup site;
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
     {
         Program program(site.settings, "LB_REPOSITORY", 1024, variables);
-        Connection c(program.port());  // once: the first part was not ranked, and so is not held
+        Connection c(
+            program.port());  // one download only: the first part had no rank yet and was not admitted
         assert(get(c, "/files/tool.bin").body == site.server.file);
-        settle(program);
+        awaitWritesDone(program);
         program.signal(SIGTERM);
         program.exitCode();
     }
@@ -196,16 +199,16 @@
     assert(counter(program, "disk_kept", "superseded") >= 1);
 }
 
-void oneFolderHasOneProcess() {
-    Site site;
+void onlyOneProcessHoldsTheFolder() {
+    RepositorySetup site;
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
     auto first = std::make_unique<Program>(site.settings, "LB_REPOSITORY", 1024, variables);
     first->awaitLog(" segments at ");
     Program second(site.settings, "LB_REPOSITORY", 1024, variables);
     second.awaitLog("another process holds");
-    warm(second, site.server);
-    warm(*first, site.server);
-    settle(*first);
+    warmUp(second, site.server);
+    warmUp(*first, site.server);
+    awaitWritesDone(*first);
     first->signal(SIGTERM);
     assert(first->exitCode() == 0);
     second.awaitLog(" segments at ");
@@ -215,8 +218,8 @@
     assert((site.server.bytesSent() - before) * 10 <= site.server.file.size());
 }
 
-// The platform's front has no part in the proof on its own platform, but elsewhere it keeps copies as well.
-void thePlatformsFrontKeepsCopiesToo() {
+// The platform front uses the disk tier as well, and applies purges to it.
+void platformFrontServesFromDisk() {
     Folder folder;
     std::atomic<int> pulled{0};
     Peer box(store([&](Connection& c, const std::vector<std::string>& w) {
@@ -237,7 +240,7 @@
     {
         Program program(settings, "LB_CONFIG", 1024, variables);
         for (int i = 0; i < 3; ++i) assert(ask(program).at(3) == "the object");
-        settle(program);
+        awaitWritesDone(program);
         const int before = pulled;
         assert(ask(program).at(3) == "the object" && pulled == before);
         const auto current = ask(program, ",cached=4be0c1927d55a6f3");
@@ -255,8 +258,8 @@
     assert(ask(program).at(3) == "the object" && pulled == before + 1);
 }
 
-// A process that takes another's place without a gap takes the folder, too.
-void aSuccessorIsHandedTheFolder() {
+// In a hand-over the successor also takes over the folder.
+void successorTakesOverTheFolder() {
     Folder folder, meeting;
     Fleet fleet;
     std::atomic<int> pulled{0};
@@ -283,7 +286,7 @@
         call(c, "1");
         assert(c.readResp().at(1) == "SERVED");
     }
-    settle(*older);
+    awaitWritesDone(*older);
     auto newer = start();
     newer->awaitLog("another process holds");
     newer->awaitLog("serving on");
@@ -296,8 +299,8 @@
     assert(c.readResp().at(3) == "the object" && pulled == before);
 }
 
-void badFilesAreRefused() {
-    Site site(10);
+void invalidDiskFilesAreRefused() {
+    RepositorySetup site(10);
     const std::vector<std::pair<json, std::string>> bad{
         {{{"folder", ""}}, "field 'repository.folder'"},
         {{{"capacity_mb", 1}}, "field 'repository.capacity_mb'"},
@@ -318,13 +321,13 @@
 }  // namespace
 
 int main() {
-    badFilesAreRefused();
-    aRestartFetchesLittleAgain();
-    aPurgeWhileDownIsKept();
-    withoutProofNothingIsServed();
-    damageIsFetchedAnew();
-    anotherVersionPushesTheOldOneOut();
-    oneFolderHasOneProcess();
-    thePlatformsFrontKeepsCopiesToo();
-    aSuccessorIsHandedTheFolder();
+    invalidDiskFilesAreRefused();
+    restartRefetchesLittle();
+    purgeWhileDownTakesEffect();
+    missingBusEventsDropAllCopies();
+    damagedRecordIsRefetched();
+    newVersionReplacesOldParts();
+    onlyOneProcessHoldsTheFolder();
+    platformFrontServesFromDisk();
+    successorTakesOverTheFolder();
 }
--- a/tests/disk_desk.hpp
+++ b/tests/disk_tier_harness.hpp
@@ -1,5 +1,6 @@
-// For tests of the disk tier with real files and threads: time is the test's, and every file call can be made
-// to fail. Waits end by an event of the tier's; the time limit only ends a test that has failed.
+// Helpers for tests of the disk tier with real files and threads. The test sets the time, and every file
+// system call can be made to fail. Waits end with an event of the tier; their time limit only ends a test
+// that has failed.
 #pragma once
 
 #include <fcntl.h>
@@ -22,21 +23,21 @@
 
 namespace lotuslead::disk {
 
-// Fails what it is told to, by what the file's name contains.
+// Injects faults into calls on files whose path contains a given text.
 class FaultyFiles : public FileCalls {
 public:
     struct Faults {
-        int write = 0, read = 0, sync = 0, open = 0, truncate = 0;  // an errno; zero: none
-        std::size_t writeAtMost = 0;                                // bytes a call; zero: all
-        long writesUntilFault = 0;                                  // that still go well
-        bool holdWrites = false;                                    // until it is taken back
+        int write = 0, read = 0, sync = 0, open = 0, truncate = 0;  // an errno value; zero: no fault
+        std::size_t writeAtMost = 0;                                // largest write in bytes; zero: no limit
+        long writesUntilFault = 0;                                  // writes that succeed before the fault
+        bool holdWrites = false;                                    // blocks writes until it is cleared
     };
     void set(const std::string& names, const Faults& faults) {
         const std::lock_guard lock(mutex_);
         faults_[names] = faults;
         changed_.notify_all();
     }
-    // An errno for each sync of a folder, as against one of a file in it; zero: none.
+    // Makes each sync of a folder, but not of a file, fail with this errno; zero: no fault.
     void failFolderSyncs(int error) {
         const std::lock_guard lock(mutex_);
         folderSync_ = error;
@@ -93,7 +94,7 @@
             return folderSync_;
         }
         if (Faults* f = of(paths_[fd]); f && f->sync) return f->sync;
-        return 0;  // the page cache outlives what these tests do
+        return 0;  // no sync needed: these tests never lose the page cache
     }
     int truncate(int fd, std::uint64_t size) override {
         {
@@ -141,37 +142,37 @@
     std::string path;
 };
 
-inline TierRules rulesFor(const TemporaryFolder& folder) {
-    TierRules rules;
-    rules.folder = folder.tier();
-    rules.shelf.capacityBytes = 4 << 20;
-    rules.shelf.segmentBytes = 128 << 10;
-    rules.shelf.mostParts = 4096;
-    rules.worker.queueBytes = 1 << 20;
-    rules.purgeSlackMs = 0;
-    rules.purges = {false, true, 2000};
-    return rules;
+inline TierOptions optionsFor(const TemporaryFolder& folder) {
+    TierOptions options;
+    options.folder = folder.tier();
+    options.catalog.capacityBytes = 4 << 20;
+    options.catalog.segmentBytes = 128 << 10;
+    options.catalog.maxParts = 4096;
+    options.worker.queueBytes = 1 << 20;
+    options.purgeClockSkewMs = 0;
+    options.purges = {false, true, 2000};
+    return options;
 }
 
 inline Key keyOf(int i) { return {"/files/" + std::to_string(i), "installer", i % 7, 3, 65536}; }
-inline std::string bodyOf(int i, std::int64_t mintedMs) {
+inline std::string bodyOf(int i, std::int64_t createdMs) {
     std::string body(2000 + static_cast<std::size_t>(i) * 37 % 3000, '\0');
-    std::uint64_t state = static_cast<std::uint64_t>(i) * 1'000'003 + static_cast<std::uint64_t>(mintedMs);
+    std::uint64_t state = static_cast<std::uint64_t>(i) * 1'000'003 + static_cast<std::uint64_t>(createdMs);
     for (char& byte : body) byte = static_cast<char>(state = mix(state + 1));
     return body;
 }
 
-// A tier and the loop that it thinks it has.
-class Desk {
+// A tier, with an event loop and clocks that the test drives.
+class TierHarness {
 public:
-    explicit Desk(const TierRules& rules, FileCalls* calls = nullptr, bool awaitReady = true)
-        : tier(calls ? *calls : plain_, rules,
-               {[this](const std::string& line) { lines.push_back(line); },
-                [this](std::int64_t position) { askFrom = position; },
+    explicit TierHarness(const TierOptions& options, FileCalls* calls = nullptr, bool awaitReady = true)
+        : tier(calls ? *calls : realFiles_, options,
+               {[this](const std::string& line) { logLines.push_back(line); },
+                [this](std::int64_t position) { resumeBusFrom = position; },
                 [](const Facts&) { return std::uint64_t{0}; }}) {
-        if (awaitReady) until([&] { return tier.state() == Tier::State::ready; });
+        if (awaitReady) turnUntil([&] { return tier.state() == Tier::State::ready; });
     }
-    bool until(const std::function<bool()>& done) {
+    bool turnUntil(const std::function<bool()>& done) {
         for (int i = 0; i < 2000; ++i) {
             tier.turn(now);
             if (done()) return true;
@@ -180,39 +181,40 @@
         }
         return done();
     }
-    bool store(int i, std::int64_t mintedMs, int rank = 1) {
-        const auto before = tier.shelf().counters().admitted;
-        tier.offer(now, keyOf(i), rank, {mintedMs, {{"etag", "v"}}, bodyOf(i, mintedMs)});
-        return tier.shelf().counters().admitted > before && until([&] { return tier.queuedBytes() == 0; }) &&
-               tier.shelf().has(keyOf(i).fingerprint());
+    bool store(int i, std::int64_t createdMs, int rank = 1) {
+        const auto before = tier.catalog().counters().admitted;
+        tier.offer(now, keyOf(i), rank, {createdMs, {{"etag", "v"}}, bodyOf(i, createdMs)});
+        return tier.catalog().counters().admitted > before &&
+               turnUntil([&] { return tier.queuedBytes() == 0; }) &&
+               tier.catalog().contains(keyOf(i).fingerprint());
     }
-    std::optional<Copy> load(int i, std::int64_t oldestMs = 0) {
+    std::optional<Copy> load(int i, std::int64_t maxAgeMs = 0) {
         std::optional<Copy> result;
-        bool told = false;
-        const auto ticket = tier.lookUp(now, keyOf(i), oldestMs, [&](std::optional<Copy> copy) {
-            told = true;
+        bool completed = false;
+        const auto ticket = tier.lookUp(now, keyOf(i), maxAgeMs, [&](std::optional<Copy> copy) {
+            completed = true;
             result = std::move(copy);
         });
-        if (ticket != 0) until([&] { return told; });
+        if (ticket != 0) turnUntil([&] { return completed; });
         return result;
     }
-    // Held, and the very bytes.
-    bool has(int i, std::int64_t mintedMs) {
+    // Whether the tier serves this copy with the same bytes.
+    bool has(int i, std::int64_t createdMs) {
         const auto copy = load(i);
-        return copy && copy->mintedMs == mintedMs && copy->body == bodyOf(i, mintedMs);
+        return copy && copy->createdMs == createdMs && copy->body == bodyOf(i, createdMs);
     }
     bool logged(const std::string& words) const {
-        for (const std::string& line : lines)
+        for (const std::string& line : logLines)
             if (line.find(words) != std::string::npos) return true;
         return false;
     }
 
-    std::vector<std::string> lines;
-    std::optional<std::int64_t> askFrom;
-    Moment now{10'000, 1'000'000};
+    std::vector<std::string> logLines;
+    std::optional<std::int64_t> resumeBusFrom;
+    ClockReading now{10'000, 1'000'000};
 
 private:
-    FileCalls plain_;
+    FileCalls realFiles_;
 
 public:
     Tier tier;
