--- a/src/operator/operator_server.cpp
+++ b/src/operator/operator_server.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-OperatorServer::OperatorServer(net::Loop& loop, const settings::Endpoint& at, GatewayControl @gateway)
+OperatorServer::OperatorServer(net::Loop& loop, const settings::Endpoint& at, GatewayControl& gateway)
     : gateway_(gateway),
       server_(loop, at, kLimits, net::Priority::high,
               [this](const net::HttpHead& head, const std::string&, net::HttpServer::SendResponse reply) {
--- a/src/operator/operator_server.hpp
+++ b/src/operator/operator_server.hpp
@@ -24,7 +24,7 @@
         std::uint64_t calls = 0, refused = 0;
     };
 
-    OperatorServer(net::Loop& loop, const settings::Endpoint& at, GatewayControl @gateway);
+    OperatorServer(net::Loop& loop, const settings::Endpoint& at, GatewayControl& gateway);
     std::uint16_t port() const { return server_.port(); }
     const Counters& counters() const { return counters_; }
 
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -276,7 +276,7 @@
 
 void Upstreams::send(Micros, const core::Request& request, const core::Verdict& send) {
     inFlight_[request.id] = send.attempt;
-    servers_[send.host].waiting.push_back({&request, send});
+    servers_[send.host].queue.push_back({&request, send});
     serveQueue(send.host);
 }
 
