--- a/tests/raft_schedules.cpp
+++ b/tests/raft_schedules.cpp
@@ -1,6 +1,6 @@
 // Runs thousands of seeded schedules in one process: a simulated cluster, clients with sessions, and
-// faults. The state machines are compared after each applied command, and at the end no acknowledged write
-// may be missing. Any seed can be replayed exactly.
+// faults. The servers must apply the same commands in the same order and end in the same state, in which no
+// acknowledged write may be missing. Any seed can be replayed exactly.
 //
 //   raft_schedules --seeds N --first S    last line: seeds=N committed=... reads=... crashes=... failed=...
 #include <cstdio>
--- a/tests/shared_configuration_test.cpp
+++ b/tests/shared_configuration_test.cpp
@@ -114,7 +114,7 @@
             std::fprintf(stderr, "%s\n%s\n", b.log().c_str(), cluster.log(isolated).c_str());
         }
         assert(500 + last <= 2400);
-        // After the links are restored, both gateways learn of a box that is added now.
+        // A box that is added now reaches the isolated agent once the links are restored.
         commitOrFail(client,
                      putTransaction("boxes/cache-2", boxDocument("cache-2", server.address(), "small")));
         cluster.relay.heal();
