--- a/tests/shared_story_test.cpp
+++ b/tests/shared_story_test.cpp
@@ -37,7 +37,7 @@
 
 // The front's file, without a box of its own: all comes from the agents.
 json gatewayFile(const Cluster& cluster, std::initializer_list<int> agents) {
-    json file = repository({});
+    json file = repositoryConfiguration({});
     file["known"] = {{"offset", 0}, {"batch", json::array()}};
     file["bus"] = json::array();
     for (const int id : agents) file["bus"].push_back(cluster.bus(id));
