--- a/bench/soak/clients.cpp
+++ b/bench/soak/clients.cpp
@@ -48,7 +48,7 @@
                 pause(plan_.think);
             }
             // Nobody asks on a connection that is known to be closed.
-            if (chance(0.05) || socket_.endedByPeer()) break;
+            if (chance(0.05) || socket_.closedByPeer()) break;
         }
         socket_.close();
     }
@@ -105,13 +105,13 @@
     if (!socket_.send(bytes)) return neverSent(calls), Outcome::ended;
     if (draw < 0.13) {  // takes it back
         std::this_thread::sleep_for(Millis{between(0, 120)});
-        Words words;
-        if (socket_.read(words, Clock::now()) == RespSocket::Read::message) {
-            judge_.answered(call.trace, words, call.expectedPrefix);
+        RespMessage message;
+        if (socket_.read(message, Clock::now()) == RespSocket::Read::message) {
+            judge_.answered(call.trace, message, call.expectedPrefix);
             return Outcome::goesOn;
         }
         cancel(call);
-        if (!socket_.sendWords({"CANCEL", call.tag})) return Outcome::ended;
+        if (!socket_.sendMessage({"CANCEL", call.tag})) return Outcome::ended;
     } else if (draw < 0.18) {  // leaves
         std::this_thread::sleep_for(Millis{between(0, 120)});
         judge_.clientEnded(call.trace);
@@ -144,32 +144,32 @@
     while (!calls.empty()) {
         TimePoint until = TimePoint::max();
         for (const auto& [tag, call] : calls) until = std::min(until, call.due);
-        Words words;
-        const auto read = socket_.read(words, until);
+        RespMessage message;
+        const auto read = socket_.read(message, until);
         if (read == RespSocket::Read::closed)
             return lose(calls, "its connection was closed", wasResting), Outcome::ended;
         if (read == RespSocket::Read::malformed)
             return lose(calls, "an answer can't be read", false), Outcome::ended;
         if (read == RespSocket::Read::message) {
             wasResting = false;
-            if (words.size() < 2) words.resize(2);
-            const auto found = calls.find(words[0]);
-            if (const auto late = takenBack_.find(words[0]);
+            if (message.size() < 2) message.resize(2);
+            const auto found = calls.find(message[0]);
+            if (const auto late = takenBack_.find(message[0]);
                 found == calls.end() && late != takenBack_.end()) {
-                judge_.answered(late->second.trace, words, late->second.expectedPrefix);
+                judge_.answered(late->second.trace, message, late->second.expectedPrefix);
                 continue;
             }
             if (found == calls.end()) {
                 judge_.violation(Rule::secondAnswer,
-                                 "an answer under a number that is not open: " + words[0]);
+                                 "an answer under a number that is not open: " + message[0]);
                 continue;
             }
             Call& call = found->second;
-            judge_.answered(call.trace, words, call.expectedPrefix);
-            if (words[1] == "SERVED" && words.size() > 3 && words[3].rfind(call.expectedPrefix, 0) == 0 &&
-                copies_.size() < kMostCopies)
+            judge_.answered(call.trace, message, call.expectedPrefix);
+            if (message[1] == "SERVED" && message.size() > 3 &&
+                message[3].rfind(call.expectedPrefix, 0) == 0 && copies_.size() < kMostCopies)
                 copies_[call.entity] =
-                    tagOf(call.entity, std::atoll(words[3].c_str() + call.expectedPrefix.size()));
+                    tagOf(call.entity, std::atoll(message[3].c_str() + call.expectedPrefix.size()));
             calls.erase(found);
             continue;
         }
@@ -228,17 +228,17 @@
                 socket.send("*3\r\n$4\r\nCALL\r\n$99999999\r\n");
                 break;
             case 4:
-                for (int i = 0; i < 40; ++i) socket.sendWords({"CHECK", std::to_string(i + 1), ""});
+                for (int i = 0; i < 40; ++i) socket.sendMessage({"CHECK", std::to_string(i + 1), ""});
                 break;
             default:
-                socket.sendWords({"CANCEL", "77"});
-                socket.sendWords({"CALL", "1", "nothing", "trace=1", ""});
+                socket.sendMessage({"CANCEL", "77"});
+                socket.sendMessage({"CALL", "1", "nothing", "trace=1", ""});
                 break;
         }
-        Words words;
+        RespMessage message;
         const TimePoint until = Clock::now() + Millis{random() % 1500};
         while (!over && Clock::now() < until) {
-            const auto read = socket.read(words, std::min(until, Clock::now() + 100ms));
+            const auto read = socket.read(message, std::min(until, Clock::now() + 100ms));
             if (read == RespSocket::Read::closed || read == RespSocket::Read::malformed) break;
         }
         if (random() % 2 == 0) socket.reset();
@@ -252,7 +252,7 @@
         std::vector<RespSocket> crowd;
         for (int i = 0; i < connections && !over; ++i) {
             RespSocket socket = RespSocket::connectTo(plan.port);
-            if (socket.open() && socket.sendWords({"CHECK", "1", ""})) crowd.push_back(std::move(socket));
+            if (socket.open() && socket.sendMessage({"CHECK", "1", ""})) crowd.push_back(std::move(socket));
         }
         const TimePoint until = Clock::now() + kRest;
         while (!over && Clock::now() < until) std::this_thread::sleep_for(kConnectAgain);
--- a/bench/soak/gateways.cpp
+++ b/bench/soak/gateways.cpp
@@ -51,7 +51,7 @@
     : plan_(std::move(plan)), troubles_(troubles), judge_(judge), random_(plan_.seed) {
     ::mkdir(plan_.folder.c_str(), 0755);
     ::mkdir((plan_.folder + "/tmp").c_str(), 0755);
-    const int socket = listenOnLastingPort(kBacklog);
+    const int socket = listenOnNonEphemeralPort(kBacklog);
     port_ = portOf(socket);
     if (plan_.inheritsSocket)
         socket_ = socket;
--- a/bench/soak/wire.hpp
+++ b/bench/soak/wire.hpp
@@ -12,7 +12,7 @@
 using Clock = std::chrono::steady_clock;
 using TimePoint = Clock::time_point;
 using Millis = std::chrono::milliseconds;
-using Words = std::vector<std::string>;
+using RespMessage = std::vector<std::string>;
 
 std::int64_t unixMs();
 
@@ -30,18 +30,18 @@
     bool open() const { return fd_ >= 0; }
     int fd() const { return fd_; }
     // The peer has closed it, and nothing is left to be read.
-    bool endedByPeer() const;
+    bool closedByPeer() const;
     bool send(const std::string& bytes);
-    bool sendWords(const Words& words) { return send(encoded(words)); }
-    Read read(Words& words, TimePoint until);
+    bool sendMessage(const RespMessage& message) { return send(encoded(message)); }
+    Read read(RespMessage& message, TimePoint until);
     void close();
     void reset();  // as a process that dies
 
-    static std::string encoded(const Words& words);
+    static std::string encoded(const RespMessage& message);
 
 private:
     enum class Parse { whole, partial, malformed };
-    Parse parse(Words& words);
+    Parse parse(RespMessage& message);
 
     int fd_;
     std::string buffer_;
@@ -50,7 +50,7 @@
 // A listening socket on loopback; port 0: one of the system's choice.
 int listenOnLoopback(std::uint16_t port, int backlog);
 // On a port that no outgoing connection gets as its own, so that it can be listened on again after a while.
-int listenOnLastingPort(int backlog);
+int listenOnNonEphemeralPort(int backlog);
 std::uint16_t portOf(int fd);
 
 }  // namespace lotuslead::soak
