--- a/bench/soak/clients.cpp
+++ b/bench/soak/clients.cpp
@@ -65,10 +65,10 @@
     const auto kind = draw < 0.7    ? RequestClass::page
                       : draw < 0.85 ? RequestClass::checkout
                                     : RequestClass::order;
-    const Millis patience{chance(0.1) ? between(20, 150) : between(300, 2500)};
+    const Millis timeout{chance(0.1) ? between(20, 150) : between(300, 2500)};
     const std::string block = "0";
     call.expectedPrefix = call.entity + ":" + block + ":";
-    std::string fields = "trace=" + call.trace + ",patience=" + std::to_string(patience.count()) +
+    std::string fields = "trace=" + call.trace + ",patience=" + std::to_string(timeout.count()) +
                          ",entity=" + call.entity + ",block=" + block +
                          ",family=" + std::to_string(place % 16);
     if (kind == RequestClass::checkout) fields += ",nonce=" + hexOf(random_()) + hexOf(random_());
@@ -78,13 +78,13 @@
     const std::string body = kind == RequestClass::page ? "" : std::string(100, 'w');
     bytes +=
         RespSocket::encoded({"CALL", call.tag, kClassNames[static_cast<std::size_t>(kind)], fields, body});
-    judge_.sent(call.trace, plan_.gateway, kind, patience, named, connectedAt_);
-    call.due = Clock::now() + patience + kGivesUpLate;
+    judge_.sent(call.trace, plan_.gateway, kind, timeout, named, connectedAt_);
+    call.due = Clock::now() + timeout + kGivesUpLate;
     return call;
 }
 
 void Client::cancel(Call& call) {
-    judge_.clientEnded(call.trace);
+    judge_.requestAbandoned(call.trace);
     call.ended = true;
     call.due = Clock::now() + kAfterCancel;
 }
@@ -100,7 +100,7 @@
         if (!socket_.send(bytes.substr(0, cut))) return neverSent(calls), Outcome::ended;
         std::this_thread::sleep_for(Millis{between(1, 60)});
         bytes.erase(0, cut);
-        judge_.countsFromNow(call.trace);
+        judge_.lastByteSent(call.trace);
     }
     if (!socket_.send(bytes)) return neverSent(calls), Outcome::ended;
     if (draw < 0.13) {  // takes it back
@@ -112,9 +112,9 @@
         }
         cancel(call);
         if (!socket_.sendMessage({"CANCEL", call.tag})) return Outcome::ended;
-    } else if (draw < 0.18) {  // leaves
+    } else if (draw < 0.18) {  // recordTermination
         std::this_thread::sleep_for(Millis{between(0, 120)});
-        judge_.clientEnded(call.trace);
+        judge_.requestAbandoned(call.trace);
         chance(0.5) ? socket_.reset() : socket_.close();
         return Outcome::ended;
     }
@@ -160,8 +160,8 @@
                 continue;
             }
             if (found == calls.end()) {
-                judge_.violation(Rule::secondAnswer,
-                                 "an answer under a number that is not open: " + message[0]);
+                judge_.recordViolation(Rule::secondAnswer,
+                                       "an answer under a number that is not open: " + message[0]);
                 continue;
             }
             Call& call = found->second;
@@ -189,14 +189,14 @@
 // The last byte did not reach the gateway's machine: nothing is owed.
 void Client::neverSent(const std::map<std::string, Call>& calls) {
     for (const auto& [tag, call] : calls)
-        if (!call.ended) judge_.goesAgain(call.trace, Excuse::neverSent);
+        if (!call.ended) judge_.excusedRetry(call.trace, Excuse::neverSent);
 }
 
 void Client::lose(std::map<std::string, Call>& calls, const char* how, bool wasResting) {
     for (auto& [tag, call] : calls) {
         if (call.ended) continue;
         const bool crossed = wasResting && judge_.age(call.trace) < kCrossing + kCrossingSeen;
-        crossed ? judge_.goesAgain(call.trace, Excuse::crossedAClose) : judge_.unanswered(call.trace, how);
+        crossed ? judge_.excusedRetry(call.trace, Excuse::crossedClose) : judge_.unanswered(call.trace, how);
     }
 }
 
--- a/bench/soak/gateways.cpp
+++ b/bench/soak/gateways.cpp
@@ -126,7 +126,8 @@
         }
         std::this_thread::sleep_for(kLookAgain);
     }
-    judge_.violation(Rule::slowStart, "gateway " + std::to_string(plan_.number) + ", see " + process.log);
+    judge_.recordViolation(Rule::lateReadiness,
+                           "gateway " + std::to_string(plan_.number) + ", see " + process.log);
     return false;
 }
 
@@ -140,9 +141,9 @@
     const TimePoint kill = since + kEarliestKill + heldUp_;
     while (::waitpid(process.pid, &status, WNOHANG) == 0) {
         if (Clock::now() > kill) {
-            // What it has not answered by now is lost: no excuse.
-            judge_.violation(Rule::slowEnd,
-                             "gateway " + std::to_string(plan_.number) + " " + how + ", see " + process.log);
+            // What it has not answered by now is noAnswerInTime: no excuse.
+            judge_.recordViolation(Rule::slowShutdown, "gateway " + std::to_string(plan_.number) + " " + how +
+                                                           ", see " + process.log);
             ::kill(process.pid, SIGKILL);
             ::waitpid(process.pid, &status, 0);
             heldUp_ = {};
@@ -152,23 +153,25 @@
     }
     heldUp_ = {};
     if (!WIFEXITED(status) || WEXITSTATUS(status) != 0)
-        judge_.violation(Rule::crash, "gateway " + std::to_string(plan_.number) + " ended with status " +
-                                          std::to_string(status) + " " + how + ", see " + process.log);
+        judge_.recordViolation(Rule::crash, "gateway " + std::to_string(plan_.number) +
+                                                " ended with status " + std::to_string(status) + " " + how +
+                                                ", see " + process.log);
 }
 
 void Gateway::checkAlive() {
     int status = 0;
     if (::waitpid(process_.pid, &status, WNOHANG) == 0) return;
-    judge_.killed(plan_.number);
-    judge_.violation(Rule::crash, "gateway " + std::to_string(plan_.number) + " ended by itself, status " +
-                                      std::to_string(status) + ", see " + process_.log);
+    judge_.recordKill(plan_.number);
+    judge_.recordViolation(Rule::crash, "gateway " + std::to_string(plan_.number) +
+                                            " ended by itself, status " + std::to_string(status) + ", see " +
+                                            process_.log);
     start();
-    judge_.servesAgain(plan_.number);
+    judge_.recordServing(plan_.number);
 }
 
 void Gateway::restart() {
-    note("SIGTERM and restart");
-    judge_.leaves(plan_.number);
+    logEvent("SIGTERM and restart");
+    judge_.recordTermination(plan_.number);
     const TimePoint told = Clock::now();
     ::kill(process_.pid, SIGTERM);
     if (between(0, 2) == 0) ::kill(process_.pid, SIGHUP);
@@ -176,7 +179,7 @@
     signalInSeries();
     awaitEnd(process_, told, "after SIGTERM");
     start();
-    judge_.servesAgain(
+    judge_.recordServing(
         plan_.number);  // what came while nobody listened waits in the socket, if it is inherited
 }
 
@@ -190,28 +193,28 @@
 }
 
 void Gateway::killAndRestart() {
-    note("SIGKILL and restart");
-    judge_.killed(plan_.number);
+    logEvent("SIGKILL and restart");
+    judge_.recordKill(plan_.number);
     ::kill(process_.pid, SIGKILL);
     ::waitpid(process_.pid, nullptr, 0);
     start();
-    judge_.servesAgain(plan_.number);
+    judge_.recordServing(plan_.number);
 }
 
 void Gateway::holdUp() {
     const Millis time{between(50, 900)};
-    note("stopped for " + std::to_string(time.count()) + " ms");
+    logEvent("stopped for " + std::to_string(time.count()) + " ms");
     ::kill(process_.pid, SIGSTOP);
     const TimePoint begun = Clock::now();
     std::this_thread::sleep_for(time);
     const auto held = std::chrono::duration_cast<Millis>(Clock::now() - begun);
     heldUp_ += held;
-    judge_.stopped(plan_.number, held);
+    judge_.recordStop(plan_.number, held);
     ::kill(process_.pid, SIGCONT);
 }
 
 void Gateway::reload() {
-    note("SIGHUP");
+    logEvent("SIGHUP");
     for (int i = between(1, 3); i > 0; --i) {
         json fresh = plan_.configuration();
         fresh["settings"]["allowed"]["mostTries"] = between(3, 8);
@@ -223,7 +226,7 @@
 }
 
 void Gateway::handOver() {
-    note("replaced by a successor");
+    logEvent("replaced by a successor");
     if (socket_ < 0) return;
     const Process old = process_;
     const Process successor = spawn();
@@ -241,7 +244,7 @@
 }
 
 void Gateway::failCalls(const std::atomic<bool>& over) {
-    note("calls fail: " + rules_);
+    logEvent("calls fail: " + rules_);
     setSwitch(true);
     const TimePoint until = Clock::now() + Millis{between(300, 3000)};
     // Other troubles meet the failing calls.
@@ -249,17 +252,17 @@
     if (between(0, 3) == 0 && troubles_.restarts) restart();
     while (!over && Clock::now() < until) std::this_thread::sleep_for(kLookAgain);
     setSwitch(false);
-    note("calls work again");
+    logEvent("calls work again");
 }
 
-void Gateway::note(const std::string& event) const {
-    judge_.note("gateway " + std::to_string(plan_.number) + ": " + event);
+void Gateway::logEvent(const std::string& event) const {
+    judge_.logEvent("gateway " + std::to_string(plan_.number) + ": " + event);
 }
 
 void Gateway::stepClock() {
     constexpr double kSteps[] = {0, 5, -5, 3600, -3600, 0.7};
     clockOffset_ = kSteps[random_() % std::size(kSteps)];
-    note("wall clock off by " + std::to_string(clockOffset_) + " s");
+    logEvent("wall clock off by " + std::to_string(clockOffset_) + " s");
     setSwitch(faultsOn_);
 }
 
--- a/bench/soak/gateways.hpp
+++ b/bench/soak/gateways.hpp
@@ -61,7 +61,7 @@
     void handOver();
     void failCalls(const std::atomic<bool>& over);
     void stepClock();
-    void note(const std::string& event) const;
+    void logEvent(const std::string& event) const;
     int between(int least, int most) { return std::uniform_int_distribution<>(least, most)(random_); }
 
     GatewayPlan plan_;
--- a/bench/soak/judge.cpp
+++ b/bench/soak/judge.cpp
@@ -11,17 +11,17 @@
 
 namespace {
 
-// The protocol's figures, with the slack that it gives; kScheduling is for a machine that is busy with the
-// soak itself, which tells its judge of an event some time after it.
-constexpr Millis kScheduling = 250ms;
-constexpr Millis kAnswerLate = 500ms;
-constexpr Millis kAfterClientEnd = 100ms;
+// The protocol's figures, with the slack that it gives; kSchedulingSlack is for a machine that is busy with
+// the soak itself, which tells its judge of an event some time after it.
+constexpr Millis kSchedulingSlack = 250ms;
+constexpr Millis kAnswerGrace = 500ms;
+constexpr Millis kAttemptAfterClientEndGrace = 100ms;
 constexpr Millis kDeadlineSlack = 150ms;
 constexpr Millis kDrainGrace = 1000ms, kPurgeGrace = 500ms, kRuleSlack = 50ms;
-constexpr Millis kToldAtLatest = 7000ms;
-constexpr Millis kKeyWindow = 3000ms;
-constexpr Millis kNewConnections = 400ms;  // go on coming after SIGTERM
-constexpr std::uint64_t kMostTold = 60;
+constexpr Millis kMaxBusDelay = 7000ms;
+constexpr Millis kRepeatWindow = 3000ms;
+constexpr Millis kLateConnectionGrace = 400ms;  // go on coming after SIGTERM
+constexpr std::uint64_t kMaxPrintedViolations = 60;
 constexpr int kNoGateway = -1;
 
 }  // namespace
@@ -40,7 +40,7 @@
     return names[static_cast<std::size_t>(excuse)];
 }
 
-void Judge::sent(const std::string& trace, int gateway, RequestClass kind, Millis patience, bool namedCopy,
+void Judge::sent(const std::string& trace, int gateway, RequestClass kind, Millis timeout, bool conditional,
                  TimePoint connectedAt) {
     const std::lock_guard lock(mutex_);
     Request& request = requests_[trace];
@@ -48,19 +48,19 @@
     request.kind = kind;
     request.sentAt = Clock::now();
     request.connectedAt = connectedAt;
-    request.patience = patience;
-    request.namedCopy = namedCopy;
+    request.timeout = timeout;
+    request.conditional = conditional;
     ++totals_.requests;
 }
 
-void Judge::countsFromNow(const std::string& trace) {
+void Judge::lastByteSent(const std::string& trace) {
     const std::lock_guard lock(mutex_);
     requests_[trace].sentAt = Clock::now();
 }
 
-void Judge::clientEnded(const std::string& trace) {
+void Judge::requestAbandoned(const std::string& trace) {
     const std::lock_guard lock(mutex_);
-    requests_[trace].clientEndedAt = Clock::now();
+    requests_[trace].abandonedAt = Clock::now();
 }
 
 void Judge::answered(const std::string& trace, const RespMessage& answer, const std::string& expectedPrefix) {
@@ -68,12 +68,13 @@
     Request& request = requests_[trace];
     const TimePoint now = Clock::now();
     if (++request.answers > 1) return report(Rule::secondAnswer, trace);
-    const Millis held = heldUp(request.gateway, request.sentAt);
-    if (request.clientEndedAt) {
+    const Millis held = stoppedTime(request.gateway, request.sentAt);
+    if (request.abandonedAt) {
         return checkAfterCancel(trace, request, answer, now, held);
     }
-    if (now > request.sentAt + request.patience + kAnswerLate + kScheduling + held && !excuseOf(request))
-        report(Rule::lost, trace + " answered too late by gateway " + std::to_string(request.gateway));
+    if (now > request.sentAt + request.timeout + kAnswerGrace + kSchedulingSlack + held && !excuseOf(request))
+        report(Rule::noAnswerInTime,
+               trace + " answered too late by gateway " + std::to_string(request.gateway));
     if (answer[1] == "SHED") {
         ++totals_.refused;
         return checkRefusal(trace, request);
@@ -89,21 +90,21 @@
 // have been decided on before.
 void Judge::checkAfterCancel(const std::string& trace, const Request& request, const RespMessage& answer,
                              TimePoint now, Millis held) {
-    const auto late = std::chrono::duration_cast<Millis>(now - *request.clientEndedAt);
-    if (late <= kScheduling) return;
+    const auto late = std::chrono::duration_cast<Millis>(now - *request.abandonedAt);
+    if (late <= kSchedulingSlack) return;
     const std::string what = trace + " by gateway " + std::to_string(request.gateway) + ": " + answer[1] +
                              ", " + std::to_string(late.count()) + " ms after CANCEL, held up for " +
                              std::to_string(held.count()) + " ms";
-    if (late > kScheduling + held) return report(Rule::afterCancel, what);
-    excuse(Excuse::heldUp);
-    note("excused, after CANCEL: " + what);
+    if (late > kSchedulingSlack + held) return report(Rule::answerAfterCancel, what);
+    countExcuse(Excuse::gatewayStopped);
+    logEvent("excused, after CANCEL: " + what);
 }
 
 void Judge::checkServed(const std::string& trace, const Request& request, const RespMessage& answer,
                         const std::string& expectedPrefix) {
     if (answer.size() > 2 && answer[2].find("keep=1") != std::string::npos) {
         ++totals_.unchanged;
-        if (!request.saidCurrent || !request.namedCopy) report(Rule::unnamedCopy, trace);
+        if (!request.copyConfirmed || !request.conditional) report(Rule::unconfirmedCopy, trace);
         return;
     }
     ++totals_.served;
@@ -115,7 +116,7 @@
     const std::int64_t mintedMs = std::atoll(body.c_str() + expectedPrefix.size());
     const auto purge = purges_.find(entity);
     if (purge == purges_.end() || mintedMs >= purge->second.atMs) return;
-    if (request.attempts.back().arrivedAt > purge->second.binds + kScheduling)
+    if (request.attempts.back().arrivedAt > purge->second.effectiveAt + kSchedulingSlack)
         report(Rule::staleCopy,
                trace + " minted " + std::to_string(purge->second.atMs - mintedMs) + " ms before the purge");
 }
@@ -130,20 +131,20 @@
 void Judge::unanswered(const std::string& trace, const char* how) {
     const std::lock_guard lock(mutex_);
     const Request& request = requests_[trace];
-    if (request.answers > 0 || request.clientEndedAt) return;
-    if (const auto why = excuseOf(request)) return excuse(*why);
+    if (request.answers > 0 || request.abandonedAt) return;
+    if (const auto why = excuseOf(request)) return countExcuse(*why);
     std::string what =
         trace + " " + how + ", gateway " + std::to_string(request.gateway) + ", " +
         std::to_string(std::chrono::duration_cast<Millis>(Clock::now() - request.sentAt).count()) + " of " +
-        std::to_string(request.patience.count()) + " ms, attempts";
+        std::to_string(request.timeout.count()) + " ms, attempts";
     for (const Attempt& attempt : request.attempts) what += " " + attempt.store;
-    report(Rule::lost, what);
+    report(Rule::noAnswerInTime, what);
 }
 
-void Judge::goesAgain(const std::string& trace, Excuse why) {
+void Judge::excusedRetry(const std::string& trace, Excuse why) {
     const std::lock_guard lock(mutex_);
-    requests_[trace].clientEndedAt = Clock::now();
-    excuse(why);
+    requests_[trace].abandonedAt = Clock::now();
+    countExcuse(why);
 }
 
 Millis Judge::age(const std::string& trace) const {
@@ -153,19 +154,20 @@
 
 std::optional<Excuse> Judge::excuseOf(const Request& request) const {
     // An answer that was due before the kill is owed all the same.
-    const TimePoint due = request.sentAt + request.patience + kAnswerLate + kScheduling;
-    if (const auto found = dead_.find(request.gateway); found != dead_.end())
+    const TimePoint due = request.sentAt + request.timeout + kAnswerGrace + kSchedulingSlack;
+    if (const auto found = deadPeriods_.find(request.gateway); found != deadPeriods_.end())
         for (const Period& dead : found->second)
             if (dead.since < due && request.sentAt < dead.until) return Excuse::gatewayKilled;
-    if (const auto found = leaving_.find(request.gateway); found != leaving_.end())
+    if (const auto found = shutdownPeriods_.find(request.gateway); found != shutdownPeriods_.end())
         for (const Period& leaving : found->second)
-            if (request.connectedAt > leaving.since + kNewConnections && request.connectedAt < leaving.until)
+            if (request.connectedAt > leaving.since + kLateConnectionGrace &&
+                request.connectedAt < leaving.until)
                 return Excuse::lateConnection;
     return {};
 }
 
-int Judge::attemptArrived(const std::string& trace, const std::string& store, std::int64_t maxMs,
-                          const std::string& source, bool seenLate) {
+int Judge::attemptArrived(const std::string& trace, const std::string& store, std::int64_t attemptTimeoutMs,
+                          const std::string& source, bool observedLate) {
     const std::lock_guard lock(mutex_);
     const auto found = requests_.find(trace);
     if (found == requests_.end()) {
@@ -175,153 +177,157 @@
     Request& request = found->second;
     const TimePoint now = Clock::now();
     ++totals_.attempts;
-    if (!seenLate) checkTimes(trace, request, store, maxMs, source, now);
-    checkRepeat(trace, request, now, seenLate);
-    request.attempts.push_back({store, now, {}, AttemptEnd::out, seenLate});
+    if (!observedLate) checkAttemptTiming(trace, request, store, attemptTimeoutMs, source, now);
+    checkDuplicate(trace, request, now, observedLate);
+    request.attempts.push_back({store, now, {}, AttemptEnd::inFlight, observedLate});
     return static_cast<int>(request.attempts.size()) - 1;
 }
 
-void Judge::checkTimes(const std::string& trace, const Request& request, const std::string& store,
-                       std::int64_t maxMs, const std::string& source, TimePoint now) {
+void Judge::checkAttemptTiming(const std::string& trace, const Request& request, const std::string& store,
+                               std::int64_t attemptTimeoutMs, const std::string& source, TimePoint now) {
     const auto millis = [](auto time) { return std::chrono::duration_cast<Millis>(time).count(); };
     // A stop that is over by now may have come between the decision and the first byte, once.
-    const Millis held = heldUp(request.gateway, now - kScheduling);
-    if (request.clientEndedAt && now > *request.clientEndedAt + kAfterClientEnd + kScheduling + held)
-        report(Rule::lateAttempt, trace + " at " + store + " by gateway " + std::to_string(request.gateway) +
-                                      ", " + std::to_string(millis(now - *request.clientEndedAt)) +
-                                      " ms after its client's end");
-    const auto left = millis(request.sentAt + request.patience - now);
-    const Millis stalled = heldUp(kNoGateway, now - kScheduling);
-    if (maxMs > left + (kDeadlineSlack + kScheduling + stalled).count())
+    const Millis held = stoppedTime(request.gateway, now - kSchedulingSlack);
+    if (request.abandonedAt &&
+        now > *request.abandonedAt + kAttemptAfterClientEndGrace + kSchedulingSlack + held)
+        report(Rule::attemptAfterClientEnd,
+               trace + " at " + store + " by gateway " + std::to_string(request.gateway) + ", " +
+                   std::to_string(millis(now - *request.abandonedAt)) + " ms after its client's end");
+    const auto left = millis(request.sentAt + request.timeout - now);
+    const Millis stalled = stoppedTime(kNoGateway, now - kSchedulingSlack);
+    if (attemptTimeoutMs > left + (kDeadlineSlack + kSchedulingSlack + stalled).count())
         report(Rule::longDeadline, trace + " at " + store + " by gateway " + std::to_string(request.gateway) +
-                                       ": " + std::to_string(maxMs) + " ms told, " + std::to_string(left) +
-                                       " ms left of " + std::to_string(request.patience.count()) +
-                                       ", on a connection " +
+                                       ": " + std::to_string(attemptTimeoutMs) + " ms told, " +
+                                       std::to_string(left) + " ms left of " +
+                                       std::to_string(request.timeout.count()) + ", on a connection " +
                                        std::to_string(millis(now - request.connectedAt)) +
                                        " ms old, attempt " + std::to_string(request.attempts.size() + 1));
     for (const std::string& name : {store, source}) {
-        const auto withdrawn = withdrawnAt_.find(name);
-        if (!name.empty() && withdrawn != withdrawnAt_.end() && now > withdrawn->second + kScheduling + held)
-            report(Rule::drainedStore, trace + " by gateway " + std::to_string(request.gateway) + " at " +
-                                           store + (name == store ? "" : " with source " + name));
+        const auto withdrawn = noSendsFrom_.find(name);
+        if (!name.empty() && withdrawn != noSendsFrom_.end() &&
+            now > withdrawn->second + kSchedulingSlack + held)
+            report(Rule::sendToWithdrawnStore, trace + " by gateway " + std::to_string(request.gateway) +
+                                                   " at " + store +
+                                                   (name == store ? "" : " with source " + name));
     }
 }
 
-void Judge::checkRepeat(const std::string& trace, const Request& request, TimePoint now, bool seenLate) {
+void Judge::checkDuplicate(const std::string& trace, const Request& request, TimePoint now,
+                           bool observedLate) {
     for (const Attempt& earlier : request.attempts) {
         if (earlier.end == AttemptEnd::neverRan) continue;
         if (request.kind == RequestClass::order)
             report(Rule::duplicate, trace + " ran perhaps at " + earlier.store + " before");
-        if (!seenLate && request.kind == RequestClass::checkout &&
-            now > earlier.arrivedAt + kKeyWindow + kRuleSlack + kScheduling)
+        if (!observedLate && request.kind == RequestClass::checkout &&
+            now > earlier.arrivedAt + kRepeatWindow + kRuleSlack + kSchedulingSlack)
             report(Rule::duplicate, trace + " after the window of its key");
     }
 }
 
-void Judge::saidCurrent(const std::string& trace) {
+void Judge::copyConfirmed(const std::string& trace) {
     const std::lock_guard lock(mutex_);
-    requests_[trace].saidCurrent = true;
+    requests_[trace].copyConfirmed = true;
 }
 
-void Judge::attemptEnded(const std::string& trace, int attempt, AttemptEnd end, bool seenLate) {
+void Judge::attemptEnded(const std::string& trace, int attempt, AttemptEnd end, bool observedLate) {
     const std::lock_guard lock(mutex_);
     if (attempt < 0) return;
     Request& request = requests_[trace];
     Attempt& ended = request.attempts[static_cast<std::size_t>(attempt)];
     ended.end = end;
     ended.endedAt = Clock::now();
-    if (seenLate) return;
+    if (observedLate) return;
     // A later attempt that arrived long before this one's end: both were out.
     for (std::size_t i = static_cast<std::size_t>(attempt) + 1; i < request.attempts.size(); ++i)
-        if (!request.attempts[i].arrivalSeenLate &&
-            ended.endedAt >
-                request.attempts[i].arrivedAt + kScheduling + heldUp(request.gateway, request.sentAt))
-            report(Rule::twoAttemptsOut, trace + " by gateway " + std::to_string(request.gateway) + " at " +
-                                             ended.store + " and " + request.attempts[i].store);
+        if (!request.attempts[i].arrivalObservedLate &&
+            ended.endedAt > request.attempts[i].arrivedAt + kSchedulingSlack +
+                                stoppedTime(request.gateway, request.sentAt))
+            report(Rule::concurrentAttempts, trace + " by gateway " + std::to_string(request.gateway) +
+                                                 " at " + ended.store + " and " + request.attempts[i].store);
 }
 
-void Judge::killed(int gateway) {
+void Judge::recordKill(int gateway) {
     const std::lock_guard lock(mutex_);
-    dead_[gateway].push_back({Clock::now()});
+    deadPeriods_[gateway].push_back({Clock::now()});
 }
 
-void Judge::leaves(int gateway) {
+void Judge::recordTermination(int gateway) {
     const std::lock_guard lock(mutex_);
-    leaving_[gateway].push_back({Clock::now()});
+    shutdownPeriods_[gateway].push_back({Clock::now()});
 }
 
-void Judge::servesAgain(int gateway) {
+void Judge::recordServing(int gateway) {
     const std::lock_guard lock(mutex_);
-    for (auto* periods : {&dead_[gateway], &leaving_[gateway]})
+    for (auto* periods : {&deadPeriods_[gateway], &shutdownPeriods_[gateway]})
         if (!periods->empty() && periods->back().until == TimePoint::max())
             periods->back().until = Clock::now();
 }
 
-void Judge::stopped(int gateway, Millis time) {
+void Judge::recordStop(int gateway, Millis time) {
     const std::lock_guard lock(mutex_);
     stops_[gateway].push_back({Clock::now(), time});
 }
 
-void Judge::stalled(Millis time) {
-    note("this program stood still for " + std::to_string(time.count()) + " ms");
+void Judge::recordStall(Millis time) {
+    logEvent("this program stood still for " + std::to_string(time.count()) + " ms");
     const std::lock_guard lock(mutex_);
     stalls_.push_back({Clock::now(), time});
 }
 
-Millis Judge::heldUp(int gateway, TimePoint since) const {
+Millis Judge::stoppedTime(int gateway, TimePoint since) const {
     const auto found = stops_.find(gateway);
     Millis sum{};
     for (const Stop& stall : stalls_)
-        if (stall.endedAt + kScheduling > since) sum += stall.time;
+        if (stall.endedAt + kSchedulingSlack > since) sum += stall.time;
     if (found == stops_.end()) return sum;
     for (const Stop& stop : found->second)
-        if (stop.endedAt + kScheduling > since) sum += stop.time;
+        if (stop.endedAt + kSchedulingSlack > since) sum += stop.time;
     return sum;
 }
 
-TimePoint Judge::whenTold() const {
+TimePoint Judge::latestBusDelivery() const {
     const TimePoint now = Clock::now();
-    return now < busTroubleUntil_ ? now + kToldAtLatest : now;
+    return now < busDelayedUntil_ ? now + kMaxBusDelay : now;
 }
 
-void Judge::withdrawnFromList(const std::string& store) {
+void Judge::recordWithdrawn(const std::string& store) {
     const std::lock_guard lock(mutex_);
-    withdrawnAt_[store] = whenTold() + kDrainGrace + kRuleSlack;
+    noSendsFrom_[store] = latestBusDelivery() + kDrainGrace + kRuleSlack;
 }
 
-void Judge::listedAgain(const std::string& store) {
+void Judge::recordListed(const std::string& store) {
     const std::lock_guard lock(mutex_);
-    withdrawnAt_.erase(store);
+    noSendsFrom_.erase(store);
 }
 
-bool Judge::busMayBeLate() const {
+bool Judge::busMayBeDelayed() const {
     const std::lock_guard lock(mutex_);
-    return Clock::now() < busTroubleUntil_;
+    return Clock::now() < busDelayedUntil_;
 }
 
-void Judge::busTrouble(Millis time) {
+void Judge::recordBusFault(Millis time) {
     const std::lock_guard lock(mutex_);
     // What was told shortly before may not have been heard either.
-    for (auto& [store, at] : withdrawnAt_)
-        if (at > Clock::now()) at += kToldAtLatest;
+    for (auto& [store, at] : noSendsFrom_)
+        if (at > Clock::now()) at += kMaxBusDelay;
     for (auto& [entity, purge] : purges_)
-        if (purge.binds > Clock::now()) purge.binds += kToldAtLatest;
-    busTroubleUntil_ = std::max(busTroubleUntil_, Clock::now() + time + 1s);
+        if (purge.effectiveAt > Clock::now()) purge.effectiveAt += kMaxBusDelay;
+    busDelayedUntil_ = std::max(busDelayedUntil_, Clock::now() + time + 1s);
 }
 
-void Judge::purged(const std::string& entity, std::int64_t purgeMs) {
+void Judge::recordPurge(const std::string& entity, std::int64_t purgeMs) {
     const std::lock_guard lock(mutex_);
-    purges_[entity] = {purgeMs, whenTold() + kPurgeGrace + kRuleSlack};
+    purges_[entity] = {purgeMs, latestBusDelivery() + kPurgeGrace + kRuleSlack};
 }
 
-void Judge::violation(Rule rule, const std::string& what) {
+void Judge::recordViolation(Rule rule, const std::string& what) {
     const std::lock_guard lock(mutex_);
     report(rule, what);
 }
 
-void Judge::note(const std::string& event) const {
+void Judge::logEvent(const std::string& event) const {
     if (!timeline_) return;
-    const std::chrono::duration<double> at = Clock::now() - begun_;
+    const std::chrono::duration<double> at = Clock::now() - startedAt_;
     std::printf("%.3f event %s\n", at.count(), event.c_str());
 }
 
@@ -329,8 +335,8 @@
     ++totals_.violations[static_cast<std::size_t>(rule)];
     std::uint64_t all = 0;
     for (const std::uint64_t count : totals_.violations) all += count;
-    if (all > kMostTold) return;
-    const std::chrono::duration<double> at = Clock::now() - begun_;
+    if (all > kMaxPrintedViolations) return;
+    const std::chrono::duration<double> at = Clock::now() - startedAt_;
     std::printf("%.3f violation %s: %s\n", at.count(), nameOf(rule), what.c_str());
 }
 
--- a/bench/soak/main.cpp
+++ b/bench/soak/main.cpp
@@ -173,26 +173,26 @@
 }
 
 void Soak::hangStore(Store& store, std::mt19937_64& random) {
-    judge_.note(store.name() + " hangs");
+    judge_.logEvent(store.name() + " hangs");
     store.hang(true);
     sleepUnlessOver(Millis{300 + random() % 3000});
     store.hang(false);
-    judge_.note(store.name() + " goes on");
+    judge_.logEvent(store.name() + " goes on");
 }
 
 void Soak::crashStore(Store& store, std::mt19937_64& random) {
-    judge_.note(store.name() + " dies");
+    judge_.logEvent(store.name() + " dies");
     store.crash();
     sleepUnlessOver(Millis{100 + random() % 2000});
     bus_->tell(topology({listed(store, "up", store.comeBackCold())}));
-    judge_.note(store.name() + " is back, cold");
+    judge_.logEvent(store.name() + " is back, cold");
 }
 
 // Drained, removed, and later there again under its name, cold.
 void Soak::replaceStore(Store& store, std::mt19937_64& random) {
-    judge_.note(store.name() + " drains");
+    judge_.logEvent(store.name() + " drains");
     bus_->tell(topology({listed(store, "draining", 0)}));
-    judge_.withdrawnFromList(store.name());
+    judge_.recordWithdrawn(store.name());
     sleepUnlessOver(kDrainBeforeEnd + Millis{random() % 1500});
     if (random() % 2 == 0) {
         bus_->tell(topology({listed(store, "removed", 0)}));
@@ -200,9 +200,9 @@
     }
     store.crash();
     sleepUnlessOver(Millis{random() % 500});
-    judge_.listedAgain(store.name());
+    judge_.recordListed(store.name());
     bus_->tell(topology({listed(store, "up", store.comeBackCold())}));
-    judge_.note(store.name() + " is back, cold");
+    judge_.logEvent(store.name() + " is back, cold");
 }
 
 // Two threads of this run at once: each has its own half of the caches.
@@ -243,8 +243,8 @@
         sleepUnlessOver(Millis{2000 + random() % 5000});
         if (over_) return;
         const Millis time{200 + random() % 3500};
-        judge_.busTrouble(time);
-        judge_.note("event bus in trouble for " + std::to_string(time.count()) + " ms");
+        judge_.recordBusFault(time);
+        judge_.logEvent("event bus in trouble for " + std::to_string(time.count()) + " ms");
         switch (random() % 3) {
             case 0:
                 bus_->down();
@@ -274,7 +274,7 @@
         const std::int64_t now = unixMs();
         purges_.add(entity, now);
         bus_->tell({{"ban", {{"url", entity}, {"ts", now}}}});
-        judge_.purged(entity, now);
+        judge_.recordPurge(entity, now);
     }
 }
 
@@ -285,7 +285,7 @@
         const TimePoint before = Clock::now();
         std::this_thread::sleep_for(kTick);
         const auto slept = std::chrono::duration_cast<Millis>(Clock::now() - before);
-        if (slept > kStall) judge_.stalled(slept);
+        if (slept > kStall) judge_.recordStall(slept);
     }
 }
 
@@ -330,12 +330,12 @@
     std::vector<Millis> ready;
     for (const auto& gateway : gateways_) {
         for (const std::string& line : gateway->internalViolations())
-            judge_.violation(Rule::internalCheck, line);
+            judge_.recordViolation(Rule::internalCheck, line);
         ready.insert(ready.end(), gateway->readyTimes().begin(), gateway->readyTimes().end());
     }
     std::sort(ready.begin(), ready.end());
     const Millis ninth = ready.empty() ? Millis{} : ready[ready.size() * 9 / 10];
-    if (ninth > 10s) judge_.violation(Rule::slowStart, "nine in ten were ready only after 10 s");
+    if (ninth > 10s) judge_.recordViolation(Rule::lateReadiness, "nine in ten were ready only after 10 s");
     const Judge::Totals t = judge_.totals();
     std::printf(
         "seed=%llu requests=%llu served=%llu unchanged=%llu refused=%llu failed=%llu "
--- a/bench/soak/stores.cpp
+++ b/bench/soak/stores.cpp
@@ -159,7 +159,7 @@
 
 // The budget over every window: N calls, 2 x root of N and 2 more; under 30, 3 x root of N and 3 more.
 void Store::countColdCall() {
-    const bool toldLate = judge_.busMayBeLate();
+    const bool toldLate = judge_.busMayBeDelayed();
     const std::lock_guard lock(mutex_);
     if (!coldSince_) return;
     if (toldLate) return coldCalls_.clear();  // who has not been told of the start keeps to no budget
@@ -179,7 +179,7 @@
     char text[120];
     std::snprintf(text, sizeof text, "%s, %.2f s after its start: %zu calls in the window, %.1f allowed",
                   name_.c_str(), age.count(), coldCalls_.size(), most);
-    judge_.violation(Rule::coldBudget, text);
+    judge_.recordViolation(Rule::slowStartBudget, text);
 }
 
 std::string Store::bodyOf(const std::string& entity, const std::string& block, std::int64_t mintedMs) const {
@@ -224,7 +224,7 @@
     const std::string tag = tagOf(entity, mintedMs);
     const std::string told = "tag=" + tag + ",minted=" + std::to_string(mintedMs) + ",remark=local";
     if (!neverKept && valueOf(fields, "known") == tag) {
-        judge_.saidCurrent(message[1]);
+        judge_.copyConfirmed(message[1]);
         due.bytes = RespSocket::encoded({message[1], "current", told, ""});
         return due;
     }
@@ -252,7 +252,7 @@
         return;
     }
     if (message.size() < 4 || message[0] != "PULL")
-        return judge_.violation(Rule::wrongContent, name_ + " was sent what is no command");
+        return judge_.recordViolation(Rule::wrongContent, name_ + " was sent what is no command");
     if (!late) countColdCall();
     const int attempt = judge_.attemptArrived(
         message[1], name_, std::atoll(valueOf(message[2], "max").c_str()), valueOf(message[2], "via"), late);
--- a/bench/soak/stores.hpp
+++ b/bench/soak/stores.hpp
@@ -51,7 +51,7 @@
     std::list<Connection> connections_;
 };
 
-// What all stores share: which objects were purged, and when each store has to have dropped its copies.
+// What all stores share: which objects were recordPurge, and when each store has to have dropped its copies.
 class Purges {
 public:
     void add(const std::string& entity, std::int64_t atMs);
