--- a/bench/soak/clients.cpp
+++ b/bench/soak/clients.cpp
@@ -28,7 +28,7 @@
 }  // namespace
 
 void Client::run() {
-    while (!over_) {
+    while (!finished_) {
         socket_ = RespSocket::connectTo(plan_.port);
         if (!socket_.open()) {
             std::this_thread::sleep_for(kConnectAgain);
@@ -38,7 +38,7 @@
         takenBack_.clear();
         bool used = false;
         Outcome outcome = Outcome::goesOn;
-        while (outcome == Outcome::goesOn && !over_) {
+        while (outcome == Outcome::goesOn && !finished_) {
             outcome = chance(0.1) ? manyAtOnce(used) : oneRequest(used);
             used = true;
             if (outcome == Outcome::ended) break;
@@ -59,13 +59,13 @@
     call.tag = std::to_string(++nextTag_);
     call.trace = hexOf(random_());
     // Skewed: a few objects are asked for often.
-    const int place = chance(0.5) ? between(0, 9) : between(0, plan_.entities - 1);
+    const int place = chance(0.5) ? randomInt(0, 9) : randomInt(0, plan_.entities - 1);
     call.entity = hexOf(0x1000'0000ULL + static_cast<std::uint64_t>(place));
     const double draw = std::uniform_real_distribution<>(0, 1)(random_);
     const auto kind = draw < 0.7    ? RequestClass::page
                       : draw < 0.85 ? RequestClass::checkout
                                     : RequestClass::order;
-    const Millis timeout{chance(0.1) ? between(20, 150) : between(300, 2500)};
+    const Millis timeout{chance(0.1) ? randomInt(20, 150) : randomInt(300, 2500)};
     const std::string block = "0";
     call.expectedPrefix = call.entity + ":" + block + ":";
     std::string fields = "trace=" + call.trace + ",patience=" + std::to_string(timeout.count()) +
@@ -96,15 +96,15 @@
     Call& call = calls[made.tag] = made;
     const double draw = std::uniform_real_distribution<>(0, 1)(random_);
     if (draw < 0.05) {  // in pieces
-        const std::size_t cut = static_cast<std::size_t>(between(1, static_cast<int>(bytes.size()) - 1));
+        const std::size_t cut = static_cast<std::size_t>(randomInt(1, static_cast<int>(bytes.size()) - 1));
         if (!socket_.send(bytes.substr(0, cut))) return neverSent(calls), Outcome::ended;
-        std::this_thread::sleep_for(Millis{between(1, 60)});
+        std::this_thread::sleep_for(Millis{randomInt(1, 60)});
         bytes.erase(0, cut);
         judge_.lastByteSent(call.trace);
     }
     if (!socket_.send(bytes)) return neverSent(calls), Outcome::ended;
     if (draw < 0.13) {  // takes it back
-        std::this_thread::sleep_for(Millis{between(0, 120)});
+        std::this_thread::sleep_for(Millis{randomInt(0, 120)});
         RespMessage message;
         if (socket_.read(message, Clock::now()) == RespSocket::Read::message) {
             judge_.answered(call.trace, message, call.expectedPrefix);
@@ -113,7 +113,7 @@
         cancel(call);
         if (!socket_.sendMessage({"CANCEL", call.tag})) return Outcome::ended;
     } else if (draw < 0.18) {  // recordTermination
-        std::this_thread::sleep_for(Millis{between(0, 120)});
+        std::this_thread::sleep_for(Millis{randomInt(0, 120)});
         judge_.requestAbandoned(call.trace);
         chance(0.5) ? socket_.reset() : socket_.close();
         return Outcome::ended;
@@ -125,7 +125,7 @@
     std::string bytes;
     std::map<std::string, Call> calls;
     std::vector<std::string> taken;
-    for (int i = between(2, 12); i > 0; --i) {
+    for (int i = randomInt(2, 12); i > 0; --i) {
         const Call call = makeCall(bytes);
         calls[call.tag] = call;
         if (chance(0.15)) taken.push_back(call.tag);
@@ -136,7 +136,7 @@
     }
     if (!socket_.send(bytes)) return neverSent(calls), Outcome::ended;
     // Reads late; on a connection at rest it would see too late that its calls had crossed a close.
-    if (!connectionIsUsed && chance(0.3)) std::this_thread::sleep_for(Millis{between(100, 400)});
+    if (!connectionIsUsed && chance(0.3)) std::this_thread::sleep_for(Millis{randomInt(100, 400)});
     return awaitAll(calls, connectionIsUsed);
 }
 
@@ -205,11 +205,11 @@
     std::this_thread::sleep_for(Millis{static_cast<int>(std::min(drawn, 5000.0))});
 }
 
-void runBadClient(const ClientPlan& plan, const std::atomic<bool>& over) {
+void runBadClient(const ClientPlan& plan, const std::atomic<bool>& finished) {
     std::mt19937_64 random(plan.seed);
     const std::string call = RespSocket::encoded(
         {"CALL", "1", "page", "trace=00000000000000aa,patience=500,entity=00000000000000bb,block=0", ""});
-    while (!over) {
+    while (!finished) {
         RespSocket socket = RespSocket::connectTo(plan.port);
         if (!socket.open()) {
             std::this_thread::sleep_for(kConnectAgain);
@@ -237,7 +237,7 @@
         }
         RespMessage message;
         const TimePoint until = Clock::now() + Millis{random() % 1500};
-        while (!over && Clock::now() < until) {
+        while (!finished && Clock::now() < until) {
             const auto read = socket.read(message, std::min(until, Clock::now() + 100ms));
             if (read == RespSocket::Read::closed || read == RespSocket::Read::malformed) break;
         }
@@ -246,16 +246,16 @@
     }
 }
 
-void runIdleCrowd(const ClientPlan& plan, int connections, const std::atomic<bool>& over) {
+void runIdleCrowd(const ClientPlan& plan, int connections, const std::atomic<bool>& finished) {
     constexpr Millis kRest = 4000ms;  // PROTOCOL, clients: they close idle connections after 4 s
-    while (!over) {
+    while (!finished) {
         std::vector<RespSocket> crowd;
-        for (int i = 0; i < connections && !over; ++i) {
+        for (int i = 0; i < connections && !finished; ++i) {
             RespSocket socket = RespSocket::connectTo(plan.port);
             if (socket.open() && socket.sendMessage({"CHECK", "1", ""})) crowd.push_back(std::move(socket));
         }
         const TimePoint until = Clock::now() + kRest;
-        while (!over && Clock::now() < until) std::this_thread::sleep_for(kConnectAgain);
+        while (!finished && Clock::now() < until) std::this_thread::sleep_for(kConnectAgain);
     }
 }
 
--- a/bench/soak/clients.hpp
+++ b/bench/soak/clients.hpp
@@ -16,15 +16,15 @@
     int gateway = 0;
     std::uint16_t port = 0;
     std::uint64_t seed = 0;
-    Millis think{};  // between two requests, in the mean
+    Millis think{};  // randomInt two requests, in the mean
     int entities = 200;
 };
 
 class Client {
 public:
-    Client(const ClientPlan& plan, Judge& judge, const std::atomic<bool>& over)
-        : plan_(plan), judge_(judge), over_(over), random_(plan.seed) {}
-    void run();  // until it is over
+    Client(const ClientPlan& plan, Judge& judge, const std::atomic<bool>& finished)
+        : plan_(plan), judge_(judge), finished_(finished), random_(plan.seed) {}
+    void run();  // until it is finished
 
 private:
     struct Call {
@@ -43,11 +43,11 @@
     void cancel(Call& call);
     void pause(Millis mean);
     bool chance(double probability) { return std::uniform_real_distribution<>(0, 1)(random_) < probability; }
-    int between(int least, int most) { return std::uniform_int_distribution<>(least, most)(random_); }
+    int randomInt(int min, int max) { return std::uniform_int_distribution<>(min, max)(random_); }
 
     ClientPlan plan_;
     Judge& judge_;
-    const std::atomic<bool>& over_;
+    const std::atomic<bool>& finished_;
     std::mt19937_64 random_;
     RespSocket socket_{-1};
     TimePoint connectedAt_{};
@@ -59,9 +59,9 @@
 };
 
 // Connects again and again and behaves badly. Nothing is owed to it but an end.
-void runBadClient(const ClientPlan& plan, const std::atomic<bool>& over);
+void runBadClient(const ClientPlan& plan, const std::atomic<bool>& finished);
 
 // Many connections that ask once and then rest, as long as the gateway lets them.
-void runIdleCrowd(const ClientPlan& plan, int connections, const std::atomic<bool>& over);
+void runIdleCrowd(const ClientPlan& plan, int connections, const std::atomic<bool>& finished);
 
 }  // namespace lotuslead::soak
--- a/bench/soak/gateways.cpp
+++ b/bench/soak/gateways.cpp
@@ -21,15 +21,15 @@
 namespace {
 
 constexpr int kInheritedSocket = 5;
-constexpr rlim_t kDescriptors = 1024;
-constexpr Millis kLookAgain = 10ms;
-constexpr Millis kReadyAtLatest = 30s;
+constexpr rlim_t kDescriptorLimit = 1024;
+constexpr Millis kPollInterval = 10ms;
+constexpr Millis kReadyTimeout = 30s;
 // PROTOCOL, planned restarts: the longest deadline of the soak's classes, 2.5 s, and 0.7 s after SIGTERM.
-constexpr Millis kEarliestKill = 3200ms;
+constexpr Millis kShutdownTimeout = 3200ms;
 constexpr int kBacklog = 512;
 
 // What Linux documents, each now and then; all of it passes.
-constexpr const char* kRules[] = {
+constexpr const char* kFaultRules[] = {
     "accept=ENFILE:3;accept=ECONNABORTED:7;socket=ENFILE:3;connect=EADDRNOTAVAIL:4",
     "accept=ENOBUFS:2;socket=ENOBUFS:2;connect=ENETUNREACH:5;epoll_ctl=ENOMEM:3",
     "send=short:7;recv=short:11;epoll_wait=EINTR:2",
@@ -47,8 +47,8 @@
 
 }  // namespace
 
-Gateway::Gateway(GatewayPlan plan, const Troubles& troubles, Judge& judge)
-    : plan_(std::move(plan)), troubles_(troubles), judge_(judge), random_(plan_.seed) {
+Gateway::Gateway(GatewayPlan plan, const Disturbances& disturbances, Judge& judge)
+    : plan_(std::move(plan)), disturbances_(disturbances), judge_(judge), random_(plan_.seed) {
     ::mkdir(plan_.folder.c_str(), 0755);
     ::mkdir((plan_.folder + "/tmp").c_str(), 0755);
     const int socket = listenOnNonEphemeralPort(kBacklog);
@@ -57,8 +57,8 @@
         socket_ = socket;
     else
         ::close(socket);
-    rules_ = kRules[random_() % std::size(kRules)];
-    setSwitch(false);
+    faultRules_ = kFaultRules[random_() % std::size(kFaultRules)];
+    writeFaultSwitch(false);
 }
 
 Gateway::~Gateway() {
@@ -69,7 +69,7 @@
     if (socket_ >= 0) ::close(socket_);
 }
 
-void Gateway::setSwitch(bool faults) {
+void Gateway::writeFaultSwitch(bool faults) {
     faultsOn_ = faults;
     char text[64] = {};
     std::snprintf(text, sizeof text, "%c%.3f", faults ? '1' : '0', clockOffset_);
@@ -105,12 +105,12 @@
         if (::dup2(socket_, kInheritedSocket) != kInheritedSocket) ::_exit(126);
         ::setenv("LB_SOCKET_FD", std::to_string(kInheritedSocket).c_str(), 1);
     }
-    const rlimit limit{kDescriptors, kDescriptors};
+    const rlimit limit{kDescriptorLimit, kDescriptorLimit};
     ::setrlimit(RLIMIT_NOFILE, &limit);
     ::setenv("LB_CONFIG", configuration.c_str(), 1);
     ::setenv("TMPDIR", tmp.c_str(), 1);
     ::setenv("LD_PRELOAD", LOTUSLEAD_FAULT_LIBRARY, 1);
-    ::setenv("LOTUSLEAD_FAULTS", rules_.c_str(), 1);
+    ::setenv("LOTUSLEAD_FAULTS", faultRules_.c_str(), 1);
     ::setenv("LOTUSLEAD_FAULTS_SWITCH", faultSwitch.c_str(), 1);
     ::setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);
     ::execl(LOTUSLEAD_PROGRAM, LOTUSLEAD_PROGRAM, nullptr);
@@ -118,13 +118,13 @@
 }
 
 bool Gateway::awaitReady(const Process& process, Millis within) {
-    const TimePoint begun = Clock::now();
-    while (Clock::now() < begun + within) {
+    const TimePoint startedAt = Clock::now();
+    while (Clock::now() < startedAt + within) {
         if (contentsOf(process.log).find(": serving on ") != std::string::npos) {
-            readyTimes_.push_back(std::chrono::duration_cast<Millis>(Clock::now() - begun));
+            readyTimes_.push_back(std::chrono::duration_cast<Millis>(Clock::now() - startedAt));
             return true;
         }
-        std::this_thread::sleep_for(kLookAgain);
+        std::this_thread::sleep_for(kPollInterval);
     }
     judge_.recordViolation(Rule::lateReadiness,
                            "gateway " + std::to_string(plan_.number) + ", see " + process.log);
@@ -133,25 +133,25 @@
 
 void Gateway::start() {
     process_ = spawn();
-    awaitReady(process_, kReadyAtLatest);
+    awaitReady(process_, kReadyTimeout);
 }
 
-void Gateway::awaitEnd(const Process& process, TimePoint since, const char* how) {
+void Gateway::awaitExit(const Process& process, TimePoint since, const char* how) {
     int status = 0;
-    const TimePoint kill = since + kEarliestKill + heldUp_;
+    const TimePoint killAt = since + kShutdownTimeout + stoppedFor_;
     while (::waitpid(process.pid, &status, WNOHANG) == 0) {
-        if (Clock::now() > kill) {
+        if (Clock::now() > killAt) {
             // What it has not answered by now is noAnswerInTime: no excuse.
             judge_.recordViolation(Rule::slowShutdown, "gateway " + std::to_string(plan_.number) + " " + how +
                                                            ", see " + process.log);
             ::kill(process.pid, SIGKILL);
             ::waitpid(process.pid, &status, 0);
-            heldUp_ = {};
+            stoppedFor_ = {};
             return;
         }
-        std::this_thread::sleep_for(kLookAgain);
+        std::this_thread::sleep_for(kPollInterval);
     }
-    heldUp_ = {};
+    stoppedFor_ = {};
     if (!WIFEXITED(status) || WEXITSTATUS(status) != 0)
         judge_.recordViolation(Rule::crash, "gateway " + std::to_string(plan_.number) +
                                                 " ended with status " + std::to_string(status) + " " + how +
@@ -172,22 +172,22 @@
 void Gateway::restart() {
     logEvent("SIGTERM and restart");
     judge_.recordTermination(plan_.number);
-    const TimePoint told = Clock::now();
+    const TimePoint signalledAt = Clock::now();
     ::kill(process_.pid, SIGTERM);
-    if (between(0, 2) == 0) ::kill(process_.pid, SIGHUP);
-    if (between(0, 3) == 0) holdUp();
-    signalInSeries();
-    awaitEnd(process_, told, "after SIGTERM");
+    if (randomInt(0, 2) == 0) ::kill(process_.pid, SIGHUP);
+    if (randomInt(0, 3) == 0) stopAndContinue();
+    sendSignalSeries();
+    awaitExit(process_, signalledAt, "after SIGTERM");
     start();
     judge_.recordServing(
         plan_.number);  // what came while nobody listened waits in the socket, if it is inherited
 }
 
 // To a process that is leaving already.
-void Gateway::signalInSeries() {
+void Gateway::sendSignalSeries() {
     constexpr int kSignals[] = {SIGTERM, SIGHUP, SIGINT, SIGUSR1};
-    for (int i = between(0, 5); i > 0; --i) {
-        std::this_thread::sleep_for(Millis{between(0, 250)});
+    for (int i = randomInt(0, 5); i > 0; --i) {
+        std::this_thread::sleep_for(Millis{randomInt(0, 250)});
         ::kill(process_.pid, kSignals[random_() % std::size(kSignals)]);
     }
 }
@@ -201,27 +201,27 @@
     judge_.recordServing(plan_.number);
 }
 
-void Gateway::holdUp() {
-    const Millis time{between(50, 900)};
+void Gateway::stopAndContinue() {
+    const Millis time{randomInt(50, 900)};
     logEvent("stopped for " + std::to_string(time.count()) + " ms");
     ::kill(process_.pid, SIGSTOP);
-    const TimePoint begun = Clock::now();
+    const TimePoint startedAt = Clock::now();
     std::this_thread::sleep_for(time);
-    const auto held = std::chrono::duration_cast<Millis>(Clock::now() - begun);
-    heldUp_ += held;
+    const auto held = std::chrono::duration_cast<Millis>(Clock::now() - startedAt);
+    stoppedFor_ += held;
     judge_.recordStop(plan_.number, held);
     ::kill(process_.pid, SIGCONT);
 }
 
 void Gateway::reload() {
     logEvent("SIGHUP");
-    for (int i = between(1, 3); i > 0; --i) {
+    for (int i = randomInt(1, 3); i > 0; --i) {
         json fresh = plan_.configuration();
-        fresh["settings"]["allowed"]["mostTries"] = between(3, 8);
-        fresh["limits"]["memory_mb"] = between(96, 192);
+        fresh["settings"]["allowed"]["mostTries"] = randomInt(3, 8);
+        fresh["limits"]["memory_mb"] = randomInt(96, 192);
         writeConfiguration(fresh);
         ::kill(process_.pid, SIGHUP);
-        std::this_thread::sleep_for(Millis{between(0, 200)});
+        std::this_thread::sleep_for(Millis{randomInt(0, 200)});
     }
 }
 
@@ -230,28 +230,28 @@
     if (socket_ < 0) return;
     const Process old = process_;
     const Process successor = spawn();
-    const bool ready = awaitReady(successor, kReadyAtLatest);
-    if (between(0, 3) == 0 && ready) holdUp();
+    const bool ready = awaitReady(successor, kReadyTimeout);
+    if (randomInt(0, 3) == 0 && ready) stopAndContinue();
     if (!ready) {
         ::kill(successor.pid, SIGKILL);
         ::waitpid(successor.pid, nullptr, 0);
         return;
     }
-    const TimePoint told = Clock::now();
+    const TimePoint signalledAt = Clock::now();
     ::kill(old.pid, SIGTERM);
     process_ = successor;
-    awaitEnd(old, told, "after its successor's start");
+    awaitExit(old, signalledAt, "after its successor's start");
 }
 
-void Gateway::failCalls(const std::atomic<bool>& over) {
-    logEvent("calls fail: " + rules_);
-    setSwitch(true);
-    const TimePoint until = Clock::now() + Millis{between(300, 3000)};
-    // Other troubles meet the failing calls.
-    if (between(0, 2) == 0 && troubles_.reloads) reload();
-    if (between(0, 3) == 0 && troubles_.restarts) restart();
-    while (!over && Clock::now() < until) std::this_thread::sleep_for(kLookAgain);
-    setSwitch(false);
+void Gateway::failSystemCalls(const std::atomic<bool>& finished) {
+    logEvent("calls fail: " + faultRules_);
+    writeFaultSwitch(true);
+    const TimePoint until = Clock::now() + Millis{randomInt(300, 3000)};
+    // Other disturbances meet the failing calls.
+    if (randomInt(0, 2) == 0 && disturbances_.reloads) reload();
+    if (randomInt(0, 3) == 0 && disturbances_.restarts) restart();
+    while (!finished && Clock::now() < until) std::this_thread::sleep_for(kPollInterval);
+    writeFaultSwitch(false);
     logEvent("calls work again");
 }
 
@@ -263,30 +263,30 @@
     constexpr double kSteps[] = {0, 5, -5, 3600, -3600, 0.7};
     clockOffset_ = kSteps[random_() % std::size(kSteps)];
     logEvent("wall clock off by " + std::to_string(clockOffset_) + " s");
-    setSwitch(faultsOn_);
+    writeFaultSwitch(faultsOn_);
 }
 
-void Gateway::run(const std::atomic<bool>& over) {
-    std::exponential_distribution<> wait(1.0 / static_cast<double>(troubles_.between.count()));
-    while (!over) {
+void Gateway::run(const std::atomic<bool>& finished) {
+    std::exponential_distribution<> wait(1.0 / static_cast<double>(disturbances_.meanInterval.count()));
+    while (!finished) {
         const TimePoint next = Clock::now() + Millis{static_cast<int>(wait(random_))};
-        while (!over && Clock::now() < next) std::this_thread::sleep_for(kLookAgain);
-        if (over) break;
+        while (!finished && Clock::now() < next) std::this_thread::sleep_for(kPollInterval);
+        if (finished) break;
         checkAlive();
-        const int draw = between(0, 9);
-        if (draw == 0 && troubles_.restarts) restart();
-        if (draw == 1 && troubles_.kills) killAndRestart();
-        if ((draw == 2 || draw == 3) && troubles_.stops) holdUp();
-        if ((draw == 4 || draw == 5) && troubles_.reloads) reload();
-        if (draw == 6 && troubles_.handOvers) handOver();
-        if ((draw == 7 || draw == 8) && troubles_.faults) failCalls(over);
-        if (draw == 9 && troubles_.clocks) stepClock();
+        const int draw = randomInt(0, 9);
+        if (draw == 0 && disturbances_.restarts) restart();
+        if (draw == 1 && disturbances_.kills) killAndRestart();
+        if ((draw == 2 || draw == 3) && disturbances_.stops) stopAndContinue();
+        if ((draw == 4 || draw == 5) && disturbances_.reloads) reload();
+        if (draw == 6 && disturbances_.handOvers) handOver();
+        if ((draw == 7 || draw == 8) && disturbances_.faults) failSystemCalls(finished);
+        if (draw == 9 && disturbances_.clocks) stepClock();
     }
-    setSwitch(false);
+    writeFaultSwitch(false);
     checkAlive();
-    const TimePoint told = Clock::now();
+    const TimePoint signalledAt = Clock::now();
     ::kill(process_.pid, SIGTERM);
-    awaitEnd(process_, told, "at the end of the run");
+    awaitExit(process_, signalledAt, "at the end of the run");
     process_.pid = 0;
 }
 
--- a/bench/soak/gateways.hpp
+++ b/bench/soak/gateways.hpp
@@ -1,5 +1,5 @@
-// The gateways' processes, and the thread that troubles each: signals, restarts, reloads, hand-overs, failing
-// system calls and a wall clock that is stepped.
+// The gateways' processes, and the thread that disturbances each: signals, restarts, reloads, hand-overs,
+// failing system calls and a wall clock that is stepped.
 #pragma once
 
 #include <sys/types.h>
@@ -14,11 +14,11 @@
 
 namespace lotuslead::soak {
 
-// The shared troubles of one run; each may be left out to find a cause.
-struct Troubles {
+// The shared disturbances of one run; each may be left out to find a cause.
+struct Disturbances {
     bool restarts = true, kills = true, stops = true, reloads = true, handOvers = true;
     bool faults = true, clocks = true, stores = true, bus = true, badClients = true;
-    Millis between{2500};  // two troubles of one gateway, in the mean
+    Millis meanInterval{2500};  // two disturbances of one gateway, in the mean
 };
 
 struct GatewayPlan {
@@ -31,12 +31,12 @@
 
 class Gateway {
 public:
-    Gateway(GatewayPlan plan, const Troubles& troubles, Judge& judge);
+    Gateway(GatewayPlan plan, const Disturbances& disturbances, Judge& judge);
     ~Gateway();
     std::uint16_t port() const { return port_; }
     void start();
-    // Troubles it until `over`; then ends it.
-    void run(const std::atomic<bool>& over);
+    // Disturbances it until `finished`; then ends it.
+    void run(const std::atomic<bool>& finished);
     std::vector<std::string> internalViolations() const;
     const std::vector<Millis>& readyTimes() const { return readyTimes_; }
 
@@ -48,24 +48,24 @@
 
     Process spawn();
     bool awaitReady(const Process& process, Millis within);
-    void awaitEnd(const Process& process, TimePoint since, const char* how);
+    void awaitExit(const Process& process, TimePoint since, const char* how);
     void checkAlive();
     void writeConfiguration(const json& configuration);
-    void setSwitch(bool faults);
-    void trouble();
+    void writeFaultSwitch(bool faults);
+    void disturb();
     void restart();
-    void signalInSeries();
+    void sendSignalSeries();
     void killAndRestart();
-    void holdUp();
+    void stopAndContinue();
     void reload();
     void handOver();
-    void failCalls(const std::atomic<bool>& over);
+    void failSystemCalls(const std::atomic<bool>& finished);
     void stepClock();
     void logEvent(const std::string& event) const;
-    int between(int least, int most) { return std::uniform_int_distribution<>(least, most)(random_); }
+    int randomInt(int min, int max) { return std::uniform_int_distribution<>(min, max)(random_); }
 
     GatewayPlan plan_;
-    const Troubles& troubles_;
+    const Disturbances& disturbances_;
     Judge& judge_;
     std::mt19937_64 random_;
     std::uint16_t port_ = 0;
@@ -73,10 +73,10 @@
     Process process_;
     std::vector<std::string> logs_;
     std::vector<Millis> readyTimes_;
-    std::string rules_;  // of the fault library, for the next process
+    std::string faultRules_;  // of the fault library, for the next process
     bool faultsOn_ = false;
     double clockOffset_ = 0;
-    Millis heldUp_{};  // by SIGSTOP, since the process was told to end
+    Millis stoppedFor_{};  // by SIGSTOP, since the process was signalledAt to end
 };
 
 }  // namespace lotuslead::soak
--- a/bench/soak/judge.cpp
+++ b/bench/soak/judge.cpp
@@ -186,7 +186,7 @@
 void Judge::checkAttemptTiming(const std::string& trace, const Request& request, const std::string& store,
                                std::int64_t attemptTimeoutMs, const std::string& source, TimePoint now) {
     const auto millis = [](auto time) { return std::chrono::duration_cast<Millis>(time).count(); };
-    // A stop that is over by now may have come between the decision and the first byte, once.
+    // A stop that is finished by now may have come between the decision and the first byte, once.
     const Millis held = stoppedTime(request.gateway, now - kSchedulingSlack);
     if (request.abandonedAt &&
         now > *request.abandonedAt + kAttemptAfterClientEndGrace + kSchedulingSlack + held)
--- a/bench/soak/judge.hpp
+++ b/bench/soak/judge.hpp
@@ -73,7 +73,7 @@
     void lastByteSent(const std::string& trace);      // its last byte is sent now
     void requestAbandoned(const std::string& trace);  // by CANCEL or a close
     void answered(const std::string& trace, const RespMessage& answer, const std::string& expectedPrefix);
-    // The connection has ended, or the time is over, with no answer.
+    // The connection has ended, or the time is finished, with no answer.
     void unanswered(const std::string& trace, const char* how);
     void excusedRetry(const std::string& trace, Excuse why);  // within 50 ms, on a connection at rest
 
@@ -92,7 +92,7 @@
         int gateway);  // SIGKILL: what comes until it serves again waits in its socket, or is refused
     void recordTermination(int gateway);             // SIGTERM, without a successor
     void recordServing(int gateway);                 // after either
-    void recordStop(int gateway, Millis time);       // SIGSTOP that is over
+    void recordStop(int gateway, Millis time);       // SIGSTOP that is finished
     void recordStall(Millis time);                   // this whole program, by its machine
     void recordWithdrawn(const std::string& store);  // draining or removed from now on
     void recordListed(const std::string& store);
--- a/bench/soak/main.cpp
+++ b/bench/soak/main.cpp
@@ -1,5 +1,5 @@
-// A soak over real processes and sockets on loopback: gateways, scripted stores, an event bus and clients,
-// under troubles that overlap in time, judged by the protocol's invariants.
+// A soak finished real processes and sockets on loopback: gateways, scripted stores, an event bus and
+// clients, under disturbances that overlap in time, judged by the protocol's invariants.
 //
 //   lotuslead_soak --gateways 24 --seconds 30 --seed 1     exit code 0: nothing was violated
 #include <sys/resource.h>
@@ -28,7 +28,7 @@
 constexpr Millis kWarmWithin = 6000ms, kFallWindow = 1000ms;
 constexpr double kColdFrom = 0.1, kFallMultiple = 1.5;
 constexpr Millis kDrainBeforeEnd = 1500ms;
-constexpr rlim_t kDescriptors = 20'000;
+constexpr rlim_t kDescriptorLimit = 20'000;
 constexpr int kCrowdEvery = 3;                      // seeds, without being asked for
 constexpr int kCrowdedPart = 4;                     // one gateway of so many
 constexpr int kCrowdClients = 4, kCrowdIdle = 100;  // times the clients, and connections at rest
@@ -37,7 +37,7 @@
     int gateways = 24, clientsEach = 3, seconds = 30;
     std::uint64_t seed = 1;
     bool keepsLogs = false, timeline = false, crowd = false;
-    Troubles troubles;
+    Disturbances disturbances;
 };
 
 ColdStart coldStart() {
@@ -90,15 +90,15 @@
     }
     json configuration() const;
     void startGateways();
-    void troubleStores();
+    void disturbStores();
     void hangStore(Store& store, std::mt19937_64& random);
     void crashStore(Store& store, std::mt19937_64& random);
     void replaceStore(Store& store, std::mt19937_64& random);
-    void troubleBus();
+    void disturbBus();
     void purgeNowAndThen();
     void watchForStalls();
     void addCrowd(int gateway, std::vector<std::thread>& clients);
-    void sleepUnlessOver(Millis time) const;
+    void sleepUnlessFinished(Millis time) const;
     bool report();
 
     Options options_;
@@ -109,8 +109,8 @@
     std::vector<std::unique_ptr<Store>> stores_;
     std::unique_ptr<EventBus> bus_;
     std::vector<std::unique_ptr<Gateway>> gateways_;
-    std::vector<std::thread> troubles_;
-    std::atomic<bool> over_{false}, clientsOver_{false};
+    std::vector<std::thread> disturbanceThreads_;
+    std::atomic<bool> finished_{false}, clientsFinished_{false};
 };
 
 json Soak::configuration() const {
@@ -154,28 +154,28 @@
         plan.folder = folder_ + "/g" + std::to_string(i);
         plan.inheritsSocket = i % 2 == 0;
         plan.configuration = [this] { return configuration(); };
-        gateways_.push_back(std::make_unique<Gateway>(plan, options_.troubles, judge_));
+        gateways_.push_back(std::make_unique<Gateway>(plan, options_.disturbances, judge_));
     }
     // Each process ends with the thread that has started it, so one thread runs it from start to end.
     std::latch ready(options_.gateways);
     for (const auto& gateway : gateways_)
-        troubles_.emplace_back([this, &gateway, &ready] {
+        disturbanceThreads_.emplace_back([this, &gateway, &ready] {
             gateway->start();
             ready.count_down();
-            gateway->run(clientsOver_);
+            gateway->run(clientsFinished_);
         });
     ready.wait();
 }
 
-void Soak::sleepUnlessOver(Millis time) const {
+void Soak::sleepUnlessFinished(Millis time) const {
     const TimePoint until = Clock::now() + time;
-    while (!over_ && Clock::now() < until) std::this_thread::sleep_for(10ms);
+    while (!finished_ && Clock::now() < until) std::this_thread::sleep_for(10ms);
 }
 
 void Soak::hangStore(Store& store, std::mt19937_64& random) {
     judge_.logEvent(store.name() + " hangs");
     store.hang(true);
-    sleepUnlessOver(Millis{300 + random() % 3000});
+    sleepUnlessFinished(Millis{300 + random() % 3000});
     store.hang(false);
     judge_.logEvent(store.name() + " goes on");
 }
@@ -183,7 +183,7 @@
 void Soak::crashStore(Store& store, std::mt19937_64& random) {
     judge_.logEvent(store.name() + " dies");
     store.crash();
-    sleepUnlessOver(Millis{100 + random() % 2000});
+    sleepUnlessFinished(Millis{100 + random() % 2000});
     bus_->tell(topology({listed(store, "up", store.comeBackCold())}));
     judge_.logEvent(store.name() + " is back, cold");
 }
@@ -193,27 +193,27 @@
     judge_.logEvent(store.name() + " drains");
     bus_->tell(topology({listed(store, "draining", 0)}));
     judge_.recordWithdrawn(store.name());
-    sleepUnlessOver(kDrainBeforeEnd + Millis{random() % 1500});
+    sleepUnlessFinished(kDrainBeforeEnd + Millis{random() % 1500});
     if (random() % 2 == 0) {
         bus_->tell(topology({listed(store, "removed", 0)}));
-        sleepUnlessOver(Millis{random() % 1000});
+        sleepUnlessFinished(Millis{random() % 1000});
     }
     store.crash();
-    sleepUnlessOver(Millis{random() % 500});
+    sleepUnlessFinished(Millis{random() % 500});
     judge_.recordListed(store.name());
     bus_->tell(topology({listed(store, "up", store.comeBackCold())}));
     judge_.logEvent(store.name() + " is back, cold");
 }
 
 // Two threads of this run at once: each has its own half of the caches.
-void Soak::troubleStores() {
+void Soak::disturbStores() {
     std::vector<std::thread> threads;
     for (int half = 0; half < 2; ++half)
         threads.emplace_back([this, half, seed = random_()] {
             std::mt19937_64 random(seed);
-            while (!over_) {
-                sleepUnlessOver(Millis{random() % 2500});
-                if (over_) return;
+            while (!finished_) {
+                sleepUnlessFinished(Millis{random() % 2500});
+                if (finished_) return;
                 Store& store = *stores_[random() % (kCaches / 2) * 2 + static_cast<std::size_t>(half)];
                 switch (random() % 4) {
                     case 0:
@@ -228,7 +228,7 @@
                     default:
                         store.faults().leastMs = 100;
                         store.faults().mostMs = 900;
-                        sleepUnlessOver(Millis{random() % 3000});
+                        sleepUnlessFinished(Millis{random() % 3000});
                         store.faults().leastMs = 1;
                         store.faults().mostMs = 25;
                 }
@@ -237,28 +237,28 @@
     for (std::thread& thread : threads) thread.join();
 }
 
-void Soak::troubleBus() {
+void Soak::disturbBus() {
     std::mt19937_64 random(options_.seed + 77);
-    while (!over_) {
-        sleepUnlessOver(Millis{2000 + random() % 5000});
-        if (over_) return;
+    while (!finished_) {
+        sleepUnlessFinished(Millis{2000 + random() % 5000});
+        if (finished_) return;
         const Millis time{200 + random() % 3500};
         judge_.recordBusFault(time);
         judge_.logEvent("event bus in trouble for " + std::to_string(time.count()) + " ms");
         switch (random() % 3) {
             case 0:
                 bus_->down();
-                sleepUnlessOver(time);
+                sleepUnlessFinished(time);
                 bus_->up();
                 break;
             case 1:
                 bus_->hang(true);
-                sleepUnlessOver(time);
+                sleepUnlessFinished(time);
                 bus_->hang(false);
                 break;
             default:
                 bus_->slow(true);
-                sleepUnlessOver(time);
+                sleepUnlessFinished(time);
                 bus_->slow(false);
         }
     }
@@ -266,8 +266,8 @@
 
 void Soak::purgeNowAndThen() {
     std::mt19937_64 random(options_.seed + 99);
-    while (!over_) {
-        sleepUnlessOver(Millis{random() % 800});
+    while (!finished_) {
+        sleepUnlessFinished(Millis{random() % 800});
         char entity[17];
         std::snprintf(entity, sizeof entity, "%016llx",
                       static_cast<unsigned long long>(0x1000'0000ULL + random() % 20));
@@ -281,7 +281,7 @@
 // Where this program gets no processor, what it sees of others it sees late.
 void Soak::watchForStalls() {
     constexpr Millis kTick = 5ms, kStall = 40ms;
-    while (!over_) {
+    while (!finished_) {
         const TimePoint before = Clock::now();
         std::this_thread::sleep_for(kTick);
         const auto slept = std::chrono::duration_cast<Millis>(Clock::now() - before);
@@ -293,9 +293,9 @@
     ClientPlan plan{gateway, gateways_[static_cast<std::size_t>(gateway)]->port(), 0, 15ms, 200};
     for (int i = 0; i < options_.clientsEach * kCrowdClients; ++i) {
         plan.seed = random_();
-        clients.emplace_back([this, plan] { Client(plan, judge_, clientsOver_).run(); });
+        clients.emplace_back([this, plan] { Client(plan, judge_, clientsFinished_).run(); });
     }
-    clients.emplace_back([this, plan] { runIdleCrowd(plan, kCrowdIdle, clientsOver_); });
+    clients.emplace_back([this, plan] { runIdleCrowd(plan, kCrowdIdle, clientsFinished_); });
 }
 
 bool Soak::run() {
@@ -305,24 +305,24 @@
         for (int i = 0; i < options_.clientsEach; ++i) {
             ClientPlan plan{static_cast<int>(&gateway - gateways_.data()), gateway->port(), random_(), 60ms,
                             200};
-            clients.emplace_back([this, plan] { Client(plan, judge_, clientsOver_).run(); });
+            clients.emplace_back([this, plan] { Client(plan, judge_, clientsFinished_).run(); });
         }
-        if (options_.troubles.badClients) {
+        if (options_.disturbances.badClients) {
             ClientPlan plan{static_cast<int>(&gateway - gateways_.data()), gateway->port(), random_(), 0ms,
                             0};
-            clients.emplace_back([this, plan] { runBadClient(plan, clientsOver_); });
+            clients.emplace_back([this, plan] { runBadClient(plan, clientsFinished_); });
         }
     }
     for (int i = 0; options_.crowd && i < options_.gateways; i += kCrowdedPart) addCrowd(i, clients);
-    if (options_.troubles.stores) troubles_.emplace_back([this] { troubleStores(); });
-    if (options_.troubles.bus) troubles_.emplace_back([this] { troubleBus(); });
-    troubles_.emplace_back([this] { purgeNowAndThen(); });
-    troubles_.emplace_back([this] { watchForStalls(); });
+    if (options_.disturbances.stores) disturbanceThreads_.emplace_back([this] { disturbStores(); });
+    if (options_.disturbances.bus) disturbanceThreads_.emplace_back([this] { disturbBus(); });
+    disturbanceThreads_.emplace_back([this] { purgeNowAndThen(); });
+    disturbanceThreads_.emplace_back([this] { watchForStalls(); });
     std::this_thread::sleep_for(std::chrono::seconds(options_.seconds));
-    over_ = true;
-    clientsOver_ = true;
+    finished_ = true;
+    clientsFinished_ = true;
     for (std::thread& client : clients) client.join();
-    for (std::thread& trouble : troubles_) trouble.join();
+    for (std::thread& thread : disturbanceThreads_) thread.join();
     return report();
 }
 
@@ -377,8 +377,8 @@
         "troubles left out: restarts kills stops reloads handovers faults clocks stores bus bad-clients");
     CLI11_PARSE(app, argc, argv);
     options.crowd = options.crowd || options.seed % kCrowdEvery == 0;
-    Troubles& t = options.troubles;
-    t.between = Millis{betweenMs};
+    Disturbances& t = options.disturbances;
+    t.meanInterval = Millis{betweenMs};
     const std::pair<const char*, bool*> names[] = {
         {"restarts", &t.restarts},     {"kills", &t.kills},         {"stops", &t.stops},
         {"reloads", &t.reloads},       {"handovers", &t.handOvers}, {"faults", &t.faults},
@@ -387,7 +387,7 @@
     for (const std::string& left : without)
         for (const auto& [name, flag] : names)
             if (left == name) *flag = false;
-    const rlimit limit{kDescriptors, kDescriptors};
+    const rlimit limit{kDescriptorLimit, kDescriptorLimit};
     ::setrlimit(RLIMIT_NOFILE, &limit);
     std::setvbuf(stdout, nullptr, _IOLBF, 0);
     return Soak(options).run() ? 0 : 1;
--- a/bench/soak/stores.cpp
+++ b/bench/soak/stores.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr Millis kLookAgain = 20ms;
+constexpr Millis kPollInterval = 20ms;
 constexpr std::int64_t kDropsWithinMs = 5000;  // of a purge, a store has dropped its copies by itself
 constexpr int kBacklog = 256;
 
@@ -56,7 +56,7 @@
         connection.thread = std::thread([this, &connection] {
             serve_(*connection.socket);
             ::shutdown(connection.socket->fd(), SHUT_RDWR);
-            connection.over = true;
+            connection.finished = true;
         });
     }
 }
@@ -64,7 +64,7 @@
 // With the lock held.
 void Server::reap() {
     connections_.remove_if([](Connection& connection) {
-        if (!connection.over) return false;
+        if (!connection.finished) return false;
         connection.thread.join();
         return true;
     });
@@ -123,7 +123,7 @@
       server_([this](RespSocket& socket) { serve(socket); }) {}
 
 Store::~Store() {
-    over_ = true;
+    finished_ = true;
     hung_ = false;
     server_.down();
 }
@@ -133,9 +133,9 @@
     return std::uniform_real_distribution<>(0, 1)(random_) < probability;
 }
 
-int Store::between(int least, int most) {
+int Store::randomInt(int min, int max) {
     const std::lock_guard lock(mutex_);
-    return std::uniform_int_distribution<>(least, std::max(least, most))(random_);
+    return std::uniform_int_distribution<>(min, std::max(min, max))(random_);
 }
 
 void Store::crash() {
@@ -157,7 +157,7 @@
     return unixMs();
 }
 
-// The budget over every window: N calls, 2 x root of N and 2 more; under 30, 3 x root of N and 3 more.
+// The budget finished every window: N calls, 2 x root of N and 2 more; under 30, 3 x root of N and 3 more.
 void Store::countColdCall() {
     const bool toldLate = judge_.busMayBeDelayed();
     const std::lock_guard lock(mutex_);
@@ -174,11 +174,11 @@
     const double share = cold_.from + (1 - cold_.from) * age / warm;
     const double allowed = cold_.multiple * share * cold_.callsAtFullPace;
     const double root = std::sqrt(allowed);
-    const double most = allowed < 30 ? allowed + 3 * root + 3 : allowed + 2 * root + 2;
-    if (static_cast<double>(coldCalls_.size()) <= most || std::exchange(budgetBroken_, true)) return;
+    const double max = allowed < 30 ? allowed + 3 * root + 3 : allowed + 2 * root + 2;
+    if (static_cast<double>(coldCalls_.size()) <= max || std::exchange(budgetBroken_, true)) return;
     char text[120];
     std::snprintf(text, sizeof text, "%s, %.2f s after its start: %zu calls in the window, %.1f allowed",
-                  name_.c_str(), age.count(), coldCalls_.size(), most);
+                  name_.c_str(), age.count(), coldCalls_.size(), max);
     judge_.recordViolation(Rule::slowStartBudget, text);
 }
 
@@ -210,7 +210,7 @@
         !valueOf(fields, "via").empty() && valueOf(fields, "opts").find("peek") == std::string::npos;
     Due due;
     due.id = message[1];
-    due.at = Clock::now() + Millis{between(faults_.leastMs, faults_.mostMs)};
+    due.at = Clock::now() + Millis{randomInt(faults_.leastMs, faults_.mostMs)};
     const auto plain = [&](const char* word, AttemptEnd end) {
         due.bytes = RespSocket::encoded({message[1], word, "-", ""});
         due.end = end;
@@ -261,7 +261,7 @@
     due.push_back(answer);
     if (!chance(faults_.twice)) return;
     Due again = answer;
-    again.at += Millis{between(1, 8)};
+    again.at += Millis{randomInt(1, 8)};
     again.attempt = -1;
     again.isEcho = true;  // nobody's any more: it is not taken back
     due.push_back(again);
@@ -270,15 +270,15 @@
 void Store::serve(RespSocket& socket) {
     std::deque<Due> due;
     bool good = true, wasHung = false, endedHere = false;
-    while (good && !over_) {
+    while (good && !finished_) {
         if (hung_) {
             wasHung = true;
-            std::this_thread::sleep_for(kLookAgain);
+            std::this_thread::sleep_for(kPollInterval);
             endedHere = !server_.isUp();
             if (endedHere) break;
             continue;
         }
-        TimePoint next = Clock::now() + kLookAgain;
+        TimePoint next = Clock::now() + kPollInterval;
         for (const Due& one : due) next = std::min(next, one.at);
         RespMessage message;
         const auto read = socket.read(message, next);
@@ -310,7 +310,7 @@
 }
 
 EventBus::~EventBus() {
-    over_ = true;
+    finished_ = true;
     hung_ = false;
     changed_.notify_all();
     server_.down();
@@ -332,7 +332,7 @@
 
 std::string EventBus::answerFrom(std::int64_t from, Millis hold) {
     std::unique_lock lock(mutex_);
-    changed_.wait_for(lock, hold, [&] { return last_ > from || over_; });
+    changed_.wait_for(lock, hold, [&] { return last_ > from || finished_; });
     json batch = json::array();
     for (const json& event : events_)
         if (event["offset"] > from) batch.push_back(event);
@@ -341,14 +341,14 @@
 
 void EventBus::serve(RespSocket& socket) {
     std::string head;
-    while (!over_) {
+    while (!finished_) {
         if (hung_) {
-            std::this_thread::sleep_for(kLookAgain);
+            std::this_thread::sleep_for(kPollInterval);
             if (!server_.isUp()) return;
             continue;
         }
         pollfd waits{socket.fd(), POLLIN, 0};
-        if (::poll(&waits, 1, static_cast<int>(kLookAgain.count())) <= 0) continue;
+        if (::poll(&waits, 1, static_cast<int>(kPollInterval.count())) <= 0) continue;
         char chunk[4096];
         const ssize_t got = ::recv(socket.fd(), chunk, sizeof chunk, 0);
         if (got <= 0) return;
--- a/bench/soak/stores.hpp
+++ b/bench/soak/stores.hpp
@@ -37,7 +37,7 @@
     struct Connection {
         std::thread thread;
         std::shared_ptr<RespSocket> socket;
-        std::atomic<bool> over{false};
+        std::atomic<bool> finished{false};
     };
     void accept();
     void reap();
@@ -114,7 +114,7 @@
     std::int64_t mintedOf(const std::string& entity, std::int64_t freshMs, bool mayFill, bool neverKept);
     void countColdCall();
     bool chance(double probability);
-    int between(int least, int most);
+    int randomInt(int min, int max);
 
     std::string name_;
     StoreKind kind_;
@@ -122,7 +122,7 @@
     const Purges& purges_;
     ColdStart cold_;
     Faults faults_;
-    std::atomic<bool> hung_{false}, over_{false};
+    std::atomic<bool> hung_{false}, finished_{false};
     std::mutex mutex_;
     std::mt19937_64 random_;
     std::unordered_map<std::string, Copy> copies_;
@@ -155,7 +155,7 @@
     std::condition_variable changed_;
     std::vector<json> events_;
     std::int64_t last_ = 0;
-    std::atomic<bool> hung_{false}, slow_{false}, over_{false};
+    std::atomic<bool> hung_{false}, slow_{false}, finished_{false};
     Server server_;
 };
 
--- a/bench/soak/wire.hpp
+++ b/bench/soak/wire.hpp
@@ -1,5 +1,5 @@
-// RESP over blocking sockets with time limits, for the soak's clients and stores. It shares no code with the
-// gateway, so that a fault of the gateway's parser or streams does not hide itself.
+// RESP finished blocking sockets with time limits, for the soak's clients and stores. It shares no code with
+// the gateway, so that a fault of the gateway's parser or streams does not hide itself.
 #pragma once
 
 #include <chrono>
