--- a/bench/soak/clients.cpp
+++ b/bench/soak/clients.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-constexpr Millis kGivesUpLate = 3500ms;  // after its time: then the answer counts as never given
-constexpr Millis kCrossing = 50ms;       // a request that crosses a close goes again
-constexpr Millis kCrossingSeen = 100ms;  // with the time until this process sees the close
-constexpr Millis kAfterCancel = 400ms;   // for answers that must not come
-constexpr Millis kConnectAgain = 40ms;
-constexpr std::size_t kMostCopies = 64;
+constexpr Millis kAnswerWaitGrace = 3500ms;     // after its time: then the answer counts as never given
+constexpr Millis kCloseCrossingWindow = 50ms;   // a request that crosses a close goes again
+constexpr Millis kCloseDetectionSlack = 100ms;  // with the time until this process sees the close
+constexpr Millis kWatchAfterCancel = 400ms;     // for answers that must not come
+constexpr Millis kReconnectDelay = 40ms;
+constexpr std::size_t kMaxCachedTags = 64;
 
 std::string hexOf(std::uint64_t number) {
     char text[17];
@@ -31,21 +31,21 @@
     while (!finished_) {
         socket_ = RespSocket::connectTo(plan_.port);
         if (!socket_.open()) {
-            std::this_thread::sleep_for(kConnectAgain);
+            std::this_thread::sleep_for(kReconnectDelay);
             continue;
         }
         connectedAt_ = Clock::now();
-        takenBack_.clear();
+        cancelled_.clear();
         bool used = false;
-        Outcome outcome = Outcome::goesOn;
-        while (outcome == Outcome::goesOn && !finished_) {
-            outcome = chance(0.1) ? manyAtOnce(used) : oneRequest(used);
+        Outcome outcome = Outcome::keepConnection;
+        while (outcome == Outcome::keepConnection && !finished_) {
+            outcome = chance(0.1) ? sendManyRequests(used) : sendOneRequest(used);
             used = true;
-            if (outcome == Outcome::ended) break;
+            if (outcome == Outcome::connectionEnded) break;
             if (chance(0.03)) {
                 pause(2000ms);  // rests, perhaps until the gateway closes
             } else {
-                pause(plan_.think);
+                pause(plan_.meanThinkTime);
             }
             // Nobody asks on a connection that is known to be closed.
             if (chance(0.05) || socket_.closedByPeer()) break;
@@ -59,8 +59,8 @@
     call.tag = std::to_string(++nextTag_);
     call.trace = hexOf(random_());
     // Skewed: a few objects are asked for often.
-    const int place = chance(0.5) ? randomInt(0, 9) : randomInt(0, plan_.entities - 1);
-    call.entity = hexOf(0x1000'0000ULL + static_cast<std::uint64_t>(place));
+    const int entityIndex = chance(0.5) ? randomInt(0, 9) : randomInt(0, plan_.entities - 1);
+    call.entity = hexOf(0x1000'0000ULL + static_cast<std::uint64_t>(entityIndex));
     const double draw = std::uniform_real_distribution<>(0, 1)(random_);
     const auto kind = draw < 0.7    ? RequestClass::page
                       : draw < 0.85 ? RequestClass::checkout
@@ -70,26 +70,26 @@
     call.expectedPrefix = call.entity + ":" + block + ":";
     std::string fields = "trace=" + call.trace + ",patience=" + std::to_string(timeout.count()) +
                          ",entity=" + call.entity + ",block=" + block +
-                         ",family=" + std::to_string(place % 16);
+                         ",family=" + std::to_string(entityIndex % 16);
     if (kind == RequestClass::checkout) fields += ",nonce=" + hexOf(random_()) + hexOf(random_());
-    const auto copy = copies_.find(call.entity);
-    const bool named = kind == RequestClass::page && copy != copies_.end() && chance(0.5);
+    const auto copy = cachedTags_.find(call.entity);
+    const bool named = kind == RequestClass::page && copy != cachedTags_.end() && chance(0.5);
     if (named) fields += ",cached=" + copy->second;
     const std::string body = kind == RequestClass::page ? "" : std::string(100, 'w');
     bytes +=
         RespSocket::encoded({"CALL", call.tag, kClassNames[static_cast<std::size_t>(kind)], fields, body});
     judge_.sent(call.trace, plan_.gateway, kind, timeout, named, connectedAt_);
-    call.due = Clock::now() + timeout + kGivesUpLate;
+    call.deadline = Clock::now() + timeout + kAnswerWaitGrace;
     return call;
 }
 
 void Client::cancel(Call& call) {
     judge_.requestAbandoned(call.trace);
-    call.ended = true;
-    call.due = Clock::now() + kAfterCancel;
+    call.cancelled = true;
+    call.deadline = Clock::now() + kWatchAfterCancel;
 }
 
-Client::Outcome Client::oneRequest(bool connectionIsUsed) {
+Client::Outcome Client::sendOneRequest(bool connectionIsUsed) {
     std::string bytes;
     std::map<std::string, Call> calls;
     Call made = makeCall(bytes);
@@ -97,65 +97,65 @@
     const double draw = std::uniform_real_distribution<>(0, 1)(random_);
     if (draw < 0.05) {  // in pieces
         const std::size_t cut = static_cast<std::size_t>(randomInt(1, static_cast<int>(bytes.size()) - 1));
-        if (!socket_.send(bytes.substr(0, cut))) return neverSent(calls), Outcome::ended;
+        if (!socket_.send(bytes.substr(0, cut))) return reportNeverSent(calls), Outcome::connectionEnded;
         std::this_thread::sleep_for(Millis{randomInt(1, 60)});
         bytes.erase(0, cut);
         judge_.lastByteSent(call.trace);
     }
-    if (!socket_.send(bytes)) return neverSent(calls), Outcome::ended;
+    if (!socket_.send(bytes)) return reportNeverSent(calls), Outcome::connectionEnded;
     if (draw < 0.13) {  // takes it back
         std::this_thread::sleep_for(Millis{randomInt(0, 120)});
         RespMessage message;
         if (socket_.read(message, Clock::now()) == RespSocket::Read::message) {
             judge_.answered(call.trace, message, call.expectedPrefix);
-            return Outcome::goesOn;
+            return Outcome::keepConnection;
         }
         cancel(call);
-        if (!socket_.sendMessage({"CANCEL", call.tag})) return Outcome::ended;
+        if (!socket_.sendMessage({"CANCEL", call.tag})) return Outcome::connectionEnded;
     } else if (draw < 0.18) {  // recordTermination
         std::this_thread::sleep_for(Millis{randomInt(0, 120)});
         judge_.requestAbandoned(call.trace);
         chance(0.5) ? socket_.reset() : socket_.close();
-        return Outcome::ended;
+        return Outcome::connectionEnded;
     }
-    return awaitAll(calls, connectionIsUsed);
+    return awaitAnswers(calls, connectionIsUsed);
 }
 
-Client::Outcome Client::manyAtOnce(bool connectionIsUsed) {
+Client::Outcome Client::sendManyRequests(bool connectionIsUsed) {
     std::string bytes;
     std::map<std::string, Call> calls;
-    std::vector<std::string> taken;
+    std::vector<std::string> cancelledTags;
     for (int i = randomInt(2, 12); i > 0; --i) {
         const Call call = makeCall(bytes);
         calls[call.tag] = call;
-        if (chance(0.15)) taken.push_back(call.tag);
+        if (chance(0.15)) cancelledTags.push_back(call.tag);
     }
-    for (const std::string& tag : taken) {
+    for (const std::string& tag : cancelledTags) {
         bytes += RespSocket::encoded({"CANCEL", tag});
         cancel(calls[tag]);
     }
-    if (!socket_.send(bytes)) return neverSent(calls), Outcome::ended;
+    if (!socket_.send(bytes)) return reportNeverSent(calls), Outcome::connectionEnded;
     // Reads late; on a connection at rest it would see too late that its calls had crossed a close.
     if (!connectionIsUsed && chance(0.3)) std::this_thread::sleep_for(Millis{randomInt(100, 400)});
-    return awaitAll(calls, connectionIsUsed);
+    return awaitAnswers(calls, connectionIsUsed);
 }
 
-Client::Outcome Client::awaitAll(std::map<std::string, Call>& calls, bool wasResting) {
+Client::Outcome Client::awaitAnswers(std::map<std::string, Call>& calls, bool wasIdle) {
     while (!calls.empty()) {
         TimePoint until = TimePoint::max();
-        for (const auto& [tag, call] : calls) until = std::min(until, call.due);
+        for (const auto& [tag, call] : calls) until = std::min(until, call.deadline);
         RespMessage message;
         const auto read = socket_.read(message, until);
         if (read == RespSocket::Read::closed)
-            return lose(calls, "its connection was closed", wasResting), Outcome::ended;
+            return connectionLost(calls, "its connection was closed", wasIdle), Outcome::connectionEnded;
         if (read == RespSocket::Read::malformed)
-            return lose(calls, "an answer can't be read", false), Outcome::ended;
+            return connectionLost(calls, "an answer can't be read", false), Outcome::connectionEnded;
         if (read == RespSocket::Read::message) {
-            wasResting = false;
+            wasIdle = false;
             if (message.size() < 2) message.resize(2);
             const auto found = calls.find(message[0]);
-            if (const auto late = takenBack_.find(message[0]);
-                found == calls.end() && late != takenBack_.end()) {
+            if (const auto late = cancelled_.find(message[0]);
+                found == calls.end() && late != cancelled_.end()) {
                 judge_.answered(late->second.trace, message, late->second.expectedPrefix);
                 continue;
             }
@@ -167,35 +167,35 @@
             Call& call = found->second;
             judge_.answered(call.trace, message, call.expectedPrefix);
             if (message[1] == "SERVED" && message.size() > 3 &&
-                message[3].rfind(call.expectedPrefix, 0) == 0 && copies_.size() < kMostCopies)
-                copies_[call.entity] =
+                message[3].rfind(call.expectedPrefix, 0) == 0 && cachedTags_.size() < kMaxCachedTags)
+                cachedTags_[call.entity] =
                     tagOf(call.entity, std::atoll(message[3].c_str() + call.expectedPrefix.size()));
             calls.erase(found);
             continue;
         }
         for (auto at = calls.begin(); at != calls.end();) {
-            if (at->second.due > Clock::now()) {
+            if (at->second.deadline > Clock::now()) {
                 ++at;
                 continue;
             }
             judge_.unanswered(at->second.trace, "was never answered");
-            if (at->second.ended) takenBack_.insert(*at);
+            if (at->second.cancelled) cancelled_.insert(*at);
             at = calls.erase(at);
         }
     }
-    return Outcome::goesOn;
+    return Outcome::keepConnection;
 }
 
 // The last byte did not reach the gateway's machine: nothing is owed.
-void Client::neverSent(const std::map<std::string, Call>& calls) {
+void Client::reportNeverSent(const std::map<std::string, Call>& calls) {
     for (const auto& [tag, call] : calls)
-        if (!call.ended) judge_.excusedRetry(call.trace, Excuse::neverSent);
+        if (!call.cancelled) judge_.excusedRetry(call.trace, Excuse::neverSent);
 }
 
-void Client::lose(std::map<std::string, Call>& calls, const char* how, bool wasResting) {
+void Client::connectionLost(std::map<std::string, Call>& calls, const char* how, bool wasIdle) {
     for (auto& [tag, call] : calls) {
-        if (call.ended) continue;
-        const bool crossed = wasResting && judge_.age(call.trace) < kCrossing + kCrossingSeen;
+        if (call.cancelled) continue;
+        const bool crossed = wasIdle && judge_.age(call.trace) < kCloseCrossingWindow + kCloseDetectionSlack;
         crossed ? judge_.excusedRetry(call.trace, Excuse::crossedClose) : judge_.unanswered(call.trace, how);
     }
 }
@@ -205,14 +205,14 @@
     std::this_thread::sleep_for(Millis{static_cast<int>(std::min(drawn, 5000.0))});
 }
 
-void runBadClient(const ClientPlan& plan, const std::atomic<bool>& finished) {
+void runMisbehavingClient(const ClientPlan& plan, const std::atomic<bool>& finished) {
     std::mt19937_64 random(plan.seed);
     const std::string call = RespSocket::encoded(
         {"CALL", "1", "page", "trace=00000000000000aa,patience=500,entity=00000000000000bb,block=0", ""});
     while (!finished) {
         RespSocket socket = RespSocket::connectTo(plan.port);
         if (!socket.open()) {
-            std::this_thread::sleep_for(kConnectAgain);
+            std::this_thread::sleep_for(kReconnectDelay);
             continue;
         }
         switch (random() % 6) {
@@ -246,16 +246,17 @@
     }
 }
 
-void runIdleCrowd(const ClientPlan& plan, int connections, const std::atomic<bool>& finished) {
-    constexpr Millis kRest = 4000ms;  // PROTOCOL, clients: they close idle connections after 4 s
+void runIdleConnections(const ClientPlan& plan, int connections, const std::atomic<bool>& finished) {
+    constexpr Millis kIdleTime = 4000ms;  // PROTOCOL, clients: they close idle connections after 4 s
     while (!finished) {
-        std::vector<RespSocket> crowd;
+        std::vector<RespSocket> connected;
         for (int i = 0; i < connections && !finished; ++i) {
             RespSocket socket = RespSocket::connectTo(plan.port);
-            if (socket.open() && socket.sendMessage({"CHECK", "1", ""})) crowd.push_back(std::move(socket));
+            if (socket.open() && socket.sendMessage({"CHECK", "1", ""}))
+                connected.push_back(std::move(socket));
         }
-        const TimePoint until = Clock::now() + kRest;
-        while (!finished && Clock::now() < until) std::this_thread::sleep_for(kConnectAgain);
+        const TimePoint until = Clock::now() + kIdleTime;
+        while (!finished && Clock::now() < until) std::this_thread::sleep_for(kReconnectDelay);
     }
 }
 
--- a/bench/soak/clients.hpp
+++ b/bench/soak/clients.hpp
@@ -16,7 +16,7 @@
     int gateway = 0;
     std::uint16_t port = 0;
     std::uint64_t seed = 0;
-    Millis think{};  // randomInt two requests, in the mean
+    Millis meanThinkTime{};  // randomInt two requests, in the mean
     int entities = 200;
 };
 
@@ -29,17 +29,17 @@
 private:
     struct Call {
         std::string trace, tag, entity, expectedPrefix;
-        TimePoint due;
-        bool ended = false;  // cancelled
+        TimePoint deadline;
+        bool cancelled = false;  // cancelled
     };
-    enum class Outcome { goesOn, ended };
+    enum class Outcome { keepConnection, connectionEnded };
 
-    Outcome oneRequest(bool connectionIsUsed);
-    Outcome manyAtOnce(bool connectionIsUsed);
-    Outcome awaitAll(std::map<std::string, Call>& calls, bool wasResting);
+    Outcome sendOneRequest(bool connectionIsUsed);
+    Outcome sendManyRequests(bool connectionIsUsed);
+    Outcome awaitAnswers(std::map<std::string, Call>& calls, bool wasIdle);
     Call makeCall(std::string& bytes);
-    void neverSent(const std::map<std::string, Call>& calls);
-    void lose(std::map<std::string, Call>& calls, const char* how, bool wasResting);
+    void reportNeverSent(const std::map<std::string, Call>& calls);
+    void connectionLost(std::map<std::string, Call>& calls, const char* how, bool wasIdle);
     void cancel(Call& call);
     void pause(Millis mean);
     bool chance(double probability) { return std::uniform_real_distribution<>(0, 1)(random_) < probability; }
@@ -54,14 +54,14 @@
     std::uint64_t nextTag_ = 0;
     // Taken back on this connection, by tag, and not waited for any more. An answer that comes all the same
     // is judged.
-    std::map<std::string, Call> takenBack_;
-    std::map<std::string, std::string> copies_;  // tags of what was served, by entity
+    std::map<std::string, Call> cancelled_;
+    std::map<std::string, std::string> cachedTags_;  // tags of what was served, by entity
 };
 
 // Connects again and again and behaves badly. Nothing is owed to it but an end.
-void runBadClient(const ClientPlan& plan, const std::atomic<bool>& finished);
+void runMisbehavingClient(const ClientPlan& plan, const std::atomic<bool>& finished);
 
 // Many connections that ask once and then rest, as long as the gateway lets them.
-void runIdleCrowd(const ClientPlan& plan, int connections, const std::atomic<bool>& finished);
+void runIdleConnections(const ClientPlan& plan, int connections, const std::atomic<bool>& finished);
 
 }  // namespace lotuslead::soak
--- a/bench/soak/main.cpp
+++ b/bench/soak/main.cpp
@@ -295,7 +295,7 @@
         plan.seed = random_();
         clients.emplace_back([this, plan] { Client(plan, judge_, clientsFinished_).run(); });
     }
-    clients.emplace_back([this, plan] { runIdleCrowd(plan, kCrowdIdle, clientsFinished_); });
+    clients.emplace_back([this, plan] { runIdleConnections(plan, kCrowdIdle, clientsFinished_); });
 }
 
 bool Soak::run() {
@@ -310,7 +310,7 @@
         if (options_.disturbances.badClients) {
             ClientPlan plan{static_cast<int>(&gateway - gateways_.data()), gateway->port(), random_(), 0ms,
                             0};
-            clients.emplace_back([this, plan] { runBadClient(plan, clientsFinished_); });
+            clients.emplace_back([this, plan] { runMisbehavingClient(plan, clientsFinished_); });
         }
     }
     for (int i = 0; options_.crowd && i < options_.gateways; i += kCrowdedPart) addCrowd(i, clients);
