--- a/bench/soak/main.cpp
+++ b/bench/soak/main.cpp
@@ -22,16 +22,17 @@
 using lotuslead::testing::topology;
 using namespace std::chrono_literals;
 
-constexpr int kCaches = 8, kParents = 2;
+constexpr int kCacheCount = 8, kParentCount = 2;
 constexpr double kLinkKbPerS = 4000;  // of one store, by its weight
-constexpr int kWeight = 4;
-constexpr Millis kWarmWithin = 6000ms, kFallWindow = 1000ms;
-constexpr double kColdFrom = 0.1, kFallMultiple = 1.5;
-constexpr Millis kDrainBeforeEnd = 1500ms;
+constexpr int kStoreWeight = 4;
+constexpr Millis kWarmUpTime = 6000ms, kBudgetWindow = 1000ms;
+constexpr double kInitialShare = 0.1, kBurstFactor = 1.5;
+constexpr Millis kMinDrainTime = 1500ms;
 constexpr rlim_t kDescriptorLimit = 20'000;
-constexpr int kCrowdEvery = 3;                      // seeds, without being asked for
-constexpr int kCrowdedPart = 4;                     // one gateway of so many
-constexpr int kCrowdClients = 4, kCrowdIdle = 100;  // times the clients, and connections at rest
+constexpr int kCrowdSeedInterval = 3;     // seeds, without being asked for
+constexpr int kCrowdGatewayInterval = 4;  // one gateway of so many
+constexpr int kCrowdClientFactor = 4,
+              kCrowdIdleConnections = 100;  // times the clients, and connections at rest
 
 struct Options {
     int gateways = 24, clientsEach = 3, seconds = 30;
@@ -40,13 +41,13 @@
     Disturbances disturbances;
 };
 
-ColdStart coldStart() {
-    ColdStart cold;
-    cold.callsAtFullPace = kLinkKbPerS * 1000 / static_cast<double>(kObjectBytes);
-    cold.from = kColdFrom;
-    cold.multiple = kFallMultiple;
-    cold.warmWithin = kWarmWithin;
-    cold.window = kFallWindow;
+SlowStartBudget slowStartBudget() {
+    SlowStartBudget cold;
+    cold.fullRateCallsPerWindow = kLinkKbPerS * 1000 / static_cast<double>(kObjectBytes);
+    cold.initialShare = kInitialShare;
+    cold.burstFactor = kBurstFactor;
+    cold.warmUpTime = kWarmUpTime;
+    cold.window = kBudgetWindow;
     return cold;
 }
 
@@ -58,8 +59,8 @@
           judge_(Clock::now(), options.timeline),
           random_(options.seed),
           folder_(makeFolder()) {
-        for (int i = 1; i <= kCaches; ++i) addStore("cache-" + std::to_string(i), StoreKind::cache);
-        for (int i = 1; i <= kParents; ++i) addStore("parent-" + std::to_string(i), StoreKind::parent);
+        for (int i = 1; i <= kCacheCount; ++i) addStore("cache-" + std::to_string(i), StoreKind::cache);
+        for (int i = 1; i <= kParentCount; ++i) addStore("parent-" + std::to_string(i), StoreKind::parent);
         addStore("origin-1", StoreKind::origin);
         std::vector<json> hosts;
         for (const auto& store : stores_) hosts.push_back(listed(*store, "up", 0));
@@ -77,14 +78,14 @@
         return ::mkdtemp(folder);
     }
     void addStore(const std::string& name, StoreKind kind) {
-        stores_.push_back(std::make_unique<Store>(name, kind, judge_, purges_, coldStart(), random_()));
+        stores_.push_back(std::make_unique<Store>(name, kind, judge_, purges_, slowStartBudget(), random_()));
     }
     static json listed(const Store& store, const std::string& status, std::int64_t sinceMs) {
         const char* type = store.kind() == StoreKind::cache    ? "small"
                            : store.kind() == StoreKind::parent ? "parent"
                                                                : "origin";
         json entry = host(store.name(), store.address(), type, status);
-        entry["weight"] = kWeight;
+        entry["weight"] = kStoreWeight;
         entry["since_ms"] = sinceMs;
         return entry;
     }
@@ -116,9 +117,9 @@
 json Soak::configuration() const {
     const auto ns = [](Millis time) { return time.count() * 1'000'000; };
     json all = lotuslead::testing::configuration({});
-    all["known"] = bus_->known();
+    all["known"] = bus_->allEvents();
     all["bus"] = bus_->address();
-    all["flow_bytes_per_s"] = kLinkKbPerS / kWeight * 1000;
+    all["flow_bytes_per_s"] = kLinkKbPerS / kStoreWeight * 1000;
     json& settings = all["settings"];
     settings["balancers"] = options_.gateways;
     settings["weights"] = "nominal";
@@ -136,11 +137,11 @@
     settings["allowed"]["keepalive"] = ns(4000ms);
     settings["allowed"]["connectTimeout"] = ns(400ms);
     settings["allowed"]["mayProbe"] = true;
-    settings["obligations"]["coldFrom"] = kColdFrom;
-    settings["obligations"]["warmWithin"] = ns(kWarmWithin);
-    settings["obligations"]["fallMultiple"] = kFallMultiple;
-    settings["obligations"]["fall"] = ns(kFallWindow);
-    settings["extra"]["flowKbPerS"] = kLinkKbPerS / kWeight;
+    settings["obligations"]["coldFrom"] = kInitialShare;
+    settings["obligations"]["warmWithin"] = ns(kWarmUpTime);
+    settings["obligations"]["fallMultiple"] = kBurstFactor;
+    settings["obligations"]["fall"] = ns(kBudgetWindow);
+    settings["extra"]["flowKbPerS"] = kLinkKbPerS / kStoreWeight;
     settings["extra"]["inParts"] = {false, false, false};
     settings["extra"]["neverKept"] = {false, true, true};
     return all;
@@ -184,24 +185,24 @@
     judge_.logEvent(store.name() + " dies");
     store.crash();
     sleepUnlessFinished(Millis{100 + random() % 2000});
-    bus_->tell(topology({listed(store, "up", store.comeBackCold())}));
+    bus_->publish(topology({listed(store, "up", store.restartCold())}));
     judge_.logEvent(store.name() + " is back, cold");
 }
 
 // Drained, removed, and later there again under its name, cold.
 void Soak::replaceStore(Store& store, std::mt19937_64& random) {
     judge_.logEvent(store.name() + " drains");
-    bus_->tell(topology({listed(store, "draining", 0)}));
+    bus_->publish(topology({listed(store, "draining", 0)}));
     judge_.recordWithdrawn(store.name());
-    sleepUnlessFinished(kDrainBeforeEnd + Millis{random() % 1500});
+    sleepUnlessFinished(kMinDrainTime + Millis{random() % 1500});
     if (random() % 2 == 0) {
-        bus_->tell(topology({listed(store, "removed", 0)}));
+        bus_->publish(topology({listed(store, "removed", 0)}));
         sleepUnlessFinished(Millis{random() % 1000});
     }
     store.crash();
     sleepUnlessFinished(Millis{random() % 500});
     judge_.recordListed(store.name());
-    bus_->tell(topology({listed(store, "up", store.comeBackCold())}));
+    bus_->publish(topology({listed(store, "up", store.restartCold())}));
     judge_.logEvent(store.name() + " is back, cold");
 }
 
@@ -214,7 +215,7 @@
             while (!finished_) {
                 sleepUnlessFinished(Millis{random() % 2500});
                 if (finished_) return;
-                Store& store = *stores_[random() % (kCaches / 2) * 2 + static_cast<std::size_t>(half)];
+                Store& store = *stores_[random() % (kCacheCount / 2) * 2 + static_cast<std::size_t>(half)];
                 switch (random() % 4) {
                     case 0:
                         hangStore(store, random);
@@ -226,11 +227,11 @@
                         replaceStore(store, random);
                         break;
                     default:
-                        store.faults().leastMs = 100;
-                        store.faults().mostMs = 900;
+                        store.faults().minDelayMs = 100;
+                        store.faults().maxDelayMs = 900;
                         sleepUnlessFinished(Millis{random() % 3000});
-                        store.faults().leastMs = 1;
-                        store.faults().mostMs = 25;
+                        store.faults().minDelayMs = 1;
+                        store.faults().maxDelayMs = 25;
                 }
             }
         });
@@ -273,12 +274,12 @@
                       static_cast<unsigned long long>(0x1000'0000ULL + random() % 20));
         const std::int64_t now = unixMs();
         purges_.add(entity, now);
-        bus_->tell({{"ban", {{"url", entity}, {"ts", now}}}});
+        bus_->publish({{"ban", {{"url", entity}, {"ts", now}}}});
         judge_.recordPurge(entity, now);
     }
 }
 
-// Where this program gets no processor, what it sees of others it sees late.
+// Where this program gets no processor, what it sees of others it sees observedLate.
 void Soak::watchForStalls() {
     constexpr Millis kTick = 5ms, kStall = 40ms;
     while (!finished_) {
@@ -291,11 +292,11 @@
 
 void Soak::addCrowd(int gateway, std::vector<std::thread>& clients) {
     ClientPlan plan{gateway, gateways_[static_cast<std::size_t>(gateway)]->port(), 0, 15ms, 200};
-    for (int i = 0; i < options_.clientsEach * kCrowdClients; ++i) {
+    for (int i = 0; i < options_.clientsEach * kCrowdClientFactor; ++i) {
         plan.seed = random_();
         clients.emplace_back([this, plan] { Client(plan, judge_, clientsFinished_).run(); });
     }
-    clients.emplace_back([this, plan] { runIdleConnections(plan, kCrowdIdle, clientsFinished_); });
+    clients.emplace_back([this, plan] { runIdleConnections(plan, kCrowdIdleConnections, clientsFinished_); });
 }
 
 bool Soak::run() {
@@ -313,7 +314,7 @@
             clients.emplace_back([this, plan] { runMisbehavingClient(plan, clientsFinished_); });
         }
     }
-    for (int i = 0; options_.crowd && i < options_.gateways; i += kCrowdedPart) addCrowd(i, clients);
+    for (int i = 0; options_.crowd && i < options_.gateways; i += kCrowdGatewayInterval) addCrowd(i, clients);
     if (options_.disturbances.stores) disturbanceThreads_.emplace_back([this] { disturbStores(); });
     if (options_.disturbances.bus) disturbanceThreads_.emplace_back([this] { disturbBus(); });
     disturbanceThreads_.emplace_back([this] { purgeNowAndThen(); });
@@ -376,7 +377,7 @@
         "--without", without,
         "troubles left out: restarts kills stops reloads handovers faults clocks stores bus bad-clients");
     CLI11_PARSE(app, argc, argv);
-    options.crowd = options.crowd || options.seed % kCrowdEvery == 0;
+    options.crowd = options.crowd || options.seed % kCrowdSeedInterval == 0;
     Disturbances& t = options.disturbances;
     t.meanInterval = Millis{betweenMs};
     const std::pair<const char*, bool*> names[] = {
--- a/bench/soak/stores.cpp
+++ b/bench/soak/stores.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr Millis kPollInterval = 20ms;
-constexpr std::int64_t kDropsWithinMs = 5000;  // of a purge, a store has dropped its copies by itself
+constexpr std::int64_t kMaxPurgeDelayMs = 5000;  // of a purge, a store has dropped its copies by itself
 constexpr int kBacklog = 256;
 
 std::string valueOf(const std::string& fields, const std::string& name) {
@@ -106,14 +106,14 @@
 
 // ----- Store -----
 
-std::string tagOf(const std::string& entity, std::int64_t mintedMs) {
+std::string tagOf(const std::string& entity, std::int64_t createdMs) {
     char tag[17];
-    std::snprintf(tag, sizeof tag, "%016zx", std::hash<std::string>{}(entity + std::to_string(mintedMs)));
+    std::snprintf(tag, sizeof tag, "%016zx", std::hash<std::string>{}(entity + std::to_string(createdMs)));
     return tag;
 }
 
-Store::Store(std::string name, StoreKind kind, Judge& judge, const Purges& purges, const ColdStart& cold,
-             std::uint64_t seed)
+Store::Store(std::string name, StoreKind kind, Judge& judge, const Purges& purges,
+             const SlowStartBudget& cold, std::uint64_t seed)
     : name_(std::move(name)),
       kind_(kind),
       judge_(judge),
@@ -144,13 +144,13 @@
     copies_.clear();
 }
 
-std::int64_t Store::comeBackCold() {
+std::int64_t Store::restartCold() {
     {
         const std::lock_guard lock(mutex_);
         copies_.clear();
-        coldSince_ = Clock::now();
-        coldCalls_.clear();
-        budgetBroken_ = false;
+        slowStartedAt_ = Clock::now();
+        slowStartCalls_.clear();
+        budgetExceeded_ = false;
     }
     hung_ = false;
     server_.up();
@@ -158,155 +158,158 @@
 }
 
 // The budget finished every window: N calls, 2 x root of N and 2 more; under 30, 3 x root of N and 3 more.
-void Store::countColdCall() {
-    const bool toldLate = judge_.busMayBeDelayed();
+void Store::checkSlowStartBudget() {
+    const bool busDelayed = judge_.busMayBeDelayed();
     const std::lock_guard lock(mutex_);
-    if (!coldSince_) return;
-    if (toldLate) return coldCalls_.clear();  // who has not been told of the start keeps to no budget
+    if (!slowStartedAt_) return;
+    if (busDelayed) return slowStartCalls_.clear();  // who has not been facts of the start keeps to no budget
     const TimePoint now = Clock::now();
-    const std::chrono::duration<double> age = now - *coldSince_, warm = cold_.warmWithin;
+    const std::chrono::duration<double> age = now - *slowStartedAt_, warm = cold_.warmUpTime;
     if (age >= warm) {
-        coldSince_.reset();
+        slowStartedAt_.reset();
         return;
     }
-    coldCalls_.push_back(now);
-    while (coldCalls_.front() < now - cold_.window) coldCalls_.pop_front();
-    const double share = cold_.from + (1 - cold_.from) * age / warm;
-    const double allowed = cold_.multiple * share * cold_.callsAtFullPace;
+    slowStartCalls_.push_back(now);
+    while (slowStartCalls_.front() < now - cold_.window) slowStartCalls_.pop_front();
+    const double share = cold_.initialShare + (1 - cold_.initialShare) * age / warm;
+    const double allowed = cold_.burstFactor * share * cold_.fullRateCallsPerWindow;
     const double root = std::sqrt(allowed);
     const double max = allowed < 30 ? allowed + 3 * root + 3 : allowed + 2 * root + 2;
-    if (static_cast<double>(coldCalls_.size()) <= max || std::exchange(budgetBroken_, true)) return;
+    if (static_cast<double>(slowStartCalls_.size()) <= max || std::exchange(budgetExceeded_, true)) return;
     char text[120];
     std::snprintf(text, sizeof text, "%s, %.2f s after its start: %zu calls in the window, %.1f allowed",
-                  name_.c_str(), age.count(), coldCalls_.size(), max);
+                  name_.c_str(), age.count(), slowStartCalls_.size(), max);
     judge_.recordViolation(Rule::slowStartBudget, text);
 }
 
-std::string Store::bodyOf(const std::string& entity, const std::string& block, std::int64_t mintedMs) const {
-    std::string body = entity + ":" + block + ":" + std::to_string(mintedMs) + ":";
+std::string Store::bodyOf(const std::string& entity, const std::string& block, std::int64_t createdMs) const {
+    std::string body = entity + ":" + block + ":" + std::to_string(createdMs) + ":";
     body.resize(kObjectBytes, static_cast<char>('a' + entity.back() % 26));
     return body;
 }
 
 // When the copy that is served was made; zero: there is none.
-std::int64_t Store::mintedOf(const std::string& entity, std::int64_t freshMs, bool mayFill, bool neverKept) {
+std::int64_t Store::servedCopyTime(const std::string& entity, std::int64_t freshMs, bool mayFill,
+                                   bool neverCached) {
     const std::int64_t now = unixMs();
     const std::int64_t purgedMs = purges_.of(entity);
     const std::lock_guard lock(mutex_);
-    if (neverKept || kind_ == StoreKind::origin) return now;
+    if (neverCached || kind_ == StoreKind::origin) return now;
     Copy& copy = copies_[entity];
-    const std::int64_t dropsAt = purgedMs + static_cast<std::int64_t>(random_() % kDropsWithinMs);
-    if (copy.mintedMs < purgedMs && now > dropsAt) copy.mintedMs = 0;
-    if (copy.mintedMs > 0 && freshMs > 0 && now - copy.mintedMs > freshMs) copy.mintedMs = 0;
-    if (copy.mintedMs == 0 && mayFill) copy.mintedMs = now;
-    return copy.mintedMs;
+    const std::int64_t dropsAt = purgedMs + static_cast<std::int64_t>(random_() % kMaxPurgeDelayMs);
+    if (copy.createdMs < purgedMs && now > dropsAt) copy.createdMs = 0;
+    if (copy.createdMs > 0 && freshMs > 0 && now - copy.createdMs > freshMs) copy.createdMs = 0;
+    if (copy.createdMs == 0 && mayFill) copy.createdMs = now;
+    return copy.createdMs;
 }
 
-Store::Due Store::answerTo(const RespMessage& message) {
+Store::PendingAnswer Store::answerTo(const RespMessage& message) {
     const std::string& fields = message[2];
     const std::string entity = valueOf(fields, "thing"), block = valueOf(fields, "nth");
-    const bool neverKept = valueOf(fields, "profile") != kClassNames[0];
+    const bool neverCached = valueOf(fields, "profile") != kClassNames[0];
     const bool mayFill =
         !valueOf(fields, "via").empty() && valueOf(fields, "opts").find("peek") == std::string::npos;
-    Due due;
-    due.id = message[1];
-    due.at = Clock::now() + Millis{randomInt(faults_.leastMs, faults_.mostMs)};
-    const auto plain = [&](const char* word, AttemptEnd end) {
-        due.bytes = RespSocket::encoded({message[1], word, "-", ""});
-        due.end = end;
-        return due;
+    PendingAnswer pending;
+    pending.id = message[1];
+    pending.at = Clock::now() + Millis{randomInt(faults_.minDelayMs, faults_.maxDelayMs)};
+    const auto withoutBody = [&](const char* word, AttemptEnd end) {
+        pending.bytes = RespSocket::encoded({message[1], word, "-", ""});
+        pending.end = end;
+        return pending;
     };
-    if (chance(faults_.refuses)) return plain("refused", AttemptEnd::neverRan);
-    if (chance(faults_.errors)) return plain("error", AttemptEnd::mayHaveRun);
-    const std::int64_t mintedMs =
-        mintedOf(entity, std::atoll(valueOf(fields, "fresh").c_str()), mayFill, neverKept);
-    if (mintedMs == 0) return plain("nothing", AttemptEnd::neverRan);
-    const std::string tag = tagOf(entity, mintedMs);
-    const std::string told = "tag=" + tag + ",minted=" + std::to_string(mintedMs) + ",remark=local";
-    if (!neverKept && valueOf(fields, "known") == tag) {
+    if (chance(faults_.refusals)) return withoutBody("refused", AttemptEnd::neverRan);
+    if (chance(faults_.errors)) return withoutBody("error", AttemptEnd::mayHaveRun);
+    const std::int64_t createdMs =
+        servedCopyTime(entity, std::atoll(valueOf(fields, "fresh").c_str()), mayFill, neverCached);
+    if (createdMs == 0) return withoutBody("nothing", AttemptEnd::neverRan);
+    const std::string tag = tagOf(entity, createdMs);
+    const std::string facts = "tag=" + tag + ",minted=" + std::to_string(createdMs) + ",remark=local";
+    if (!neverCached && valueOf(fields, "known") == tag) {
         judge_.copyConfirmed(message[1]);
-        due.bytes = RespSocket::encoded({message[1], "current", told, ""});
-        return due;
+        pending.bytes = RespSocket::encoded({message[1], "current", facts, ""});
+        return pending;
     }
-    due.bytes = RespSocket::encoded({message[1], "ok", told, bodyOf(entity, block, mintedMs)});
-    if (chance(faults_.half)) due.bytes.resize(due.bytes.size() / 2);  // and then silence
-    if (chance(faults_.garbage)) due.bytes = "+this is no array\r\n";
-    due.closesAfter = chance(faults_.closes);
-    return due;
+    pending.bytes = RespSocket::encoded({message[1], "ok", facts, bodyOf(entity, block, createdMs)});
+    if (chance(faults_.truncations)) pending.bytes.resize(pending.bytes.size() / 2);  // and then silence
+    if (chance(faults_.malformedAnswers)) pending.bytes = "+this is no array\r\n";
+    pending.closesAfterAnswer = chance(faults_.closesAfterward);
+    return pending;
 }
 
-void Store::take(const RespMessage& message, std::deque<Due>& due, bool late) {
+void Store::handleCommand(const RespMessage& message, std::deque<PendingAnswer>& pending, bool observedLate) {
     if (message.size() >= 2 && (message[0] == "ECHO" || message[0] == "METER")) {
-        Due echo;
+        PendingAnswer echo;
         echo.at = Clock::now();
         echo.bytes = RespSocket::encoded({message[1], "yes", "-", ""});
-        echo.isEcho = true;
-        return due.push_back(echo);
+        echo.ignoresKill = true;
+        return pending.push_back(echo);
     }
     if (message.size() >= 2 && message[0] == "KILL") {
-        const auto found = std::find_if(due.begin(), due.end(),
-                                        [&](const Due& one) { return !one.isEcho && one.id == message[1]; });
-        if (found == due.end()) return;
-        judge_.attemptEnded(found->id, found->attempt, AttemptEnd::mayHaveRun, late);
-        due.erase(found);
+        const auto found = std::find_if(pending.begin(), pending.end(), [&](const PendingAnswer& one) {
+            return !one.ignoresKill && one.id == message[1];
+        });
+        if (found == pending.end()) return;
+        judge_.attemptEnded(found->id, found->attempt, AttemptEnd::mayHaveRun, observedLate);
+        pending.erase(found);
         return;
     }
     if (message.size() < 4 || message[0] != "PULL")
         return judge_.recordViolation(Rule::wrongContent, name_ + " was sent what is no command");
-    if (!late) countColdCall();
-    const int attempt = judge_.attemptArrived(
-        message[1], name_, std::atoll(valueOf(message[2], "max").c_str()), valueOf(message[2], "via"), late);
-    Due answer = answerTo(message);
+    if (!observedLate) checkSlowStartBudget();
+    const int attempt =
+        judge_.attemptArrived(message[1], name_, std::atoll(valueOf(message[2], "max").c_str()),
+                              valueOf(message[2], "via"), observedLate);
+    PendingAnswer answer = answerTo(message);
     answer.attempt = attempt;
-    due.push_back(answer);
-    if (!chance(faults_.twice)) return;
-    Due again = answer;
+    pending.push_back(answer);
+    if (!chance(faults_.duplicates)) return;
+    PendingAnswer again = answer;
     again.at += Millis{randomInt(1, 8)};
     again.attempt = -1;
-    again.isEcho = true;  // nobody's any more: it is not taken back
-    due.push_back(again);
+    again.ignoresKill = true;  // nobody's any more: it is not taken back
+    pending.push_back(again);
 }
 
 void Store::serve(RespSocket& socket) {
-    std::deque<Due> due;
-    bool good = true, wasHung = false, endedHere = false;
-    while (good && !finished_) {
+    std::deque<PendingAnswer> pending;
+    bool connectionUsable = true, wasHung = false, closedByStore = false;
+    while (connectionUsable && !finished_) {
         if (hung_) {
             wasHung = true;
             std::this_thread::sleep_for(kPollInterval);
-            endedHere = !server_.isUp();
-            if (endedHere) break;
+            closedByStore = !server_.isUp();
+            if (closedByStore) break;
             continue;
         }
         TimePoint next = Clock::now() + kPollInterval;
-        for (const Due& one : due) next = std::min(next, one.at);
+        for (const PendingAnswer& one : pending) next = std::min(next, one.at);
         RespMessage message;
         const auto read = socket.read(message, next);
-        if (read == RespSocket::Read::message) take(message, due, wasHung);
+        if (read == RespSocket::Read::message) handleCommand(message, pending, wasHung);
         if (read == RespSocket::Read::timedOut) wasHung = false;
-        good = read == RespSocket::Read::message || read == RespSocket::Read::timedOut;
-        for (auto at = due.begin(); good && at != due.end();) {
+        connectionUsable = read == RespSocket::Read::message || read == RespSocket::Read::timedOut;
+        for (auto at = pending.begin(); connectionUsable && at != pending.end();) {
             if (at->at > Clock::now()) {
                 ++at;
                 continue;
             }
             // Told before it is sent: the gateway may act on it at once.
             if (at->attempt >= 0) judge_.attemptEnded(at->id, at->attempt, at->end, wasHung);
-            endedHere = at->closesAfter || !server_.isUp();
-            good = socket.send(at->bytes) && !at->closesAfter;
-            at = due.erase(at);
+            closedByStore = at->closesAfterAnswer || !server_.isUp();
+            connectionUsable = socket.send(at->bytes) && !at->closesAfterAnswer;
+            at = pending.erase(at);
         }
     }
-    for (const Due& one : due)
+    for (const PendingAnswer& one : pending)
         if (one.attempt >= 0)
             judge_.attemptEnded(one.id, one.attempt, AttemptEnd::mayHaveRun,
-                                wasHung || endedHere || !server_.isUp());
+                                wasHung || closedByStore || !server_.isUp());
 }
 
 // ----- EventBus -----
 
 EventBus::EventBus(json first) : server_([this](RespSocket& socket) { serve(socket); }) {
-    tell(std::move(first));
+    publish(std::move(first));
 }
 
 EventBus::~EventBus() {
@@ -316,7 +319,7 @@
     server_.down();
 }
 
-void EventBus::tell(json event) {
+void EventBus::publish(json event) {
     const std::lock_guard lock(mutex_);
     event["offset"] = ++last_;
     events_.push_back(std::move(event));
@@ -325,12 +328,12 @@
 
 // All events, under their own numbers: a list that stood for later ones would hide from a gateway that has
 // not heard of those yet what they say.
-json EventBus::known() const {
+json EventBus::allEvents() const {
     const std::lock_guard lock(mutex_);
     return {{"offset", last_}, {"batch", events_}};
 }
 
-std::string EventBus::answerFrom(std::int64_t from, Millis hold) {
+std::string EventBus::responseSince(std::int64_t from, Millis hold) {
     std::unique_lock lock(mutex_);
     changed_.wait_for(lock, hold, [&] { return last_ > from || finished_; });
     json batch = json::array();
@@ -357,7 +360,7 @@
         const std::int64_t from = std::atoll(head.c_str() + head.find("from=") + 5);
         const Millis hold{std::atoi(head.c_str() + head.find("hold=") + 5)};
         head.clear();
-        const std::string body = answerFrom(from, hold);
+        const std::string body = responseSince(from, hold);
         const std::string answer =
             "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
         const std::size_t piece = slow_ ? 200 : answer.size();
--- a/bench/soak/stores.hpp
+++ b/bench/soak/stores.hpp
@@ -67,21 +67,21 @@
 inline constexpr std::size_t kObjectBytes = 20'000;
 
 // How a store in slow start is held to its budget; the figures are the soak's configuration's.
-struct ColdStart {
-    double callsAtFullPace = 0;  // in one window
-    double from = 0, multiple = 0;
-    Millis warmWithin{}, window{};
+struct SlowStartBudget {
+    double fullRateCallsPerWindow = 0;  // in one window
+    double initialShare = 0, burstFactor = 0;
+    Millis warmUpTime{}, window{};
 };
 
 class Store {
 public:
     struct Faults {
-        std::atomic<double> refuses{0.02}, errors{0.01}, twice{0.01}, half{0.003}, garbage{0.001},
-            closes{0.002};
-        std::atomic<int> leastMs{1}, mostMs{25};
+        std::atomic<double> refusals{0.02}, errors{0.01}, duplicates{0.01}, truncations{0.003},
+            malformedAnswers{0.001}, closesAfterward{0.002};
+        std::atomic<int> minDelayMs{1}, maxDelayMs{25};
     };
 
-    Store(std::string name, StoreKind kind, Judge& judge, const Purges& purges, const ColdStart& cold,
+    Store(std::string name, StoreKind kind, Judge& judge, const Purges& purges, const SlowStartBudget& cold,
           std::uint64_t seed);
     ~Store();
 
@@ -92,27 +92,28 @@
 
     void hang(bool hung) { hung_ = hung; }  // reads and answers nothing; the kernel still takes connections
     void crash();
-    std::int64_t comeBackCold();  // the Unix millisecond of its start
+    std::int64_t restartCold();  // the Unix millisecond of its start
 
 private:
-    struct Due {
+    struct PendingAnswer {
         TimePoint at;
         std::string id, bytes;
         int attempt = -1;
         AttemptEnd end = AttemptEnd::mayHaveRun;
-        bool closesAfter = false;
-        bool isEcho = false;
+        bool closesAfterAnswer = false;
+        bool ignoresKill = false;
     };
     struct Copy {
-        std::int64_t mintedMs = 0;
+        std::int64_t createdMs = 0;
     };
 
     void serve(RespSocket& socket);
-    void take(const RespMessage& message, std::deque<Due>& due, bool late);
-    Due answerTo(const RespMessage& message);
-    std::string bodyOf(const std::string& entity, const std::string& block, std::int64_t mintedMs) const;
-    std::int64_t mintedOf(const std::string& entity, std::int64_t freshMs, bool mayFill, bool neverKept);
-    void countColdCall();
+    void handleCommand(const RespMessage& message, std::deque<PendingAnswer>& pending, bool observedLate);
+    PendingAnswer answerTo(const RespMessage& message);
+    std::string bodyOf(const std::string& entity, const std::string& block, std::int64_t createdMs) const;
+    std::int64_t servedCopyTime(const std::string& entity, std::int64_t freshMs, bool mayFill,
+                                bool neverCached);
+    void checkSlowStartBudget();
     bool chance(double probability);
     int randomInt(int min, int max);
 
@@ -120,19 +121,19 @@
     StoreKind kind_;
     Judge& judge_;
     const Purges& purges_;
-    ColdStart cold_;
+    SlowStartBudget cold_;
     Faults faults_;
     std::atomic<bool> hung_{false}, finished_{false};
     std::mutex mutex_;
     std::mt19937_64 random_;
     std::unordered_map<std::string, Copy> copies_;
-    std::optional<TimePoint> coldSince_;
-    std::deque<TimePoint> coldCalls_;
-    bool budgetBroken_ = false;
+    std::optional<TimePoint> slowStartedAt_;
+    std::deque<TimePoint> slowStartCalls_;
+    bool budgetExceeded_ = false;
     Server server_;
 };
 
-std::string tagOf(const std::string& entity, std::int64_t mintedMs);
+std::string tagOf(const std::string& entity, std::int64_t createdMs);
 
 // The event bus: one numbered list of events, read by long polls.
 class EventBus {
@@ -140,8 +141,8 @@
     explicit EventBus(json first);
     ~EventBus();
     std::string address() const { return "127.0.0.1:" + std::to_string(server_.port()); }
-    void tell(json event);
-    json known() const;  // for the configuration of a gateway that starts now
+    void publish(json event);
+    json allEvents() const;  // for the configuration of a gateway that starts now
     void down() { server_.down(); }
     void up() { server_.up(); }
     void hang(bool hung) { hung_ = hung; }
@@ -149,7 +150,7 @@
 
 private:
     void serve(RespSocket& socket);
-    std::string answerFrom(std::int64_t from, Millis hold);
+    std::string responseSince(std::int64_t from, Millis hold);
 
     mutable std::mutex mutex_;
     std::condition_variable changed_;
