--- a/bench/soak/judge.cpp
+++ b/bench/soak/judge.cpp
@@ -113,12 +113,12 @@
         return report(Rule::wrongContent, trace + " " + body.substr(0, 60));
     if (request.kind != RequestClass::page || request.attempts.empty()) return;
     const std::string entity = expectedPrefix.substr(0, expectedPrefix.find(':'));
-    const std::int64_t mintedMs = std::atoll(body.c_str() + expectedPrefix.size());
+    const std::int64_t createdMs = std::atoll(body.c_str() + expectedPrefix.size());
     const auto purge = purges_.find(entity);
-    if (purge == purges_.end() || mintedMs >= purge->second.atMs) return;
+    if (purge == purges_.end() || createdMs >= purge->second.atMs) return;
     if (request.attempts.back().arrivedAt > purge->second.effectiveAt + kSchedulingSlack)
         report(Rule::staleCopy,
-               trace + " minted " + std::to_string(purge->second.atMs - mintedMs) + " ms before the purge");
+               trace + " minted " + std::to_string(purge->second.atMs - createdMs) + " ms before the purge");
 }
 
 void Judge::checkRefusal(const std::string& trace, const Request& request) {
--- a/bench/soak/main.cpp
+++ b/bench/soak/main.cpp
@@ -37,7 +37,7 @@
 struct Options {
     int gateways = 24, clientsEach = 3, seconds = 30;
     std::uint64_t seed = 1;
-    bool keepsLogs = false, timeline = false, crowd = false;
+    bool keepLogs = false, timeline = false, crowd = false;
     Disturbances disturbances;
 };
 
@@ -63,11 +63,11 @@
         for (int i = 1; i <= kParentCount; ++i) addStore("parent-" + std::to_string(i), StoreKind::parent);
         addStore("origin-1", StoreKind::origin);
         std::vector<json> hosts;
-        for (const auto& store : stores_) hosts.push_back(listed(*store, "up", 0));
+        for (const auto& store : stores_) hosts.push_back(hostEntry(*store, "up", 0));
         bus_ = std::make_unique<EventBus>(topology(hosts, true));
     }
     ~Soak() {
-        if (!options_.keepsLogs) std::filesystem::remove_all(folder_);
+        if (!options_.keepLogs) std::filesystem::remove_all(folder_);
     }
 
     bool run();
@@ -80,7 +80,7 @@
     void addStore(const std::string& name, StoreKind kind) {
         stores_.push_back(std::make_unique<Store>(name, kind, judge_, purges_, slowStartBudget(), random_()));
     }
-    static json listed(const Store& store, const std::string& status, std::int64_t sinceMs) {
+    static json hostEntry(const Store& store, const std::string& status, std::int64_t sinceMs) {
         const char* type = store.kind() == StoreKind::cache    ? "small"
                            : store.kind() == StoreKind::parent ? "parent"
                                                                : "origin";
@@ -96,9 +96,9 @@
     void crashStore(Store& store, std::mt19937_64& random);
     void replaceStore(Store& store, std::mt19937_64& random);
     void disturbBus();
-    void purgeNowAndThen();
+    void purgeAtRandom();
     void watchForStalls();
-    void addCrowd(int gateway, std::vector<std::thread>& clients);
+    void addCrowdAt(int gateway, std::vector<std::thread>& clients);
     void sleepUnlessFinished(Millis time) const;
     bool report();
 
@@ -158,14 +158,14 @@
         gateways_.push_back(std::make_unique<Gateway>(plan, options_.disturbances, judge_));
     }
     // Each process ends with the thread that has started it, so one thread runs it from start to end.
-    std::latch ready(options_.gateways);
+    std::latch readyTimes(options_.gateways);
     for (const auto& gateway : gateways_)
-        disturbanceThreads_.emplace_back([this, &gateway, &ready] {
+        disturbanceThreads_.emplace_back([this, &gateway, &readyTimes] {
             gateway->start();
-            ready.count_down();
+            readyTimes.count_down();
             gateway->run(clientsFinished_);
         });
-    ready.wait();
+    readyTimes.wait();
 }
 
 void Soak::sleepUnlessFinished(Millis time) const {
@@ -185,24 +185,24 @@
     judge_.logEvent(store.name() + " dies");
     store.crash();
     sleepUnlessFinished(Millis{100 + random() % 2000});
-    bus_->publish(topology({listed(store, "up", store.restartCold())}));
+    bus_->publish(topology({hostEntry(store, "up", store.restartCold())}));
     judge_.logEvent(store.name() + " is back, cold");
 }
 
 // Drained, removed, and later there again under its name, cold.
 void Soak::replaceStore(Store& store, std::mt19937_64& random) {
     judge_.logEvent(store.name() + " drains");
-    bus_->publish(topology({listed(store, "draining", 0)}));
+    bus_->publish(topology({hostEntry(store, "draining", 0)}));
     judge_.recordWithdrawn(store.name());
     sleepUnlessFinished(kMinDrainTime + Millis{random() % 1500});
     if (random() % 2 == 0) {
-        bus_->publish(topology({listed(store, "removed", 0)}));
+        bus_->publish(topology({hostEntry(store, "removed", 0)}));
         sleepUnlessFinished(Millis{random() % 1000});
     }
     store.crash();
     sleepUnlessFinished(Millis{random() % 500});
     judge_.recordListed(store.name());
-    bus_->publish(topology({listed(store, "up", store.restartCold())}));
+    bus_->publish(topology({hostEntry(store, "up", store.restartCold())}));
     judge_.logEvent(store.name() + " is back, cold");
 }
 
@@ -265,7 +265,7 @@
     }
 }
 
-void Soak::purgeNowAndThen() {
+void Soak::purgeAtRandom() {
     std::mt19937_64 random(options_.seed + 99);
     while (!finished_) {
         sleepUnlessFinished(Millis{random() % 800});
@@ -290,7 +290,7 @@
     }
 }
 
-void Soak::addCrowd(int gateway, std::vector<std::thread>& clients) {
+void Soak::addCrowdAt(int gateway, std::vector<std::thread>& clients) {
     ClientPlan plan{gateway, gateways_[static_cast<std::size_t>(gateway)]->port(), 0, 15ms, 200};
     for (int i = 0; i < options_.clientsEach * kCrowdClientFactor; ++i) {
         plan.seed = random_();
@@ -314,10 +314,11 @@
             clients.emplace_back([this, plan] { runMisbehavingClient(plan, clientsFinished_); });
         }
     }
-    for (int i = 0; options_.crowd && i < options_.gateways; i += kCrowdGatewayInterval) addCrowd(i, clients);
+    for (int i = 0; options_.crowd && i < options_.gateways; i += kCrowdGatewayInterval)
+        addCrowdAt(i, clients);
     if (options_.disturbances.stores) disturbanceThreads_.emplace_back([this] { disturbStores(); });
     if (options_.disturbances.bus) disturbanceThreads_.emplace_back([this] { disturbBus(); });
-    disturbanceThreads_.emplace_back([this] { purgeNowAndThen(); });
+    disturbanceThreads_.emplace_back([this] { purgeAtRandom(); });
     disturbanceThreads_.emplace_back([this] { watchForStalls(); });
     std::this_thread::sleep_for(std::chrono::seconds(options_.seconds));
     finished_ = true;
@@ -328,15 +329,15 @@
 }
 
 bool Soak::report() {
-    std::vector<Millis> ready;
+    std::vector<Millis> readyTimes;
     for (const auto& gateway : gateways_) {
         for (const std::string& line : gateway->internalViolations())
             judge_.recordViolation(Rule::internalCheck, line);
-        ready.insert(ready.end(), gateway->readyTimes().begin(), gateway->readyTimes().end());
+        readyTimes.insert(readyTimes.end(), gateway->readyTimes().begin(), gateway->readyTimes().end());
     }
-    std::sort(ready.begin(), ready.end());
-    const Millis ninth = ready.empty() ? Millis{} : ready[ready.size() * 9 / 10];
-    if (ninth > 10s) judge_.recordViolation(Rule::lateReadiness, "nine in ten were ready only after 10 s");
+    std::sort(readyTimes.begin(), readyTimes.end());
+    const Millis readyP90 = readyTimes.empty() ? Millis{} : readyTimes[readyTimes.size() * 9 / 10];
+    if (readyP90 > 10s) judge_.recordViolation(Rule::lateReadiness, "nine in ten were ready only after 10 s");
     const Judge::Totals t = judge_.totals();
     std::printf(
         "seed=%llu requests=%llu served=%llu unchanged=%llu refused=%llu failed=%llu "
@@ -344,7 +345,8 @@
         static_cast<unsigned long long>(options_.seed), static_cast<unsigned long long>(t.requests),
         static_cast<unsigned long long>(t.served), static_cast<unsigned long long>(t.unchanged),
         static_cast<unsigned long long>(t.refused), static_cast<unsigned long long>(t.failed),
-        static_cast<unsigned long long>(t.attempts), ready.size(), static_cast<long long>(ninth.count()));
+        static_cast<unsigned long long>(t.attempts), readyTimes.size(),
+        static_cast<long long>(readyP90.count()));
     for (std::size_t i = 0; i < t.excused.size(); ++i)
         std::printf(" excused_%s=%llu", nameOf(static_cast<Excuse>(i)),
                     static_cast<unsigned long long>(t.excused[i]));
@@ -353,7 +355,7 @@
             std::printf(" %s=%llu", nameOf(static_cast<Rule>(i)),
                         static_cast<unsigned long long>(t.violations[i]));
     std::printf("\nviolations=%llu\n", static_cast<unsigned long long>(judge_.violations()));
-    if (options_.keepsLogs) std::printf("logs in %s\n", folder_.c_str());
+    if (options_.keepLogs) std::printf("logs in %s\n", folder_.c_str());
     return judge_.violations() == 0 && t.served > 0;
 }
 
@@ -366,7 +368,7 @@
     app.add_option("--clients", options.clientsEach, "clients of each gateway")->check(CLI::Range(1, 20));
     app.add_option("--seconds", options.seconds, "time under load")->check(CLI::Range(1, 3600));
     app.add_option("--seed", options.seed, "of all random choices");
-    app.add_flag("--keep-logs", options.keepsLogs, "leave the gateways' logs where they are");
+    app.add_flag("--keep-logs", options.keepLogs, "leave the gateways' logs where they are");
     app.add_flag("--crowd", options.crowd, "a crowd at one gateway of four; every third seed has one anyway");
     app.add_flag("--timeline", options.timeline, "print what is done to whom, and when");
     int betweenMs = 2500;
@@ -385,9 +387,9 @@
         {"reloads", &t.reloads},       {"handovers", &t.handOvers}, {"faults", &t.faults},
         {"clocks", &t.clocks},         {"stores", &t.stores},       {"bus", &t.bus},
         {"bad-clients", &t.badClients}};
-    for (const std::string& left : without)
+    for (const std::string& excluded : without)
         for (const auto& [name, flag] : names)
-            if (left == name) *flag = false;
+            if (excluded == name) *flag = false;
     const rlimit limit{kDescriptorLimit, kDescriptorLimit};
     ::setrlimit(RLIMIT_NOFILE, &limit);
     std::setvbuf(stdout, nullptr, _IOLBF, 0);
