--- a/bench/soak/judge.hpp
+++ b/bench/soak/judge.hpp
@@ -89,8 +89,8 @@
     void copyConfirmed(const std::string& trace);
 
     // ----- disturbances -----
-    void recordKill(
-        int gateway);  // SIGKILL; connections until it serves again wait in its socket, or are refused
+    // SIGKILL; connections that come before it serves again wait in its socket, or are refused.
+    void recordKill(int gateway);
     void recordTermination(int gateway);             // SIGTERM without a successor
     void recordServing(int gateway);                 // again, after either of the two
     void recordStop(int gateway, Millis time);       // a SIGSTOP that has ended
--- a/bench/soak/main.cpp
+++ b/bench/soak/main.cpp
@@ -31,8 +31,8 @@
 constexpr rlim_t kDescriptorLimit = 20'000;
 constexpr int kCrowdSeedInterval = 3;     // every third seed has a crowd without --crowd
 constexpr int kCrowdGatewayInterval = 4;  // one gateway in four gets the crowd
-constexpr int kCrowdClientFactor = 4,
-              kCrowdIdleConnections = 100;  // idle connections to each such gateway
+// Of each such gateway: additional clients, as a multiple of --clients, and idle connections.
+constexpr int kCrowdClientFactor = 4, kCrowdIdleConnections = 100;
 
 struct Options {
     int gateways = 24, clientsEach = 3, seconds = 30;
--- a/bench/soak/stores.cpp
+++ b/bench/soak/stores.cpp
@@ -158,7 +158,7 @@
     return unixMs();
 }
 
-// The limit in every window, for a budget of N calls: N + 2 * sqrt(N) + 2; below 30 calls, N + 3 * sqrt(N)
+// The limit in every window, for a budget of N calls: N + 2 * sqrt(N) + 2; below 30 calls: N + 3 * sqrt(N)
 // + 3.
 void Store::checkSlowStartBudget() {
     const bool busDelayed = judge_.busMayBeDelayed();
--- a/bench/soak/stores.hpp
+++ b/bench/soak/stores.hpp
@@ -76,6 +76,7 @@
 
 class Store {
 public:
+    // Probabilities for each answer, and the bounds of its delay.
     struct Faults {
         std::atomic<double> refusals{0.02}, errors{0.01}, duplicates{0.01}, truncations{0.003},
             malformedAnswers{0.001}, closesAfterward{0.002};
