--- a/bench/soak/clients.cpp
+++ b/bench/soak/clients.cpp
@@ -73,12 +73,12 @@
                          ",family=" + std::to_string(entityIndex % 16);
     if (kind == RequestClass::checkout) fields += ",nonce=" + hexOf(random_()) + hexOf(random_());
     const auto copy = cachedTags_.find(call.entity);
-    const bool named = kind == RequestClass::page && copy != cachedTags_.end() && chance(0.5);
-    if (named) fields += ",cached=" + copy->second;
+    const bool conditional = kind == RequestClass::page && copy != cachedTags_.end() && chance(0.5);
+    if (conditional) fields += ",cached=" + copy->second;
     const std::string body = kind == RequestClass::page ? "" : std::string(100, 'w');
     bytes +=
         RespSocket::encoded({"CALL", call.tag, kClassNames[static_cast<std::size_t>(kind)], fields, body});
-    judge_.sent(call.trace, plan_.gateway, kind, timeout, named, connectedAt_);
+    judge_.sent(call.trace, plan_.gateway, kind, timeout, conditional, connectedAt_);
     call.deadline = Clock::now() + timeout + kAnswerWaitGrace;
     return call;
 }
--- a/bench/soak/main.cpp
+++ b/bench/soak/main.cpp
@@ -42,13 +42,13 @@
 };
 
 SlowStartBudget slowStartBudget() {
-    SlowStartBudget cold;
-    cold.fullRateCallsPerWindow = kLinkKbPerS * 1000 / static_cast<double>(kObjectBytes);
-    cold.initialShare = kInitialShare;
-    cold.burstFactor = kBurstFactor;
-    cold.warmUpTime = kWarmUpTime;
-    cold.window = kBudgetWindow;
-    return cold;
+    SlowStartBudget budget;
+    budget.fullRateCallsPerWindow = kLinkKbPerS * 1000 / static_cast<double>(kObjectBytes);
+    budget.initialShare = kInitialShare;
+    budget.burstFactor = kBurstFactor;
+    budget.warmUpTime = kWarmUpTime;
+    budget.window = kBudgetWindow;
+    return budget;
 }
 
 // One run: its stores, event bus, gateways and clients.
@@ -190,7 +190,7 @@
     judge_.logEvent(store.name() + " is up again, cold");
 }
 
-// Drains and perhaps removes a store, then brings it back cold under the same name.
+// Drains and perhaps removes a store, then brings it back budget under the same name.
 void Soak::replaceStore(Store& store, std::mt19937_64& random) {
     judge_.logEvent(store.name() + " drains");
     bus_->publish(topology({hostEntry(store, "draining", 0)}));
@@ -378,8 +378,8 @@
         "adds four times the clients, and idle connections, at one gateway in four; always on for every "
         "third seed");
     app.add_flag("--timeline", options.timeline, "print each disturbance with its time");
-    int betweenMs = 2500;
-    app.add_option("--between-ms", betweenMs, "mean interval between disturbances of one gateway")
+    int meanIntervalMs = 2500;
+    app.add_option("--between-ms", meanIntervalMs, "mean interval between disturbances of one gateway")
         ->check(CLI::Range(100, 60000));
     std::vector<std::string> without;
     app.add_option("--without", without,
@@ -388,7 +388,7 @@
     CLI11_PARSE(app, argc, argv);
     options.crowd = options.crowd || options.seed % kCrowdSeedInterval == 0;
     Disturbances& t = options.disturbances;
-    t.meanInterval = Millis{betweenMs};
+    t.meanInterval = Millis{meanIntervalMs};
     const std::pair<const char*, bool*> names[] = {
         {"restarts", &t.restarts},     {"kills", &t.kills},         {"stops", &t.stops},
         {"reloads", &t.reloads},       {"handovers", &t.handOvers}, {"faults", &t.faults},
--- a/bench/soak/stores.cpp
+++ b/bench/soak/stores.cpp
@@ -114,12 +114,12 @@
 }
 
 Store::Store(std::string name, StoreKind kind, Judge& judge, const Purges& purges,
-             const SlowStartBudget& cold, std::uint64_t seed)
+             const SlowStartBudget& budget, std::uint64_t seed)
     : name_(std::move(name)),
       kind_(kind),
       judge_(judge),
       purges_(purges),
-      cold_(cold),
+      slowStartBudget_(budget),
       random_(seed),
       server_([this](RespSocket& socket) { serve(socket); }) {}
 
@@ -166,15 +166,15 @@
     if (!slowStartedAt_) return;
     if (busDelayed) return slowStartCalls_.clear();  // gateways that don't know of the start keep no budget
     const TimePoint now = Clock::now();
-    const std::chrono::duration<double> age = now - *slowStartedAt_, warm = cold_.warmUpTime;
+    const std::chrono::duration<double> age = now - *slowStartedAt_, warm = slowStartBudget_.warmUpTime;
     if (age >= warm) {
         slowStartedAt_.reset();
         return;
     }
     slowStartCalls_.push_back(now);
-    while (slowStartCalls_.front() < now - cold_.window) slowStartCalls_.pop_front();
-    const double share = cold_.initialShare + (1 - cold_.initialShare) * age / warm;
-    const double allowed = cold_.burstFactor * share * cold_.fullRateCallsPerWindow;
+    while (slowStartCalls_.front() < now - slowStartBudget_.window) slowStartCalls_.pop_front();
+    const double share = slowStartBudget_.initialShare + (1 - slowStartBudget_.initialShare) * age / warm;
+    const double allowed = slowStartBudget_.burstFactor * share * slowStartBudget_.fullRateCallsPerWindow;
     const double root = std::sqrt(allowed);
     const double max = allowed < 30 ? allowed + 3 * root + 3 : allowed + 2 * root + 2;
     if (static_cast<double>(slowStartCalls_.size()) <= max || std::exchange(budgetExceeded_, true)) return;
@@ -235,7 +235,7 @@
     if (chance(faults_.truncations))
         pending.bytes.resize(pending.bytes.size() / 2);  // the rest is never sent
     if (chance(faults_.malformedAnswers)) pending.bytes = "+this is no array\r\n";
-    pending.closesAfterAnswer = chance(faults_.closesAfterward);
+    pending.closesAfterAnswer = chance(faults_.closes);
     return pending;
 }
 
--- a/bench/soak/stores.hpp
+++ b/bench/soak/stores.hpp
@@ -1,5 +1,5 @@
 // Simulated stores and event bus on loopback sockets that misbehave on demand: they hang, crash and restart
-// cold, send malformed, truncated or duplicate answers, and close connections.
+// budget, send malformed, truncated or duplicate answers, and close connections.
 #pragma once
 
 #include <atomic>
@@ -79,11 +79,11 @@
     // Probabilities for each answer, and the bounds of its delay.
     struct Faults {
         std::atomic<double> refusals{0.02}, errors{0.01}, duplicates{0.01}, truncations{0.003},
-            malformedAnswers{0.001}, closesAfterward{0.002};
+            malformedAnswers{0.001}, closes{0.002};
         std::atomic<int> minDelayMs{1}, maxDelayMs{25};
     };
 
-    Store(std::string name, StoreKind kind, Judge& judge, const Purges& purges, const SlowStartBudget& cold,
+    Store(std::string name, StoreKind kind, Judge& judge, const Purges& purges, const SlowStartBudget& budget,
           std::uint64_t seed);
     ~Store();
 
@@ -123,7 +123,7 @@
     StoreKind kind_;
     Judge& judge_;
     const Purges& purges_;
-    SlowStartBudget cold_;
+    SlowStartBudget slowStartBudget_;
     Faults faults_;
     std::atomic<bool> hung_{false}, finished_{false};
     std::mutex mutex_;
