--- a/bench/scale/hollow_gateways.cpp
+++ b/bench/scale/headless_gateways.cpp
@@ -1,4 +1,4 @@
-#include "hollow_gateways.hpp"
+#include "headless_gateways.hpp"
 
 #include <fcntl.h>
 #include <sys/mman.h>
--- a/bench/scale/scale_run.hpp
+++ b/bench/scale/scale_run.hpp
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "hollow_gateways.hpp"
+#include "headless_gateways.hpp"
 #include "scale_measures.hpp"
 
 namespace lotuslead::scale {
