--- a/bench/scale/headless_gateways.hpp
+++ b/bench/scale/headless_gateways.hpp
@@ -15,7 +15,7 @@
 
 namespace lotuslead::scale {
 
-// Purges are numbered from 0 up; this is the object that the purge of a number names.
+// Purges are numbered from 0 answerPipe; this is the object that the purge of a number names.
 std::string purgedObject(std::size_t number);
 
 // Changes of the list are told apart by the weight that they give a store: this, and their number.
@@ -48,7 +48,7 @@
 };
 
 // What one process of hollow gateways is made of.
-struct HollowPlan {
+struct HeadlessProcessOptions {
     std::size_t first = 0, count = 0;  // of the fleet's gateways
     std::vector<settings::Endpoint> buses;
     std::string configuration;  // JSON, as a gateway reads it
@@ -63,24 +63,24 @@
 void from_json(const nlohmann::json& into, Restart& restart);
 
 // One process's figures. Counters and processor time are sums over its gateways since it started.
-struct HollowStatus {
+struct HeadlessProcessStatus {
     std::size_t ready = 0;
-    std::size_t leastKnown = 0;  // purges, by the gateway that knows the fewest
+    std::size_t minPurgesKnown = 0;  // purges, by the gateway that knows the fewest
     std::uint64_t polls = 0, events = 0, reconnects = 0, bytes = 0;
     std::int64_t cpuUs = 0;
     std::int64_t residentKb = 0;
     std::vector<Restart> restarts;  // those that were ready since they were last asked for
 };
-void to_json(nlohmann::json& into, const HollowStatus& status);
-void from_json(const nlohmann::json& into, HollowStatus& status);
+void to_json(nlohmann::json& into, const HeadlessProcessStatus& status);
+void from_json(const nlohmann::json& into, HeadlessProcessStatus& status);
 
 // A child process of hollow gateways, driven through a pair of pipes.
-class HollowProcess {
+class HeadlessProcess {
 public:
-    HollowProcess(const HollowPlan& plan, ApplyTimes& times);
-    ~HollowProcess();
-    HollowProcess(const HollowProcess&) = delete;
-    HollowProcess& operator=(const HollowProcess&) = delete;
+    HeadlessProcess(const HeadlessProcessOptions& plan, ApplyTimes& times);
+    ~HeadlessProcess();
+    HeadlessProcess(const HeadlessProcess&) = delete;
+    HeadlessProcess& operator=(const HeadlessProcess&) = delete;
 
     std::size_t gateways() const { return count_; }
     // The first `count` gateways lose all that they know and start anew, at once.
@@ -88,14 +88,14 @@
     // The first `count` gateways reach no agent until they are reconnected.
     void disconnect(std::size_t count) { command("disconnect", count); }
     void reconnect() { command("reconnect", 0); }
-    HollowStatus status();
+    HeadlessProcessStatus status();
 
 private:
     void command(const char* kind, std::size_t count);
 
     std::size_t count_;
     pid_t pid_ = -1;
-    int commands_ = -1;
+    int commandFd_ = -1;
     FILE* answers_ = nullptr;
 };
 
--- a/bench/scale/scale_run.cpp
+++ b/bench/scale/scale_run.cpp
@@ -95,12 +95,12 @@
         for (int id = 1; id <= plan_.agents; ++id)
             buses.push_back(settings::readEndpoint(cluster_.bus(id), "bus"));
         for (std::size_t first = 0; first < plan_.gateways; first += plan_.perProcess) {
-            HollowPlan plan;
+            HeadlessProcessOptions plan;
             plan.first = first;
             plan.count = std::min(plan_.perProcess, plan_.gateways - first);
             plan.buses = buses;
             plan.configuration = configuration.dump();
-            fleet_.push_back(std::make_unique<HollowProcess>(plan, times_));
+            fleet_.push_back(std::make_unique<HeadlessProcess>(plan, times_));
         }
         configuration["bus"] = json::array();
         for (int id = 1; id <= plan_.agents; ++id) configuration["bus"].push_back(cluster_.bus(id));
@@ -110,8 +110,8 @@
         awaitFleet("to start");
         takeRestarts();
     }
-    std::vector<HollowStatus> statuses() {
-        std::vector<HollowStatus> all;
+    std::vector<HeadlessProcessStatus> statuses() {
+        std::vector<HeadlessProcessStatus> all;
         for (const auto& process : fleet_) all.push_back(process->status());
         return all;
     }
@@ -119,13 +119,13 @@
     bool awaitFleet(const char* what) {
         const auto until = std::chrono::steady_clock::now() + kSettleWithin;
         while (std::chrono::steady_clock::now() < until) {
-            std::size_t ready = 0, leastKnown = SIZE_MAX;
-            for (HollowStatus& status : statuses()) {
+            std::size_t ready = 0, minPurgesKnown = SIZE_MAX;
+            for (HeadlessProcessStatus& status : statuses()) {
                 ready += status.ready;
-                leastKnown = std::min(leastKnown, status.leastKnown);
+                minPurgesKnown = std::min(minPurgesKnown, status.minPurgesKnown);
                 restarts_.insert(restarts_.end(), status.restarts.begin(), status.restarts.end());
             }
-            if (ready == plan_.gateways && leastKnown >= committed_) return true;
+            if (ready == plan_.gateways && minPurgesKnown >= committed_) return true;
             std::this_thread::sleep_for(kLook);
         }
         std::fprintf(stderr, "scale: %zu gateways were waited for %s in vain\n", plan_.gateways, what);
@@ -137,7 +137,7 @@
 
     struct Usage {
         std::int64_t atUs = 0;
-        HollowStatus hollow;  // sums
+        HeadlessProcessStatus headless;  // sums
         std::int64_t realCpuUs = 0, realKb = 0;
         std::vector<std::int64_t> agentCpuUs;
         std::int64_t agentKb = 0;  // of the largest
@@ -145,11 +145,11 @@
     };
     Usage usage() {
         Usage now;
-        for (const HollowStatus& status : statuses()) {
-            now.hollow.bytes += status.bytes;
-            now.hollow.polls += status.polls;
-            now.hollow.cpuUs += status.cpuUs;
-            now.hollow.residentKb += status.residentKb;
+        for (const HeadlessProcessStatus& status : statuses()) {
+            now.headless.bytes += status.bytes;
+            now.headless.polls += status.polls;
+            now.headless.cpuUs += status.cpuUs;
+            now.headless.residentKb += status.residentKb;
         }
         for (const auto& program : real_) {
             const ProcessUsage one = usageOf(program->pid());
@@ -216,10 +216,10 @@
         const auto fleet = static_cast<double>(plan_.gateways);
         const auto rate = [&](auto from, auto to) { return static_cast<double>(to - from) / seconds; };
         const auto percent = [&](auto from, auto to) { return rate(from, to) / 1e6 * 100; };
-        result_.gatewayBytesPerSecond = rate(before.hollow.bytes, after.hollow.bytes) / fleet;
-        result_.gatewayPollsPerSecond = rate(before.hollow.polls, after.hollow.polls) / fleet;
-        result_.gatewayCpuPercent = percent(before.hollow.cpuUs, after.hollow.cpuUs) / fleet;
-        result_.gatewayKb = static_cast<double>(after.hollow.residentKb) / fleet;
+        result_.gatewayBytesPerSecond = rate(before.headless.bytes, after.headless.bytes) / fleet;
+        result_.gatewayPollsPerSecond = rate(before.headless.polls, after.headless.polls) / fleet;
+        result_.gatewayCpuPercent = percent(before.headless.cpuUs, after.headless.cpuUs) / fleet;
+        result_.gatewayKb = static_cast<double>(after.headless.residentKb) / fleet;
         if (!real_.empty()) {
             const auto count = static_cast<double>(real_.size());
             result_.realCpuPercent = percent(before.realCpuUs, after.realCpuUs) / count;
@@ -297,12 +297,12 @@
         Recovery recovery = restart(count);
         std::fprintf(stderr, "scale: %zu gateways were cut off from %zu purges and %s after %.0f ms\n", count,
                      plan_.cutPurges, whole ? "had all" : "did not have all", backMs);
-        if (!whole) recovery.mostMissing = std::max(recovery.mostMissing, committed_ - leastKnown());
+        if (!whole) recovery.mostMissing = std::max(recovery.mostMissing, committed_ - minPurgesKnown());
         return recovery;
     }
-    std::size_t leastKnown() {
+    std::size_t minPurgesKnown() {
         std::size_t least = SIZE_MAX;
-        for (const HollowStatus& status : statuses()) least = std::min(least, status.leastKnown);
+        for (const HeadlessProcessStatus& status : statuses()) least = std::min(least, status.minPurgesKnown);
         return least;
     }
 
@@ -311,7 +311,7 @@
     ApplyTimes times_;
     Cluster cluster_;
     int leader_;
-    std::vector<std::unique_ptr<HollowProcess>> fleet_;
+    std::vector<std::unique_ptr<HeadlessProcess>> fleet_;
     std::vector<std::unique_ptr<Program>> real_;
     std::vector<Restart> restarts_;
     std::size_t committed_ = 0;  // purges
