--- a/bench/scale/headless_gateways.cpp
+++ b/bench/scale/headless_gateways.cpp
@@ -109,13 +109,13 @@
 // The child's side.
 class HeadlessWorker {
 public:
-    HeadlessWorker(const HeadlessProcessOptions& plan, ApplyTimes& times, int commandFd, int answers)
-        : plan_(plan),
+    HeadlessWorker(const HeadlessProcessOptions& options, ApplyTimes& times, int commandFd, int answers)
+        : options_(options),
           times_(times),
           commandFd_(commandFd),
           answers_(answers),
-          configuration_(settings::readConfiguration(plan.configuration)) {
-        for (std::size_t i = 0; i < plan_.count; ++i) gateways_.push_back(make(i));
+          configuration_(settings::readConfiguration(options.configuration)) {
+        for (std::size_t i = 0; i < options_.count; ++i) gateways_.push_back(make(i));
     }
 
     void run() {
@@ -129,11 +129,11 @@
 private:
     std::unique_ptr<HeadlessGateway> make(std::size_t index) {
         // Each begins at another agent, as an operator would spread them.
-        auto buses = plan_.buses;
-        const auto shift = static_cast<std::ptrdiff_t>((plan_.first + index) % buses.size());
+        auto buses = options_.buses;
+        const auto shift = static_cast<std::ptrdiff_t>((options_.first + index) % buses.size());
         std::rotate(buses.begin(), buses.begin() + shift, buses.end());
-        return std::make_unique<HeadlessGateway>(loop_, configuration_, std::move(buses), plan_.first + index,
-                                                 times_);
+        return std::make_unique<HeadlessGateway>(loop_, configuration_, std::move(buses),
+                                                 options_.first + index, times_);
     }
     // False: the driver has gone.
     bool readCommands() {
@@ -187,7 +187,7 @@
         }
     }
 
-    const HeadlessProcessOptions& plan_;
+    const HeadlessProcessOptions& options_;
     ApplyTimes& times_;
     int commandFd_, answers_;
     settings::Configuration configuration_;
@@ -229,7 +229,8 @@
          from.at("cpu_us"), from.at("resident_kb"), from.at("restarts")};
 }
 
-HeadlessProcess::HeadlessProcess(const HeadlessProcessOptions& plan, ApplyTimes& times) : count_(plan.count) {
+HeadlessProcess::HeadlessProcess(const HeadlessProcessOptions& options, ApplyTimes& times)
+    : count_(options.count) {
     int commandPipe[2], answerPipe[2];
     if (::pipe2(commandPipe, O_CLOEXEC) != 0 || ::pipe2(answerPipe, O_CLOEXEC) != 0)
         throw std::system_error(errno, std::generic_category(), "pipe");
@@ -244,7 +245,7 @@
         ::fcntl(commandPipe[0], F_SETFL, O_NONBLOCK);
         if (!std::freopen("/dev/null", "w", stderr)) ::_exit(1);  // hundreds of readers log each move
         try {
-            HeadlessWorker(plan, times, commandPipe[0], answerPipe[1]).run();
+            HeadlessWorker(options, times, commandPipe[0], answerPipe[1]).run();
         } catch (const std::exception& problem) {
             std::printf("hollow gateways: %s\n", problem.what());
             std::fflush(stdout);
--- a/bench/scale/headless_gateways.hpp
+++ b/bench/scale/headless_gateways.hpp
@@ -77,7 +77,7 @@
 // A child process of hollow gateways, driven through a pair of pipes.
 class HeadlessProcess {
 public:
-    HeadlessProcess(const HeadlessProcessOptions& plan, ApplyTimes& times);
+    HeadlessProcess(const HeadlessProcessOptions& options, ApplyTimes& times);
     ~HeadlessProcess();
     HeadlessProcess(const HeadlessProcess&) = delete;
     HeadlessProcess& operator=(const HeadlessProcess&) = delete;
--- a/bench/scale/scale_measures.cpp
+++ b/bench/scale/scale_measures.cpp
@@ -44,7 +44,7 @@
     return {at(0.5), at(0.99), values.back()};
 }
 
-Line lineThrough(const std::vector<std::pair<double, double>>& points) {
+LinearFit fitLine(const std::vector<std::pair<double, double>>& points) {
     if (points.size() < 2) return {};
     const auto count = static_cast<double>(points.size());
     double sumX = 0, sumY = 0, sumXX = 0, sumXY = 0;
@@ -54,10 +54,10 @@
         sumXX += x * x;
         sumXY += x * y;
     }
-    const double spread = count * sumXX - sumX * sumX;
-    if (spread == 0) return {};
-    Line line;
-    line.slope = (count * sumXY - sumX * sumY) / spread;
+    const double denominator = count * sumXX - sumX * sumX;
+    if (denominator == 0) return {};
+    LinearFit line;
+    line.slope = (count * sumXY - sumX * sumY) / denominator;
     line.intercept = (sumY - line.slope * sumX) / count;
     double squares = 0;
     for (const auto& [x, y] : points) squares += std::pow(y - line.intercept - line.slope * x, 2);
--- a/bench/scale/scale_measures.hpp
+++ b/bench/scale/scale_measures.hpp
@@ -25,11 +25,11 @@
 Percentiles percentilesOf(std::vector<double> values);
 
 // Least squares: y = intercept + slope * x.
-struct Line {
+struct LinearFit {
     double slope = 0, intercept = 0;
     double residual = 0;  // root of the mean square, in the unit of y
 };
 // Nothing but zeros for fewer than two points.
-Line lineThrough(const std::vector<std::pair<double, double>>& points);
+LinearFit fitLine(const std::vector<std::pair<double, double>>& points);
 
 }  // namespace lotuslead::scale
--- a/bench/scale/scale_run.cpp
+++ b/bench/scale/scale_run.cpp
@@ -15,11 +15,11 @@
 namespace {
 
 constexpr std::size_t kZones = 34, kRegions = 14;  // of the size that is designed for
-constexpr std::size_t kRestartShare = 10;          // one in ten at a time
-constexpr std::size_t kChangesOfATransaction = 500;
-constexpr auto kSettleWithin = 60s;
-constexpr auto kLook = 20ms;
-constexpr auto kFollowersLag = 500ms;  // a follower learns of a commit by a heartbeat or two
+constexpr std::size_t kRestartDivisor = 10;        // one in ten at a time
+constexpr std::size_t kMaxChangesPerTransaction = 500;
+constexpr auto kSettleTimeout = 60s;
+constexpr auto kPollInterval = 20ms;
+constexpr auto kFollowerLag = 500ms;  // a follower learns of a commit by a heartbeat or two
 
 std::int64_t unixMs() {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -28,22 +28,23 @@
 
 class Run {
 public:
-    explicit Run(const RunPlan& plan)
-        : plan_(plan),
-          steadyPurges_(static_cast<std::size_t>(plan.purgesPerSecond * plan.seconds)),
-          times_(plan.gateways, steadyPurges_, static_cast<std::size_t>(plan.seconds / plan.changeEvery) + 1),
-          cluster_(plan.agents, {{"election_ms", 1000}, {"heartbeat_ms", 50}}),
+    explicit Run(const RunOptions& options)
+        : options_(options),
+          steadyPurges_(static_cast<std::size_t>(options.purgesPerSecond * options.seconds)),
+          times_(options.gateways, steadyPurges_,
+                 static_cast<std::size_t>(options.seconds / options.changeIntervalSeconds) + 1),
+          cluster_(options.agents, {{"election_ms", 1000}, {"heartbeat_ms", 50}}),
           leader_(cluster_.awaitLeader()) {
-        result_.plan = plan;
+        result_.options = options;
     }
 
-    RunResult play() {
-        listStores();
+    RunResult execute() {
+        commitStores();
         startGateways();
         steadyPurges();
-        result_.restart = restart(std::max<std::size_t>(1, plan_.gateways / kRestartShare));
-        result_.zone = restart(std::max<std::size_t>(1, plan_.gateways / kZones));
-        if (plan_.cutPurges > 0) result_.region = cutRegion();
+        result_.restart = restart(std::max<std::size_t>(1, options_.gateways / kRestartDivisor));
+        result_.zone = restart(std::max<std::size_t>(1, options_.gateways / kZones));
+        if (options_.partitionPurges > 0) result_.region = partitionRegion();
         return result_;
     }
 
@@ -66,10 +67,10 @@
     static json purgeChange(std::size_t number) {
         return {{"key", "purges/object/" + purgedObject(number)}, {"value", {{"ts", unixMs()}}}};
     }
-    void listStores() {
-        for (std::size_t next = 0; next < plan_.stores;) {
+    void commitStores() {
+        for (std::size_t next = 0; next < options_.stores;) {
             json changes = json::array();
-            for (; next < plan_.stores && changes.size() < kChangesOfATransaction; ++next)
+            for (; next < options_.stores && changes.size() < kMaxChangesPerTransaction; ++next)
                 changes.push_back(storeChange(next, 1));
             commit(changes);
         }
@@ -78,10 +79,10 @@
     void commitPurges(std::size_t count) {
         while (count > 0) {
             json changes = json::array();
-            for (; count > 0 && changes.size() < kChangesOfATransaction; --count)
-                changes.push_back(purgeChange(committed_ + changes.size()));
+            for (; count > 0 && changes.size() < kMaxChangesPerTransaction; --count)
+                changes.push_back(purgeChange(committedPurges_ + changes.size()));
             commit(changes);
-            committed_ += changes.size();
+            committedPurges_ += changes.size();
         }
     }
 
@@ -89,24 +90,24 @@
 
     void startGateways() {
         json configuration = testing::configuration({});
-        configuration["settings"]["balancers"] = plan_.gateways;
+        configuration["settings"]["balancers"] = options_.gateways;
         configuration["known"] = {{"offset", 0}, {"batch", json::array()}};
         std::vector<settings::Endpoint> buses;
-        for (int id = 1; id <= plan_.agents; ++id)
+        for (int id = 1; id <= options_.agents; ++id)
             buses.push_back(settings::readEndpoint(cluster_.bus(id), "bus"));
-        for (std::size_t first = 0; first < plan_.gateways; first += plan_.perProcess) {
-            HeadlessProcessOptions plan;
-            plan.first = first;
-            plan.count = std::min(plan_.perProcess, plan_.gateways - first);
-            plan.buses = buses;
-            plan.configuration = configuration.dump();
-            fleet_.push_back(std::make_unique<HeadlessProcess>(plan, times_));
+        for (std::size_t first = 0; first < options_.gateways; first += options_.perProcess) {
+            HeadlessProcessOptions options;
+            options.first = first;
+            options.count = std::min(options_.perProcess, options_.gateways - first);
+            options.buses = buses;
+            options.configuration = configuration.dump();
+            fleet_.push_back(std::make_unique<HeadlessProcess>(options, times_));
         }
         configuration["bus"] = json::array();
-        for (int id = 1; id <= plan_.agents; ++id) configuration["bus"].push_back(cluster_.bus(id));
-        for (std::size_t i = 0; i < plan_.realGateways; ++i)
-            real_.push_back(std::make_unique<Program>(configuration));
-        for (const auto& program : real_) program->port();
+        for (int id = 1; id <= options_.agents; ++id) configuration["bus"].push_back(cluster_.bus(id));
+        for (std::size_t i = 0; i < options_.realGateways; ++i)
+            realGateways_.push_back(std::make_unique<Program>(configuration));
+        for (const auto& program : realGateways_) program->port();
         awaitFleet("to start");
         takeRestarts();
     }
@@ -117,7 +118,7 @@
     }
     // Until all are ready and know all purges, or the time is up.
     bool awaitFleet(const char* what) {
-        const auto until = std::chrono::steady_clock::now() + kSettleWithin;
+        const auto until = std::chrono::steady_clock::now() + kSettleTimeout;
         while (std::chrono::steady_clock::now() < until) {
             std::size_t ready = 0, minPurgesKnown = SIZE_MAX;
             for (HeadlessProcessStatus& status : statuses()) {
@@ -125,10 +126,10 @@
                 minPurgesKnown = std::min(minPurgesKnown, status.minPurgesKnown);
                 restarts_.insert(restarts_.end(), status.restarts.begin(), status.restarts.end());
             }
-            if (ready == plan_.gateways && minPurgesKnown >= committed_) return true;
-            std::this_thread::sleep_for(kLook);
+            if (ready == options_.gateways && minPurgesKnown >= committedPurges_) return true;
+            std::this_thread::sleep_for(kPollInterval);
         }
-        std::fprintf(stderr, "scale: %zu gateways were waited for %s in vain\n", plan_.gateways, what);
+        std::fprintf(stderr, "scale: %zu gateways were waited for %s in vain\n", options_.gateways, what);
         return false;
     }
     std::vector<Restart> takeRestarts() { return std::exchange(restarts_, {}); }
@@ -151,12 +152,12 @@
             now.headless.cpuUs += status.cpuUs;
             now.headless.residentKb += status.residentKb;
         }
-        for (const auto& program : real_) {
+        for (const auto& program : realGateways_) {
             const ProcessUsage one = usageOf(program->pid());
             now.realCpuUs += one.cpuUs;
             now.realKb += one.residentKb;
         }
-        for (int id = 1; id <= plan_.agents; ++id) {
+        for (int id = 1; id <= options_.agents; ++id) {
             const ProcessUsage one = usageOf(cluster_.pid(id));
             now.agentCpuUs.push_back(one.cpuUs);
             now.agentKb = std::max(now.agentKb, one.residentKb);
@@ -168,42 +169,44 @@
 
     void steadyPurges() {
         const Usage before = usage();
-        std::vector<std::int64_t> committedAt(steadyPurges_);
+        std::vector<std::int64_t> committedUs(steadyPurges_);
         std::vector<double> proposeMs;
-        std::vector<std::int64_t> changedAt;
-        const double intervalUs = 1e6 / plan_.purgesPerSecond;
+        std::vector<std::int64_t> changeCommittedUs;
+        const double intervalUs = 1e6 / options_.purgesPerSecond;
         const std::int64_t begin = monotonicUs();
-        std::int64_t nextChange = begin;
+        std::int64_t nextChangeUs = begin;
         for (std::size_t i = 0; i < steadyPurges_; ++i) {
             sleepUntil(begin + static_cast<std::int64_t>(intervalUs * static_cast<double>(i)));
-            const std::int64_t proposed = monotonicUs();
+            const std::int64_t proposedUs = monotonicUs();
             commit(json::array({purgeChange(i)}));
-            committedAt[i] = monotonicUs();
-            ++committed_;
-            proposeMs.push_back(static_cast<double>(committedAt[i] - proposed) / 1000);
-            if (proposed < nextChange || plan_.stores == 0 || changedAt.size() == times_.changes()) continue;
-            nextChange += static_cast<std::int64_t>(plan_.changeEvery * 1e6);
-            const double weight = kFirstChangeWeight + static_cast<double>(changedAt.size());
-            commit(json::array({storeChange(i % plan_.stores, weight)}));
-            changedAt.push_back(monotonicUs());
+            committedUs[i] = monotonicUs();
+            ++committedPurges_;
+            proposeMs.push_back(static_cast<double>(committedUs[i] - proposedUs) / 1000);
+            if (proposedUs < nextChangeUs || options_.stores == 0 ||
+                changeCommittedUs.size() == times_.changes())
+                continue;
+            nextChangeUs += static_cast<std::int64_t>(options_.changeIntervalSeconds * 1e6);
+            const double weight = kFirstChangeWeight + static_cast<double>(changeCommittedUs.size());
+            commit(json::array({storeChange(i % options_.stores, weight)}));
+            changeCommittedUs.push_back(monotonicUs());
         }
         const Usage after = usage();
         awaitFleet("to apply the purges");
-        rates(before, after);
+        recordRates(before, after);
         result_.proposeMs = percentilesOf(std::move(proposeMs));
-        latencies(committedAt);
-        result_.changeLastMs = lastOfChanges(changedAt);
+        recordPurgeLatencies(committedUs);
+        result_.changeToLastGatewayMs = changeLatencies(changeCommittedUs);
     }
-    Percentiles lastOfChanges(const std::vector<std::int64_t>& changedAt) {
+    Percentiles changeLatencies(const std::vector<std::int64_t>& changeCommittedUs) {
         std::vector<double> last;
-        for (std::size_t change = 0; change < changedAt.size(); ++change) {
-            double latest = 0;
-            for (std::size_t gateway = 0; gateway < plan_.gateways; ++gateway) {
+        for (std::size_t change = 0; change < changeCommittedUs.size(); ++change) {
+            double latestMs = 0;
+            for (std::size_t gateway = 0; gateway < options_.gateways; ++gateway) {
                 const std::int64_t at = times_.ofChange(gateway, change);
                 result_.neverApplied += at == 0;
-                latest = std::max(latest, static_cast<double>(at - changedAt[change]) / 1000);
+                latestMs = std::max(latestMs, static_cast<double>(at - changeCommittedUs[change]) / 1000);
             }
-            last.push_back(latest);
+            last.push_back(latestMs);
         }
         return percentilesOf(std::move(last));
     }
@@ -211,17 +214,17 @@
         const std::int64_t left = atUs - monotonicUs();
         if (left > 0) std::this_thread::sleep_for(std::chrono::microseconds{left});
     }
-    void rates(const Usage& before, const Usage& after) {
+    void recordRates(const Usage& before, const Usage& after) {
         const double seconds = static_cast<double>(after.atUs - before.atUs) / 1e6;
-        const auto fleet = static_cast<double>(plan_.gateways);
+        const auto fleet = static_cast<double>(options_.gateways);
         const auto rate = [&](auto from, auto to) { return static_cast<double>(to - from) / seconds; };
         const auto percent = [&](auto from, auto to) { return rate(from, to) / 1e6 * 100; };
         result_.gatewayBytesPerSecond = rate(before.headless.bytes, after.headless.bytes) / fleet;
         result_.gatewayPollsPerSecond = rate(before.headless.polls, after.headless.polls) / fleet;
         result_.gatewayCpuPercent = percent(before.headless.cpuUs, after.headless.cpuUs) / fleet;
         result_.gatewayKb = static_cast<double>(after.headless.residentKb) / fleet;
-        if (!real_.empty()) {
-            const auto count = static_cast<double>(real_.size());
+        if (!realGateways_.empty()) {
+            const auto count = static_cast<double>(realGateways_.size());
             result_.realCpuPercent = percent(before.realCpuUs, after.realCpuUs) / count;
             result_.realKb = static_cast<double>(after.realKb) / count;
         }
@@ -234,37 +237,37 @@
         result_.agentKb = static_cast<double>(after.agentKb);
         result_.raftBytesPerSecond = rate(before.raftBytes, after.raftBytes);
     }
-    void latencies(const std::vector<std::int64_t>& committedAt) {
+    void recordPurgeLatencies(const std::vector<std::int64_t>& committedUs) {
         std::vector<double> each, last;
-        for (std::size_t purge = 0; purge < committedAt.size(); ++purge) {
-            double latest = 0;
-            for (std::size_t gateway = 0; gateway < plan_.gateways; ++gateway) {
+        for (std::size_t purge = 0; purge < committedUs.size(); ++purge) {
+            double latestMs = 0;
+            for (std::size_t gateway = 0; gateway < options_.gateways; ++gateway) {
                 const std::int64_t at = times_.ofPurge(gateway, purge);
                 if (at == 0) {
                     ++result_.neverApplied;
                     continue;
                 }
                 // A follower's reader may have it before the writer has its answer.
-                const double ms = std::max<double>(0, static_cast<double>(at - committedAt[purge]) / 1000);
+                const double ms = std::max<double>(0, static_cast<double>(at - committedUs[purge]) / 1000);
                 each.push_back(ms);
-                latest = std::max(latest, ms);
+                latestMs = std::max(latestMs, ms);
             }
-            last.push_back(latest);
+            last.push_back(latestMs);
         }
-        result_.purgeGatewayMs = percentilesOf(std::move(each));
-        result_.purgeLastMs = percentilesOf(std::move(last));
+        result_.purgeToGatewayMs = percentilesOf(std::move(each));
+        result_.purgeToLastGatewayMs = percentilesOf(std::move(last));
     }
 
     // ----- recoveries -----
 
-    Recovery judge(std::size_t gateways, std::size_t committedBefore) {
+    Recovery measureRecovery(std::size_t gateways, std::size_t committedBefore) {
         Recovery recovery;
         recovery.gateways = gateways;
         std::vector<double> readyMs;
         for (const Restart& one : takeRestarts()) {
             readyMs.push_back(static_cast<double>(one.readyAfterUs) / 1000);
             const std::size_t missing = committedBefore - std::min(committedBefore, one.purgesKnown);
-            recovery.mostMissing = std::max(recovery.mostMissing, missing);
+            recovery.maxMissingPurges = std::max(recovery.maxMissingPurges, missing);
         }
         recovery.ready = readyMs.size();
         recovery.readyMs = percentilesOf(std::move(readyMs));
@@ -272,8 +275,8 @@
     }
     Recovery restart(std::size_t count) {
         takeRestarts();
-        std::this_thread::sleep_for(kFollowersLag);
-        const std::size_t before = committed_;
+        std::this_thread::sleep_for(kFollowerLag);
+        const std::size_t before = committedPurges_;
         std::size_t left = count;
         for (const auto& process : fleet_) {
             const std::size_t here = std::min(left, process->gateways());
@@ -281,23 +284,25 @@
             left -= here;
         }
         awaitFleet("to be back");
-        return judge(count, before);
+        return measureRecovery(count, before);
     }
     // The region's gateways hear nothing while the purges of an hour are agreed on. Then half of them are
     // back as they were, and after that all are started anew.
-    Recovery cutRegion() {
+    Recovery partitionRegion() {
         const std::size_t count =
-            std::min(fleet_.front()->gateways(), std::max<std::size_t>(1, plan_.gateways / kRegions));
+            std::min(fleet_.front()->gateways(), std::max<std::size_t>(1, options_.gateways / kRegions));
         fleet_.front()->disconnect(count);
-        commitPurges(plan_.cutPurges);
+        commitPurges(options_.partitionPurges);
         const std::int64_t begin = monotonicUs();
         fleet_.front()->reconnect();
-        const bool whole = awaitFleet("after the cut");
+        const bool caughtUp = awaitFleet("after the cut");
         const double backMs = static_cast<double>(monotonicUs() - begin) / 1000;
         Recovery recovery = restart(count);
         std::fprintf(stderr, "scale: %zu gateways were cut off from %zu purges and %s after %.0f ms\n", count,
-                     plan_.cutPurges, whole ? "had all" : "did not have all", backMs);
-        if (!whole) recovery.mostMissing = std::max(recovery.mostMissing, committed_ - minPurgesKnown());
+                     options_.partitionPurges, caughtUp ? "had all" : "did not have all", backMs);
+        if (!caughtUp)
+            recovery.maxMissingPurges =
+                std::max(recovery.maxMissingPurges, committedPurges_ - minPurgesKnown());
         return recovery;
     }
     std::size_t minPurgesKnown() {
@@ -306,15 +311,15 @@
         return least;
     }
 
-    RunPlan plan_;
+    RunOptions options_;
     std::size_t steadyPurges_;
     ApplyTimes times_;
     Cluster cluster_;
     int leader_;
     std::vector<std::unique_ptr<HeadlessProcess>> fleet_;
-    std::vector<std::unique_ptr<Program>> real_;
+    std::vector<std::unique_ptr<Program>> realGateways_;
     std::vector<Restart> restarts_;
-    std::size_t committed_ = 0;  // purges
+    std::size_t committedPurges_ = 0;  // purges
     RunResult result_;
 };
 
@@ -323,26 +328,26 @@
     return {{"gateways", r.gateways},
             {"ready", r.ready},
             {"ready_ms", toJson(r.readyMs)},
-            {"most_missing", r.mostMissing}};
+            {"most_missing", r.maxMissingPurges}};
 }
 
 }  // namespace
 
 bool RunResult::complete() const {
-    const auto whole = [](const Recovery& r) { return r.ready == r.gateways && r.mostMissing == 0; };
-    return neverApplied == 0 && whole(restart) && whole(zone) && whole(region);
+    const auto recovered = [](const Recovery& r) { return r.ready == r.gateways && r.maxMissingPurges == 0; };
+    return neverApplied == 0 && recovered(restart) && recovered(zone) && recovered(region);
 }
 
 json toJson(const RunResult& r) {
-    return {{"gateways", r.plan.gateways},
-            {"agents", r.plan.agents},
-            {"stores", r.plan.stores},
-            {"purges_per_second", r.plan.purgesPerSecond},
-            {"seconds", r.plan.seconds},
+    return {{"gateways", r.options.gateways},
+            {"agents", r.options.agents},
+            {"stores", r.options.stores},
+            {"purges_per_second", r.options.purgesPerSecond},
+            {"seconds", r.options.seconds},
             {"propose_ms", toJson(r.proposeMs)},
-            {"purge_to_gateway_ms", toJson(r.purgeGatewayMs)},
-            {"purge_to_last_gateway_ms", toJson(r.purgeLastMs)},
-            {"change_to_last_gateway_ms", toJson(r.changeLastMs)},
+            {"purge_to_gateway_ms", toJson(r.purgeToGatewayMs)},
+            {"purge_to_last_gateway_ms", toJson(r.purgeToLastGatewayMs)},
+            {"change_to_last_gateway_ms", toJson(r.changeToLastGatewayMs)},
             {"never_applied", r.neverApplied},
             {"gateway_bytes_per_second", r.gatewayBytesPerSecond},
             {"gateway_polls_per_second", r.gatewayPollsPerSecond},
@@ -360,6 +365,6 @@
             {"complete", r.complete()}};
 }
 
-RunResult run(const RunPlan& plan) { return Run(plan).play(); }
+RunResult run(const RunOptions& options) { return Run(options).execute(); }
 
 }  // namespace lotuslead::scale
--- a/bench/scale/state_cost.cpp
+++ b/bench/scale/state_cost.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr std::int64_t kStartMs = 1'764'576'000'000, kBetweenMs = 77;  // 13 a second
+constexpr std::int64_t kStartMs = 1'764'576'000'000, kPurgeIntervalMs = 77;  // 13 a second
 
 std::string purgeCommand(std::size_t number) {
-    const std::int64_t atMs = kStartMs + static_cast<std::int64_t>(number) * kBetweenMs;
+    const std::int64_t atMs = kStartMs + static_cast<std::int64_t>(number) * kPurgeIntervalMs;
     config::Command command;
     command.transaction.atMs = atMs;
     command.transaction.changes = {
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-StateCost measureState(std::size_t purges, std::size_t stores) {
+StateCost measureStateCost(std::size_t purges, std::size_t stores) {
     StateCost cost;
     cost.purges = purges;
     const std::int64_t residentKb = usageOf(::getpid()).residentKb;
--- a/bench/scale/state_cost.hpp
+++ b/bench/scale/state_cost.hpp
@@ -16,6 +16,6 @@
 };
 
 // Measured in this process, with so many purges and as many stores as the design wants.
-StateCost measureState(std::size_t purges, std::size_t stores);
+StateCost measureStateCost(std::size_t purges, std::size_t stores);
 
 }  // namespace lotuslead::scale
