--- a/bench/scale/headless_gateways.cpp
+++ b/bench/scale/headless_gateways.cpp
@@ -29,8 +29,7 @@
 namespace {
 
 constexpr std::string_view kObjectPrefix = "scale-purge-";
-constexpr net::Micros kCommandPollInterval =
-    10ms;  // commandFd come by a pipe that is looked at between turns
+constexpr net::Micros kCommandPollInterval = 10ms;  // the command pipe is read between turns of the loop
 
 std::optional<std::size_t> purgeNumberOf(std::string_view object) {
     if (object.substr(0, kObjectPrefix.size()) != kObjectPrefix) return {};
@@ -60,7 +59,7 @@
     void disconnect() { reader_.setEndpoints({}); }
     void reconnect() { reader_.setEndpoints(buses_); }
     bool ready() const { return reader_.caughtUp(); }
-    // Once, when it has become ready.
+    // Returns the restart once, after the gateway has become ready.
     std::optional<Restart> takeReadiness() {
         if (readinessReported_ || !ready()) return {};
         readinessReported_ = true;
@@ -106,7 +105,7 @@
     bool readinessReported_ = false;
 };
 
-// The child's side.
+// Runs the gateways and executes the commands in the child process.
 class HeadlessWorker {
 public:
     HeadlessWorker(const HeadlessProcessOptions& options, ApplyTimes& times, int commandFd, int answers)
@@ -128,14 +127,14 @@
 
 private:
     std::unique_ptr<HeadlessGateway> make(std::size_t index) {
-        // Each begins at another agent, as an operator would spread them.
+        // Consecutive gateways begin with different agents, as an operator would spread them.
         auto buses = options_.buses;
         const auto shift = static_cast<std::ptrdiff_t>((options_.first + index) % buses.size());
         std::rotate(buses.begin(), buses.begin() + shift, buses.end());
         return std::make_unique<HeadlessGateway>(loop_, configuration_, std::move(buses),
                                                  options_.first + index, times_);
     }
-    // False: the driver has gone.
+    // Returns false when the parent has closed the pipe.
     bool readCommands() {
         char chunk[4096];
         ssize_t got;
@@ -159,7 +158,7 @@
         if (kind == "disconnect")
             for (std::size_t i = 0; i < count; ++i) gateways_[i]->disconnect();
         if (kind != "restart") return;
-        // All are lost before the first is back, as when their zone is.
+        // All are destroyed before the first is recreated, as when a whole zone fails.
         for (std::size_t i = 0; i < count; ++i) gateways_[i].reset();
         for (std::size_t i = 0; i < count; ++i) gateways_[i] = make(i);
     }
@@ -243,11 +242,12 @@
         ::close(commandPipe[1]);
         ::close(answerPipe[0]);
         ::fcntl(commandPipe[0], F_SETFL, O_NONBLOCK);
-        if (!std::freopen("/dev/null", "w", stderr)) ::_exit(1);  // hundreds of readers log each move
+        if (!std::freopen("/dev/null", "w", stderr))
+            ::_exit(1);  // hundreds of readers would log every change of agent
         try {
             HeadlessWorker(options, times, commandPipe[0], answerPipe[1]).run();
         } catch (const std::exception& problem) {
-            std::printf("hollow gateways: %s\n", problem.what());
+            std::printf("headless gateways: %s\n", problem.what());
             std::fflush(stdout);
         }
         ::_exit(0);
@@ -268,14 +268,14 @@
 void HeadlessProcess::command(const char* kind, std::size_t count) {
     const std::string line = std::string(kind) + " " + std::to_string(count) + "\n";
     if (::write(commandFd_, line.data(), line.size()) != static_cast<ssize_t>(line.size()))
-        throw std::runtime_error("a process of hollow gateways has ended");
+        throw std::runtime_error("a process of headless gateways has ended");
 }
 
 HeadlessProcessStatus HeadlessProcess::status() {
     command("status", 0);
     std::string line;
     for (int c; (c = std::fgetc(answers_)) != EOF && c != '\n';) line += static_cast<char>(c);
-    if (line.empty()) throw std::runtime_error("a process of hollow gateways has ended");
+    if (line.empty()) throw std::runtime_error("a process of headless gateways has ended");
     return json::parse(line).get<HeadlessProcessStatus>();
 }
 
--- a/bench/scale/headless_gateways.hpp
+++ b/bench/scale/headless_gateways.hpp
@@ -1,5 +1,6 @@
-// Hollow gateways: the real event bus reader, decoder and decisions, without a front. Hundreds share one
-// process and one loop, so that a fleet fits on one machine.
+// Headless gateways: the real event bus reader, event decoder and decision code, without the front that
+// clients connect to. Hundreds share one process and one event loop, so that a whole fleet fits on one
+// machine. The output calls them hollow gateways.
 #pragma once
 
 #include <sys/types.h>
@@ -15,14 +16,14 @@
 
 namespace lotuslead::scale {
 
-// Purges are numbered from 0 answerPipe; this is the object that the purge of a number names.
+// The object that purge `number` names; purges are numbered from 0.
 std::string purgedObject(std::size_t number);
 
-// Changes of the list are told apart by the weight that they give a store: this, and their number.
+// Change n of the store list gives a store the weight kFirstChangeWeight + n, which identifies the change.
 inline constexpr double kFirstChangeWeight = 1000;
 
-// When each gateway applied each purge and, behind those, each change of the list, on the machine's monotonic
-// clock in microseconds; 0: not yet. The memory is shared by all processes that are forked after it was made.
+// When each gateway applied each purge and each change of the store list, on the machine's monotonic clock in
+// microseconds; 0: not yet. The memory is shared with all processes that are forked after its construction.
 class ApplyTimes {
 public:
     ApplyTimes(std::size_t gateways, std::size_t purges, std::size_t changes);
@@ -47,14 +48,14 @@
     std::atomic<std::int64_t>* times_;
 };
 
-// What one process of hollow gateways is made of.
+// The configuration of one process of headless gateways.
 struct HeadlessProcessOptions {
-    std::size_t first = 0, count = 0;  // of the fleet's gateways
+    std::size_t first = 0, count = 0;  // the range of the fleet's gateways that it runs
     std::vector<settings::Endpoint> buses;
-    std::string configuration;  // JSON, as a gateway reads it
+    std::string configuration;  // JSON, in the format that a gateway reads
 };
 
-// One gateway that was started anew: how long it took to be ready, and how many purges it knew then.
+// The start of one gateway: the time until it was ready, and the number of purges that it knew then.
 struct Restart {
     std::int64_t readyAfterUs = 0;
     std::size_t purgesKnown = 0;
@@ -62,19 +63,19 @@
 void to_json(nlohmann::json& into, const Restart& restart);
 void from_json(const nlohmann::json& into, Restart& restart);
 
-// One process's figures. Counters and processor time are sums over its gateways since it started.
+// The state of one process. Counters and CPU time are sums over its gateways since the process started.
 struct HeadlessProcessStatus {
     std::size_t ready = 0;
-    std::size_t minPurgesKnown = 0;  // purges, by the gateway that knows the fewest
+    std::size_t minPurgesKnown = 0;  // of the gateway that knows the fewest purges
     std::uint64_t polls = 0, events = 0, reconnects = 0, bytes = 0;
     std::int64_t cpuUs = 0;
     std::int64_t residentKb = 0;
-    std::vector<Restart> restarts;  // those that were ready since they were last asked for
+    std::vector<Restart> restarts;  // those that completed since the last status
 };
 void to_json(nlohmann::json& into, const HeadlessProcessStatus& status);
 void from_json(const nlohmann::json& into, HeadlessProcessStatus& status);
 
-// A child process of hollow gateways, driven through a pair of pipes.
+// A child process of headless gateways, controlled through a pair of pipes.
 class HeadlessProcess {
 public:
     HeadlessProcess(const HeadlessProcessOptions& options, ApplyTimes& times);
@@ -83,9 +84,9 @@
     HeadlessProcess& operator=(const HeadlessProcess&) = delete;
 
     std::size_t gateways() const { return count_; }
-    // The first `count` gateways lose all that they know and start anew, at once.
+    // Restarts the first `count` gateways at the same time, without the state that they had.
     void restart(std::size_t count) { command("restart", count); }
-    // The first `count` gateways reach no agent until they are reconnected.
+    // Cuts the first `count` gateways off from all agents until reconnect().
     void disconnect(std::size_t count) { command("disconnect", count); }
     void reconnect() { command("reconnect", 0); }
     HeadlessProcessStatus status();
--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -1,5 +1,6 @@
-// The scale run: how purges and changes of the list reach a fleet, and what that costs gateways and agents.
-// Exit codes: 0 all gateways had all purges, 1 some did not or a run failed, 2 bad arguments.
+// The scale run: measures how fast purges and changes of the store list reach a fleet of gateways, and what
+// that costs the gateways and the agents. Exit codes: 0 all gateways had all purges, 1 some did not or a run
+// failed, 2 invalid arguments.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <fstream>
@@ -47,7 +48,7 @@
         c.purges, c.applyUs, c.worstApplyMs, c.dumpMs, c.snapshotMb, c.loadMs, c.pageMs, c.residentMb);
 }
 
-// A line through all sizes of one rate of purges; a figure beyond the largest size is extrapolated by it.
+// Fits a line through all fleet sizes at one rate of purges, to extrapolate beyond the largest size.
 json printAndFit(const std::vector<RunResult>& results, double rate) {
     json all = json::array();
     for (const Figure& figure : kFigures) {
@@ -71,29 +72,32 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app("Measures how purges and changes reach a fleet of hollow gateways, and what it costs.");
+    CLI::App app("Measures how fast purges and changes reach a fleet of gateways, and what that costs.");
     std::vector<std::size_t> sizes{100, 300};
     std::vector<double> rates{13};
     RunOptions options;
     std::string jsonPath;
-    app.add_option("--sizes", sizes, "hollow gateways")->delimiter(',')->check(CLI::Range(1, 4000));
-    app.add_option("--rates", rates, "purges a second")->delimiter(',')->check(CLI::Range(1, 200));
-    app.add_option("--seconds", options.seconds, "steady purges, for each size and rate")
+    app.add_option("--sizes", sizes, "numbers of headless (hollow) gateways")
+        ->delimiter(',')
+        ->check(CLI::Range(1, 4000));
+    app.add_option("--rates", rates, "purges per second")->delimiter(',')->check(CLI::Range(1, 200));
+    app.add_option("--seconds", options.seconds, "duration of the steady purges, for each size and rate")
         ->check(CLI::Range(1, 600));
-    app.add_option("--stores", options.stores, "stores in the list")->check(CLI::Range(0, 5000));
-    app.add_option("--agents", options.agents, "that agree by Raft")->check(CLI::Range(1, 5));
-    app.add_option("--real", options.realGateways, "real gateways beside the hollow ones")
+    app.add_option("--stores", options.stores, "number of stores in the list")->check(CLI::Range(0, 5000));
+    app.add_option("--agents", options.agents, "number of agents in the Raft cluster")
+        ->check(CLI::Range(1, 5));
+    app.add_option("--real", options.realGateways, "number of real gateways beside the headless ones")
         ->check(CLI::Range(0, 20));
-    app.add_option("--per-process", options.perProcess, "hollow gateways a process")
+    app.add_option("--per-process", options.perProcess, "number of headless gateways per process")
         ->check(CLI::Range(1, 1000));
-    app.add_option("--cut-purges", options.partitionPurges, "told while a region is cut off; 0: no cut")
+    app.add_option("--cut-purges", options.partitionPurges,
+                   "number of purges committed while a region is cut off; 0: no such step")
         ->check(CLI::Range(0, 200'000));
     std::vector<std::size_t> statePurgeCounts;
-    app.add_option("--state", statePurgeCounts,
-                   "measure an agent's state with so many purges, and nothing else")
+    app.add_option("--state", statePurgeCounts, "only measure an agent's state with these numbers of purges")
         ->delimiter(',')
         ->check(CLI::Range(1, 400'000));
-    app.add_option("--json", jsonPath, "where all figures go");
+    app.add_option("--json", jsonPath, "file to write all results to");
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& problem) {
--- a/bench/scale/scale_measures.cpp
+++ b/bench/scale/scale_measures.cpp
@@ -21,7 +21,8 @@
     ProcessUsage usage;
     std::ifstream stat(folder + "/stat");
     std::string text{std::istreambuf_iterator<char>(stat), {}};
-    // The name, in brackets, may hold blanks; user and system time are the 12th and 13th field behind it.
+    // The process name, in parentheses, may contain spaces; user and system time are the 12th and 13th field
+    // after it.
     std::istringstream fields(text.substr(std::min(text.size(), text.rfind(')') + 1)));
     std::string skipped;
     for (int i = 0; i < 11; ++i) fields >> skipped;
--- a/bench/scale/scale_run.cpp
+++ b/bench/scale/scale_run.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-constexpr std::size_t kZones = 34, kRegions = 14;  // of the size that is designed for
-constexpr std::size_t kRestartDivisor = 10;        // one in ten at a time
+constexpr std::size_t kZones = 34, kRegions = 14;  // of the deployment that the service is designed for
+constexpr std::size_t kRestartDivisor = 10;        // one gateway in ten restarts at a time
 constexpr std::size_t kMaxChangesPerTransaction = 500;
 constexpr auto kSettleTimeout = 60s;
 constexpr auto kPollInterval = 20ms;
-constexpr auto kFollowerLag = 500ms;  // a follower learns of a commit by a heartbeat or two
+constexpr auto kFollowerLag = 500ms;  // a follower learns of a commit within one or two heartbeats
 
 std::int64_t unixMs() {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -49,13 +49,13 @@
     }
 
 private:
-    // ----- what is agreed -----
+    // ----- changes of the agreed state -----
 
     void commit(const json& changes) {
         const auto answer = ctl::Client::callAgent(cluster_.control(leader_), "POST", "/config",
                                                    json{{"do", changes}}.dump());
         if (!answer || answer->status != 200)
-            throw std::runtime_error("the agents did not take a change: " +
+            throw std::runtime_error("the agents rejected a change: " +
                                      (answer ? answer->body : std::string("no answer")));
     }
     static json storeChange(std::size_t number, double weight) {
@@ -75,7 +75,7 @@
             commit(changes);
         }
     }
-    // All at once, as one region's hour would be to those who missed it.
+    // Commits without pacing, as the missed purges of an hour would reach a region that was cut off.
     void commitPurges(std::size_t count) {
         while (count > 0) {
             json changes = json::array();
@@ -116,7 +116,7 @@
         for (const auto& process : fleet_) all.push_back(process->status());
         return all;
     }
-    // Until all are ready and know all purges, or the time is up.
+    // Waits until all gateways are ready and know all purges; false if kSettleTimeout passed before.
     bool awaitFleet(const char* what) {
         const auto until = std::chrono::steady_clock::now() + kSettleTimeout;
         while (std::chrono::steady_clock::now() < until) {
@@ -129,19 +129,19 @@
             if (ready == options_.gateways && minPurgesKnown >= committedPurges_) return true;
             std::this_thread::sleep_for(kPollInterval);
         }
-        std::fprintf(stderr, "scale: %zu gateways were waited for %s in vain\n", options_.gateways, what);
+        std::fprintf(stderr, "scale: timed out waiting for %zu gateways %s\n", options_.gateways, what);
         return false;
     }
     std::vector<Restart> takeRestarts() { return std::exchange(restarts_, {}); }
 
-    // ----- the steady state -----
+    // ----- steady load -----
 
     struct Usage {
         std::int64_t atUs = 0;
-        HeadlessProcessStatus headless;  // sums
+        HeadlessProcessStatus headless;  // sums over all processes
         std::int64_t realCpuUs = 0, realKb = 0;
         std::vector<std::int64_t> agentCpuUs;
-        std::int64_t agentKb = 0;  // of the largest
+        std::int64_t agentKb = 0;  // of the largest agent
         std::uint64_t raftBytes = 0;
     };
     Usage usage() {
@@ -247,7 +247,7 @@
                     ++result_.neverApplied;
                     continue;
                 }
-                // A follower's reader may have it before the writer has its answer.
+                // A gateway may learn of a purge from a follower before the writer has its answer.
                 const double ms = std::max<double>(0, static_cast<double>(at - committedUs[purge]) / 1000);
                 each.push_back(ms);
                 latestMs = std::max(latestMs, ms);
@@ -283,11 +283,11 @@
             if (here > 0) process->restart(here);
             left -= here;
         }
-        awaitFleet("to be back");
+        awaitFleet("to recover from a restart");
         return measureRecovery(count, before);
     }
-    // The region's gateways hear nothing while the purges of an hour are agreed on. Then half of them are
-    // back as they were, and after that all are started anew.
+    // Cuts the gateways of a region off while the purges of an hour are committed. Then they reconnect with
+    // the state that they had, and after that all of them are restarted.
     Recovery partitionRegion() {
         const std::size_t count =
             std::min(fleet_.front()->gateways(), std::max<std::size_t>(1, options_.gateways / kRegions));
@@ -295,7 +295,7 @@
         commitPurges(options_.partitionPurges);
         const std::int64_t begin = monotonicUs();
         fleet_.front()->reconnect();
-        const bool caughtUp = awaitFleet("after the cut");
+        const bool caughtUp = awaitFleet("to recover from the cut");
         const double backMs = static_cast<double>(monotonicUs() - begin) / 1000;
         Recovery recovery = restart(count);
         std::fprintf(stderr, "scale: %zu gateways were cut off from %zu purges and %s after %.0f ms\n", count,
@@ -319,7 +319,7 @@
     std::vector<std::unique_ptr<HeadlessProcess>> fleet_;
     std::vector<std::unique_ptr<Program>> realGateways_;
     std::vector<Restart> restarts_;
-    std::size_t committedPurges_ = 0;  // purges
+    std::size_t committedPurges_ = 0;
     RunResult result_;
 };
 
--- a/bench/scale/state_cost.cpp
+++ b/bench/scale/state_cost.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::int64_t kStartMs = 1'764'576'000'000, kPurgeIntervalMs = 77;  // 13 a second
+constexpr std::int64_t kStartMs = 1'764'576'000'000, kPurgeIntervalMs = 77;  // 13 purges per second
 
 std::string purgeCommand(std::size_t number) {
     const std::int64_t atMs = kStartMs + static_cast<std::int64_t>(number) * kPurgeIntervalMs;
--- a/bench/scale/state_cost.hpp
+++ b/bench/scale/state_cost.hpp
@@ -1,4 +1,4 @@
-// What the agents' agreed state costs an agent: time on its one thread, and bytes of a snapshot.
+// Measures what the replicated state costs an agent: time on its single thread, and the size of a snapshot.
 #pragma once
 
 #include <cstddef>
@@ -7,15 +7,15 @@
 
 struct StateCost {
     std::size_t purges = 0;
-    double applyUs = 0;       // a command with one purge, on the mean
-    double worstApplyMs = 0;  // the slowest one
+    double applyUs = 0;       // mean time of a command with one purge
+    double worstApplyMs = 0;  // of the slowest command
     double dumpMs = 0, loadMs = 0;
-    double pageMs = 0;  // a full page of events
+    double pageMs = 0;  // to read a full page of events
     double snapshotMb = 0;
-    double residentMb = 0;  // that the state added to this process
+    double residentMb = 0;  // added to this process by the state
 };
 
-// Measured in this process, with so many purges and as many stores as the design wants.
+// Builds a state with so many purges and stores in this process and measures it.
 StateCost measureStateCost(std::size_t purges, std::size_t stores);
 
 }  // namespace lotuslead::scale
