--- a/bench/scale/scale_run.cpp
+++ b/bench/scale/scale_run.cpp
@@ -55,7 +55,7 @@
         const auto answer = ctl::Client::callAgent(cluster_.control(leader_), "POST", "/config",
                                                    json{{"do", changes}}.dump());
         if (!answer || answer->status != 200)
-            throw std::runtime_error("the agents rejected a change: " +
+            throw std::runtime_error("the agents did not accept a change: " +
                                      (answer ? answer->body : std::string("no answer")));
     }
     static json storeChange(std::size_t number, double weight) {
