--- a/bench/soak/gateways.cpp
+++ b/bench/soak/gateways.cpp
@@ -239,7 +239,7 @@
     const TimePoint signalledAt = Clock::now();
     ::kill(old.pid, SIGTERM);
     process_ = successor;
-    awaitExit(old, signalledAt, "after a successor took over");
+    awaitExit(old, signalledAt, "after its successor took over");
 }
 
 void Gateway::failSystemCalls(const std::atomic<bool>& finished) {
--- a/bench/soak/judge.hpp
+++ b/bench/soak/judge.hpp
@@ -76,7 +76,8 @@
     void answered(const std::string& trace, const RespMessage& answer, const std::string& expectedPrefix);
     // The connection was closed, or the client stopped waiting, before an answer came.
     void unanswered(const std::string& trace, const char* how);
-    void excusedRetry(const std::string& trace, Excuse why);  // no answer is due
+    // No answer is due: the request crossed a close within 50 ms on an idle connection, or was never sent.
+    void excusedRetry(const std::string& trace, Excuse why);
 
     Millis age(const std::string& trace) const;  // since it was sent
 
--- a/bench/soak/stores.cpp
+++ b/bench/soak/stores.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr Millis kPollInterval = 20ms;
-constexpr std::int64_t kMaxPurgeDelayMs = 5000;  // by then a store has applied a purge
+constexpr std::int64_t kMaxPurgeDelayMs = 5000;  // within this, a store drops purged copies by itself
 constexpr int kBacklog = 256;
 
 std::string valueOf(const std::string& fields, const std::string& name) {
