--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -67,7 +67,7 @@
     // Sets `current` to `next` and keeps the replaced listener open.
     void replace(std::unique_ptr<Listener>& current, std::unique_ptr<Listener> next);
     void close();
-    bool settled() { return !listener_ || listener_->acceptPending(); }
+    bool acceptPending() { return !listener_ || listener_->acceptPending(); }
 
 private:
     void closeOnceEmpty();
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -598,7 +598,7 @@
 
 bool Front::settled() {
     if (listener_ && !listener_->acceptPending()) return false;
-    if (!formerListener_.settled()) return false;
+    if (!formerListener_.acceptPending()) return false;
     return std::all_of(clients_.begin(), clients_.end(),
                        [](const auto& entry) { return entry.second->settled(); });
 }
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -576,7 +576,7 @@
 
 bool Front::settled() {
     if (listener_ && !listener_->acceptPending()) return false;
-    if (!previousListener_.settled()) return false;
+    if (!previousListener_.acceptPending()) return false;
     return std::all_of(clients_.begin(), clients_.end(),
                        [](const auto& entry) { return entry.second->settled(); });
 }
