--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -43,7 +43,7 @@
     virtual std::size_t openRequests() const = 0;
     // True if no answer is owed, all answers have been handed to the kernel, and all input has been read.
     // Accepts the connections that are still in the backlog.
-    virtual bool settled() = 0;
+    virtual bool isQuiescent() = 0;
     virtual Micros longestRequestTimeout() const = 0;
     virtual std::optional<settings::Endpoint> operatorAddress() const = 0;
     virtual void printCounters() const = 0;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -229,10 +229,11 @@
         std::fprintf(stderr, "lotuslead: last call, %zu requests open\n", openRequests());
         for (const auto& service : services_) service->failOpenRequests();
     }
-    bool settled = true;
+    bool allQuiescent = true;
     for (const auto& service : services_)
-        settled = service->settled() && (!handedOver_ || service->hasNoClients()) && settled;
-    if (!settled && passed < kill - kExitBeforeKill) return;
+        allQuiescent =
+            service->isQuiescent() && (!handedOver_ || service->hasNoClients()) && allQuiescent;
+    if (!allQuiescent && passed < kill - kExitBeforeKill) return;
     phase_ = Phase::stopped;
     std::fprintf(stderr, "lotuslead: stopped, %zu requests open\n", openRequests());
 }
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -53,7 +53,7 @@
         return owner_.loop_.now() - lastUsed_ < (inPartialMessage() ? kPartialMessageGrace : kSilentGrace);
     }
     // Whether the process may exit: nothing of a request is here, and none is expected right now.
-    bool settled() const {
+    bool isQuiescent() const {
         if (!idle() || (!closing_ && !stream_.nothingUnread())) return false;
         const Micros still = owner_.loop_.now() - lastByteAt_;
         return closing_ || (hasSentMessage_ ? !inPartialMessage() || still >= kPartialMessageShutdownGrace
@@ -596,11 +596,11 @@
     for (const auto& client : snapshot) client->failAndClose();
 }
 
-bool Front::settled() {
+bool Front::isQuiescent() {
     if (listener_ && !listener_->acceptPending()) return false;
     if (!previousListener_.acceptPending()) return false;
     return std::all_of(clients_.begin(), clients_.end(),
-                       [](const auto& entry) { return entry.second->settled(); });
+                       [](const auto& entry) { return entry.second->isQuiescent(); });
 }
 
 void Front::forget(Client* client) {
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -48,7 +48,7 @@
     void failOpenRequests();  // open calls are failed at once, new ones refused
     // No answer is owed, all answers have been handed to the kernel, and all input has been read. Accepts the
     // connections that are still in the backlog.
-    bool settled();
+    bool isQuiescent();
     std::size_t clientCount() const { return clients_.size(); }
     std::uint16_t port() const { return listener_->port(); }
     const Counters& counters() const { return counters_; }
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -121,7 +121,7 @@
     }
     void failOpenRequests() override { front_.failOpenRequests(); }
     std::size_t openRequests() const override { return requests_.openCount(); }
-    bool settled() override { return requests_.openCount() == 0 && front_.settled(); }
+    bool isQuiescent() override { return requests_.openCount() == 0 && front_.isQuiescent(); }
     core::Micros longestRequestTimeout() const override {
         return core::longestClientTimeout(baseConfiguration(configuration_).decoded.settings);
     }
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -90,7 +90,7 @@
         return idle() && unparsed_.empty() && !parser_.midMessage() && stream_.nothingUnread();
     }
     Micros lastActivity() const { return lastActivity_; }
-    bool settled() const { return closing_ ? idle() : resting(); }
+    bool isQuiescent() const { return closing_ ? idle() : resting(); }
     void lastCall() {
         if (!current_) return;
         if (current_->openFetch) {
@@ -574,11 +574,11 @@
     for (const auto& [key, client] : clients_) client->lastCall();
 }
 
-bool Front::settled() {
+bool Front::isQuiescent() {
     if (listener_ && !listener_->acceptPending()) return false;
     if (!previousListener_.acceptPending()) return false;
     return std::all_of(clients_.begin(), clients_.end(),
-                       [](const auto& entry) { return entry.second->settled(); });
+                       [](const auto& entry) { return entry.second->isQuiescent(); });
 }
 
 void Front::forget(Client* client) {
--- a/src/repository/front.hpp
+++ b/src/repository/front.hpp
@@ -43,7 +43,7 @@
         drain();
     }
     bool hasNoClients() const { return clients_.empty(); }
-    bool settled();  // as in the platform's front
+    bool isQuiescent();  // as in the platform's front
     std::uint16_t port() const { return listener_->port(); }
     const Counters& counters() const { return counters_; }
 
