--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -28,9 +28,9 @@
     // Tells clients to go elsewhere, until undrain().
     virtual void drain() = 0;
     virtual void undrain() = 0;
-    virtual void leave() = 0;  // the process will exit: health checks are told
-    // As leave(), but another process serves the same address, so clients need not be told.
-    virtual void leaveToSuccessor() = 0;
+    virtual void startShutdown() = 0;  // the process will exit: health checks are told
+    // As startShutdown(), but another process serves the same address, so clients need not be told.
+    virtual void stopAcceptingForSuccessor() = 0;
     virtual bool hasNoClients() const = 0;
     // Sets the number of processes that form this gateway and share its limits.
     virtual void setProcessCount(int processes) = 0;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -124,7 +124,7 @@
             until = std::min(until, loop_.now() + kPhaseCheckInterval);
         loop_.turn(until);
         // After the turn, so that a successor's SERVING message from the same turn counts.
-        if (std::exchange(shutdownRequested_, false)) leave();
+        if (std::exchange(shutdownRequested_, false)) startShutdown();
         reload();
         if (!loop_.timersDeferred())
             for (const auto& service : services_) service->runTimers(loop_.now());
@@ -197,7 +197,7 @@
     return true;
 }
 
-void Gateway::leave() {
+void Gateway::startShutdown() {
     if (phase_ == Phase::starting) phase_ = Phase::stopped;
     if (phase_ != Phase::serving && phase_ != Phase::draining) return;
     phase_ = Phase::leaving;
@@ -206,7 +206,7 @@
     updateLongestDeadline();
     // Without a successor, new connections still arrive here for a while and must be served.
     handedOver_ = handover_.successorServes();
-    for (const auto& service : services_) handedOver_ ? service->leaveToSuccessor() : service->leave();
+    for (const auto& service : services_) handedOver_ ? service->stopAcceptingForSuccessor() : service->startShutdown();
     std::fprintf(stderr, "lotuslead: leaving%s, %zu requests open\n", handedOver_ ? " to a successor" : "",
                  openRequests());
 }
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -48,7 +48,7 @@
     bool openAddresses(AddressSet which);
     void reload();
     void openOperatorServer();
-    void leave();
+    void startShutdown();
     void updateLongestDeadline();
     void advanceShutdown();
     std::size_t openRequests() const;
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -486,14 +486,14 @@
     sweepForDrain();
 }
 
-bool Front::reportsLeaving() const { return leaving_ || (drainingSince_ && !successorServes_); }
+bool Front::reportsLeaving() const { return shuttingDown_ || (drainingSince_ && !successorServes_); }
 
 void Front::setProcessCount(int processes) {
     processes_ = processes;
     applyLimits();
 }
 
-void Front::leaveToSuccessor() {
+void Front::stopAcceptingForSuccessor() {
     stopListening();
     successorServes_ = true;
     drain();
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -36,14 +36,14 @@
     // Applies new limits and possibly a new address; throws without any change if that cannot be listened on.
     void reconfigure(const settings::Configuration& configuration);
     void stopListening();
-    void leave() { leaving_ = true; }  // reported by CHECK
+    void startShutdown() { shuttingDown_ = true; }  // reported by CHECK
     // CHECK reports it at once, and connections close when they are idle; new calls are served, and refused
     // from kDrainRefuseAfter on. The few connections that are left then are closed at kDrainFailAfter.
     void drain();
     void undrain();
     // Another process listens on the same socket: this one stops listening and closes its connections as in a
     // drain, but CHECK keeps passing.
-    void leaveToSuccessor();
+    void stopAcceptingForSuccessor();
     bool hasNoClients() const { return clients_.empty(); }
     void failOpenRequests();  // open calls are failed at once, new ones refused
     // No answer is owed, all answers have been handed to the kernel, and all input has been read. Accepts the
@@ -86,7 +86,7 @@
     std::size_t heldBytes_ = 0;
     // Sizes of about the last fifty answers; before the first one, a quarter of the maximum.
     MovingAverage answerBytes_{0.02, 0.02, 60'000};
-    bool leaving_ = false;
+    bool shuttingDown_ = false;
     bool failingRequests_ = false;
     bool successorServes_ = false;
     std::optional<core::Micros> drainingSince_;
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -105,9 +105,9 @@
     }
     void drain() override { front_.drain(); }
     void undrain() override { front_.undrain(); }
-    void leave() override { front_.leave(); }
-    void leaveToSuccessor() override {
-        front_.leaveToSuccessor();
+    void startShutdown() override { front_.startShutdown(); }
+    void stopAcceptingForSuccessor() override {
+        front_.stopAcceptingForSuccessor();
         if (tier_) tier_->close();  // the successor waits for the folder
     }
     const char* stateKey() const override { return listenLabel_; }
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -192,7 +192,7 @@
 
     void beginRequest(const net::HttpHead& head) {
         current_.emplace();
-        current_->keepAlive = head.keepAlive() && !owner_.leaving_ && !owner_.drainingSince_;
+        current_->keepAlive = head.keepAlive() && !owner_.shuttingDown_ && !owner_.drainingSince_;
         current_->isHead = head.method == "HEAD";
         if (head.minorVersion >= 1 && !head.field("host")) return rejectAndClose(400);
         const auto path = normalizePath(head.target);
--- a/src/repository/front.hpp
+++ b/src/repository/front.hpp
@@ -34,11 +34,11 @@
     void reconfigure(const settings::RepositoryConfiguration& configuration);
     // Answers or aborts all open requests at once and refuses new ones.
     void failOpenRequests();
-    void leave() { leaving_ = true; }  // ends connections after their answers
+    void startShutdown() { shuttingDown_ = true; }  // ends connections after their answers
     // As in the platform's front: new requests are served at first and refused later; downloads continue.
     void drain();
     void undrain();
-    void leaveToSuccessor() {
+    void stopAcceptingForSuccessor() {
         listener_.reset();
         drain();
     }
@@ -68,7 +68,7 @@
     std::size_t maxBufferedBytes_ = 0;
     std::size_t unsentBytes_ = 0;    // of answers, not yet sent to clients
     std::size_t reservedBytes_ = 0;  // that open fetches may still deliver
-    bool leaving_ = false;
+    bool shuttingDown_ = false;
     bool lastCall_ = false;
     std::optional<core::Micros> drainingSince_;
     std::optional<net::Loop::TimerKey> drainSweepTimer_;
