--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -120,7 +120,7 @@
     while (phase_ != Phase::stopped) {
         Micros until = Micros::max();
         for (const auto& service : services_) until = std::min(until, service->nextTimerAt());
-        if (phase_ == Phase::starting || phase_ == Phase::leaving)
+        if (phase_ == Phase::starting || phase_ == Phase::shuttingDown)
             until = std::min(until, loop_.now() + kPhaseCheckInterval);
         loop_.turn(until);
         // After the turn, so that a successor's SERVING message from the same turn counts.
@@ -200,8 +200,8 @@
 void Gateway::startShutdown() {
     if (phase_ == Phase::starting) phase_ = Phase::stopped;
     if (phase_ != Phase::serving && phase_ != Phase::draining) return;
-    phase_ = Phase::leaving;
-    leavingSince_ = loop_.now();
+    phase_ = Phase::shuttingDown;
+    shutdownStartedAt_ = loop_.now();
     longestDeadline_ = Micros::max();
     updateLongestDeadline();
     // Without a successor, new connections still arrive here for a while and must be served.
@@ -211,7 +211,7 @@
                  openRequests());
 }
 
-// A reload while leaving may change the longest deadline. Which one the platform uses is unknown, so the
+// A reload during the shutdown may change the longest deadline. Which one the platform uses is unknown, so the
 // lowest counts.
 void Gateway::updateLongestDeadline() {
     Micros longest{};
@@ -220,9 +220,9 @@
 }
 
 void Gateway::advanceShutdown() {
-    if (phase_ != Phase::leaving) return;
+    if (phase_ != Phase::shuttingDown) return;
     updateLongestDeadline();
-    const Micros passed = loop_.now() - leavingSince_;
+    const Micros passed = loop_.now() - shutdownStartedAt_;
     if (passed < kTrafficAfterSigterm && !handedOver_) return;
     const Micros kill = std::min(longestDeadline_, kMaxDeadline) + kTrafficAfterSigterm;
     if (passed >= kill - kLastCallBeforeKill && !std::exchange(lastCallMade_, true)) {
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -14,8 +14,8 @@
 
 class Gateway : private net::Handler, private operators::GatewayControl, private HandoverChannel::Delegate {
 public:
-    // Operators start draining and can undo it; SIGTERM starts leaving, which ends the process.
-    enum class Phase { starting, serving, draining, leaving, stopped };
+    // Operators start draining and can undo it; SIGTERM starts the shutdown.
+    enum class Phase { starting, serving, draining, shuttingDown, stopped };
 
     // Blocks the handled signals until there is a Gateway to read them; otherwise SIGHUP would end the
     // process.
@@ -63,10 +63,10 @@
     std::string addressProblem_;
     int failedReloads_ = 0;  // in a row, for lack of a resource
     bool reloadRequested_ = false, shutdownRequested_ = false;
-    bool handedOver_ = false;    // a successor serves while this process leaves
+    bool handedOver_ = false;    // a successor serves while this process shuts down
     bool lastCallMade_ = false;  // open requests are answered and new ones refused
-    core::Micros startedAt_{}, leavingSince_{};
-    core::Micros longestDeadline_{};  // the lowest value since leavingSince_
+    core::Micros startedAt_{}, shutdownStartedAt_{};
+    core::Micros longestDeadline_{};  // the lowest value since shutdownStartedAt_
     const char* folder_;
     HandoverChannel handover_;
     std::optional<settings::Endpoint> operatorAddressOverride_, operatorAddress_;
