--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -19,7 +19,7 @@
 // after the longest deadline, limited to 3 s, plus 0.7 s.
 constexpr Micros kTrafficAfterSigterm = 700ms;
 constexpr Micros kMaxDeadline = 3s;
-constexpr Micros kLastCallBeforeKill = 150ms;  // then all open requests are answered
+constexpr Micros kFailRequestsBeforeKill = 150ms;  // then all open requests are answered
 constexpr Micros kExitBeforeKill = 40ms;       // then the process exits, even with unread answers
 constexpr Micros kPhaseCheckInterval = 20ms;
 constexpr Micros kMaxStartTime = 1500ms;    // the platform waits 6 s for a start
@@ -225,7 +225,7 @@
     const Micros passed = loop_.now() - shutdownStartedAt_;
     if (passed < kTrafficAfterSigterm && !handedOver_) return;
     const Micros kill = std::min(longestDeadline_, kMaxDeadline) + kTrafficAfterSigterm;
-    if (passed >= kill - kLastCallBeforeKill && !std::exchange(lastCallMade_, true)) {
+    if (passed >= kill - kFailRequestsBeforeKill && !std::exchange(openRequestsFailed_, true)) {
         std::fprintf(stderr, "lotuslead: last call, %zu requests open\n", openRequests());
         for (const auto& service : services_) service->failOpenRequests();
     }
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -46,7 +46,7 @@
     bool idleAfterUse() const {
         return idle() && hasSentMessage_ && !refusesMore_ && !input_.midMessage() && stream_.nothingUnread();
     }
-    bool saidNothing() const { return !hasSentMessage_ && input_.empty() && stream_.nothingUnread(); }
+    bool hasSentNothing() const { return !hasSentMessage_ && input_.empty() && stream_.nothingUnread(); }
     bool inPartialMessage() const { return input_.midMessage(); }
     bool unused() const { return !hasSentMessage_; }
     bool recentlyActive() const {
@@ -548,7 +548,7 @@
         if (client->unused()) ++unusedCount;
         Client*& place = !client->unused() ? idle : client->inPartialMessage() ? partial : silent;
         const bool older = !place || client->lastUsed() < place->lastUsed();
-        if (older && (client->unused() ? client->saidNothing() : client->idleAfterUse()))
+        if (older && (client->unused() ? client->hasSentNothing() : client->idleAfterUse()))
             place = client.get();
     }
     if (!silent || (silent->recentlyActive() && partial && partial->lastUsed() < silent->lastUsed()))
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -86,12 +86,12 @@
 
     bool idle() const { return !current_ && stream_.unsentBytes() == 0; }
     // Idle, and no byte of a further request has arrived, read or unread.
-    bool resting() const {
+    bool idleWithNoInput() const {
         return idle() && unparsed_.empty() && !parser_.midMessage() && stream_.nothingUnread();
     }
     Micros lastActivity() const { return lastActivity_; }
-    bool isQuiescent() const { return closing_ ? idle() : resting(); }
-    void lastCall() {
+    bool isQuiescent() const { return closing_ ? idle() : idleWithNoInput(); }
+    void failOpenRequest() {
         if (!current_) return;
         if (current_->openFetch) {
             const RequestId id = *std::exchange(current_->openFetch, std::nullopt);
@@ -100,7 +100,7 @@
         }
         current_->headSent ? abortTransfer("the process is stopping") : sendUnavailable(1s);
     }
-    void endForDrain() {
+    void closeForDrain() {
         if (current_ || closing_ || !unparsed_.empty() || !stream_.allAcknowledged() ||
             !stream_.nothingUnread())
             return;
@@ -532,11 +532,11 @@
 }
 
 bool Front::refusesRequests() const {
-    return lastCall_ || (drainingSince_ && loop_.now() - *drainingSince_ >= kRefuseAfterDrainStart);
+    return failingRequests_ || (drainingSince_ && loop_.now() - *drainingSince_ >= kRefuseAfterDrainStart);
 }
 
 void Front::sweepForDrain() {
-    for (const auto& [key, client] : clients_) client->endForDrain();
+    for (const auto& [key, client] : clients_) client->closeForDrain();
     drainSweepTimer_ = loop_.after(kDrainSweepInterval, [this] {
         drainSweepTimer_.reset();
         sweepForDrain();
@@ -556,7 +556,7 @@
 bool Front::makeRoom() {
     Client* oldest = nullptr;
     for (const auto& [key, client] : clients_)
-        if ((!oldest || client->lastActivity() < oldest->lastActivity()) && client->resting())
+        if ((!oldest || client->lastActivity() < oldest->lastActivity()) && client->idleWithNoInput())
             oldest = client.get();
     if (!oldest) return false;
     ++counters_.closedIdle;
@@ -570,8 +570,8 @@
 }
 
 void Front::failOpenRequests() {
-    lastCall_ = true;
-    for (const auto& [key, client] : clients_) client->lastCall();
+    failingRequests_ = true;
+    for (const auto& [key, client] : clients_) client->failOpenRequest();
 }
 
 bool Front::isQuiescent() {
--- a/src/repository/front.hpp
+++ b/src/repository/front.hpp
@@ -69,7 +69,7 @@
     std::size_t unsentBytes_ = 0;    // of answers, not yet sent to clients
     std::size_t reservedBytes_ = 0;  // that open fetches may still deliver
     bool shuttingDown_ = false;
-    bool lastCall_ = false;
+    bool failingRequests_ = false;
     std::optional<core::Micros> drainingSince_;
     std::optional<net::Loop::TimerKey> drainSweepTimer_;
     RequestId nextId_ = 1;
