--- a/src/core/rules.cpp
+++ b/src/core/rules.cpp
@@ -71,7 +71,7 @@
 }
 
 Denial mayServe(const StartFacts& facts) {
-    const bool ready = facts.prepared && !facts.awaitsHandOver;
+    const bool ready = facts.initialSyncComplete && !facts.awaitsHandOver;
     return ready || facts.waitedLongEnough ? Denial::none : Denial::notReady;
 }
 
--- a/src/core/rules.hpp
+++ b/src/core/rules.hpp
@@ -94,8 +94,8 @@
 Denial mayClose(const CloseFacts& facts);
 
 struct StartFacts {
-    bool prepared = false;        // host lists and purges are up to date with the event bus
-    bool awaitsHandOver = false;  // of a predecessor's state
+    bool initialSyncComplete = false;  // host lists and purges are up to date with the event bus
+    bool awaitsHandOver = false;       // of a predecessor's state
     bool waitedLongEnough = false;
 };
 Denial mayServe(const StartFacts& facts);
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -15,8 +15,8 @@
 class Service {
 public:
     virtual ~Service() = default;
-    virtual void prepare() = 0;         // requests what is needed before clients are admitted
-    virtual bool prepared() const = 0;  // all of that has arrived
+    virtual void startInitialSync() = 0;  // requests the host lists and purges that serving needs
+    virtual bool initialSyncComplete() const = 0;
     // The event bus has reported more events than have been applied since the start.
     virtual bool catchingUp() const = 0;
     virtual void open() = 0;  // starts to listen
@@ -25,11 +25,11 @@
     virtual bool reload(bool mayRetry) = 0;
     virtual void runTimers(Micros now) = 0;  // handles what is due
     virtual Micros nextTimerAt() const = 0;
-    // Tells clients to go elsewhere, until undrain().
+    // Moves clients to other gateways, until undrain().
     virtual void drain() = 0;
     virtual void undrain() = 0;
-    virtual void startShutdown() = 0;  // the process will exit: health checks are told
-    // As startShutdown(), but another process serves the same address, so clients need not be told.
+    virtual void startShutdown() = 0;  // the process will exit, which health checks report
+    // As startShutdown(), but another process serves the same address, so clients need not move.
     virtual void stopAcceptingForSuccessor() = 0;
     virtual bool hasNoClients() const = 0;
     // Sets the number of processes that form this gateway and share its limits.
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -20,7 +20,7 @@
 constexpr Micros kTrafficAfterSigterm = 700ms;
 constexpr Micros kMaxDeadline = 3s;
 constexpr Micros kFailRequestsBeforeKill = 150ms;  // then all open requests are answered
-constexpr Micros kExitBeforeKill = 40ms;       // then the process exits, even with unread answers
+constexpr Micros kExitBeforeKill = 40ms;           // then the process exits, even with unread answers
 constexpr Micros kPhaseCheckInterval = 20ms;
 constexpr Micros kMaxStartTime = 1500ms;    // the platform waits 6 s for a start
 constexpr Micros kReloadRetryDelay = 50ms;  // after a shortage of descriptors or memory
@@ -54,7 +54,7 @@
     if (!handover_.openError().empty())
         std::fprintf(stderr, "lotuslead: no meeting place for a successor: %s\n",
                      handover_.openError().c_str());
-    for (const auto& service : services_) service->prepare();
+    for (const auto& service : services_) service->startInitialSync();
 }
 
 // Starts serving once the predecessor's state and the events since the configuration was written have
@@ -63,7 +63,7 @@
 void Gateway::open() {
     if (phase_ != Phase::starting) return;
     const bool ready = std::all_of(services_.begin(), services_.end(),
-                                   [](const auto& service) { return service->prepared(); });
+                                   [](const auto& service) { return service->initialSyncComplete(); });
     const bool catchingUp = std::any_of(services_.begin(), services_.end(),
                                         [](const auto& service) { return service->catchingUp(); });
     const Micros longest = catchingUp ? kMaxCatchUpTime : kMaxStartTime;
@@ -206,13 +206,14 @@
     updateLongestDeadline();
     // Without a successor, new connections still arrive here for a while and must be served.
     handedOver_ = handover_.successorServes();
-    for (const auto& service : services_) handedOver_ ? service->stopAcceptingForSuccessor() : service->startShutdown();
+    for (const auto& service : services_)
+        handedOver_ ? service->stopAcceptingForSuccessor() : service->startShutdown();
     std::fprintf(stderr, "lotuslead: leaving%s, %zu requests open\n", handedOver_ ? " to a successor" : "",
                  openRequests());
 }
 
-// A reload during the shutdown may change the longest deadline. Which one the platform uses is unknown, so the
-// lowest counts.
+// A reload during the shutdown may change the longest deadline. Which one the platform uses is unknown, so
+// the lowest counts.
 void Gateway::updateLongestDeadline() {
     Micros longest{};
     for (const auto& service : services_) longest = std::max(longest, service->longestRequestTimeout());
@@ -231,8 +232,7 @@
     }
     bool allQuiescent = true;
     for (const auto& service : services_)
-        allQuiescent =
-            service->isQuiescent() && (!handedOver_ || service->hasNoClients()) && allQuiescent;
+        allQuiescent = service->isQuiescent() && (!handedOver_ || service->hasNoClients()) && allQuiescent;
     if (!allQuiescent && passed < kill - kExitBeforeKill) return;
     phase_ = Phase::stopped;
     std::fprintf(stderr, "lotuslead: stopped, %zu requests open\n", openRequests());
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -63,7 +63,7 @@
     std::string addressProblem_;
     int failedReloads_ = 0;  // in a row, for lack of a resource
     bool reloadRequested_ = false, shutdownRequested_ = false;
-    bool handedOver_ = false;    // a successor serves while this process shuts down
+    bool handedOver_ = false;          // a successor serves while this process shuts down
     bool openRequestsFailed_ = false;  // open requests are answered and new ones refused
     core::Micros startedAt_{}, shutdownStartedAt_{};
     core::Micros longestDeadline_{};  // the lowest value since shutdownStartedAt_
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -50,12 +50,12 @@
         diskSettings_ = diskSource_();
         if (diskSettings_) openTier();
     }
-    void prepare() override {
+    void startInitialSync() override {
         busReader_.applyBatch(settings::readBatch(baseConfiguration(configuration_).known));
         busReader_.setDrainGrace(drainGrace());
         busReader_.setEndpoints(baseConfiguration(configuration_).bus);
     }
-    bool prepared() const override {
+    bool initialSyncComplete() const override {
         return busReader_.caughtUp() &&
                (!tier_ || tier_->startupComplete(tierTransport_.clockReadingAt(loop_.now())));
     }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -99,8 +99,8 @@
 
 TEST(Rules, TheServiceOpensOnceItKnowsEnoughOrHasWaitedLong) {
     EXPECT_EQ(mayServe({}), Denial::notReady);
-    EXPECT_EQ(mayServe({.prepared = true}), Denial::none);
-    EXPECT_EQ(mayServe({.prepared = true, .awaitsHandOver = true}), Denial::notReady);
+    EXPECT_EQ(mayServe({.initialSyncComplete = true}), Denial::none);
+    EXPECT_EQ(mayServe({.initialSyncComplete = true, .awaitsHandOver = true}), Denial::notReady);
     EXPECT_EQ(mayServe({.waitedLongEnough = true}), Denial::none);
 }
 
