--- a/bench/scale/hollow_gateways.cpp
+++ b/bench/scale/hollow_gateways.cpp
@@ -84,7 +84,7 @@
         note(times_.ofPurge(index_, *number));
     }
     void noteChange(const settings::BusEvent& event) {
-        if (event.whole || event.stores.size() != 1 || event.stores[0].weight < kFirstChangeWeight) return;
+        if (event.isSnapshot || event.stores.size() != 1 || event.stores[0].weight < kFirstChangeWeight) return;
         const auto number = static_cast<std::size_t>(event.stores[0].weight - kFirstChangeWeight);
         if (number < times_.changes()) note(times_.ofChange(index_, number));
     }
--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -91,11 +91,11 @@
 
 void DecisionFacade::applyHostList(Micros now, const settings::BusEvent& event, bool receivedLive) {
     HostList list;
-    list.whole = event.whole;
+    list.whole = event.isSnapshot;
     // A complete list names every host that stays; all others are gone.
     std::unordered_map<std::string, ListedHost> replaced;
-    if (event.whole) replaced.swap(hosts_);
-    const auto& before = event.whole ? replaced : hosts_;
+    if (event.isSnapshot) replaced.swap(hosts_);
+    const auto& before = event.isSnapshot ? replaced : hosts_;
     for (const settings::ListedStore& store : event.stores) {
         HostEntry entry;
         entry.name = store.name;
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -443,7 +443,7 @@
 StoreConnections::~StoreConnections() = default;
 
 void StoreConnections::applyHostList(const settings::BusEvent& event) {
-    if (event.whole) {
+    if (event.isSnapshot) {
         for (auto& [name, store] : stores_) {
             const bool kept = std::any_of(event.stores.begin(), event.stores.end(),
                                           [&](const settings::ListedStore& s) { return s.name == name; });
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -241,7 +241,7 @@
     for (auto& [name, server] : servers_) {
         const bool named = std::any_of(event.stores.begin(), event.stores.end(),
                                        [&, &key = name](const auto& s) { return s.name == key; });
-        if (event.whole && !named) closeConnections(server);
+        if (event.isSnapshot && !named) closeConnections(server);
     }
     for (const settings::ListedStore& listed : event.stores) {
         Server& server = servers_[listed.name];
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -134,7 +134,7 @@
     event.offset = integerOr(entry, "offset", 0);
     if (const json* list = findValue(entry, "topology")) {
         event.isStoreList = true;
-        event.whole = boolOr(*list, "snapshot", false);
+        event.isSnapshot = boolOr(*list, "snapshot", false);
         for (const json& item : listOrEmpty(*list, "endpoints")) {
             ListedStore store;
             store.name = requireString(item, "name");
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -101,7 +101,7 @@
 struct BusEvent {
     std::int64_t offset = 0;
     bool isStoreList = false;
-    bool whole = false;  // a snapshot: stores that it does not name are gone
+    bool isSnapshot = false;  // the whole list: stores that it does not name are gone
     std::vector<ListedStore> stores;
     std::string purgedObject;  // empty: the purge concerns the whole group
     std::int64_t purgedGroup = 0;
--- a/tests/config_store_test.cpp
+++ b/tests/config_store_test.cpp
@@ -131,7 +131,7 @@
         EXPECT_EQ(batch["batch"][0]["topology"]["snapshot"], true);
         std::map<std::string, std::string> boxes;
         for (const auto& event : settings::readBatch(batch).events) {
-            if (event.whole) boxes.clear();
+            if (event.isSnapshot) boxes.clear();
             for (const auto& listed : event.stores)
                 if (listed.readiness == Readiness::gone)
                     boxes.erase(listed.name);
