--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -82,9 +82,9 @@
 Time DecisionFacade::hostStartTime(Micros now, const settings::ListedStore& store, const ListedHost& before,
                                    bool receivedLive) const {
     constexpr std::chrono::minutes kMaxReportDelay{1};
-    if (store.sinceMs <= 0) return Time{0};
-    if (store.sinceMs == before.sinceMs) return before.startedAt;
-    const Micros reported = std::chrono::milliseconds{store.sinceMs} - unixClockOffset_;
+    if (store.startedAtMs <= 0) return Time{0};
+    if (store.startedAtMs == before.sinceMs) return before.startedAt;
+    const Micros reported = std::chrono::milliseconds{store.startedAtMs} - unixClockOffset_;
     const bool impossible = reported > now || (receivedLive && reported < now - kMaxReportDelay);
     return std::max(Time{1}, routerTime(impossible ? now : reported));
 }
@@ -111,7 +111,7 @@
         if (store.readiness == Readiness::gone)
             hosts_.erase(store.name);
         else
-            hosts_[store.name] = {store.readiness, entry.zone, entry.cell, store.sinceMs, entry.startedAt};
+            hosts_[store.name] = {store.readiness, entry.zone, entry.cell, store.startedAtMs, entry.startedAt};
         list.entries.push_back(std::move(entry));
     }
     router_.handle(routerTime(now), list, actions_);
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -464,15 +464,15 @@
         }
         Store& store = stores_[listed.name];
         // A restart has ended all connections of the old process, and an address may have a new owner.
-        const bool restarted = listed.sinceMs > store.sinceMs && !store.address.empty();
+        const bool restarted = listed.startedAtMs > store.startedAtMs && !store.address.empty();
         const bool moved = !listed.address.empty() && listed.address != store.address;
         if (moved)
             closeAll(store);
         else if (restarted)
-            closeOpenedBefore(store, std::chrono::milliseconds{listed.sinceMs} - unixClockOffset_);
+            closeOpenedBefore(store, std::chrono::milliseconds{listed.startedAtMs} - unixClockOffset_);
         if (moved) clearReusedAddress(listed.address, event);
         if (!listed.address.empty()) store.address = listed.address;
-        store.sinceMs = listed.sinceMs;
+        store.startedAtMs = listed.startedAtMs;
     }
 }
 
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -47,7 +47,7 @@
     class Connection;
     struct Store {
         std::string address;
-        std::int64_t sinceMs = 0;
+        std::int64_t startedAtMs = 0;
         core::Micros latestAnsweredWriteAt{};  // latest write time among the answered attempts
         std::vector<std::shared_ptr<Connection>> connections;
     };
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -245,7 +245,7 @@
     }
     for (const settings::ListedStore& listed : event.stores) {
         Server& server = servers_[listed.name];
-        const bool restarted = listed.sinceMs > server.sinceMs && !server.address.empty();
+        const bool restarted = listed.startedAtMs > server.startedAtMs && !server.address.empty();
         const bool moved = !listed.address.empty() && listed.address != server.address;
         if (restarted || moved || listed.readiness == Readiness::gone) closeConnections(server);
         try {
@@ -254,7 +254,7 @@
         } catch (const settings::DecodeError& problem) {
             std::fprintf(stderr, "repository server %s: %s\n", listed.name.c_str(), problem.what());
         }
-        server.sinceMs = listed.sinceMs;
+        server.startedAtMs = listed.startedAtMs;
         server.origin = configuration_.base.decoded.roleOf(listed.type) == Role::origin;
     }
 }
--- a/src/repository/upstreams.hpp
+++ b/src/repository/upstreams.hpp
@@ -51,7 +51,7 @@
     struct Server {
         std::string address;
         bool origin = false;
-        std::int64_t sinceMs = 0;
+        std::int64_t startedAtMs = 0;
         std::vector<std::shared_ptr<Connection>> connections;
         std::deque<QueuedAttempt> queue;
     };
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -143,7 +143,7 @@
             store.type = stringOr(item, "type", "");
             store.cell = integerOr(item, "group", 0);
             store.weight = numberOr(item, "weight", 1);
-            store.sinceMs = integerOr(item, "since_ms", 0);
+            store.startedAtMs = integerOr(item, "since_ms", 0);
             store.readiness = parseReadiness(stringOr(item, "status", "up"));
             event.stores.push_back(std::move(store));
         }
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -94,7 +94,7 @@
     std::string name, address, zone, type;
     std::int64_t cell = 0;
     double weight = 1;
-    std::int64_t sinceMs = 0;  // Unix milliseconds of its start, if it started late; otherwise 0
+    std::int64_t startedAtMs = 0;  // Unix milliseconds of its start, if it started late; otherwise 0
     Readiness readiness = Readiness::ready;
 };
 // One event of the event bus: a change of the list of stores, or a purge.
