--- a/bench/scale/hollow_gateways.cpp
+++ b/bench/scale/hollow_gateways.cpp
@@ -52,7 +52,7 @@
           startedAt_(loop.now()),
           decisions_(configuration.decoded, index, loop.now(), core::unixClockOffset()),
           reader_(loop, [this](const settings::BusEvent& event) { apply(event); }) {
-        reader_.applyBatch(settings::readBatch(configuration_.known));
+        reader_.applyBatch(settings::readBatch(configuration_.initialEvents));
         reader_.setEndpoints(buses_);
     }
 
@@ -84,7 +84,8 @@
         note(times_.ofPurge(index_, *number));
     }
     void noteChange(const settings::BusEvent& event) {
-        if (event.isSnapshot || event.stores.size() != 1 || event.stores[0].weight < kFirstChangeWeight) return;
+        if (event.isSnapshot || event.stores.size() != 1 || event.stores[0].weight < kFirstChangeWeight)
+            return;
         const auto number = static_cast<std::size_t>(event.stores[0].weight - kFirstChangeWeight);
         if (number < times_.changes()) note(times_.ofChange(index_, number));
     }
--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -111,7 +111,8 @@
         if (store.readiness == Readiness::gone)
             hosts_.erase(store.name);
         else
-            hosts_[store.name] = {store.readiness, entry.zone, entry.cell, store.startedAtMs, entry.startedAt};
+            hosts_[store.name] = {store.readiness, entry.zone, entry.cell, store.startedAtMs,
+                                  entry.startedAt};
         list.entries.push_back(std::move(entry));
     }
     router_.handle(routerTime(now), list, actions_);
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -37,7 +37,7 @@
     // State for a successor process, stored under this key. importState() throws if the form is invalid.
     virtual const char* stateKey() const = 0;
     virtual nlohmann::json exportState() = 0;
-    virtual void importState(const nlohmann::json& known) = 0;
+    virtual void importState(const nlohmann::json& state) = 0;
     // Last step of the shutdown: open requests are answered at once, and new ones refused.
     virtual void failOpenRequests() = 0;
     virtual std::size_t openRequests() const = 0;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -94,16 +94,16 @@
 }
 
 std::string Gateway::handOver() {
-    nlohmann::json known = nlohmann::json::object();
-    for (const auto& service : services_) known[service->stateKey()] = service->exportState();
-    return known.dump();
+    nlohmann::json state = nlohmann::json::object();
+    for (const auto& service : services_) state[service->stateKey()] = service->exportState();
+    return state.dump();
 }
 
 void Gateway::takeOver(const std::string& state) {
     try {
-        const auto known = nlohmann::json::parse(state);
+        const auto parsed = nlohmann::json::parse(state);
         for (const auto& service : services_)
-            if (known.contains(service->stateKey())) service->importState(known.at(service->stateKey()));
+            if (parsed.contains(service->stateKey())) service->importState(parsed.at(service->stateKey()));
         std::fprintf(stderr, "lotuslead: taken over what the predecessor knew, %zu bytes\n", state.size());
     } catch (const std::exception& problem) {
         std::fprintf(stderr, "lotuslead: cannot use what the predecessor knew: %s\n", problem.what());
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -20,7 +20,7 @@
 inline const settings::Configuration& baseConfiguration(const settings::RepositoryConfiguration& c) {
     return c.base;
 }
-// Makes `fresh` a continuation of the configuration before it: classes keep their indexes.
+// Makes `updated` a continuation of the configuration before it: classes keep their indexes.
 inline void continueFrom(const settings::Configuration& before, settings::Configuration& updated) {
     updated.decoded = settings::mergeReloaded(before.decoded, updated.decoded);
 }
@@ -51,7 +51,7 @@
         if (diskSettings_) openTier();
     }
     void startInitialSync() override {
-        busReader_.applyBatch(settings::readBatch(baseConfiguration(configuration_).known));
+        busReader_.applyBatch(settings::readBatch(baseConfiguration(configuration_).initialEvents));
         busReader_.setDrainGrace(drainGrace());
         busReader_.setEndpoints(baseConfiguration(configuration_).bus);
     }
@@ -75,7 +75,8 @@
             const auto freshDisk = diskSource_ ? diskSource_() : std::nullopt;
             settings::requireSameFields(baseConfiguration(configuration_).paths,
                                         baseConfiguration(updated).paths);
-            const settings::BusBatch known = settings::readBatch(baseConfiguration(updated).known);
+            const settings::BusBatch initialEvents =
+                settings::readBatch(baseConfiguration(updated).initialEvents);
             continueFrom(configuration_, updated);
             front_.reconfigure(updated);
             transport_.reconfigure(updated);
@@ -83,7 +84,7 @@
             configuration_ = std::move(updated);
             reloadTier(freshDisk);
             busReader_.setDrainGrace(drainGrace());
-            busReader_.applyBatch(known);  // skips events already received from the bus
+            busReader_.applyBatch(initialEvents);  // skips events already received from the bus
             busReader_.setEndpoints(baseConfiguration(configuration_).bus);
             std::fprintf(stderr, "%s: configuration read again\n", name.c_str());
         } catch (const std::system_error& problem) {
@@ -112,7 +113,7 @@
     }
     const char* stateKey() const override { return listenLabel_; }
     nlohmann::json exportState() override { return decisions_.exportState(loop_.now()); }
-    void importState(const nlohmann::json& known) override { decisions_.importState(loop_.now(), known); }
+    void importState(const nlohmann::json& state) override { decisions_.importState(loop_.now(), state); }
     bool hasNoClients() const override { return front_.hasNoClients(); }
     void setProcessCount(int processes) override {
         front_.setProcessCount(processes);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -331,7 +331,7 @@
     }
     if (const std::string address = stringOr(root, "operator", ""); !address.empty())
         result.operatorAddress = readEndpoint(address, "operator");
-    result.known = objectOrEmpty(root, "known");
+    result.initialEvents = objectOrEmpty(root, "known");
     const json* info = findValue(root, "settings");
     if (!info) throw DecodeError("field 'settings' is missing");
     result.decoded = readSettings(*info);
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -62,7 +62,7 @@
     Limits limits;
     std::vector<Endpoint> bus;                // several carry the same events; empty: there is no bus
     std::optional<Endpoint> operatorAddress;  // of the operators' HTTP endpoint; none: it is off
-    nlohmann::json known;                     // the events up to now, in the format of the event bus
+    nlohmann::json initialEvents;             // the events up to now, in the format of the event bus
     double flowBytesPerSecond = 0,
            linkBytesPerSecond = 0;  // of one transfer, of all; zero: not set
     DecodedSettings decoded;
