--- a/bench/disk.cpp
+++ b/bench/disk.cpp
@@ -259,7 +259,7 @@
 
 }  // namespace lotuslead::bench
 
-int main(int count, char** words) {
+int main(int argumentCount, char** arguments) {
     using namespace lotuslead::bench;
     const std::vector<std::pair<std::string, void (*)()>> parts{{"hits", benchHitRatios},
                                                                 {"lookups", benchLookups},
@@ -267,8 +267,8 @@
                                                                 {"recovery", benchRecovery},
                                                                 {"turns", benchTurns}};
     for (const auto& [name, run] : parts) {
-        bool wanted = count == 1;
-        for (int i = 1; i < count; ++i) wanted = wanted || name == words[i];
+        bool wanted = argumentCount == 1;
+        for (int i = 1; i < argumentCount; ++i) wanted = wanted || name == arguments[i];
         if (wanted) run();
         std::fflush(stdout);
     }
--- a/bench/raft.cpp
+++ b/bench/raft.cpp
@@ -217,12 +217,12 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argumentCount, char** arguments) {
     const std::vector<std::pair<std::string, void (*)()>> parts{
         {"writes", writes}, {"leaderless", leaderless}, {"fanout", fanout}, {"size", size}};
     for (const auto& [name, run] : parts) {
-        bool wanted = count == 1;
-        for (int i = 1; i < count; ++i) wanted = wanted || name == words[i];
+        bool wanted = argumentCount == 1;
+        for (int i = 1; i < argumentCount; ++i) wanted = wanted || name == arguments[i];
         if (wanted) run();
         std::fflush(stdout);
     }
--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -69,7 +69,7 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argumentCount, char** arguments) {
     CLI::App app("Measures how purges and changes reach a fleet of hollow gateways, and what it costs.");
     std::vector<std::size_t> sizes{100, 300};
     std::vector<double> rates{13};
@@ -92,7 +92,7 @@
         ->check(CLI::Range(1, 400'000));
     app.add_option("--json", file, "where all figures go");
     try {
-        app.parse(count, words);
+        app.parse(argumentCount, arguments);
     } catch (const CLI::ParseError& problem) {
         return app.exit(problem) == 0 ? 0 : 2;
     }
--- a/bench/soak/main.cpp
+++ b/bench/soak/main.cpp
@@ -358,7 +358,7 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argumentCount, char** arguments) {
     Options options;
     CLI::App app("Soak of many gateways on loopback under overlapping troubles");
     app.add_option("--gateways", options.gateways, "processes")->check(CLI::Range(1, 60));
@@ -375,7 +375,7 @@
     app.add_option(
         "--without", without,
         "troubles left out: restarts kills stops reloads handovers faults clocks stores bus bad-clients");
-    CLI11_PARSE(app, count, words);
+    CLI11_PARSE(app, argumentCount, arguments);
     options.crowd = options.crowd || options.seed % kCrowdEvery == 0;
     Troubles& t = options.troubles;
     t.between = Millis{betweenMs};
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -191,19 +191,20 @@
 }  // namespace
 
 // Exit codes: 0 stopped by a signal, 1 failure, 2 bad arguments or configuration.
-int main(int count, char** arguments) {
-    const std::string first = count > 1 ? arguments[1] : "";
+int main(int argumentCount, char** arguments) {
+    const std::string first = argumentCount > 1 ? arguments[1] : "";
     if (first == "--help" || first == "--version") {
         std::fputs(first == "--help" ? kUsage : "lotuslead_agent " LOTUSLEAD_VERSION "\n", stdout);
         return 0;
     }
     const bool recoverAloneWanted = first == "--recover-alone";
-    if (count != (recoverAloneWanted ? 3 : 2)) {
+    if (argumentCount != (recoverAloneWanted ? 3 : 2)) {
         std::fputs(kUsage, stderr);
         return 2;
     }
     try {
-        const AgentConfiguration configuration = readAgentConfiguration(readFile(arguments[count - 1]));
+        const AgentConfiguration configuration =
+            readAgentConfiguration(readFile(arguments[argumentCount - 1]));
         if (!recoverAloneWanted) return run(configuration);
         claimFolder(configuration);
         return recoverAlone(configuration);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -55,8 +55,8 @@
 // Runs the gateway. LB_CONFIG names the platform's configuration file, LB_REPOSITORY that of the repository
 // front; a front without its variable is off. LB_DISK names the configuration file of the disk tier.
 // Exit codes: 0 after a normal stop, 1 after a fatal error, 2 for a bad configuration.
-int main(int count, char** arguments) {
-    const std::string_view argument = count > 1 ? arguments[1] : "";
+int main(int argumentCount, char** arguments) {
+    const std::string_view argument = argumentCount > 1 ? arguments[1] : "";
     if (argument == "--version" || argument == "--help") {
         std::puts(argument == "--version"
                       ? "lotuslead " LOTUSLEAD_VERSION
--- a/tests/agent_changes_test.cpp
+++ b/tests/agent_changes_test.cpp
@@ -164,13 +164,13 @@
 
 }  // namespace
 
-int main(int count, char** arguments) {
+int main(int argumentCount, char** arguments) {
     const Scenario scenarios[] = {
         {"change-during-replacement", checksAreAnsweredWhileAReplacementIsChanged},
         {"successor-ends", aSuccessorThatExitsIsRestarted},
         {"fork-fails", aFailedForkIsRetried},
         {"no-room", agentsRecoverAfterAFullDisk},
     };
-    runScenarios(scenarios, count, arguments);
+    runScenarios(scenarios, argumentCount, arguments);
     return 0;
 }
--- a/tests/audit_disk.cpp
+++ b/tests/audit_disk.cpp
@@ -461,8 +461,8 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-    const std::vector<std::string> all(words, words + count);
+int main(int argumentCount, char** arguments) {
+    const std::vector<std::string> all(arguments, arguments + argumentCount);
     if (all.size() == 6 && all[1] == "--child")
         return TierProcess(all[2], all[3], std::strtoull(all[4].c_str(), nullptr, 10), all[5] == "last")
             .run();
--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -203,7 +203,7 @@
 
 }  // namespace
 
-int main(int count, char** names) {
+int main(int argumentCount, char** arguments) {
     const Scenario scenarios[] = {
         {"ahead", aClockThatIsAheadDoesNotWarmAColdStore},
         {"first-list-ahead", aClockThatIsAheadDoesNotWarmAColdStoreOfTheFirstList},
@@ -212,6 +212,6 @@
         {"purge-heard", aPurgeThatIsHeardHolds},
         {"purge-before-start", aPurgeFromBeforeTheStartHolds},
     };
-    runScenarios(scenarios, count, names);
+    runScenarios(scenarios, argumentCount, arguments);
     return 0;
 }
--- a/tests/departed_clients_test.cpp
+++ b/tests/departed_clients_test.cpp
@@ -179,4 +179,4 @@
 
 }  // namespace
 
-int main(int count, char** names) { runScenarios(kScenarios, count, names); }
+int main(int argumentCount, char** arguments) { runScenarios(kScenarios, argumentCount, arguments); }
--- a/tests/held_up_test.cpp
+++ b/tests/held_up_test.cpp
@@ -151,7 +151,7 @@
 
 }  // namespace
 
-int main(int count, char** names) {
+int main(int argumentCount, char** arguments) {
     const Scenario scenarios[] = {
         {"deadline", theDeadlineCountsFromTheArrivalOfTheCall},
         {"cancel", aCallIsNotSentBeforeItsCancelIsRead},
@@ -159,6 +159,6 @@
         {"repository-departed", nothingIsFetchedForADepartedRepositoryClient},
         {"moved-address", callsInTheBacklogOfTheOldAddressAreAnswered},
     };
-    runScenarios(scenarios, count, names);
+    runScenarios(scenarios, argumentCount, arguments);
     return 0;
 }
--- a/tests/scenarios.hpp
+++ b/tests/scenarios.hpp
@@ -89,10 +89,11 @@
 
 // Runs the scenarios named by the arguments, or all of them.
 template <std::size_t N>
-void runScenarios(const Scenario (&scenarios)[N], int count, char** names) {
+void runScenarios(const Scenario (&scenarios)[N], int argumentCount, char** arguments) {
     for (const Scenario& scenario : scenarios) {
-        bool wanted = count < 2;
-        for (int i = 1; i < count; ++i) wanted = wanted || std::strcmp(names[i], scenario.name) == 0;
+        bool wanted = argumentCount < 2;
+        for (int i = 1; i < argumentCount; ++i)
+            wanted = wanted || std::strcmp(arguments[i], scenario.name) == 0;
         if (wanted) scenario.run();
     }
 }
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -168,7 +168,7 @@
 
 }  // namespace
 
-int main(int count, char** names) {
+int main(int argumentCount, char** arguments) {
     const Scenario scenarios[] = {
         {"accept-errors", acceptFailsBriefly},
         {"accept-descriptors", acceptShortOfDescriptors},
@@ -182,6 +182,6 @@
         {"reload", aReloadIsRetriedWhenDescriptorsAreShort},
         {"sockets", socketsAreBrieflyShort},
     };
-    runScenarios(scenarios, count, names);
+    runScenarios(scenarios, argumentCount, arguments);
     return 0;
 }
