--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -86,7 +86,7 @@
     if (target.path == "/members" || under("/members/"))
         return members(head, target.path.size() > 9 ? target.path.substr(9) : "", body, reply);
     if (under("/instances/")) return instances(head, target.path.substr(11), body, reply);
-    reply({404, "no such thing\n", {}});
+    reply({404, "no such path\n", {}});
 }
 
 std::string Control::controlAddressOf(std::uint64_t agent) const {
@@ -332,7 +332,7 @@
                                   const Reply& reply) {
     const bool ready = what == "ready";
     if (!ready && what != "drain" && what != "undrain" && what != "replace")
-        return reply({404, "no such thing\n", {}});
+        return reply({404, "no such path\n", {}});
     if (head.method != (ready ? "GET" : "POST")) return reply({405, "GET ready, POST the others\n", {}});
     const auto* found = store_.find(kInstancePrefix + name);
     if (!found) return reply({404, "no instance '" + name + "'\n", {}});
@@ -344,16 +344,17 @@
     }
     if (what == "replace") {
         const bool begun = supervisor_.replace(name);
-        return reply({begun ? 200 : 409,
-                      begun ? "replacing\n" : "it does not run, is being replaced, or has no door\n",
-                      {}});
+        return reply(
+            {begun ? 200 : 409,
+             begun ? "replacing\n" : "it does not run, is being replaced, or has no operator address\n",
+             {}});
     }
     const auto operatorAddress = supervisor_.operatorAddress(name);
-    if (!operatorAddress) return reply({409, "it has no operators' door\n", {}});
+    if (!operatorAddress) return reply({409, "it has no operator address\n", {}});
     net::sendHttpRequest(loop_, *operatorAddress, head.method, "/" + what, std::chrono::seconds{2},
                          [reply](int status, std::string body) {
                              reply(status != 0 ? Answer{status, std::move(body), {}}
-                                               : Answer{503, "its door does not answer\n", {}});
+                                               : Answer{503, "its operator address does not answer\n", {}});
                          });
 }
 
--- a/src/agent/event_feed.cpp
+++ b/src/agent/event_feed.cpp
@@ -37,7 +37,7 @@
 
 void EventFeed::handle(const net::HttpHead& head, net::HttpServer::SendResponse reply) {
     const RequestTarget target(head.target);
-    if (target.path != "/bus/read") return reply({404, "no such thing\n", {}});
+    if (target.path != "/bus/read") return reply({404, "no such path\n", {}});
     if (head.method != "GET") return reply({405, "GET only\n", {}});
     const std::int64_t from = target.integerParameter("from").value_or(-1);
     const std::int64_t hold =
