--- a/tests/config_store_test.cpp
+++ b/tests/config_store_test.cpp
@@ -19,7 +19,7 @@
 std::uint64_t session(Store& store) { return store.apply(encode({0, 0, true, {}})).revision; }
 json box(int port) { return {{"address", "127.0.0.1:" + std::to_string(port)}, {"type", "small"}}; }
 
-TEST(ConfigStore, OneOfTwoOperatorsWinsAndTheOtherIsToldWhatBeatIt) {
+TEST(ConfigStore, ConflictingTransactionFailsAndNamesTheConflict) {
     Store store;
     EXPECT_EQ(apply(store, put("files/a", 1)), (Outcome{Status::done, 1, {}}));
     EXPECT_EQ(apply(store, put("files/a", 2, {{"files/a", 1}})), (Outcome{Status::done, 2, {}}));
@@ -30,7 +30,7 @@
     EXPECT_EQ(store.find("files/a")->createdRevision, 1U);
 }
 
-TEST(ConfigStore, ATransactionHappensWholeOrNotAtAll) {
+TEST(ConfigStore, TransactionsAreAtomic) {
     Store store;
     Transaction both{{{"files/x", 0}, {"files/y", 9}}, {{"files/x", 1}, {"files/z", 2}}, 0, ""};
     EXPECT_EQ(apply(store, both).status, Status::conflict);
@@ -43,7 +43,7 @@
     EXPECT_EQ(apply(store, {{}, {{"files/none", {}}}, 0, ""}).revision, 1U);
 }
 
-TEST(ConfigStore, ACommandThatIsTriedAgainIsAppliedOnceAlsoAcrossASnapshot) {
+TEST(ConfigStore, RetriedCommandIsAppliedOnceAlsoAcrossASnapshot) {
     Store store;
     const auto id = session(store);
     const Transaction counted = put("files/n", 1, {{"files/n", 0}});
@@ -58,7 +58,7 @@
     EXPECT_EQ(apply(other, counted, id + 77, 1).status, Status::sessionGone);
 }
 
-TEST(ConfigStore, ForgottenSessionsRefuseInsteadOfGuessing) {
+TEST(ConfigStore, CommandsOfEvictedSessionsAreRefused) {
     Bounds bounds;
     bounds.sessions = 3;
     Store store(bounds);
@@ -72,7 +72,7 @@
     EXPECT_NE(c, d);
 }
 
-TEST(ConfigStore, HistoryIsBoundedAndSaysWhereItEnds) {
+TEST(ConfigStore, HistoryIsBoundedAndReportsItsStart) {
     Bounds bounds;
     bounds.history.entries = 10;
     Store store(bounds);
@@ -115,7 +115,7 @@
 }
 
 // A reader whose offset has expired gets the full list first, and ends with the same boxes as all others.
-TEST(ConfigStore, AnOldReaderGetsTheWholeListAndEndsWithTheSameBoxes) {
+TEST(ConfigStore, ReaderWithAnExpiredOffsetGetsTheFullListOfBoxes) {
     Bounds bounds;
     bounds.events.minEvents = bounds.events.maxEvents = 5;
     Store store(bounds);
@@ -185,7 +185,7 @@
     }
 };
 
-TEST(EventLog, IsReadInPagesOfBoundedSizeWithNothingLostOrTwice) {
+TEST(EventLog, BoundedPagesContainEachEventOnce) {
     constexpr std::size_t kPage = 2000;
     Store store;
     for (int i = 1; i <= 700; ++i)
@@ -202,7 +202,7 @@
 }
 
 // Earlier gateways accept answers of at most 1 MiB, which the default page must not exceed.
-TEST(EventLog, DefaultPagesFitAnyReader) {
+TEST(EventLog, DefaultPagesFitTheLimitOfEarlierReaders) {
     Store store;
     for (int i = 1; i <= 20'000; ++i)
         apply(store, purgeAt("/files/a-name-of-usual-length-" + std::to_string(i), i));
@@ -213,7 +213,7 @@
 
 // Pages of different readers end at the same offsets, so that one cached answer serves all. A cacheable
 // page never changes.
-TEST(EventLog, PagesOfManyReadersMeet) {
+TEST(EventLog, PagesOfDifferentReadersEndAtTheSameOffsets) {
     Store store;
     EXPECT_FALSE(store.eventLog().read(0).cacheable);  // more events may follow
     for (int i = 1; i <= 1024; ++i) apply(store, purgeAt("o" + std::to_string(i), i));
@@ -233,7 +233,7 @@
 
 // 13 purges per second for three hours: a reader that was disconnected for one hour finds each of them,
 // numbered without gaps.
-TEST(EventLog, KeepsAnHoursPurgesForWhoWasCutOff) {
+TEST(EventLog, KeepsPurgesForReadersDisconnectedForAnHour) {
     constexpr std::int64_t kPerSecond = 13, kHour = 3600, kStartMs = 1'764'576'000'000;
     Store store;
     std::int64_t cutAt = 0;
@@ -250,7 +250,7 @@
     EXPECT_EQ(store.size(), store.eventLog().size());
 }
 
-TEST(EventLog, ADocumentThatWasPurgedAnewOutlivesItsFirstEvent) {
+TEST(EventLog, RepeatedPurgeIsKeptWhenItsFirstEventExpires) {
     Bounds bounds;
     bounds.events = {1000, 2, 100};
     Store store(bounds);
@@ -267,7 +267,7 @@
     EXPECT_EQ(store.eventLog().size(), 3U);
 }
 
-TEST(EventLog, IsTheSameBehindASnapshot) {
+TEST(EventLog, IsTheSameAfterASnapshot) {
     Bounds bounds;
     bounds.events = {1000, 10, 100};
     Store store(bounds);
@@ -286,7 +286,7 @@
     EXPECT_EQ(other.dump(), store.dump());
 }
 
-TEST(ConfigStore, PurgesDoNotPushOtherChangesOutOfHistory) {
+TEST(ConfigStore, PurgesDoNotEvictOtherChangesFromHistory) {
     Bounds bounds;
     bounds.history.entries = bounds.purgeHistory.entries = 10;
     Store store(bounds);
@@ -311,7 +311,7 @@
 
 // A snapshot written by the version before the event log: one history for all changes, purges among the
 // documents.
-TEST(ConfigStore, ReadsTheSecondFormOfSnapshots) {
+TEST(ConfigStore, ReadsSnapshotsOfFormat2) {
     Store store;
     store.load(R"({"form":2,"revision":4,"commands":5,
         "documents":{"boxes/s-1":[{"address":"127.0.0.1:1","type":"small"},1,1],
@@ -340,7 +340,7 @@
     EXPECT_EQ(other.dump(), store.dump());
 }
 
-TEST(ConfigStore, ReadsTheFormOfBefore) {
+TEST(ConfigStore, ReadsCommandsAndSnapshotsOfFormat1) {
     Store store;
     const std::string old = R"({"verb":"put","name":"gate-1","agent":2,"configuration":"{\"a\":1}"})";
     EXPECT_EQ(store.apply(old).status, Status::done);
@@ -359,7 +359,7 @@
     EXPECT_EQ(store.apply("nonsense").status, Status::unreadable);
 }
 
-TEST(ConfigStore, TheSameCommandsGiveTheSameState) {
+TEST(ConfigStore, SameCommandsGiveTheSameState) {
     Store a, b;
     for (int i = 0; i < 200; ++i) {
         const std::string command =
@@ -374,7 +374,7 @@
     EXPECT_EQ(a.dump(), b.dump());
 }
 
-TEST(ConfigCheck, RefusesByKeyAndField) {
+TEST(ConfigValidation, RejectionsNameTheKeyOrField) {
     const std::vector<std::pair<json, std::string>> bad{
         {{{"do", json::array()}}, "field 'do'"},
         {{{"do", {{{"value", 1}}}}}, "field 'do.key'"},
--- a/tests/disk_faults_test.cpp
+++ b/tests/disk_faults_test.cpp
@@ -19,7 +19,7 @@
 
 // The log is rewritten under a temporary name and renamed, and only the sync of the folder fails. Later
 // purges must not be appended to the replaced file, where a restart would not find them.
-TEST(DiskFaults, PurgesLastThoughTheFolderOfANewLogCannotBeSynced) {
+TEST(DiskFaults, PurgesPersistWhenTheFolderSyncOfARewrittenLogFails) {
     TemporaryFolder folder;
     TierOptions options = optionsFor(folder);
     options.maxPurgeEntries = 600;
@@ -43,7 +43,7 @@
     for (int i = 0; i < 12; ++i) EXPECT_EQ(harness.has(i, 1000), i != 8) << i;
 }
 
-TEST(DiskFaults, AFolderThatFailsForAMomentAtTheStartIsTriedAgain) {
+TEST(DiskFaults, RetriesAFolderThatFailsTemporarilyAtStart) {
     for (const Faults& faults : {Faults{.open = EIO}, Faults{.open = ENFILE}, Faults{.write = ENOSPC}}) {
         for (const char* file : {"lock", "format", "purges"}) {
             if (faults.write != 0 && std::string(file) == "lock") continue;  // the lock file is never written
@@ -63,7 +63,7 @@
 
 // Copies that may have missed purges are dropped for good, also when the wall clock is behind the clock that
 // dated them.
-TEST(DiskFaults, AClockThatIsBehindLeavesNothingUnproved) {
+TEST(DiskFaults, DropsCopiesWithPossiblyMissedPurgesWhenTheClockIsBehind) {
     constexpr std::int64_t kCreatedMs = 1'000'000, kBehindMs = 100'000;
     TemporaryFolder folder;
     {
@@ -83,7 +83,7 @@
 
 // A damaged log must be reported as damaged until the watermark that drops all copies is on disk. Neither a
 // tool that adds a purge nor a start that is killed may hide the damage.
-TEST(DiskFaults, ADamagedLogIsDamagedUntilAFloorIsKept) {
+TEST(DiskFaults, DamagedLogIsReportedUntilTheWatermarkIsPersisted) {
     TemporaryFolder folder;
     {
         TierHarness harness(optionsFor(folder));
--- a/tests/disk_policy_test.cpp
+++ b/tests/disk_policy_test.cpp
@@ -23,7 +23,7 @@
     return part;
 }
 
-TEST(DiskIndex, AgreesWithAMapUnderAnyOrderOfChanges) {
+TEST(DiskIndex, AgreesWithAMapUnderRandomChanges) {
     PartIndex index(500);
     std::unordered_map<std::uint64_t, std::uint32_t> truth;
     std::mt19937_64 random(7);
@@ -49,14 +49,14 @@
     }
 }
 
-TEST(DiskIndex, TakesAtMost64BytesAPart) {
+TEST(DiskIndex, UsesAtMost64BytesPerPart) {
     constexpr std::size_t kParts = 300'000;
     PartIndex index(kParts);
     for (std::uint64_t i = 0; i < kParts; ++i) ASSERT_NE(index.insert(partOf(mix(i + 1))), PartIndex::kNone);
     EXPECT_LE(static_cast<double>(index.memoryBytes()) / kParts, 64.0);
 }
 
-TEST(DiskGhost, RemembersSoManyAndNoMore) {
+TEST(DiskGhostQueue, RemembersRecentKeysUpToItsCapacity) {
     GhostQueue ghost(1000);
     for (std::uint64_t i = 0; i < 5000; ++i) ghost.add(mix(i));
     int recent = 0, old = 0;
@@ -67,7 +67,7 @@
     EXPECT_FALSE(ghost.takeIfPresent(mix(4999)));  // already removed
 }
 
-TEST(DiskSketch, NeverSaysLessThanWasAddedAndForgetsInTime) {
+TEST(DiskFrequencySketch, NeverUnderestimatesUntilItAges) {
     FrequencySketch sketch(1024);
     for (std::uint64_t i = 0; i < 300; ++i)
         for (std::uint64_t n = 0; n <= i % 5; ++n) sketch.add(mix(i));
@@ -82,7 +82,7 @@
     EXPECT_LT(sketch.estimate(1), 15U);
 }
 
-TEST(DiskMarks, CoverWhatIsOlderAndNothingElse) {
+TEST(DiskTombstones, CoverOlderCopiesOnly) {
     PurgeTombstones tombstones(100, 50);
     tombstones.add({PurgeEntry::Kind::object, 7, 1000});
     tombstones.add({PurgeEntry::Kind::object, 7, 900});  // an older purge changes nothing
@@ -98,7 +98,7 @@
     EXPECT_FALSE(tombstones.covers(9, 9, 5051));
 }
 
-TEST(DiskMarks, AreBoundedAndNeverForgetAPurge) {
+TEST(DiskTombstones, AreBoundedWithoutLosingAPurge) {
     PurgeTombstones tombstones(64, 0);
     std::mt19937_64 random(3);
     std::vector<std::pair<std::uint64_t, std::int64_t>> purges;
@@ -116,7 +116,7 @@
     EXPECT_FALSE(tombstones.covers(1, 0, 10'001));
 }
 
-TEST(DiskProof, WithoutABusNobodyElsePurges) {
+TEST(DiskPurgeFeed, IsAlwaysCurrentWithoutABus) {
     PurgeFeedTracker feed;
     EXPECT_FALSE(feed.isCurrent(0));
     EXPECT_FALSE(feed.start({false, false, 2000}, {}).raiseWatermark);
@@ -125,7 +125,7 @@
     EXPECT_TRUE(lostBus.start({false, true, 2000}, 17).raiseWatermark);
 }
 
-TEST(DiskProof, ABusWhoseNumbersStartAnewProvesNothing) {
+TEST(DiskPurgeFeed, BusWithRestartedOffsetsRaisesTheWatermark) {
     PurgeFeedTracker feed;
     const auto started = feed.start({true, false, 2000}, 40);
     EXPECT_TRUE(started.raiseWatermark);
@@ -136,7 +136,7 @@
     EXPECT_FALSE(feed.isCurrent(2011));  // silent for too long
 }
 
-TEST(DiskProof, GoesBackToWhereItStoodAndFindsWhatIsMissing) {
+TEST(DiskPurgeFeed, ResumesAtItsPositionAndDetectsMissingEvents) {
     const PurgeFeedTracker::Options options{true, true, 2000};
     const std::vector<std::int64_t> whole{41, 42, 43}, gap{41, 43}, late{43};
     {
@@ -168,7 +168,7 @@
 }
 
 // Copies must not be served between two pages of events: the next page may purge them.
-TEST(DiskProof, ProvesNothingBeforeTheLastPage) {
+TEST(DiskPurgeFeed, IsNotCurrentBeforeTheLastPage) {
     const std::vector<std::int64_t> first{41, 42}, second{43};
     PurgeFeedTracker feed;
     (void)feed.start({true, true, 2000}, 40);
@@ -190,7 +190,7 @@
     return options;
 }
 
-TEST(DiskShelf, TakesOnlyWhatTheModuleRanks) {
+TEST(DiskCatalog, AdmitsOnlyRankedParts) {
     SimulatedDisk disk(small());
     EXPECT_FALSE(disk.request(1, 0, 1000));
     EXPECT_FALSE(disk.request(1, 1, 1000));
@@ -198,7 +198,7 @@
     EXPECT_EQ(disk.catalog.counters().unranked, 1U);
 }
 
-TEST(DiskShelf, AScanFlushesNothingThatIsInUse) {
+TEST(DiskCatalog, ScanDoesNotEvictPartsInUse) {
     SimulatedDisk disk(small());
     // 400 parts of 1 KB that are requested again and again.
     for (int round = 0; round < 12; ++round)
@@ -213,7 +213,7 @@
     EXPECT_GE(held, 380);
 }
 
-TEST(DiskShelf, NeverTakesMoreThanItsBytesAndRewritesWithinItsShare) {
+TEST(DiskCatalog, StaysWithinItsCapacityAndRewriteShare) {
     for (const AdmissionHistory admissionHistory :
          {AdmissionHistory::ghost, AdmissionHistory::sketch, AdmissionHistory::none}) {
         SimulatedDisk disk(small(admissionHistory));
@@ -232,7 +232,7 @@
     }
 }
 
-TEST(DiskShelf, ALaterCopyTakesThePlaceOfAnEarlierOneInWhateverOrderTheyAreFound) {
+TEST(DiskCatalog, NewestCopyWinsInAnyLoadOrder) {
     SegmentCatalog catalog(small());
     catalog.partLoaded(partOf(5, 1, 0, 200), Queue::main);
     catalog.partLoaded(partOf(5, 2, 0, 100), Queue::main);  // written later, but created before
@@ -247,7 +247,7 @@
     EXPECT_FALSE(catalog.contains(5));
 }
 
-TEST(DiskShelf, SweepsWhatMarksCoverInSlices) {
+TEST(DiskCatalog, SweepsPurgedPartsInSlices) {
     SimulatedDisk disk(small());
     for (std::uint64_t i = 1; i <= 500; ++i) disk.request(mix(i), 1, 100);
     PurgeTombstones tombstones(100, 0);
@@ -260,7 +260,7 @@
     EXPECT_TRUE(disk.catalog.contains(mix(51)));
 }
 
-TEST(DiskShelf, DropsDeadSegmentsFirstAndAtNoCost) {
+TEST(DiskCatalog, ReclaimsSegmentsWithoutLivePartsFirst) {
     SimulatedDisk disk(small());
     for (std::uint64_t i = 1; i <= 64; ++i) disk.request(mix(i), 1, 1000);  // two segments
     PurgeTombstones tombstones(10, 0);
@@ -277,7 +277,7 @@
 const Key kKey{"/files/tool.bin", "installer", 6, 41, 65536};
 const Copy kCopy{1764576000123, {{"etag", "\"v1\""}, {"total", "99"}}, std::string(3000, 'x') + "end"};
 
-TEST(DiskRecord, ComesBackAsItWasWritten) {
+TEST(DiskRecord, DecodesWhatWasEncoded) {
     std::string bytes;
     ASSERT_TRUE(encodeRecord(kKey, kCopy, bytes));
     EXPECT_EQ(bytes.size(), recordBytes(kKey, kCopy));
@@ -293,7 +293,7 @@
     EXPECT_FALSE(encodeRecord(kKey, huge, bytes));
 }
 
-TEST(DiskRecord, NoFlippedBitAndNoMissingByteGoesUnseen) {
+TEST(DiskRecord, DetectsFlippedBitsAndMissingBytes) {
     std::string bytes;
     ASSERT_TRUE(encodeRecord(kKey, kCopy, bytes));
     for (std::size_t at = 0; at < bytes.size(); ++at) {
@@ -322,7 +322,7 @@
     }
 }
 
-TEST(DiskKey, DiffersInAllButTheGroup) {
+TEST(DiskKey, FingerprintCoversAllFieldsButTheGroup) {
     const auto with = [](auto change) {
         Key key = kKey;
         change(key);
@@ -335,7 +335,7 @@
     EXPECT_NE(with([](Key& k) { k.variant = 1; }), kKey.fingerprint());
 }
 
-TEST(DiskPacer, SharesTheLinkInTheOrderOfAnswers) {
+TEST(DiskLinkPacer, SharesTheLinkInOrderOfAnswers) {
     LinkPacer pacer(1000, 2000);                   // bytes per second
     EXPECT_EQ(pacer.finishTime(1s, 500), 1500ms);  // a single transfer is limited by its own rate
     pacer.reserve(1s, 4000);
--- a/tests/disk_tier_test.cpp
+++ b/tests/disk_tier_test.cpp
@@ -10,7 +10,7 @@
 
 using Faults = FaultyFiles::Faults;
 
-TEST(DiskTier, ServesAfterARestartWhatItServedBeforeWithTablesAndWithout) {
+TEST(DiskTier, ServesTheSameCopiesAfterARestartWithAndWithoutTables) {
     for (const bool tables : {true, false}) {
         TemporaryFolder folder;
         TierOptions options = optionsFor(folder);
@@ -27,7 +27,7 @@
     }
 }
 
-TEST(DiskTier, ServesNothingOlderThanAPurgeOrThanAsked) {
+TEST(DiskTier, ServesNoCopyOlderThanAPurgeOrTheRequestedAge) {
     TemporaryFolder folder;
     const TierOptions options = optionsFor(folder);
     {
@@ -54,7 +54,7 @@
     EXPECT_FALSE(harness.load(6));
 }
 
-TEST(DiskTier, APurgeThatComesWhileItIsReadHolds) {
+TEST(DiskTier, PurgeDuringAReadIsApplied) {
     TemporaryFolder folder;
     TierHarness harness(optionsFor(folder));
     ASSERT_TRUE(harness.store(1, 1000));
@@ -70,7 +70,7 @@
     EXPECT_FALSE(served);
 }
 
-TEST(DiskTier, ProvesWithTheBusAndServesNothingWhileItIsSilent) {
+TEST(DiskTier, ServesNothingWhileTheBusIsSilent) {
     TemporaryFolder folder;
     TierOptions options = optionsFor(folder);
     options.purges.bus = true;
@@ -95,7 +95,7 @@
     EXPECT_TRUE(harness.has(1, 1000));
 }
 
-TEST(DiskTier, AFullDiskCostsAdmissionsOnly) {
+TEST(DiskTier, FullDiskStopsAdmissionsOnly) {
     TemporaryFolder folder;
     FaultyFiles files;
     TierHarness harness(optionsFor(folder), &files);
@@ -117,7 +117,7 @@
     EXPECT_TRUE(harness.has(1, 1000) && harness.has(6, 1000));
 }
 
-TEST(DiskTier, AHalfWrittenRecordIsNeverServed) {
+TEST(DiskTier, PartiallyWrittenRecordIsNeverServed) {
     TemporaryFolder folder;
     FaultyFiles files;
     {
@@ -142,7 +142,7 @@
     EXPECT_TRUE(harness.has(5, 1001));
 }
 
-TEST(DiskTier, ShortWritesMakeWholeRecords) {
+TEST(DiskTier, ShortWritesAreContinuedToFullRecords) {
     TemporaryFolder folder;
     FaultyFiles files;
     files.set("probation", Faults{.writeAtMost = 13});
@@ -157,7 +157,7 @@
     for (int i = 0; i < 10; ++i) EXPECT_EQ(harness.has(i, 1000), i != 4);
 }
 
-TEST(DiskTier, WhatCannotBeReadIsAMissAndGoes) {
+TEST(DiskTier, UnreadableCopyIsAMissAndIsDropped) {
     TemporaryFolder folder;
     FaultyFiles files;
     TierHarness harness(optionsFor(folder), &files);
@@ -171,7 +171,7 @@
     EXPECT_TRUE(harness.logged("Input/output error"));
 }
 
-TEST(DiskTier, FlippedBitsOnDiskAreFoundAndDropped) {
+TEST(DiskTier, RecordsWithFlippedBitsAreDropped) {
     TemporaryFolder folder;
     {
         TierHarness harness(optionsFor(folder));
@@ -199,7 +199,7 @@
     EXPECT_EQ(harness.tier.counters().torn, 2U);
 }
 
-TEST(DiskTier, MissingSegmentsAndLyingTablesCostOnlyWhatIsGone) {
+TEST(DiskTier, MissingSegmentsAndWrongTablesLoseOnlyTheirOwnParts) {
     TemporaryFolder folder;
     {
         TierHarness harness(optionsFor(folder));
@@ -223,7 +223,7 @@
     EXPECT_EQ(harness.tier.counters().truncatedTails, 1U);
 }
 
-TEST(DiskTier, WithoutAWorkingPurgeLogNothingIsServed) {
+TEST(DiskTier, ServesNothingWithoutAWorkingPurgeLog) {
     TemporaryFolder folder;
     FaultyFiles files;
     TierHarness harness(optionsFor(folder), &files);
@@ -243,7 +243,7 @@
     }
 }
 
-TEST(DiskTier, ADamagedOrLostPurgeLogProvesNothing) {
+TEST(DiskTier, DropsAllCopiesAfterADamagedOrLostPurgeLog) {
     for (const bool lost : {true, false}) {
         TemporaryFolder folder;
         {
@@ -268,7 +268,7 @@
 
 // A crash may leave a partial entry at the end of the log. It was never acknowledged: it is truncated, and
 // the other entries hold.
-TEST(DiskTier, AHalfWrittenMarkIsCutOff) {
+TEST(DiskTier, PartiallyWrittenPurgeEntryIsTruncated) {
     TemporaryFolder folder;
     {
         TierHarness harness(optionsFor(folder));
@@ -290,7 +290,7 @@
     EXPECT_FALSE(harness.load(1) || harness.load(2));
 }
 
-TEST(DiskTier, ASlowDiskDropsAdmissionsAndHoldsNobodyUp) {
+TEST(DiskTier, SlowDiskDropsAdmissionsWithoutBlocking) {
     TemporaryFolder folder;
     FaultyFiles files;
     TierHarness harness(optionsFor(folder), &files);
@@ -306,7 +306,7 @@
     EXPECT_TRUE(harness.has(100, 1000));
 }
 
-TEST(DiskTier, AFolderThatCannotBeUsedLeavesTheTierOff) {
+TEST(DiskTier, UnusableFolderDisablesTheTier) {
     TemporaryFolder folder;
     FaultyFiles files;
     files.set("lock", Faults{.open = EROFS});
@@ -325,7 +325,7 @@
 }
 
 // Hand-over: a successor receives purges before it holds the folder and must apply them once it does.
-TEST(DiskTier, ASecondHolderWaitsAndBringsItsPurgesAlong) {
+TEST(DiskTier, SecondProcessWaitsForTheFolderAndAppliesItsPurges) {
     TemporaryFolder folder;
     auto first = std::make_unique<TierHarness>(optionsFor(folder));
     ASSERT_TRUE(first->store(1, 1000) && first->store(2, 1000));
@@ -356,7 +356,7 @@
     EXPECT_TRUE(third.has(2, 1000));
 }
 
-TEST(DiskTier, KeepsWithinItsBytesAndWritesBoundedly) {
+TEST(DiskTier, StaysWithinItsCapacityAndBoundsRewrites) {
     TemporaryFolder folder;
     const TierOptions options = optionsFor(folder);
     std::uint64_t admitted = 0, moved = 0;
@@ -386,7 +386,7 @@
     EXPECT_GT(whole, 200);
 }
 
-TEST(DiskTier, ALongPurgeLogIsWrittenAnewAndStillHolds) {
+TEST(DiskTier, LongPurgeLogIsRewrittenWithoutLosingPurges) {
     TemporaryFolder folder;
     TierOptions options = optionsFor(folder);
     options.maxPurgeEntries = 600;
--- a/tests/disk_tool_test.cpp
+++ b/tests/disk_tool_test.cpp
@@ -37,7 +37,7 @@
     TemporaryFolder folder;
 };
 
-TEST_F(DiskTool, TellsWhatIsThere) {
+TEST_F(DiskTool, StatAndListReportTheContents) {
     const json stat = figures("stat " + folder.tier());
     EXPECT_EQ(stat["live"], 100);
     EXPECT_EQ(stat["records"], 110);
@@ -51,7 +51,7 @@
               std::string::npos);
 }
 
-TEST_F(DiskTool, FindsDamage) {
+TEST_F(DiskTool, VerifyDetectsDamage) {
     EXPECT_EQ(run("verify " + folder.tier()).code, 0);
     std::fstream file(folder.files(".probation").front(), std::ios::in | std::ios::out | std::ios::binary);
     file.seekp(50'000);  // in a copy that is not superseded
@@ -62,7 +62,7 @@
     EXPECT_NE(ran.out.find("not as it was written"), std::string::npos);
 }
 
-TEST_F(DiskTool, PurgesWhatTheNextStartThenDoesNotServe) {
+TEST_F(DiskTool, PurgedCopiesAreNotServedAfterTheNextStart) {
     EXPECT_EQ(run("purge " + folder.tier() + " --object /files/7 --at 2000").code, 0);
     EXPECT_EQ(run("purge " + folder.tier() + " --group 3 --at 1000").code, 0);
     TierHarness harness(optionsFor(folder));
@@ -72,7 +72,7 @@
     EXPECT_TRUE(harness.has(18, 1000));
 }
 
-TEST_F(DiskTool, CompactsAndLosesNothingThatLives) {
+TEST_F(DiskTool, CompactKeepsAllLiveCopies) {
     ASSERT_EQ(run("purge " + folder.tier() + " --group 3 --at 1000").code, 0);
     const json result = figures("compact " + folder.tier());
     EXPECT_LT(result["bytes_after"].get<std::uint64_t>(), result["bytes_before"].get<std::uint64_t>());
@@ -85,7 +85,7 @@
     }
 }
 
-TEST_F(DiskTool, BesideAProcessItReadsAndChangesNothing) {
+TEST_F(DiskTool, OnlyReadsAFolderHeldByAProcess) {
     TierHarness harness(optionsFor(folder));
     EXPECT_EQ(figures("stat " + folder.tier())["held"], true);
     EXPECT_EQ(run("verify " + folder.tier()).code, 0);
@@ -97,7 +97,7 @@
     EXPECT_TRUE(harness.has(1, 2000));
 }
 
-TEST_F(DiskTool, RefusesInOneLineWhatItCannotUse) {
+TEST_F(DiskTool, RejectsBadArgumentsWithOneLine) {
     EXPECT_EQ(run("--help").code, 0);
     EXPECT_EQ(run("--version").code, 0);
     EXPECT_EQ(run("").code, 2);
--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -117,7 +117,7 @@
 
 // The load is twice the capacity of the link. Each gateway has to detect that from its own overdue attempts
 // (the latency target is 0.35 s); otherwise their sum keeps the link congested.
-TEST_P(FleetSize, AJamIsNotAddedToUntilItsAnswersCome) {
+TEST_P(FleetSize, FillsAreReducedOnACongestedLink) {
     const auto [count, skewed] = GetParam();
     const Totals totals = simulateCongestion(settingsFor(count), skewed, 3s, 50);
     EXPECT_LT(totals.fills, totals.asked / 2);  // nothing is known for 0.35 s, then the limits are halved
@@ -127,7 +127,7 @@
 // The zone's link has a configured capacity of two fills per gateway at full pace. A fill of 500 KB takes 0.5
 // s then and has 1.25 s, so that up to 2.4 times as many are in time. No attempt is late yet that could
 // reveal more.
-TEST_P(FleetSize, ALinkOfToldSizeIsNotSentMoreThanIsInTime) {
+TEST_P(FleetSize, FillsMatchAConfiguredLinkCapacity) {
     const auto [count, skewed] = GetParam();
     Settings settings = settingsFor(count);
     settings.zoneLinkKbPerSecond = {0, 2 * settings.maxFlowKbPerSecond * count, 0};
@@ -165,21 +165,21 @@
     Harness harness;
 };
 
-TEST(ZoneLink, IsAsFullAsTheOwnMeanSaysNotTheCountOfNow) {
+TEST(ZoneLink, LoadIsEstimatedFromTheMeanNotTheCurrentCount) {
     BusyZone zone(5);
     EXPECT_FALSE(zone.fills("known"));  // ten gateways with 2.6 fills each, on a link for 5
     zone.harness.now += 4s;
     EXPECT_TRUE(zone.fills("known"));
 }
 
-TEST(ZoneLink, IsLeftToWhatLeavesACopyWhileItIsFull) {
+TEST(ZoneLink, FullLinkAdmitsOnlyFillsThatLeaveACopy) {
     BusyZone zone(10);
     EXPECT_FALSE(zone.fills("new"));  // 2.6 times full: meets the target at that load, but not at twice that
     EXPECT_TRUE(zone.fills("known"));
 }
 
 // A fill at full pace proves that the link is free, for about as long as reports are delayed.
-TEST(ZoneLink, IsFreeForAWhileOnceAFillCameAtFullPace) {
+TEST(ZoneLink, IsFreeForAWhileAfterAFillAtFullPace) {
     BusyZone zone(5);
     EXPECT_FALSE(zone.fills("known"));
     const RequestId small = zone.harness.ask("known", 1, 0, 100, 10s);
@@ -210,7 +210,7 @@
 
 // A cold parent serves only what its budget admits. Regression: that figure was learned as its link, which
 // reduced the budget further.
-TEST(ColdHosts, ABudgetIsNotLearnedAsTheLink) {
+TEST(ColdHosts, SlowStartBudgetIsNotLearnedAsTheLinkCapacity) {
     Settings settings = settingsFor(4);
     settings.weights = WeightMeaning::none;
     Harness h(settings);
@@ -309,7 +309,7 @@
     }
 };
 
-TEST_P(ColdStarts, TheSumOfAllGatewaysStaysWithinTheBudgetAndChance) {
+TEST_P(ColdStarts, SumOfAllGatewaysStaysWithinTheBudget) {
     const ColdStart start = GetParam();
     const Settings settings = settingsOf(start);
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -337,7 +337,7 @@
 INSTANTIATE_TEST_SUITE_P(Processes, ColdStarts, ::testing::ValuesIn(coldStarts()));
 
 // With one request in flight at a time, a connection is silent for as long as its answer takes.
-TEST(SilenceLimit, IsLearnedFromHowLongAnswersTake) {
+TEST(SilenceTimeout, IsLearnedFromAnswerTimes) {
     platform::SilenceTimeout busy, thin;
     EXPECT_EQ(busy.value(), platform::SilenceTimeout::kMin);
     for (int i = 0; i < 100; ++i) {
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -44,7 +44,7 @@
 };
 
 // With a full send buffer, tryWrite must not send a part of the data, neither at once nor later.
-TEST(Stream, WhatFindsNoRoomIsNotBegun) {
+TEST(Stream, TryWriteWritesNothingWithoutRoomForAll) {
     Loop loop;
     ConnectedStream pair(loop);
     const std::string piece(512, 'x');
@@ -63,7 +63,7 @@
     EXPECT_EQ(::recv(pair.peer.get(), got.data(), 5, MSG_WAITALL), 5);
 }
 
-TEST(Stream, AnEndThatIsNotHandledYetIsSeen) {
+TEST(Stream, PeerHasClosedIsTrueBeforeTheCloseIsHandled) {
     Loop loop;
     ConnectedStream pair(loop);
     EXPECT_FALSE(pair.stream->peerHasClosed());
@@ -72,7 +72,7 @@
 }
 
 // The close triggers no further edge when reading resumes, so it must be reported while data is still unread.
-TEST(Stream, AnEndIsToldWhileReadingIsPaused) {
+TEST(Stream, ReportsACloseWhileReadingIsPaused) {
     Loop loop;
     ConnectedStream pair(loop);
     pair.stream->pauseReading(true);
@@ -82,7 +82,7 @@
     EXPECT_TRUE(pair.ended);
 }
 
-TEST(Stream, AGentleCloseWaitsForItsPeerWithoutTurns) {
+TEST(Stream, LingeringCloseWaitsForThePeerWithoutBusyLooping) {
     Loop loop;
     ConnectedStream pair(loop);
     pair.stream->write("last words");
@@ -128,7 +128,7 @@
 
 // If the process is suspended within a turn, input from the meantime must be handled before timers of that
 // turn.
-TEST(Loop, ATimerWaitsForWhatHasComeWhileItsTurnWasHeldUp) {
+TEST(Loop, HandlesInputFromAStallBeforeTimersOfThatTurn) {
     Loop loop;
     std::string order;
     TestStream late(loop, [&] { order += "late "; });
@@ -143,7 +143,7 @@
     EXPECT_EQ(order, "first late timer ");
 }
 
-TEST(Loop, TimersRunThoughEveryTurnIsHeldUp) {
+TEST(Loop, TimersRunEvenIfEveryTurnStalls) {
     Loop loop;
     int timers = 0;
     std::unique_ptr<TestStream> busy;
@@ -162,7 +162,7 @@
 // A stall must still count after a poll of a few milliseconds, since on a busy machine a poll with pending
 // events takes as long. Otherwise a request that had waited in the socket was taken for a new one (soak seed
 // 6104: a store was given 325 ms for a request whose client had left 242 ms before, after a stop of 575 ms).
-TEST(Loop, ATurnThatWasHeldUpIsRememberedAfterAShortWait) {
+TEST(Loop, RecordsAStalledTurnAfterAShortWait) {
     Loop loop;
     TestStream slow(loop, [] { std::this_thread::sleep_for(kStall); });
     slow.send();
@@ -174,7 +174,7 @@
 }
 
 // Also with more events than one call of epoll_wait returns.
-TEST(Loop, AllThatIsReadyIsHeardInOneTurn) {
+TEST(Loop, HandlesAllReadyEventsInOneTurn) {
     constexpr int kStreams = 300;
     Loop loop;
     int received = 0;
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -9,7 +9,7 @@
 namespace lotuslead::testing {
 namespace {
 
-TEST(Design, UnknownNameGoesStraightToItsParent) {
+TEST(Routing, UnknownObjectGoesDirectlyToItsParent) {
     Harness h;
     h.listBasicFleet();
     h.warmUpFilter();
@@ -21,7 +21,7 @@
     EXPECT_EQ(sent->keepRank, 0);
 }
 
-TEST(Design, KnownNameGoesToACacheThatKeepsIt) {
+TEST(Routing, KnownObjectGoesToACacheThatStoresIt) {
     Harness h;
     h.listBasicFleet();
     h.warmUpFilter();
@@ -34,7 +34,7 @@
     EXPECT_GE(sent->keepRank, 1);
 }
 
-TEST(Design, TailPassesThroughACacheWhereDirectSendsAreBarred) {
+TEST(Routing, UnknownObjectPassesThroughACacheIfDirectSendsAreDisabled) {
     Settings s = basicSettings();
     s.directUpstream = false;
     Harness h(s);
@@ -47,7 +47,7 @@
     EXPECT_EQ(sent->keepRank, 0);
 }
 
-TEST(Design, NeverKeptClassSkipsTheFilterAndReachesTheOrigin) {
+TEST(Routing, UncacheableClassSkipsTheFilterAndReachesTheOrigin) {
     Settings s = basicSettings();
     s.classes[1].uncacheable = true;
     Harness h(s);
@@ -62,7 +62,7 @@
     }
 }
 
-TEST(Design, PartsSpreadOverCachesButShareOneParent) {
+TEST(Routing, PartsSpreadOverCachesButShareOneParent) {
     Harness h;
     h.listBasicFleet();
     h.makeKnown("film", 0, 0);
@@ -80,7 +80,7 @@
     EXPECT_EQ(parents.size(), 1u);
 }
 
-TEST(Design, OneViewerKeepsAtTheLowestRankUntilASecondShows) {
+TEST(Routing, PartsOfOneViewerGetTheLowestRankUntilASecondViewer) {
     Harness h;
     h.listBasicFleet();
     h.makeKnown("film", 0, 0);
@@ -91,7 +91,7 @@
     EXPECT_GT(h.one<Send>()->keepRank, 1);
 }
 
-TEST(Design, WholeObjectsRankAbovePartsOfOne) {
+TEST(Routing, WholeObjectsRankAboveParts) {
     Harness h;
     h.listBasicFleet();
     h.makeKnown("page", 0, 1);
@@ -102,7 +102,7 @@
     EXPECT_GT(whole, h.one<Send>()->keepRank);
 }
 
-TEST(Design, HotObjectUsesTwoCaches) {
+TEST(Routing, HotObjectUsesTwoCaches) {
     Harness h;
     h.listBasicFleet();
     std::set<std::string> used;
@@ -116,7 +116,7 @@
 }
 
 // The parts of a hot object are filled from more than one parent.
-TEST(Design, HotObjectsPartsHaveParentsApart) {
+TEST(Routing, PartsOfAHotObjectUseDifferentParents) {
     Harness h;
     h.listBasicFleet();
     h.warmUpFilter();
@@ -133,7 +133,7 @@
     EXPECT_TRUE(sources.count("p1") == 1 && sources.count("p2") == 1);
 }
 
-TEST(Design, SameSeedSameChoiceAtEveryRouter) {
+TEST(Routing, SameSeedGivesTheSameChoiceAtEveryRouter) {
     Harness a(basicSettings(), 1), b(basicSettings(), 99);
     a.listBasicFleet();
     b.listBasicFleet();
@@ -147,7 +147,7 @@
     }
 }
 
-TEST(YoungFilter, UnknownNameAsksItsCacheOnTheWayAndLeavesNoCopy) {
+TEST(FilterWarmUp, UnknownObjectGoesThroughItsCacheWithoutACopy) {
     Harness h;
     h.listBasicFleet();
     h.ask("new");
@@ -159,7 +159,7 @@
 
 // Regression: the warm-up of the filter never ended, since no router saw the number of names that it
 // required.
-TEST(YoungFilter, EndsSoonAfterTheStartHoweverFewTheNames) {
+TEST(FilterWarmUp, EndsSoonAfterTheStartEvenWithFewObjects) {
     Harness h;
     h.listBasicFleet();
     h.now += 15s;
@@ -168,7 +168,7 @@
 }
 
 // While origin and parents do not answer, fewer fills are requested, but hits still are.
-TEST(Gates, UpwardRequestsFallOffWhenNothingComesBack) {
+TEST(FillLimits, FillsDecreaseWhenParentsDoNotAnswer) {
     Harness h;
     h.listBasicFleet();
     h.warmUpFilter();
@@ -195,7 +195,7 @@
 
 // While fills are limited, a parent is first asked for its copy. If it has none, the same parent must fetch
 // the object: a fetch by another parent would leave copies at two parents.
-TEST(Gates, AFetchAfterNoCopyGoesToTheSameParent) {
+TEST(FillLimits, FetchAfterNoCopyGoesToTheSameParent) {
     Harness h;
     h.listBasicFleet();
     h.warmUpFilter();
@@ -223,7 +223,7 @@
 }
 
 // Missing answers weigh little while others arrive in time: a tier that loses some answers is not limited.
-TEST(Gates, LostAnswersAloneDoNotCloseThem) {
+TEST(FillLimits, LostAnswersAloneDoNotLimitFills) {
     Harness h;
     h.listBasicFleet();
     h.warmUpFilter();
@@ -241,7 +241,7 @@
 }
 
 // Prompt errors are a fault of their host: they do not limit fills, so that fills are still requested.
-TEST(Gates, PromptErrorsDoNotCloseThem) {
+TEST(FillLimits, PromptErrorsDoNotLimitFills) {
     Harness h;
     h.listBasicFleet();
     h.warmUpFilter();
@@ -257,7 +257,7 @@
 }
 
 // Three of four caches lose answers: the one that lost most is not ejected for a fault that they share.
-TEST(Failures, WhatMostSufferFromIsNotHeldAgainstOne) {
+TEST(Failures, SharedFaultsDoNotEjectAHost) {
     Harness h;
     h.list({Harness::cache("c1"), Harness::cache("c2"), Harness::cache("c3"), Harness::cache("c4"),
             Harness::host("p1", Role::parent, 0, 20), Harness::host("o", Role::origin, 0, 1)});
@@ -283,7 +283,7 @@
 }
 
 // Without parents the origin takes over for as long as it answers in time.
-TEST(Origin, AnswersInTimeEarnItMoreThanItsShare) {
+TEST(Origin, AnswersInTimeRaiseItsShare) {
     const auto served = [](Outcome outcome) {
         Harness h;
         h.warmUpFilter(10);
@@ -303,7 +303,7 @@
 }
 
 // A full cache gets no request that it cannot answer in time; an answer at full pace proves free capacity.
-TEST(HostGate, AFullCacheIsPassedBy) {
+TEST(HostLimits, FullCacheGetsNoRequestItCannotAnswerInTime) {
     Harness h;
     h.listBasicFleet();
     h.list({Harness::cache("c1")}, true);
@@ -319,7 +319,7 @@
 }
 
 // While the parent is cold, hits are requested without a fill: they must not use up its budget.
-TEST(ColdParent, IsOnlyChargedForFills) {
+TEST(ColdParent, OnlyFillsUseItsBudget) {
     Harness h;
     h.listBasicFleet();
     h.makeKnown("a");
@@ -334,7 +334,7 @@
 }
 
 // Stale copies earn part of the value: none is used while a fresh one is available.
-TEST(OldCopies, OnlyAfterAFailure) {
+TEST(StaleCopies, AreUsedOnlyAfterAFailure) {
     Settings s = basicSettings();
     s.classes[1].freshFor = 8s;
     s.classes[1].staleFor = 10s;
@@ -349,7 +349,7 @@
     EXPECT_EQ(h.one<Send>()->maxCopyAge, 18s);
 }
 
-TEST(Failures, AnotherAttemptTakesAnotherRoute) {
+TEST(Failures, RetriesTakeAnotherRoute) {
     Harness h;
     h.listBasicFleet();
     h.warmUpFilter();
@@ -364,7 +364,7 @@
     EXPECT_NE(second->host, host);
 }
 
-TEST(Failures, ACacheThatKeepsFailingIsLeftOut) {
+TEST(Failures, CacheThatKeepsFailingIsEjected) {
     Harness h;
     h.listBasicFleet();
     h.makeKnown("a");
@@ -386,7 +386,7 @@
 
 // When half of the hosts or all of them fail at once, trials continue and service resumes soon after they
 // recover.
-TEST(Failures, WhenAllHostsLookBadNoneIsShutOut) {
+TEST(Failures, NoHostIsEjectedWhenAllFail) {
     Harness h;
     h.listBasicFleet();
     const auto play = [&](int requests, Outcome outcome) {
@@ -410,7 +410,7 @@
 }
 
 // When all caches of the zone fail without notice, the parents take over.
-TEST(Failures, WhenAllCachesAreLostTheParentsTakeOver) {
+TEST(Failures, ParentsTakeOverWhenAllCachesFail) {
     Harness h;
     h.listBasicFleet();
     h.now += 10s;
@@ -429,7 +429,7 @@
     EXPECT_LT(toCaches, 20);
 }
 
-TEST(Failures, FurtherAttemptsAreAShareOfTheRequests) {
+TEST(Failures, RetriesAreLimitedToAShareOfRequests) {
     Harness h;
     h.listBasicFleet();
     int sends = 0;
@@ -449,7 +449,7 @@
 
 // When the zone's link is full, a request that cannot be answered in time over it is sent to the cache only,
 // and is refused on a miss.
-TEST(FullLink, OnlyWhatTheCacheHoldsIsAskedFor) {
+TEST(FullLink, RequestsAreSentForCachedCopiesOnly) {
     Harness h;
     h.listBasicFleet();
     h.warmUpFilter();
@@ -468,7 +468,7 @@
     EXPECT_EQ(h.all<Refuse>().size(), 1u);
 }
 
-TEST(FullLink, OldReportsAreForgotten) {
+TEST(FullLink, OldReportsExpire) {
     Harness h;
     h.listBasicFleet();
     h.warmUpFilter();
@@ -487,7 +487,7 @@
 
 class OtherDeployments : public ::testing::TestWithParam<DeploymentCase> {};
 
-TEST_P(OtherDeployments, NeitherLoseAnAnswerNorLoop) {
+TEST_P(OtherDeployments, AnswerEveryRequestWithoutLoops) {
     Settings s = basicSettings();
     GetParam().change(s);
     for (int fleet = 0; fleet < 4; ++fleet) {
@@ -551,7 +551,7 @@
                                          s.fillCoalescing = false;
                                      }}));
 
-TEST(Discovery, IsAskedForWhereItMustBeAndAgainAfterAFailure) {
+TEST(Discovery, SubscribesIfRequiredAndRetriesAfterAFailure) {
     Settings s = basicSettings();
     s.mustSubscribeToList = true;
     Harness h(s);
@@ -564,7 +564,7 @@
     EXPECT_EQ(h.all<Watch>().size(), 1u);
 }
 
-TEST(Streams, AStartedStreamIsLeftAloneAndOthersAreCancelled) {
+TEST(Streams, StartedStreamIsLeftRunning) {
     Settings s = basicSettings();
     for (auto& c : s.classes) c.streamed = true;
     Harness h(s);
@@ -581,7 +581,7 @@
 
 // Actions refer to hosts by views of their names. Regression: a name too long for the small-string
 // optimization moved with each list.
-TEST(Lists, AHostThatIsListedAgainKeepsItsNameWhereItIs) {
+TEST(HostLists, RelistedHostKeepsItsNameStorage) {
     const std::string name = "a-cache-with-a-name-of-more-than-fifteen-characters";
     Harness h;
     h.list({Harness::cache(name), Harness::host("p1", Role::parent, 0, 20),
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -8,7 +8,7 @@
 namespace lotuslead::testing {
 namespace {
 
-TEST(LongDays, PlacesOfHostsThatAreGoneAreUsedAgain) {
+TEST(HostSlots, SlotsOfRemovedHostsAreReused) {
     Harness h;
     h.listBasicFleet();
     for (int i = 0; i < 200; ++i) {
@@ -23,7 +23,7 @@
     EXPECT_LE(h.hostSlots(), 9u);
 }
 
-TEST(Health, TheEndOfOneConnectionIsOneWordOnItsHost) {
+TEST(Health, OneConnectionFailureCountsOnceAgainstItsHost) {
     Harness h;
     h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20)});
     h.warmUpFilter();
@@ -38,7 +38,7 @@
 }
 
 // Sizes and links that are not configured are learned from answers: an answer in time must not count as late.
-TEST(Learning, TheSizeOfAnAnswerSetsTheAimOfItsRequest) {
+TEST(Learning, AnswerSizeSetsTheLatencyTargetOfItsRequest) {
     Settings settings = basicSettings();
     settings.weights = WeightMeaning::none;
     settings.classes[1].latencyTarget =
@@ -66,7 +66,7 @@
     EXPECT_EQ(sent, 60);
 }
 
-TEST(Slow, AnAttemptIsNotBegunAnewWhileItsHostAnswersOthers) {
+TEST(SlowAttempts, AreNotRestartedWhileTheirHostAnswersOthers) {
     for (const bool answers : {true, false}) {
         Settings settings = basicSettings();
         settings.mayHedge = false;
@@ -95,7 +95,7 @@
 
 // --- 1: exactly one answer, in time ---
 
-TEST(Answers, ServedOnceNeedsNoOther) {
+TEST(Answers, ServedRequestIgnoresFurtherResults) {
     Harness h;
     h.listBasicFleet();
     const RequestId id = h.ask("a");
@@ -106,7 +106,7 @@
     EXPECT_TRUE(h.last.empty());
 }
 
-TEST(Answers, TimeOutAtTheDeadlineIsAnsweredAtOnce) {
+TEST(Answers, TimeoutAtTheDeadlineIsAnsweredAtOnce) {
     Harness h;
     h.listBasicFleet();
     const RequestId id = h.ask("a");
@@ -116,7 +116,7 @@
     EXPECT_TRUE(h.all<Send>().empty());
 }
 
-TEST(Answers, NoHostAtAllMeansPromptRefusal) {
+TEST(Answers, WithoutHostsRequestsAreRefusedPromptly) {
     Harness h;
     h.list({});
     h.ask("a");
@@ -126,7 +126,7 @@
     EXPECT_LT(refusal->retryIn, 250ms);  // a retry can still meet the latency target
 }
 
-TEST(Answers, EveryRequestEndsOnceWhateverFails) {
+TEST(Answers, EveryRequestEndsExactlyOnceUnderFailures) {
     Harness h;
     h.listBasicFleet();
     for (int round = 0; round < 200; ++round) {
@@ -144,7 +144,7 @@
     }
 }
 
-TEST(Answers, ClientThatLeftIsOwedNothing) {
+TEST(Answers, DisconnectedClientGetsNoAnswer) {
     Harness h;
     h.listBasicFleet();
     const RequestId id = h.ask("a");
@@ -177,7 +177,7 @@
     EXPECT_EQ(h.all<Fail>().size(), 1u);
 }
 
-TEST(Effects, UnsafeMayGoOnWhenItNeverRan) {
+TEST(Effects, UnsafeIsRetriedIfItNeverRan) {
     Harness h(withEffect(Effect::unsafe));
     h.listBasicFleet();
     const RequestId id = h.ask("a");
@@ -197,7 +197,7 @@
     }
 }
 
-TEST(Effects, KeyedStaysInItsZoneAndWindow) {
+TEST(Effects, KeyedIsRetriedOnlyInItsZoneAndWindow) {
     Harness h(withEffect(Effect::keyed, DeduplicationScope::zone));
     h.listBasicFleet();
     h.warmUpFilter(3);
@@ -215,7 +215,7 @@
     EXPECT_EQ(h.all<Fail>().size(), 1u);
 }
 
-TEST(Effects, NoSecondCopyWhereBarred) {
+TEST(Effects, NoHedgingWhereDisabled) {
     Settings s = basicSettings();
     s.mayHedge = false;
     Harness h(s);
@@ -251,7 +251,7 @@
     }
 }
 
-TEST(Drains, RetriesFollowTheListOfTheMoment) {
+TEST(Drains, RetriesUseTheCurrentHostList) {
     Harness h;
     h.listBasicFleet();
     h.makeKnown("a");
@@ -293,7 +293,7 @@
 }
 
 // Without sizes an attempt once counted for next to nothing, so that cold caches were overloaded and failed.
-TEST(ColdHosts, WithoutSizesAnAttemptWeighsWhatHitsTook) {
+TEST(ColdHosts, WithoutSizesAnAttemptCountsAsTheMeanHit) {
     Settings settings = basicSettings();
     settings.weights = WeightMeaning::none;
     settings.directUpstream = false;
@@ -328,7 +328,7 @@
 
 // With many routers, each one's part of the budget is less than one request. Some requests must still be
 // sent, and all routers together must stay within the budget.
-TEST(ColdHosts, ManyRoutersTogetherUseAColdParentWithinItsBudget) {
+TEST(ColdHosts, ManyRoutersTogetherStayWithinAColdParentsBudget) {
     constexpr int kRouters = 200;
     double early = 0;
     for (int router = 0; router < kRouters; ++router) {
@@ -353,7 +353,7 @@
 
 // --- 5: purges ---
 
-TEST(Purges, LimitTheAgeOfTheObjectOnly) {
+TEST(Purges, LimitTheCopyAgeOfThePurgedObjectOnly) {
     Harness h;
     h.listBasicFleet();
     h.purge("a", 7, 50ms);
@@ -370,7 +370,7 @@
     EXPECT_EQ(sent->maxCopyAge, 0ns);
 }
 
-TEST(Purges, OfAGroupHoldForAllItsObjectsAndHigherLimitsGiveWay) {
+TEST(Purges, GroupPurgeOverridesHigherAgeLimitsOfItsObjects) {
     Settings s = basicSettings();
     s.classes[1].freshFor = 8s;
     s.classes[1].staleFor = 10s;
@@ -388,7 +388,7 @@
     EXPECT_EQ(h.one<Send>()->maxCopyAge, 8s);
 }
 
-TEST(Purges, HoldForFurtherAttemptsToo) {
+TEST(Purges, ApplyToRetriesToo) {
     Settings s = basicSettings();
     s.classes[1].freshFor = 8s;
     s.classes[1].staleFor = 10s;
--- a/tests/raft_import_test.cpp
+++ b/tests/raft_import_test.cpp
@@ -84,7 +84,7 @@
     return log.open();
 }
 
-TEST(RaftImport, TakesOverEntriesTermAndVote) {
+TEST(RaftImport, ImportsEntriesTermAndVote) {
     TemporaryFolder folder;
     {
         LibraftFolder before(folder.path());
@@ -101,7 +101,7 @@
     }
 }
 
-TEST(RaftImport, BeginsAgainAfterACrashOnTheWay) {
+TEST(RaftImport, RestartsAnImportInterruptedByACrash) {
     TemporaryFolder folder;
     {
         LibraftFolder before(folder.path());
@@ -117,7 +117,7 @@
     EXPECT_EQ(imported(folder).termAndVote.term, 3U);
 }
 
-TEST(RaftImport, AFolderThatIsNewBeginsEmpty) {
+TEST(RaftImport, NewFolderStartsEmpty) {
     TemporaryFolder folder;
     const auto content = imported(folder);
     EXPECT_EQ(content.termAndVote.term, 0U);
@@ -125,7 +125,7 @@
 }
 
 // It would start with an empty log there and forget acknowledged entries.
-TEST(RaftImport, AProgramOfBeforeRefusesTheFolder) {
+TEST(RaftImport, PreviousVersionRefusesAnImportedFolder) {
     TemporaryFolder folder;
     imported(folder);
     LibraftFolder before(folder.path());
--- a/tests/raft_log_test.cpp
+++ b/tests/raft_log_test.cpp
@@ -115,7 +115,7 @@
     EXPECT_EQ(dataOf(reopened(folder)), (Strings{"a", "B", "CC"}));
 }
 
-TEST(RaftLog, PassesOverARecordThatWasTorn) {
+TEST(RaftLog, SkipsATornRecordAtTheEnd) {
     TemporaryFolder folder;
     {
         RaftLog log(folder.path());
@@ -137,7 +137,7 @@
     EXPECT_EQ(dataOf(reopened(folder)), (Strings{"a", "b", "again"}));
 }
 
-TEST(RaftLog, RefusesAGapInPlaceOfLosingWhatWasAcknowledged) {
+TEST(RaftLog, RefusesToOpenWithMissingEntries) {
     TemporaryFolder folder;
     {
         RaftLog log(folder.path());
@@ -155,7 +155,7 @@
     EXPECT_THROW(log.open(), std::runtime_error);
 }
 
-TEST(RaftLog, KeepsTheEntriesThatASnapshotIsToLeave) {
+TEST(RaftLog, KeepsTheTrailingEntriesOfASnapshot) {
     TemporaryFolder folder;
     {
         RaftLog log(folder.path());
@@ -179,7 +179,7 @@
     EXPECT_EQ(content.snapshot->members[1].role, 0);
 }
 
-TEST(RaftLog, BeginsBehindASnapshotThatWasInstalled) {
+TEST(RaftLog, ContinuesAfterAnInstalledSnapshot) {
     TemporaryFolder folder;
     {
         RaftLog log(folder.path());
@@ -195,7 +195,7 @@
 }
 
 // The snapshot is stored already, but the entries that it replaces have not been removed yet.
-TEST(RaftLog, FinishesAnInstallThatWasCutShort) {
+TEST(RaftLog, CompletesAnInterruptedSnapshotInstall) {
     for (const std::uint64_t index : {2U, 9U}) {
         TemporaryFolder folder, other;
         {
@@ -219,7 +219,7 @@
     }
 }
 
-TEST(RaftLog, RefusesADamagedSnapshotAndOneThatIsMissing) {
+TEST(RaftLog, RefusesADamagedOrMissingSnapshot) {
     TemporaryFolder folder;
     {
         RaftLog log(folder.path());
@@ -238,7 +238,7 @@
     EXPECT_THROW(log.open(), std::runtime_error);
 }
 
-TEST(RaftLog, KeepsTheVoteBeforeOneThatWasTorn) {
+TEST(RaftLog, FallsBackToTheVoteBeforeATornOne) {
     TemporaryFolder folder;
     {
         RaftLog log(folder.path());
@@ -257,7 +257,7 @@
     EXPECT_THROW(log.open(), std::runtime_error);
 }
 
-TEST(RaftLog, AFolderThatCannotBeMadeIsASystemError) {
+TEST(RaftLog, ThrowsSystemErrorIfTheFolderCannotBeCreated) {
     EXPECT_THROW(RaftLog("/proc/none/log"), std::system_error);
 }
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -25,7 +25,7 @@
     return facts;
 }
 
-TEST(Rules, ASendWantsAWaitingClientAndReadyHosts) {
+TEST(Rules, SendRequiresAWaitingClientAndReadyHosts) {
     const ClassSettings rules = classOf(Effect::unsafe);
     EXPECT_EQ(maySend(rules, goodSend(), {}), Denial::none);
     const auto with = [&](auto change) {
@@ -42,7 +42,7 @@
     EXPECT_EQ(with([](SendFacts& f) { f.purgedSincePick = true; }), Denial::purgedSincePick);
 }
 
-TEST(Rules, WhatMayHaveRunIsRepeatedOnlyAsItsClassAllows) {
+TEST(Rules, AttemptThatMayHaveRunIsRepeatedOnlyIfItsClassAllows) {
     const EarlierRun earlier{8s, {1, 7}};
     EXPECT_EQ(mayRepeat(classOf(Effect::unsafe), {}, 10s, {1, 7}), Denial::none);
     EXPECT_EQ(mayRepeat(classOf(Effect::unsafe), earlier, 10s, {1, 7}), Denial::mayRunTwice);
@@ -59,7 +59,7 @@
               Denial::otherRepeatGroup);
 }
 
-TEST(Rules, ARefusalPromisesThatNothingHasHappened) {
+TEST(Rules, RefusalRequiresThatNothingMayHaveTakenEffect) {
     EXPECT_EQ(mayRefuse(classOf(Effect::unsafe), false), Denial::none);
     EXPECT_EQ(mayRefuse(classOf(Effect::unsafe), true), Denial::mayHaveTakenEffect);
     EXPECT_EQ(mayRefuse(classOf(Effect::safe), true), Denial::none);
@@ -68,14 +68,14 @@
     EXPECT_EQ(mayRefuse(classOf(Effect::keyed, DeduplicationScope::cell), true), Denial::mayHaveTakenEffect);
 }
 
-TEST(Rules, AnswersAreGivenOnceAndCopiesConfirmedOnlyWhenNamed) {
+TEST(Rules, AnswersOnceAndConfirmsOnlyACopyTheClientNamed) {
     EXPECT_EQ(mayAnswer({}), Denial::none);
     EXPECT_EQ(mayAnswer({.answered = true}), Denial::answered);
     EXPECT_EQ(mayAnswer({.unchanged = true}), Denial::copyNotNamed);
     EXPECT_EQ(mayAnswer({.unchanged = true, .copyIsNamed = true}), Denial::none);
 }
 
-TEST(Rules, RequestsAreTakenWithinTheBoundsOfProcessAndConnection) {
+TEST(Rules, AdmitsRequestsWithinTheLimitsOfProcessAndConnection) {
     const AdmissionFacts good{.openOnConnection = 31, .maxOnConnection = 32};
     EXPECT_EQ(mayAdmit(good), Denial::none);
     const auto with = [&](auto change) {
@@ -90,21 +90,21 @@
     EXPECT_EQ(with([](AdmissionFacts& f) { f.hasRoom = false; }), Denial::noMemory);
 }
 
-TEST(Rules, AConnectionIsClosedOnlyWhereNothingIsOwedOnIt) {
+TEST(Rules, ClosesOnlyConnectionsWithoutPendingWork) {
     EXPECT_EQ(mayClose({}), Denial::none);
     EXPECT_EQ(mayClose({.openRequests = 1}), Denial::requestOpen);
     EXPECT_EQ(mayClose({.unreadBytes = true}), Denial::unreadBytes);
     EXPECT_EQ(mayClose({.unsentBytes = 1}), Denial::unsentAnswer);
 }
 
-TEST(Rules, TheServiceOpensOnceItKnowsEnoughOrHasWaitedLong) {
+TEST(Rules, ServesAfterTheInitialSyncOrALongWait) {
     EXPECT_EQ(mayServe({}), Denial::notReady);
     EXPECT_EQ(mayServe({.initialSyncComplete = true}), Denial::none);
     EXPECT_EQ(mayServe({.initialSyncComplete = true, .awaitsHandOver = true}), Denial::notReady);
     EXPECT_EQ(mayServe({.waitedLongEnough = true}), Denial::none);
 }
 
-TEST(Rules, DenialsOfChosenStepsAreViolationsAndLaterOnesAreNot) {
+TEST(Rules, OnlyDenialsOfRequiredStepsAreViolations) {
     RuleChecks checks;
     EXPECT_TRUE(checks.allows(Denial::none));
     EXPECT_TRUE(checks.require(Denial::none, "send", "a"));
--- a/tests/source_test.cpp
+++ b/tests/source_test.cpp
@@ -12,7 +12,7 @@
     return first != std::string::npos && line.compare(first, 2, "//") != 0;
 }
 
-TEST(DecisionModule, StaysWithinItsLimits) {
+TEST(DecisionModule, StaysWithinItsSourceSizeLimits) {
     std::ifstream file(POLICY_FILE);
     ASSERT_TRUE(file.is_open());
     int codeLines = 0;
--- a/tests/support_test.cpp
+++ b/tests/support_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(LruMap, ForgetsWhatWasUsedLongestAgo) {
+TEST(LruMap, EvictsTheLeastRecentlyUsedEntry) {
     LruMap<int, int> map(2);
     map.touch(1).first = 10;
     map.touch(2);
@@ -21,7 +21,7 @@
     EXPECT_EQ(map.size(), 2u);
 }
 
-TEST(WindowSum, HoldsTheLastWindowOnly) {
+TEST(WindowSum, SumsTheLastWindowOnly) {
     WindowSum sum;
     sum.add(1s, 2);
     sum.add(2s, 3);
@@ -29,14 +29,14 @@
     EXPECT_DOUBLE_EQ(sum.over(4s, 1s), 0);
 }
 
-TEST(FadingRate, FadesToAThirdInOneSpan) {
+TEST(DecayingRate, DecaysByAFactorOfEInOneTimeConstant) {
     DecayingRate rate;
     rate.add(1s, 2s, 4);
     EXPECT_DOUBLE_EQ(rate.perSecond(1s, 2s), 2);
     EXPECT_NEAR(rate.perSecond(3s, 2s), 2 * 0.3679, 0.001);
 }
 
-TEST(Hash, IsFixedAndSpreads) {
+TEST(Hash, IsDeterministicAndUniform) {
     EXPECT_EQ(fingerprint("a"), fingerprint("a"));
     EXPECT_NE(fingerprint("a"), fingerprint("b"));
     double sum = 0;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -88,7 +88,7 @@
     EXPECT_EQ(p.output.substr(p.output.rfind("{\"what\":\"next\"")), "{\"what\":\"next\",\"turn\":2}\n");
 }
 
-TEST(Wire, ARestartWithinOneBatchForgetsEverything) {
+TEST(Wire, RestartWithinOneBatchDropsAllState) {
     const AdapterRun p =
         runAdapter(batch(1, {kUpEvent, kManifestEvent, kMembersEvent, request("00000000000000ab")}) +
                    batch(2, {R"({"what":"retire","who":3})", kUpEvent, kMembersEvent,
@@ -97,7 +97,7 @@
     EXPECT_EQ(p.output.find("abandon"), std::string::npos);
 }
 
-TEST(Wire, AReusedListNumberMeansTheNewestList) {
+TEST(Wire, ReusedListNumberRefersToTheNewestList) {
     const std::string empty = R"({"what":"manifest","sheet":0,"rowsIn":[]})";
     const std::string full = R"({"what":"members","who":3,"form":1,"sheet":0,"index":2})";
     const AdapterRun p = runAdapter(
@@ -107,7 +107,7 @@
               std::string::npos);
 }
 
-TEST(Wire, DeltaChangesOnlyWhatItNames) {
+TEST(Wire, DeltaChangesOnlyListedHosts) {
     const std::string delta =
         R"({"what":"manifest","sheet":1,"rowsIn":[{"classOfHost":"box","host":"10.0.0.1:1",)"
         R"("heft":5,"readiness":2,"campus":"e","pod":0}]})";
@@ -119,7 +119,7 @@
     EXPECT_EQ(p.output.find("10.0.0.1:1"), std::string::npos);
 }
 
-TEST(Wire, AFailedCallLeavesTheListAsItWas) {
+TEST(Wire, FailedDiscoveryCallKeepsTheList) {
     const std::string failed = R"({"what":"members","who":3,"form":3,"sheet":0,"index":0})";
     const AdapterRun p =
         runAdapter(batch(1, {kUpEvent, kManifestEvent, kMembersEvent, failed, request("00000000000000ab")}));
@@ -141,7 +141,7 @@
     EXPECT_EQ(p.output, "{\"what\":\"next\",\"turn\":1}\n");
 }
 
-TEST(Wire, LargeBatchesAreReadWhole) {
+TEST(Wire, ReadsLargeBatchesCompletely) {
     std::string text = R"({"what":"sync","now":7000000000,"turn":1})" + std::string("\n") + kUpEvent + "\n" +
                        kManifestEvent + "\n" + kMembersEvent + "\n";
     char id[17];
@@ -158,7 +158,7 @@
 
 class MalformedInput : public ::testing::TestWithParam<const char*> {};
 
-TEST_P(MalformedInput, IsToldPlainlyAndEndsTheAdapter) {
+TEST_P(MalformedInput, IsReportedWithItsLineAndEndsTheAdapter) {
     const AdapterRun p = runAdapter(batch(1, {kUpEvent, kManifestEvent, kMembersEvent, GetParam()}));
     EXPECT_NE(p.exitCode, 0);
     EXPECT_EQ(p.errors.rfind("lotuslead_adapter: line 5: ", 0), 0u) << p.errors;
