--- a/src/platform/call_validation.hpp
+++ b/src/platform/call_validation.hpp
@@ -17,9 +17,9 @@
 inline constexpr std::int64_t kMaxBlock = 1'000'000;
 inline constexpr std::int64_t kMaxFamily = 255;
 
-inline std::size_t totalBytes(const std::vector<std::string>& words) {
+inline std::size_t totalBytes(const std::vector<std::string>& elements) {
     std::size_t bytes = 0;
-    for (const std::string& word : words) bytes += word.size();
+    for (const std::string& element : elements) bytes += element.size();
     return bytes;
 }
 
--- a/src/platform/client_messages.cpp
+++ b/src/platform/client_messages.cpp
@@ -11,8 +11,8 @@
 constexpr std::size_t kMaxMessages = 64;
 constexpr std::size_t kMaxMessageBytes = 64 * 1024;
 
-bool isCallOf(const std::vector<std::string>& words, const std::string& tag) {
-    return words.size() > 2 && words[0] == "CALL" && words[1] == tag;
+bool isCallOf(const std::vector<std::string>& elements, const std::string& tag) {
+    return elements.size() > 2 && elements[0] == "CALL" && elements[1] == tag;
 }
 
 }  // namespace
@@ -31,7 +31,7 @@
         malformed_ = status == Status::malformed;
         if (status != Status::message) continue;
         messages_.push_back({parser_.takeMessage(), bytesArrivedAt_});
-        messageBytes_ += totalBytes(messages_.back().words);
+        messageBytes_ += totalBytes(messages_.back().elements);
     }
     bytes_.erase(0, bytes_.size() - rest.size());
 }
@@ -40,11 +40,11 @@
     const std::function<bool(const std::string& tag)>& isOpen) {
     Cancellations result;
     for (std::size_t at = 0; at < messages_.size(); ++at) {
-        const std::vector<std::string>& words = messages_[at].words;
-        if (words.size() < 2 || words[0] != "CANCEL" || !isTag(words[1])) continue;
-        const std::string tag = words[1];
+        const std::vector<std::string>& elements = messages_[at].elements;
+        if (elements.size() < 2 || elements[0] != "CANCEL" || !isTag(elements[1])) continue;
+        const std::string tag = elements[1];
         std::size_t call = 0;
-        while (call < at && !isCallOf(messages_[call].words, tag)) ++call;
+        while (call < at && !isCallOf(messages_[call].elements, tag)) ++call;
         const bool open = isOpen(tag);
         const bool held = call < at;
         if (open == held) continue;  // it is handled in order
@@ -63,7 +63,7 @@
 ClientMessages::Message ClientMessages::takeAt(std::size_t at) {
     Message message = std::move(messages_[at]);
     messages_.erase(messages_.begin() + static_cast<std::ptrdiff_t>(at));
-    messageBytes_ -= totalBytes(message.words);
+    messageBytes_ -= totalBytes(message.elements);
     return message;
 }
 
--- a/src/platform/client_messages.hpp
+++ b/src/platform/client_messages.hpp
@@ -18,7 +18,7 @@
 public:
     using Micros = std::chrono::microseconds;
     struct Message {
-        std::vector<std::string> words;
+        std::vector<std::string> elements;
         Micros arrivedAt{};
     };
 
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -152,7 +152,7 @@
         for (int i = 0; i < kMaxMessagesPerTurn && fits && input_.hasMessage() && !closing_ && !backlogged();
              ++i) {
             ClientMessages::Message message = input_.takeFirst();
-            fits = handleMessage(std::move(message.words), message.arrivedAt);
+            fits = handleMessage(std::move(message.elements), message.arrivedAt);
         }
         if (stream_.closed() || closing_) return;
         if (!fits || (input_.malformed() && !input_.hasMessage())) return closeMalformed();
@@ -245,19 +245,19 @@
 
     // ----- messages -----
 
-    bool handleMessage(std::vector<std::string> words, Micros arrivedAt) {
-        if (words.size() < 2 || !isTag(words[1])) return false;
+    bool handleMessage(std::vector<std::string> elements, Micros arrivedAt) {
+        if (elements.size() < 2 || !isTag(elements[1])) return false;
         const bool first = !std::exchange(hasSentMessage_, true);
         if (first) cancelMessageTimer();
         lastUsed_ = owner_.loop_.now();
-        if (words[0] == "CALL") return handleCall(words, arrivedAt);
-        if (words[0] == "CANCEL") {
-            cancelCall(words[1]);
+        if (elements[0] == "CALL") return handleCall(elements, arrivedAt);
+        if (elements[0] == "CANCEL") {
+            cancelCall(elements[1]);
             return true;
         }
-        if (words[0] != "CHECK") return false;
+        if (elements[0] != "CHECK") return false;
         ++owner_.counters_.checks;
-        sendAnswer(words[1], owner_.reportsLeaving() ? "LEAVING" : "PASS", "-", {});
+        sendAnswer(elements[1], owner_.reportsLeaving() ? "LEAVING" : "PASS", "-", {});
         return true;
     }
 
@@ -270,9 +270,9 @@
         if (owner_.loop_.now() - call.takenAt < kImmediateCancel) countUselessMessage();
     }
 
-    bool handleCall(std::vector<std::string>& words, Micros arrivedAt) {
-        if (words.size() < 3) return false;
-        const std::string tag = words[1];
+    bool handleCall(std::vector<std::string>& elements, Micros arrivedAt) {
+        if (elements.size() < 3) return false;
+        const std::string tag = elements[1];
         if (open_.count(tag) > 0) {
             // An answer under this tag would be taken for that of the open request, which is unrelated.
             ++owner_.counters_.unusable;
@@ -284,16 +284,16 @@
             refuse(tag, denial);
             return true;
         }
-        const Fields fields(words.size() > 3 ? std::string_view(words[3]) : std::string_view{});
+        const Fields fields(elements.size() > 3 ? std::string_view(elements[3]) : std::string_view{});
         core::Request request;
         const auto& classes = owner_.vocabulary_.classes;
-        const auto known = classes.find(words[2]);
+        const auto known = classes.find(elements[2]);
         request.traceId = fields.text("trace");
         request.object = fields.text("entity");
         request.repeated = fields.text("redo") == "1";
         request.key = fields.text("nonce");
         request.knownTag = fields.text("cached");
-        if (words.size() > 4) request.body = std::move(words[4]);
+        if (elements.size() > 4) request.body = std::move(elements[4]);
         // A second request under an open id would look like a second attempt in flight to the stores.
         if (known == classes.end() || !isValidCall(fields, request) ||
             owner_.openTraceIds_.count(request.traceId) > 0) {
@@ -308,7 +308,7 @@
         }
         request.id = owner_.nextId_++;
         request.classIndex = known->second;
-        request.className = words[2];
+        request.className = elements[2];
         request.group = fields.whole("family").value_or(0);
         request.part = fields.whole("block").value_or(0);
         const Micros now = owner_.loop_.now();
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -91,14 +91,14 @@
         const auto self = shared_from_this();
         for (auto it = inFlight_.begin(); it != inFlight_.end(); ++it) {
             if (it->second.request != request || it->second.attempt != attempt) continue;
-            std::string words;
-            net::appendResp(words, {"KILL", it->first});
+            std::string message;
+            net::appendResp(message, {"KILL", it->first});
             rememberAbandoned(it->first);
             if (owner_.loop_.now() - std::max(lastByteAt_, it->second.writtenAt) >
                 owner_.silenceTimeout_.value())
                 noNewAttempts_ = true;
             inFlight_.erase(it);
-            stream_.write(std::move(words));
+            stream_.write(std::move(message));
             // If the store accepts no bytes, KILL would queue behind the request itself, which may by then be
             // in flight elsewhere. Closing the connection cancels everything on it.
             if (stream_.unsentBytes() > 0)
@@ -219,9 +219,9 @@
             ++owner_.counters_.echoes;
             ++pendingEchoes_;
             echoSentAt_ = owner_.loop_.now();
-            std::string words;
-            net::appendResp(words, {"ECHO", std::to_string(++owner_.lastEchoNumber_)});
-            stream_.write(std::move(words));
+            std::string message;
+            net::appendResp(message, {"ECHO", std::to_string(++owner_.lastEchoNumber_)});
+            stream_.write(std::move(message));
             armSilenceTimer(kEchoTimeout);
         });
     }
@@ -235,25 +235,25 @@
         return true;
     }
 
-    bool handleAnswer(std::vector<std::string> words) {
-        if (words.size() < 2 || words.size() > 4) return false;
-        const auto outcome = outcomeOf(words[1]);
-        const auto found = inFlight_.find(words[0]);
+    bool handleAnswer(std::vector<std::string> elements) {
+        if (elements.size() < 2 || elements.size() > 4) return false;
+        const auto outcome = outcomeOf(elements[1]);
+        const auto found = inFlight_.find(elements[0]);
         // Not in flight: an ECHO reply, or the answer to an abandoned attempt that was already on its
         // way.
         if (found == inFlight_.end()) {
-            if (pendingEchoes_ > 0 && (words[1] == "yes" || words[1] == "no")) {
+            if (pendingEchoes_ > 0 && (elements[1] == "yes" || elements[1] == "no")) {
                 --pendingEchoes_;
                 return true;
             }
-            abandoned_.erase(words[0]);
+            abandoned_.erase(elements[0]);
             ++owner_.counters_.lateAnswers;
             return ++unmatchedAnswers_ <= kMaxUnmatchedAnswers;
         }
         unmatchedAnswers_ = 0;
         if (!outcome) return false;
-        const Fields fields(words.size() > 2 ? std::string_view(words[2]) : std::string_view{});
-        if (*outcome == Outcome::served && !isWellFormed(words, fields, found->second)) return false;
+        const Fields fields(elements.size() > 2 ? std::string_view(elements[2]) : std::string_view{});
+        if (*outcome == Outcome::served && !isWellFormed(elements, fields, found->second)) return false;
         AttemptResult result;
         result.request = found->second.request;
         result.attempt = found->second.attempt;
@@ -268,17 +268,17 @@
             result.outcome = found->second.repeatable ? Outcome::noCopy : Outcome::error;
         }
         if (result.outcome == Outcome::served) {
-            result.payload.unchanged = words[1] == "current";
+            result.payload.unchanged = elements[1] == "current";
             result.payload.mintedMs = fields.whole("minted").value_or(0);
             if (!fields.text("tag").empty()) result.payload.metadata.emplace_back("tag", fields.text("tag"));
-            if (words.size() > 3) result.payload.body = std::move(words[3]);
+            if (elements.size() > 3) result.payload.body = std::move(elements[3]);
         }
         owner_.noteAnswered(host_, found->second.writtenAt);
         owner_.silenceTimeout_.learn(owner_.loop_.now() - std::max(lastAnswerAt_, waitingSince_));
         lastAnswerAt_ = owner_.loop_.now();
         // A duplicate answer would be taken for the answer to a later attempt of the same request.
         if (answeredTraceIds_.size() < kAnsweredTraceIdsKept) answeredTraceIds_.push_back(0);
-        answeredTraceIds_[nextAnswered_++ % kAnsweredTraceIdsKept] = fingerprint(words[0]);
+        answeredTraceIds_[nextAnswered_++ % kAnsweredTraceIdsKept] = fingerprint(elements[0]);
         inFlight_.erase(found);
         owner_.reportResult(std::move(result));
         startIdleTimer();
@@ -286,12 +286,13 @@
     }
 
     // Validates an answer before it is passed on: one whose body or date was damaged is no answer.
-    static bool isWellFormed(const std::vector<std::string>& words, const Fields& fields, const Sent& sent) {
-        if (words.size() < 4 || words[3].size() > kMaxAnswerBytes) return false;
-        if (words[1] == "current" && (sent.knownTag.empty() || !words[3].empty())) return false;
+    static bool isWellFormed(const std::vector<std::string>& elements, const Fields& fields,
+                             const Sent& sent) {
+        if (elements.size() < 4 || elements[3].size() > kMaxAnswerBytes) return false;
+        if (elements[1] == "current" && (sent.knownTag.empty() || !elements[3].empty())) return false;
         const std::string_view tag = fields.text("tag"), minted = fields.text("minted");
         // It must name the client's copy, or it does not confirm that one.
-        if (words[1] == "current" && tag != sent.knownTag) return false;
+        if (elements[1] == "current" && tag != sent.knownTag) return false;
         return (tag.empty() || isHex(tag, 16)) &&
                (minted.empty() || fields.whole("minted").value_or(-1) >= 0);
     }
@@ -312,11 +313,11 @@
                 continue;
             }
             const core::Request& request = *next.request;
-            std::string words;
+            std::string message;
             const std::string fields = pullFields(request, next.send, remainingTime(next));
-            net::appendResp(words, {"PULL", request.traceId, fields, request.body});
+            net::appendResp(message, {"PULL", request.traceId, fields, request.body});
             // There is no room for its first byte: it stays queued and is checked again before it is sent.
-            if (!stream_.tryWrite(std::move(words))) return;
+            if (!stream_.tryWrite(std::move(message))) return;
             if (inFlight_.empty()) waitingSince_ = now;
             if (!silenceTimer_) armSilenceTimer(owner_.silenceTimeout_.value());
             inFlight_[request.traceId] = {
@@ -412,24 +413,24 @@
 }
 
 void StoreConnections::reconfigure(const settings::Configuration& configuration) {
-    const settings::DecodedSettings& words = configuration.decoded;
+    const settings::DecodedSettings& decoded = configuration.decoded;
     connectTimeout_ = kDefaultConnectTimeout;
     idleTimeout_ = kDefaultIdleTimeout;
     maxAttemptsPerConnection_ = kDefaultAttemptsPerConnection;
-    if (words.connectTimeout.count() > 0)
-        connectTimeout_ = std::chrono::duration_cast<Micros>(words.connectTimeout);
-    if (words.idleTimeout.count() > 0)
-        idleTimeout_ = std::chrono::duration_cast<Micros>(words.idleTimeout) * 9 / 10;
+    if (decoded.connectTimeout.count() > 0)
+        connectTimeout_ = std::chrono::duration_cast<Micros>(decoded.connectTimeout);
+    if (decoded.idleTimeout.count() > 0)
+        idleTimeout_ = std::chrono::duration_cast<Micros>(decoded.idleTimeout) * 9 / 10;
     socketLimit_ = static_cast<std::size_t>(configuration.limits.sockets);
     setProcessCount(processes_);
-    const Micros longest = core::longestClientTimeout(words.settings);
+    const Micros longest = core::longestClientTimeout(decoded.settings);
     silenceTimeout_.setUpperBound(longest / 2);
     maxAnswerTime_ = std::min(kMaxAnswerTime, longest / 2);
     repeatable_.clear();
-    for (const ClassSettings& c : words.settings.classes) repeatable_.push_back(c.effect == Effect::safe);
-    mayProbe_ = words.settings.mayProbe;
-    if (words.streamsPerConnection > 0)
-        maxAttemptsPerConnection_ = static_cast<std::size_t>(words.streamsPerConnection);
+    for (const ClassSettings& c : decoded.settings.classes) repeatable_.push_back(c.effect == Effect::safe);
+    mayProbe_ = decoded.settings.mayProbe;
+    if (decoded.streamsPerConnection > 0)
+        maxAttemptsPerConnection_ = static_cast<std::size_t>(decoded.streamsPerConnection);
 }
 
 // What remains beside the third for clients, less what the process needs for itself and for operators.
