--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -50,9 +50,9 @@
 
 bool HttpHead::keepAlive() const {
     const std::string* connection = field("connection");
-    const std::string words = connection ? lowerCase(*connection) : "";
-    if (words.find("close") != std::string::npos) return false;
-    return minorVersion >= 1 || words.find("keep-alive") != std::string::npos;
+    const std::string tokens = connection ? lowerCase(*connection) : "";
+    if (tokens.find("close") != std::string::npos) return false;
+    return minorVersion >= 1 || tokens.find("keep-alive") != std::string::npos;
 }
 
 HttpParser::Status HttpParser::feed(std::string_view& data) {
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -385,10 +385,10 @@
     }
 
     // The body is passed on without a copy.
-    void sendAnswer(const std::string& tag, std::string_view word, std::string_view fields,
+    void sendAnswer(const std::string& tag, std::string_view status, std::string_view fields,
                     std::string body) {
         std::string head;
-        net::appendRespHead(head, {tag, word, fields}, body.size());
+        net::appendRespHead(head, {tag, status, fields}, body.size());
         constexpr std::size_t kSmall = 4096;
         if (body.size() <= kSmall) {
             head += body;
--- a/src/platform/store_protocol.hpp
+++ b/src/platform/store_protocol.hpp
@@ -1,4 +1,4 @@
-// Translates between the decisions and the words of the store protocol.
+// Translates between decisions and messages of the store protocol.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 
 namespace lotuslead::platform {
 
-inline CacheStatus noteOf(std::string_view word) {
+inline CacheStatus noteOf(std::string_view remark) {
     constexpr std::array<std::pair<std::string_view, CacheStatus>, 10> notes{
         {{"local", CacheStatus::hit},
          {"pulled", CacheStatus::filled},
@@ -27,16 +27,16 @@
          {"no_place", CacheStatus::noFillPlace},
          {"far_fault", CacheStatus::originFailed}}};
     for (const auto& [name, note] : notes)
-        if (name == word) return note;
+        if (name == remark) return note;
     return CacheStatus::none;
 }
 
-inline std::optional<Outcome> outcomeOf(std::string_view word) {
-    if (word == "ok" || word == "current") return Outcome::served;
-    if (word == "nothing") return Outcome::noCopy;
-    if (word == "refused") return Outcome::notTaken;
-    if (word == "error") return Outcome::error;
-    if (word == "stale") return Outcome::notSent;
+inline std::optional<Outcome> outcomeOf(std::string_view status) {
+    if (status == "ok" || status == "current") return Outcome::served;
+    if (status == "nothing") return Outcome::noCopy;
+    if (status == "refused") return Outcome::notTaken;
+    if (status == "error") return Outcome::error;
+    if (status == "stale") return Outcome::notSent;
     return std::nullopt;
 }
 
@@ -53,8 +53,8 @@
     // Rounded down, so that no copy from before a purge passes; 0 would mean "any age".
     if (send.maxAge.count() > 0) fields.add("fresh", std::max<std::int64_t>(1, ms(send.maxAge)));
     std::string options;
-    const auto option = [&](bool on, const char* word) {
-        if (on) options += (options.empty() ? "" : "+") + std::string(word);
+    const auto option = [&](bool on, const char* optionName) {
+        if (on) options += (options.empty() ? "" : "+") + std::string(optionName);
     };
     option(send.joinFill, "share");
     option(send.onlyIfCached, "peek");
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -339,7 +339,9 @@
     }
     if (!request.knownTag.empty()) text += "If-None-Match: " + request.knownTag + "\r\n";
     std::string control;
-    const auto add = [&](const std::string& word) { control += (control.empty() ? "" : ", ") + word; };
+    const auto add = [&](const std::string& directive) {
+        control += (control.empty() ? "" : ", ") + directive;
+    };
     if (send.maxAge.count() > 0)
         add(send.maxAge < kMinAgeLimit ? "no-cache"
                                        : "max-age=" + std::to_string(toSeconds(send.maxAge) - 1));
--- a/src/settings/disk.cpp
+++ b/src/settings/disk.cpp
@@ -42,17 +42,17 @@
         target = value->get<bool>();
     }
     template <class Choice>
-    void readChoice(const char* key, std::initializer_list<std::pair<const char*, Choice>> words,
+    void readChoice(const char* key, std::initializer_list<std::pair<const char*, Choice>> choices,
                     Choice& target) const {
         const json* value = findValue(object_, key);
         if (!value) return;
         std::string all;
-        for (const auto& [word, meaning] : words) {
-            if (*value == word) {
-                target = meaning;
+        for (const auto& [choiceName, choice] : choices) {
+            if (*value == choiceName) {
+                target = choice;
                 return;
             }
-            all += (all.empty() ? "" : ", ") + std::string(word);
+            all += (all.empty() ? "" : ", ") + std::string(choiceName);
         }
         throw DecodeError(name(key) + " is none of " + all);
     }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -14,30 +14,30 @@
 
 namespace {
 
-Effect parseEffect(const std::string& word) {
-    if (word == "free") return Effect::safe;
-    if (word == "guarded") return Effect::keyed;
-    if (word == "single_shot") return Effect::unsafe;
-    throw DecodeError("unknown effect '" + word + "'");
+Effect parseEffect(const std::string& text) {
+    if (text == "free") return Effect::safe;
+    if (text == "guarded") return Effect::keyed;
+    if (text == "single_shot") return Effect::unsafe;
+    throw DecodeError("unknown effect '" + text + "'");
 }
 
-DeduplicationScope parseRepeatGroup(const std::string& word) {
-    if (word == "all") return DeduplicationScope::all;
-    if (word == "zone") return DeduplicationScope::zone;
-    if (word == "cell") return DeduplicationScope::cell;
-    throw DecodeError("unknown group '" + word + "'");
+DeduplicationScope parseRepeatGroup(const std::string& text) {
+    if (text == "all") return DeduplicationScope::all;
+    if (text == "zone") return DeduplicationScope::zone;
+    if (text == "cell") return DeduplicationScope::cell;
+    throw DecodeError("unknown group '" + text + "'");
 }
 
-WeightMeaning parseWeights(const std::string& word) {
-    if (word == "nominal") return WeightMeaning::nominal;
-    if (word == "rough") return WeightMeaning::rough;
-    if (word == "live") return WeightMeaning::live;
+WeightMeaning parseWeights(const std::string& text) {
+    if (text == "nominal") return WeightMeaning::nominal;
+    if (text == "rough") return WeightMeaning::rough;
+    if (text == "live") return WeightMeaning::live;
     return WeightMeaning::none;
 }
 
-SiblingSources parseSiblings(const std::string& word) {
-    if (word == "any") return SiblingSources::any;
-    if (word == "location") return SiblingSources::zone;
+SiblingSources parseSiblings(const std::string& text) {
+    if (text == "any") return SiblingSources::any;
+    if (text == "location") return SiblingSources::zone;
     return SiblingSources::none;
 }
 
@@ -122,11 +122,11 @@
                  [&](ClassSettings& c, const json& item) { c.uncacheable = flag(item, "neverKept"); });
 }
 
-Readiness parseReadiness(const std::string& word) {
-    if (word == "up") return Readiness::ready;
-    if (word == "draining") return Readiness::draining;
-    if (word == "removed") return Readiness::gone;
-    throw DecodeError("unknown status '" + word + "'");
+Readiness parseReadiness(const std::string& text) {
+    if (text == "up") return Readiness::ready;
+    if (text == "draining") return Readiness::draining;
+    if (text == "removed") return Readiness::gone;
+    throw DecodeError("unknown status '" + text + "'");
 }
 
 BusEvent readEvent(const json& entry) {
