--- a/src/platform/call_validation.hpp
+++ b/src/platform/call_validation.hpp
@@ -32,7 +32,7 @@
 // passed on to stores is validated here.
 inline bool isValidCall(const Fields& fields, const core::Request& request) {
     const auto within = [&](std::string_view name, std::int64_t least, std::int64_t most) {
-        const auto value = fields.whole(name);
+        const auto value = fields.integer(name);
         return fields.text(name).empty() || (value && *value >= least && *value <= most);
     };
     const auto hex = [](const std::string& text, std::size_t size) {
--- a/src/platform/fields.hpp
+++ b/src/platform/fields.hpp
@@ -33,7 +33,7 @@
         return {};
     }
 
-    std::optional<std::int64_t> whole(std::string_view name) const {
+    std::optional<std::int64_t> integer(std::string_view name) const {
         const std::string_view value = text(name);
         std::int64_t number = 0;
         const auto read = std::from_chars(value.data(), value.data() + value.size(), number);
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -309,10 +309,10 @@
         request.id = owner_.nextId_++;
         request.classIndex = known->second;
         request.className = elements[2];
-        request.group = fields.whole("family").value_or(0);
-        request.part = fields.whole("block").value_or(0);
+        request.group = fields.integer("family").value_or(0);
+        request.part = fields.integer("block").value_or(0);
         const Micros now = owner_.loop_.now();
-        const auto patience = fields.whole("patience");
+        const auto patience = fields.integer("patience");
         const auto giveUp =
             owner_.vocabulary_.settings.classes[static_cast<std::size_t>(known->second)].clientTimeout;
         const Micros wait = patience ? Micros{std::chrono::milliseconds{*patience}}
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -259,17 +259,17 @@
         result.attempt = found->second.attempt;
         result.outcome = *outcome;
         result.note = noteOf(fields.text("remark"));
-        if (const auto minted = fields.whole("minted"))
+        if (const auto minted = fields.integer("minted"))
             owner_.copyAgeCheck_.learn(owner_.loop_.now(), *minted);
-        if (*outcome == Outcome::served &&
-            fields.whole("minted").value_or(found->second.oldestAllowedMs) < found->second.oldestAllowedMs) {
+        if (*outcome == Outcome::served && fields.integer("minted").value_or(found->second.oldestAllowedMs) <
+                                               found->second.oldestAllowedMs) {
             // Served, it would be an answer from before a purge. An attempt that must not run twice did run.
             ++owner_.counters_.tooOld;
             result.outcome = found->second.repeatable ? Outcome::noCopy : Outcome::error;
         }
         if (result.outcome == Outcome::served) {
             result.payload.unchanged = elements[1] == "current";
-            result.payload.mintedMs = fields.whole("minted").value_or(0);
+            result.payload.mintedMs = fields.integer("minted").value_or(0);
             if (!fields.text("tag").empty()) result.payload.metadata.emplace_back("tag", fields.text("tag"));
             if (elements.size() > 3) result.payload.body = std::move(elements[3]);
         }
@@ -294,7 +294,7 @@
         // It must name the client's copy, or it does not confirm that one.
         if (elements[1] == "current" && tag != sent.knownTag) return false;
         return (tag.empty() || isHex(tag, 16)) &&
-               (minted.empty() || fields.whole("minted").value_or(-1) >= 0);
+               (minted.empty() || fields.integer("minted").value_or(-1) >= 0);
     }
 
     void flush() {
