--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -49,7 +49,7 @@
     bool responded() const { return responded_; }
     void end() {
         stream_.close();
-        owner_.forget(this);
+        owner_.removeConnection(this);
     }
 
 private:
@@ -136,7 +136,7 @@
     connections_.push_back(std::make_shared<Connection>(*this, std::move(fd)));
 }
 
-void HttpServer::forget(Connection* connection) {
+void HttpServer::removeConnection(Connection* connection) {
     const auto found = std::find_if(connections_.begin(), connections_.end(),
                                     [&](const auto& held) { return held.get() == connection; });
     if (found == connections_.end()) return;
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -40,7 +40,7 @@
     class Connection;
 
     void accept(Descriptor fd);
-    void forget(Connection* connection);
+    void removeConnection(Connection* connection);
 
     Loop& loop_;
     Limits limits_;
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -211,7 +211,7 @@
                           {"why", why == net::Stream::CloseReason::closedByPeer ? "closed" : "reset"},
                           {"open", std::to_string(open_.size())}});
         abortConnection();
-        owner_.forget(this);
+        owner_.removeClient(this);
     }
 
     // ----- timeouts -----
@@ -562,7 +562,7 @@
        : victim->inPartialMessage() ? counters_.halfMessages
                                     : counters_.silent);
     victim->abortConnection();
-    forget(victim);
+    removeClient(victim);
     return true;
 }
 
@@ -603,7 +603,7 @@
                        [](const auto& entry) { return entry.second->isQuiescent(); });
 }
 
-void Front::forget(Client* client) {
+void Front::removeClient(Client* client) {
     const auto found = clients_.find(client);
     if (found == clients_.end()) return;
     loop_.destroyAfterTurn(found->second);
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -438,7 +438,7 @@
     }
     void streamEnded(net::Stream::CloseReason) override {
         abandon();
-        owner_.forget(this);
+        owner_.removeClient(this);
     }
     void restartTimer() {
         if (timer_) owner_.loop_.cancel(*timer_);
@@ -561,7 +561,7 @@
     if (!oldest) return false;
     ++counters_.closedIdle;
     oldest->abandon();
-    forget(oldest);
+    removeClient(oldest);
     return true;
 }
 
@@ -581,7 +581,7 @@
                        [](const auto& entry) { return entry.second->isQuiescent(); });
 }
 
-void Front::forget(Client* client) {
+void Front::removeClient(Client* client) {
     const auto found = clients_.find(client);
     if (found == clients_.end()) return;
     loop_.destroyAfterTurn(found->second);
--- a/src/repository/front.hpp
+++ b/src/repository/front.hpp
@@ -53,7 +53,7 @@
     void accept(net::Descriptor fd);
     bool makeRoom();
     bool roomFor(std::size_t bytes) const;
-    void forget(Client* client);
+    void removeClient(Client* client);
     void sweepForDrain();
     bool refusesRequests() const;
     void applyLimits(const settings::Limits& limits);
