--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -72,7 +72,7 @@
     Program program(settings, "LB_CONFIG", 1024, faultVariables("realtime=3600"));
     Connection client(program.port());
     callManyObjects(client, 1);
-    bus.tell(topology({listedSince(host("cache-2", fresh.address()), unixMs())}));
+    bus.publish(topology({listedSince(host("cache-2", fresh.address()), unixMs())}));
     callManyObjects(client, 1 + kCalls);
     std::fprintf(stderr, "%d calls at the cold store, %d allowed\n", cold.count(), kSlowStartBudget);
     assert(cold.count() <= kSlowStartBudget);
@@ -141,13 +141,13 @@
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
     settings["bus"] = bus.address();
     std::int64_t purgedMs = unixMs() - kPurgedBeforeStartMs;
-    if (beforeTheStart) bus.note({{"ban", {{"url", kEntity}, {"ts", purgedMs}}}});
+    if (beforeTheStart) bus.publishWithoutWaiting({{"ban", {{"url", kEntity}, {"ts", purgedMs}}}});
     Program program(settings, "LB_CONFIG", 1024, faultVariables(clockRule));
     Connection client(program.port());
     if (!beforeTheStart) {
         std::this_thread::sleep_for(300ms);
         purgedMs = unixMs();
-        bus.tell({{"ban", {{"url", kEntity}, {"ts", purgedMs}}}});
+        bus.publish({{"ban", {{"url", kEntity}, {"ts", purgedMs}}}});
     }
     std::this_thread::sleep_for(1s);
     call(client, "1");
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -69,7 +69,7 @@
         assert(client.readResp().at(3) == "drained");
         program.suspend();
         if (!drainFirst) call(client, "2");
-        bus.note(topology(
+        bus.publishWithoutWaiting(topology(
             {host("cache-1", drained.address(), "small", "draining"), host("cache-2", other.address())}));
         bus.awaitSent();
         if (drainFirst) call(client, "2");
@@ -129,11 +129,11 @@
     settings["bus"] = bus.address();
     Program program(settings);
     json fresh = host("cache-2", cache.address(), "small", "draining");  // no object is assigned to it
-    bus.tell(topology({fresh}));
+    bus.publish(topology({fresh}));
     Connection client(program.port());
     call(client, "1");
     assert(client.readResp().at(1) != "SERVED");
-    bus.tell(topology({host("cache-2", cache.address())}));
+    bus.publish(topology({host("cache-2", cache.address())}));
     call(client, "2");
     assert(client.readResp().at(1) == "SERVED");
     assert(pulled.count() == 1);
@@ -226,7 +226,7 @@
     file.close();
     Connection client(program.port());
     purged = unixMs();
-    bus.tell({{"ban", {{"tag", 3}, {"ts", purged}}}});
+    bus.publish({{"ban", {{"tag", 3}, {"ts", purged}}}});
     call(client, "1");
     pulled.await(1);
     std::remove(pipe.c_str());
--- a/tests/disk_story_test.cpp
+++ b/tests/disk_story_test.cpp
@@ -117,7 +117,7 @@
     const Program::Variables variables{{"LB_DISK", site.folder.file()}};
     warmUpAndKill(site, variables);
     site.server.version = 2;
-    site.bus.note({{"ban", {{"url", "/index/plugins.json"}, {"ts", unixMs() + 2000}}}});
+    site.bus.publishWithoutWaiting({{"ban", {{"url", "/index/plugins.json"}, {"ts", unixMs() + 2000}}}});
     Program program(site.settings, "LB_REPOSITORY", 1024, variables);
     program.awaitLog(" segments at ");
     const std::size_t before = site.server.bytesSent();
@@ -135,9 +135,9 @@
     // The bus no longer has the event with the purge: it is unknown which copies were purged, so all are
     // dropped.
     site.server.version = 2;
-    site.bus.note({{"ban", {{"url", "/index/plugins.json"}, {"ts", unixMs()}}}});
-    site.bus.forget();
-    site.bus.note(topology({host("cache-1", site.server.address())}));
+    site.bus.publishWithoutWaiting({{"ban", {{"url", "/index/plugins.json"}, {"ts", unixMs()}}}});
+    site.bus.dropEvents();
+    site.bus.publishWithoutWaiting(topology({host("cache-1", site.server.address())}));
     Program program(site.settings, "LB_REPOSITORY", 1024, variables);
     program.awaitLog("events of the bus are missing");
     Connection c(program.port());
@@ -254,7 +254,7 @@
     const int before = pulled;
     assert(ask(program).at(3) == "the object" && pulled == before);
     std::this_thread::sleep_for(2ms);
-    bus.tell({{"ban", {{"url", kEntity}, {"ts", unixMs()}}}});
+    bus.publish({{"ban", {{"url", kEntity}, {"ts", unixMs()}}}});
     assert(ask(program).at(3) == "the object" && pulled == before + 1);
 }
 
--- a/tests/fleet_operations_test.cpp
+++ b/tests/fleet_operations_test.cpp
@@ -37,7 +37,7 @@
     explicit FailingBus(State state) : state_(state) {}
     std::string address() const { return peer_.address(); }
     void setState(State state) { state_ = state; }
-    void tell(json event) {
+    void publish(json event) {
         const std::lock_guard lock(mutex_);
         event["offset"] = ++last_;
         events_.push_back(std::move(event));
@@ -117,7 +117,7 @@
         idleClients.back()->sendResp({"CHECK", "1", ""});
         idleClients.back()->readResp();
     }
-    bus.tell(topology({host("cache-1", fresh.address())}));
+    bus.publish(topology({host("cache-1", fresh.address())}));
     std::this_thread::sleep_for(300ms);  // some tries to reconnect while all descriptors are taken
     const auto begin = Clock::now();
     bus.setState(FailingBus::State::answering);
@@ -143,7 +143,7 @@
         settings["bus"] = bus.address();
         Program program(settings);
         awaitPass(program);
-        if (source != Source::file) bus.tell(topology({draining}));
+        if (source != Source::file) bus.publish(topology({draining}));
         if (source != Source::bus) {
             json event = topology({draining});
             event["offset"] = 2;
@@ -166,7 +166,7 @@
         configuration(fleet.with({host("cache-1", gone.address()), host("cache-2", other.address())}));
     settings["bus"] = bus.address();
     Program program(settings);
-    bus.tell(topology(fleet.with({host("cache-2", other.address())}), true));
+    bus.publish(topology(fleet.with({host("cache-2", other.address())}), true));
     assertNotServedBy("gone", program);
 }
 
@@ -183,7 +183,7 @@
     awaitPass(program);
     std::this_thread::sleep_for(500ms);  // some polls have been answered
     bus.setState(FailingBus::State::silent);
-    bus.tell(topology({host("cache-1", drained.address(), "small", "draining")}));
+    bus.publish(topology({host("cache-1", drained.address(), "small", "draining")}));
     std::this_thread::sleep_for(100ms);
     bus.setState(
         FailingBus::State::answering);  // for new connections; the poll on the old one stays unanswered
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -202,7 +202,7 @@
     int count_ = 0;
 };
 
-// A stand-in for the event bus. tell() returns once the gateway has polled again, and so has applied the
+// A stand-in for the event bus. publish() returns once the gateway has polled again, and so has applied the
 // event.
 class Bus {
 public:
@@ -215,8 +215,8 @@
         changed_.notify_all();
     }
     std::string address() const { return peer_.address(); }
-    void tell(json event) {
-        note(std::move(event));
+    void publish(json event) {
+        publishWithoutWaiting(std::move(event));
         std::unique_lock lock(mutex_);
         const bool came =
             changed_.wait_for(lock, std::chrono::seconds(kWaitLimitSeconds), [&] { return asked_ >= last_; });
@@ -231,14 +231,14 @@
         assert(came);
     }
     // Adds an event without waiting for a poll.
-    void note(json event) {
+    void publishWithoutWaiting(json event) {
         const std::lock_guard lock(mutex_);
         event["offset"] = ++last_;
         events_.push_back(std::move(event));
         changed_.notify_all();
     }
     // Drops all events up to now from later answers.
-    void forget() {
+    void dropEvents() {
         const std::lock_guard lock(mutex_);
         events_.clear();
     }
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -116,7 +116,7 @@
     call(leaves, "1");  // waits for a connection to the store
     leaves.sendResp({"CHECK", "2", ""});
     assert(leaves.readResp()[0] == "2");
-    bus.tell(topology({wide}));
+    bus.publish(topology({wide}));
     for (int i = 3; i < 30; ++i) call(leaves, std::to_string(i));
     program.awaitCounters(" served=27 ");  // 6 MB, none of which the client reads
     if (closes) {
@@ -128,7 +128,7 @@
     }
     program.awaitCounters(" gone=1 ");
     late.start();
-    bus.tell(topology({host("cache-1", cache.address(), "small", "draining")}));
+    bus.publish(topology({host("cache-1", cache.address(), "small", "draining")}));
     call(stays, "1");
     assert(stays.readResp()[3] == "late store");
     assert(late.pulls.count() == 1);
@@ -234,7 +234,7 @@
         json restarted = host("cache-1", cache.address());
         restarted["since_ms"] =
             now + (older ? 1 : -60'000);  // the connection is older or newer than the restart
-        bus.tell(topology({restarted}));
+        bus.publish(topology({restarted}));
         if (!older) go.raise();
         assert((client.readResp()[1] == "SERVED") == !older);
         if (older) go.raise();
@@ -263,7 +263,7 @@
     call(client, "1", kKeyField, "checkout");
     pulled.await(1);
     const auto sent = Clock::now();
-    bus.tell(topology({host("cache-2", late.peer.address())}));
+    bus.publish(topology({host("cache-2", late.peer.address())}));
     go.raise();
     program.awaitCounters("attempts sent=2 ");  // within the key window, but its connection is not open
     std::this_thread::sleep_until(sent + 1550ms);
@@ -288,7 +288,7 @@
     Connection client(program.port());
     const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
         std::chrono::system_clock::now().time_since_epoch());
-    bus.tell({{"ban", {{"tag", 3}, {"ts", now.count()}}}});
+    bus.publish({{"ban", {{"tag", 3}, {"ts", now.count()}}}});
     call(client, "1", "", "checkout");
     assert(client.readResp()[1] == "ERR");  // never a refusal, which would allow a retry
     waitUntilHandled(program.port());
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -88,7 +88,7 @@
     call(client, "1");
     client.sendResp({"CHECK", "2", ""});
     assert(client.readResp()[0] == "2");  // so the call has been accepted and waits for its connection
-    bus.tell(topology({host("cache-1", full.address(), "small", "draining")}));
+    bus.publish(topology({host("cache-1", full.address(), "small", "draining")}));
     full.start(store([&](Connection& c, const std::vector<std::string>& words) {
         pulls.raise();
         serving("drained")(c, words);
@@ -328,7 +328,7 @@
     assert(client.readResp()[3] == "from before");
     const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
         std::chrono::system_clock::now().time_since_epoch());
-    bus.tell({{"ban", {{"url", kEntity}, {"ts", now.count()}}}});
+    bus.publish({{"ban", {{"url", kEntity}, {"ts", now.count()}}}});
     call(client, "2");
     assert(client.readResp()[1] != "SERVED");
 }
@@ -344,8 +344,8 @@
     for (int i = 0; i < 40; ++i) {  // each store has the address of its predecessor
         call(client, std::to_string(i + 1));
         assert(client.readResp()[3] == "here");
-        bus.tell(topology({host("cache-" + std::to_string(i), cache.address(), "small", "removed"),
-                           host("cache-" + std::to_string(i + 1), cache.address())}));
+        bus.publish(topology({host("cache-" + std::to_string(i), cache.address(), "small", "removed"),
+                              host("cache-" + std::to_string(i + 1), cache.address())}));
     }
     program.signal(SIGTERM);
     assert(program.exitCode() == 0);
@@ -364,12 +364,12 @@
     Connection client(program.port());
     call(client, "1");
     assert(client.readResp()[1] == "SHED");
-    bus.tell(topology({host("cache-1", cache.address())}));
+    bus.publish(topology({host("cache-1", cache.address())}));
     call(client, "2");
     assert(client.readResp()[3] == "new");
     // Another store at the same address, announced by a later event.
-    bus.tell(topology({host("cache-1", cache.address(), "small", "removed")}));
-    bus.tell(topology({host("cache-2", cache.address())}));
+    bus.publish(topology({host("cache-1", cache.address(), "small", "removed")}));
+    bus.publish(topology({host("cache-2", cache.address())}));
     call(client, "3");
     assert(client.readResp()[3] == "new");
 }
@@ -440,7 +440,7 @@
     program.rewrite(wrong.dump());
     program.signal(SIGHUP);
     program.awaitLog("field 'bus' is not address:port");
-    before.tell(topology({host("cache-0", cache.address())}));  // event 2; the next poll starts behind it
+    before.publish(topology({host("cache-0", cache.address())}));  // event 2; the next poll starts behind it
 
     // One class less and one more, in another order; the event bus has moved and continues the numbers.
     auto& categories = settings["settings"]["categories"];
@@ -455,7 +455,8 @@
     program.awaitLog("t1: configuration read again\n");
     call(client, "2", "", "installer");
     assert((client.readResp() == std::vector<std::string>{"2", "ERR", "-", ""}));
-    after.tell(topology({host("cache-1", slow.address(), "small", "draining")}));  // event 3 of the new bus
+    after.publish(
+        topology({host("cache-1", slow.address(), "small", "draining")}));  // event 3 of the new bus
     call(client, "3", "", "late");
     assert((client.readResp() == std::vector<std::string>{"3", "SERVED", "-", "new"}));
     call(client, "4", ",nonce=5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "checkout");
--- a/tests/repository_test.cpp
+++ b/tests/repository_test.cpp
@@ -211,7 +211,7 @@
     server.version = 2;
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
-    bus.tell({{"ban", {{"url", "/index/plugins.json"}, {"ts", ms}}}});
+    bus.publish({{"ban", {{"url", "/index/plugins.json"}, {"ts", ms}}}});
     purged.raise();
     Response response = read(early);
     assert(response.status == 200 && response.body == "version 2\n");
@@ -240,7 +240,7 @@
     Connection download(program.port());
     ask(download, "/files/tool.bin");
     parts.await(2);
-    bus.tell(topology({host("cache-1", store.address(), "small", "draining")}));
+    bus.publish(topology({host("cache-1", store.address(), "small", "draining")}));
     drained.raise();
     const Response response = read(download);
     assert(response.status == 200 && !response.complete &&
