--- a/tests/audit_disk.cpp
+++ b/tests/audit_disk.cpp
@@ -356,23 +356,23 @@
     }
 
     void checkLine(const std::string& line) {
-        std::istringstream words(line);
-        std::string word;
-        words >> word;
-        if (word == "ack") {
-            words >> acknowledged_;
+        std::istringstream fields(line);
+        std::string kind;
+        fields >> kind;
+        if (kind == "ack") {
+            fields >> acknowledged_;
             ++acknowledgements_;
-        } else if (word == "purged") {
+        } else if (kind == "purged") {
             int object = 0;
             std::int64_t ms = 0;
-            words >> object >> ms;
+            fields >> object >> ms;
             childPurges_.emplace_back(object, ms);
         } else {
             int object = 0, part = 0;
             std::int64_t createdMs = 0, requestedMs = 0;
-            words >> object >> part >> createdMs >> requestedMs;
+            fields >> object >> part >> createdMs >> requestedMs;
             ++served_;
-            if (word == "torn") {
+            if (kind == "torn") {
                 ++torn_;
                 std::printf("torn: object %d part %d minted %lld\n", object, part,
                             static_cast<long long>(createdMs));
--- a/tests/audit_raft.cpp
+++ b/tests/audit_raft.cpp
@@ -272,11 +272,12 @@
             const auto answer = client.commit(transaction);  // retried until answered
             operation.endUs = monotonicUs();
             const json body = json::parse(answer.body, nullptr, false);
-            const std::string word = body.is_object() ? body.value("word", "") : "";
-            operation.result = answer.status == 200                              ? Operation::Result::done
-                               : word == "conflict"                              ? Operation::Result::conflict
-                               : word == "session gone" || word == "out of turn" ? Operation::Result::gone
-                                                                                 : Operation::Result::unknown;
+            const std::string status = body.is_object() ? body.value("word", "") : "";
+            operation.result = answer.status == 200   ? Operation::Result::done
+                               : status == "conflict" ? Operation::Result::conflict
+                               : status == "session gone" || status == "out of turn"
+                                   ? Operation::Result::gone
+                                   : Operation::Result::unknown;
             if (operation.result == Operation::Result::gone) session = 0;
             recordOperation(std::move(operation));
         }
@@ -409,10 +410,11 @@
     std::uint64_t seed = 0;
     bool folderFaults = false;
     for (int i = 1; i < argumentCount; ++i) {
-        const std::string word = arguments[i];
-        if (word == "--folder-faults") folderFaults = true;
-        if (word == "--rounds" && i + 1 < argumentCount) rounds = std::atoi(arguments[i + 1]);
-        if (word == "--seed" && i + 1 < argumentCount) seed = std::strtoull(arguments[i + 1], nullptr, 10);
+        const std::string argument = arguments[i];
+        if (argument == "--folder-faults") folderFaults = true;
+        if (argument == "--rounds" && i + 1 < argumentCount) rounds = std::atoi(arguments[i + 1]);
+        if (argument == "--seed" && i + 1 < argumentCount)
+            seed = std::strtoull(arguments[i + 1], nullptr, 10);
     }
     if (rounds <= 0) {
         std::fprintf(stderr, "audit_raft --rounds N --seed S [--folder-faults]\n");
--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -61,9 +61,9 @@
     EventCounter cold;
     Fleet fleet;
     const std::string body(kObjectBytes, 'b');
-    Peer warm(store(serving(body))), fresh(store([&](Connection&c, const std::vector<std::string>&words) {
+    Peer warm(store(serving(body))), fresh(store([&](Connection&c, const std::vector<std::string>&elements) {
         cold.raise();
-        serving(body)(c, words);
+        serving(body)(c, elements);
     }));
     Bus bus;
     json settings =
@@ -84,9 +84,9 @@
     Fleet fleet;
     const std::string body(kObjectBytes, 'b');
     Peer warm(store(serving(body)));
-    Peer fresh(store([&](Connection& c, const std::vector<std::string>& words) {
+    Peer fresh(store([&](Connection& c, const std::vector<std::string>& elements) {
         cold.raise();
-        serving(body)(c, words);
+        serving(body)(c, elements);
     }));
     const json settings =
         slowStartConfiguration(fleet.with({listedSince(host("cache-1", warm.address()), 0),
@@ -104,9 +104,9 @@
     Fleet fleet;
     std::atomic<int> pulls{0};
     const std::string body(kObjectBytes, 'b');
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
         ++pulls;
-        serving(body)(c, words);
+        serving(body)(c, elements);
     }));
     const json settings = slowStartConfiguration(
         fleet.with({listedSince(host("cache-1", cache.address()), unixMs() - kHourMs / 60)}), 1000);
@@ -131,10 +131,10 @@
     PullAfterPurge pull;
     std::atomic<std::int64_t> freshMs{0}, pulledMs{0};
     Fleet fleet;
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
-        freshMs = std::atoll(valueOf(words[2], "fresh").c_str());
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
+        freshMs = std::atoll(valueOf(elements[2], "fresh").c_str());
         pulledMs = unixMs();
-        c.sendResp({words[1], "ok",
+        c.sendResp({elements[1], "ok",
                     "tag=4be0c1927d55a6f3,minted=" + std::to_string(unixMs()) + ",remark=local", "new"});
     }));
     Bus bus;
@@ -178,8 +178,8 @@
     constexpr std::int64_t kAgeMs = 1000;
     for (const char* clockRule : {"realtime=3600", "realtime=5", "realtime=-3600", "realtime=0"}) {
         Fleet fleet;
-        Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
-            c.sendResp({words[1], "ok",
+        Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
+            c.sendResp({elements[1], "ok",
                         "tag=4be0c1927d55a6f3,minted=" + std::to_string(unixMs() - kAgeMs) + ",remark=local",
                         "copy"});
         }));
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -33,10 +33,10 @@
 void aCallCancelledAsTheStoreRefusesIsNotRetried() {
     Fleet fleet;
     EventCounter pulled, refuse, refused;
-    Peer first(store([&](Connection& c, const std::vector<std::string>& words) {
+    Peer first(store([&](Connection& c, const std::vector<std::string>& elements) {
         pulled.raise();
         refuse.await(1);
-        c.sendResp({words[1], "refused", "-", ""});
+        c.sendResp({elements[1], "refused", "-", ""});
         refused.raise();
     }));
     Program program(configuration(fleet.with({host("cache-1", first.address())})));
@@ -85,12 +85,12 @@
     std::atomic<int> connections{0};
     Peer cache([&](Connection& c) {
         const bool first = ++connections == 1;
-        for (std::vector<std::string> words; !(words = c.readResp()).empty();) {
+        for (std::vector<std::string> elements; !(elements = c.readResp()).empty();) {
             if (first) {
                 pulled.raise();
                 go.await(1);
             }
-            serving("here")(c, words);
+            serving("here")(c, elements);
             if (!first) continue;
             c.shut();
             return closed.raise();
@@ -121,9 +121,9 @@
     Fleet fleet;
     EventCounter pulled;
     Bus bus;
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
         pulled.raise();
-        serving("here")(c, words);
+        serving("here")(c, elements);
     }));
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
     settings["bus"] = bus.address();
@@ -166,8 +166,8 @@
 void aCopyIsCurrentOnlyIfTheAnswerNamesItsTag() {
     for (const std::string fields : {"tag=4be0c1927d55a6f4,minted=1764576000000", "minted=1764576000000"}) {
         Fleet fleet;
-        FirstAnswerBad stores([fields](Connection& c, const std::vector<std::string>& words) {
-            c.sendResp({words[1], "current", fields, ""});
+        FirstAnswerBad stores([fields](Connection& c, const std::vector<std::string>& elements) {
+            c.sendResp({elements[1], "current", fields, ""});
         });
         Program program(stores.settings(fleet));
         Connection client(program.port());
@@ -211,10 +211,10 @@
         const auto now = std::chrono::system_clock::now().time_since_epoch();
         return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
     };
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
-        const std::int64_t oldest = std::atoll(valueOf(words[2], "fresh").c_str());
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
+        const std::int64_t oldest = std::atoll(valueOf(elements[2], "fresh").c_str());
         late = oldest - (unixMs() - purged);
-        serving("here")(c, words);
+        serving("here")(c, elements);
         pulled.raise();
     }));
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
--- a/tests/departed_clients_test.cpp
+++ b/tests/departed_clients_test.cpp
@@ -55,14 +55,14 @@
 // store may receive it, whether or not the settings allow the gateway to cancel at the store.
 void noFurtherAttemptFollowsADeparture(bool mayCancel, Departure departure, StoreFailure end) {
     EventCounter pulled, mayEnd, ended;
-    const auto holding = store([&](Connection& c, const std::vector<std::string>& words) {
+    const auto holding = store([&](Connection& c, const std::vector<std::string>& elements) {
         pulled.raise();
         mayEnd.await(1);
         if (end == StoreFailure::reset) {
             c.reset();
             c.shut();
         } else {
-            c.sendResp({words[1], answerFor(end), "-", ""});
+            c.sendResp({elements[1], answerFor(end), "-", ""});
         }
         ended.raise();
     });
--- a/tests/disk_tier_harness.hpp
+++ b/tests/disk_tier_harness.hpp
@@ -203,9 +203,9 @@
         const auto copy = load(i);
         return copy && copy->createdMs == createdMs && copy->body == bodyOf(i, createdMs);
     }
-    bool logged(const std::string& words) const {
+    bool logged(const std::string& text) const {
         for (const std::string& line : logLines)
-            if (line.find(words) != std::string::npos) return true;
+            if (line.find(text) != std::string::npos) return true;
         return false;
     }
 
--- a/tests/fleet_operations_test.cpp
+++ b/tests/fleet_operations_test.cpp
@@ -100,9 +100,9 @@
 void idleClientsLeaveDescriptorsForBusAndStores() {
     Fleet fleet;
     EventCounter pulled;
-    Peer fresh(store([&](Connection& c, const std::vector<std::string>& words) {
+    Peer fresh(store([&](Connection& c, const std::vector<std::string>& elements) {
         pulled.raise();
-        serving("fresh")(c, words);
+        serving("fresh")(c, elements);
     }));
     FailingBus bus(FailingBus::State::refusing);
     json settings = configuration(fleet.with({}));
@@ -195,9 +195,9 @@
 void requestsMayArriveByteByByte() {
     Fleet fleet;
     EventCounter pulled;
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
         pulled.raise();
-        serving("whole")(c, words);
+        serving("whole")(c, elements);
     }));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
     Connection client(program.port());
--- a/tests/held_up_test.cpp
+++ b/tests/held_up_test.cpp
@@ -29,9 +29,9 @@
 void theDeadlineCountsFromTheArrivalOfTheCall() {
     std::atomic<int> pullMaxMs{0};
     Fleet fleet;
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
-        pullMaxMs = std::atoi(valueOf(words[2], "max").c_str());
-        serving("bytes")(c, words);
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
+        pullMaxMs = std::atoi(valueOf(elements[2], "max").c_str());
+        serving("bytes")(c, elements);
     }));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
     Connection client(program.port());
@@ -52,9 +52,9 @@
 void aCallIsNotSentBeforeItsCancelIsRead() {
     std::atomic<int> pulls{0};
     Fleet fleet;
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
         ++pulls;
-        serving("bytes")(c, words);
+        serving("bytes")(c, elements);
     }));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})), "LB_CONFIG", 1024,
                     faultVariables("recv=short:11"));
@@ -76,10 +76,10 @@
 void anAnswerAfterTheCancelIsNotForwarded() {
     EventCounter pulled, may;
     Fleet fleet;
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
         pulled.raise();
         may.await(pulled.count());
-        serving("bytes")(c, words);
+        serving("bytes")(c, elements);
     }));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
     int forwarded = 0;
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -58,9 +58,10 @@
     Connection(const Connection&) = delete;
 
     void send(const std::string& bytes) { ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL); }
-    void sendResp(const std::vector<std::string>& words) {
-        std::string text = "*" + std::to_string(words.size()) + "\r\n";
-        for (const auto& word : words) text += "$" + std::to_string(word.size()) + "\r\n" + word + "\r\n";
+    void sendResp(const std::vector<std::string>& elements) {
+        std::string text = "*" + std::to_string(elements.size()) + "\r\n";
+        for (const auto& element : elements)
+            text += "$" + std::to_string(element.size()) + "\r\n" + element + "\r\n";
         send(text);
     }
     void reset() {
@@ -78,16 +79,16 @@
     // Empty if the peer has closed.
     std::vector<std::string> readResp() {
         const std::string head = line();
-        std::vector<std::string> words;
-        if (head.empty()) return words;
+        std::vector<std::string> elements;
+        if (head.empty()) return elements;
         assert(head[0] == '*');
         for (int i = std::atoi(head.c_str() + 1); i > 0; --i) {
             const std::string size = line();
             if (size.empty()) return {};
-            words.push_back(exactly(std::strtoul(size.c_str() + 1, nullptr, 10)));
+            elements.push_back(exactly(std::strtoul(size.c_str() + 1, nullptr, 10)));
             line();
         }
-        return words;
+        return elements;
     }
     // The head of an HTTP message with its final empty line; empty if the peer has closed.
     std::string readHead() {
@@ -373,12 +374,12 @@
     }
     std::uint16_t port() { return portAfter(" on 127.0.0.1:"); }
     std::uint16_t operatorPort() { return portAfter("operators at 127.0.0.1:"); }
-    std::uint16_t portAfter(const std::string& words) {
+    std::uint16_t portAfter(const std::string& prefix) {
         for (int i = 0; i < kWaitLimitSeconds * 100; ++i) {
             const std::string text = log();
-            const std::size_t at = text.find(words);
+            const std::size_t at = text.find(prefix);
             if (at != std::string::npos && text.find('\n', at) != std::string::npos)
-                return static_cast<std::uint16_t>(std::atoi(text.c_str() + at + words.size()));
+                return static_cast<std::uint16_t>(std::atoi(text.c_str() + at + prefix.size()));
             std::this_thread::sleep_for(10ms);
         }
         std::fprintf(stderr, "%s\n", log().c_str());
@@ -462,8 +463,8 @@
 using Answer = std::function<void(Connection&, const std::vector<std::string>&)>;
 inline Peer::Script store(const Answer& answer) {
     return [answer](Connection& c) {
-        for (std::vector<std::string> words; !(words = c.readResp()).empty();)
-            if (words[0] == "PULL") answer(c, words);
+        for (std::vector<std::string> elements; !(elements = c.readResp()).empty();)
+            if (elements[0] == "PULL") answer(c, elements);
     };
 }
 inline Answer serving(const std::string& body) {
@@ -473,10 +474,10 @@
 }
 // Counts each PULL in `pulled` and answers only once `may` has been raised.
 inline Answer servingAfter(EventCounter& pulled, EventCounter& may, const std::string& body) {
-    return [&pulled, &may, answer = serving(body)](Connection& c, const std::vector<std::string>& words) {
+    return [&pulled, &may, answer = serving(body)](Connection& c, const std::vector<std::string>& elements) {
         pulled.raise();
         may.await(1);
-        answer(c, words);
+        answer(c, elements);
     };
 }
 
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -74,9 +74,9 @@
 void callsCancelledBeforeTheyAreReadAreNotForwarded() {
     Fleet fleet;
     EventCounter pulled;
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
         pulled.raise();
-        serving("here")(c, words);
+        serving("here")(c, elements);
     }));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
     const std::uint16_t port = program.port();
@@ -160,9 +160,9 @@
     std::atomic<int> connections{0};
     Peer cache([&](Connection& c) {
         const int here = ++connections;
-        const auto words = c.readResp();
-        if (words.empty()) return;
-        serving("here")(c, words);
+        const auto elements = c.readResp();
+        if (elements.empty()) return;
+        serving("here")(c, elements);
         close.await(here);
         c.shut();
         closed.raise();
@@ -196,8 +196,8 @@
     cache.start([&](Connection& c) {
         if (++connections > 1) return;
         read.await(1);
-        for (std::vector<std::string> words; !(words = c.readResp()).empty();)
-            if (words[0] == "KILL") ++kills;
+        for (std::vector<std::string> elements; !(elements = c.readResp()).empty();)
+            if (elements[0] == "KILL") ++kills;
         ended.raise();
     });
     Program program(withAmpleCapacity(host("cache-1", cache.address()), fleet));
@@ -277,9 +277,9 @@
     Fleet fleet;
     EventCounter pulled;
     Bus bus;
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
         pulled.raise();
-        serving("done, says an old date")(c, words);
+        serving("done, says an old date")(c, elements);
     }));
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
     classSettings(settings, 2)["effect"] = "single_shot";
@@ -300,8 +300,8 @@
 void anEndlessAnswerIsCutOffWithinTheRequestTimeout() {
     Fleet fleet;
     std::atomic<bool> over{false};
-    FirstAnswerBad stores([&](Connection& c, const std::vector<std::string>& words) {
-        c.send("*4\r\n$16\r\n" + words[1] + "\r\n$2\r\nok\r\n$1\r\n-\r\n$20000\r\n");
+    FirstAnswerBad stores([&](Connection& c, const std::vector<std::string>& elements) {
+        c.send("*4\r\n$16\r\n" + elements[1] + "\r\n$2\r\nok\r\n$1\r\n-\r\n$20000\r\n");
         for (int i = 0; i < 100 && !over; ++i, std::this_thread::sleep_for(50ms)) c.send("x");
     });
     json settings = stores.settings(fleet);
@@ -316,10 +316,10 @@
 }
 
 // Complete answers that match no attempt, or echoes: as long as they arrive, the connection looks alive.
-void unmatchedAnswersCloseTheConnection(const char* word) {
+void unmatchedAnswersCloseTheConnection(const char* status) {
     Fleet fleet;
-    FirstAnswerBad stores([word](Connection& c, const std::vector<std::string>&) {
-        for (int i = 0; i < 1500; ++i) c.sendResp({"00000000000fffff", word, "minted=1", "stray"});
+    FirstAnswerBad stores([status](Connection& c, const std::vector<std::string>&) {
+        for (int i = 0; i < 1500; ++i) c.sendResp({"00000000000fffff", status, "minted=1", "stray"});
     });
     Program program(stores.settings(fleet));
     Connection client(program.port());
@@ -377,9 +377,9 @@
 void largeObjectsAreServedAsOftenAsTheRest() {
     for (const bool quiet : {true, false}) {
         Fleet fleet;
-        Peer cache(store([](Connection& c, const std::vector<std::string>& words) {
-            const bool large = valueOf(words[2], "thing").back() == '0';
-            serving(std::string(large ? 240'000 : 12'000, 'x'))(c, words);
+        Peer cache(store([](Connection& c, const std::vector<std::string>& elements) {
+            const bool large = valueOf(elements[2], "thing").back() == '0';
+            serving(std::string(large ? 240'000 : 12'000, 'x'))(c, elements);
         }));
         json settings = withAmpleCapacity(host("cache-1", cache.address()), fleet);
         settings["limits"]["memory_mb"] = 24;
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -96,9 +96,9 @@
     // Events of the connection, of the shutdown and of the timeout. Repeated shutdowns each caused a further
     // turn.
     EXPECT_LE(turns, 10);
-    char words[16] = {};
-    EXPECT_EQ(::recv(pair.peer.get(), words, sizeof words, MSG_WAITALL), 10);
-    EXPECT_STREQ(words, "last words");
+    char content[16] = {};
+    EXPECT_EQ(::recv(pair.peer.get(), content, sizeof content, MSG_WAITALL), 10);
+    EXPECT_STREQ(content, "last words");
 }
 
 // A stream over a socket pair that calls back on input.
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -52,9 +52,9 @@
 void drainClosesConnectionsAndUndrainServesAgain() {
     Fleet fleet;
     EventCounter pulled;
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
         pulled.raise();
-        if (words[3] != "slow") serving("served")(c, words);
+        if (elements[3] != "slow") serving("served")(c, elements);
     }));
     Program program(withOperatorAddress(configuration(fleet.with({host("cache-1", cache.address())}))),
                     "LB_CONFIG", 1024, {{"LB_OPERATOR", "127.0.0.1:0"}});
@@ -174,11 +174,11 @@
 void anOpenRequestKeepsItsSettingsAcrossAReload() {
     Fleet fleet;
     EventCounter pulled, go;
-    const auto script = store([&](Connection& c, const std::vector<std::string>& words) {
+    const auto script = store([&](Connection& c, const std::vector<std::string>& elements) {
         pulled.raise();
         if (pulled.count() == 1) go.await(1);
-        if (pulled.count() % 2 == 1) return c.sendResp({words[1], "error", "-", ""});
-        serving("second try")(c, words);
+        if (pulled.count() % 2 == 1) return c.sendResp({elements[1], "error", "-", ""});
+        serving("second try")(c, elements);
     });
     Peer first(script), second(script);
     json settings =
@@ -229,10 +229,10 @@
     Fleet fleet;
     EventCounter pulled;
     std::string tier;
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
-        tier = valueOf(words[2], "tier");
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
+        tier = valueOf(elements[2], "tier");
         pulled.raise();
-        if (words[3] != "slow") serving("served")(c, words);
+        if (elements[3] != "slow") serving("served")(c, elements);
     }));
     SharedSocket shared;
     const json settings = configuration(fleet.with({host("cache-1", cache.address())}));
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -9,10 +9,10 @@
     Fleet fleet;
     const std::string bytes = std::string(200'000, 'x') + std::string("\r\n\0$", 4);
     std::vector<std::string> pulled;
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
-        pulled = words;
-        if (valueOf(words[2], "known").empty()) return serving(bytes)(c, words);
-        c.sendResp({words[1], "current", "tag=4be0c1927d55a6f3,minted=1764576000000,remark=local", ""});
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
+        pulled = elements;
+        if (valueOf(elements[2], "known").empty()) return serving(bytes)(c, elements);
+        c.sendResp({elements[1], "current", "tag=4be0c1927d55a6f3,minted=1764576000000,remark=local", ""});
     }));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
     Connection client(program.port());
@@ -46,14 +46,14 @@
     EventCounter silent, killed;
     const auto one = [&](Connection& c) {
         std::string id;
-        for (std::vector<std::string> words; !(words = c.readResp()).empty();) {
-            if (words[0] == "PULL" && silent.count() == 0) {
+        for (std::vector<std::string> elements; !(elements = c.readResp()).empty();) {
+            if (elements[0] == "PULL" && silent.count() == 0) {
                 silent.raise();
-                id = words[1];
-            } else if (words[0] == "PULL") {
+                id = elements[1];
+            } else if (elements[0] == "PULL") {
                 assert(killed.count() == 1 || id.empty());  // at most one attempt in flight
-                c.sendResp({words[1], "ok", "minted=1", "second"});
-            } else if (words[0] == "KILL" && words[1] == id) {
+                c.sendResp({elements[1], "ok", "minted=1", "second"});
+            } else if (elements[0] == "KILL" && elements[1] == id) {
                 killed.raise();
                 c.sendResp({id, "ok", "minted=1", "late"});
             }
@@ -70,7 +70,8 @@
     call(client, "2");
     client.sendResp({"CANCEL", "2"});
     client.sendResp({"CHECK", "3", ""});
-    for (std::vector<std::string> words; (words = client.readResp())[0] != "3";) assert(words[0] == "2");
+    for (std::vector<std::string> elements; (elements = client.readResp())[0] != "3";)
+        assert(elements[0] == "2");
     client.sendResp({"CHECK", "4", ""});
     assert(client.readResp()[0] == "4");
 }
@@ -89,9 +90,9 @@
     client.sendResp({"CHECK", "2", ""});
     assert(client.readResp()[0] == "2");  // so the call has been accepted and waits for its connection
     bus.publish(topology({host("cache-1", full.address(), "small", "draining")}));
-    full.start(store([&](Connection& c, const std::vector<std::string>& words) {
+    full.start(store([&](Connection& c, const std::vector<std::string>& elements) {
         pulls.raise();
-        serving("drained")(c, words);
+        serving("drained")(c, elements);
     }));
     const auto answer = client.readResp();
     assert(answer[0] == "1" && answer[1] == "SHED" && valueOf(answer[2], "pause") == "100");
@@ -158,14 +159,14 @@
     EventCounter pulled;
     std::atomic<int> kills{0};
     const auto script = [&](Connection& c) {
-        for (std::vector<std::string> words; !(words = c.readResp()).empty();) {
-            if (words[0] == "KILL") ++kills;
-            if (words[0] != "PULL") continue;
+        for (std::vector<std::string> elements; !(elements = c.readResp()).empty();) {
+            if (elements[0] == "KILL") ++kills;
+            if (elements[0] != "PULL") continue;
             pulled.raise();
             if (pulled.count() > 1)
-                serving("whole")(c, words);
+                serving("whole")(c, elements);
             else
-                c.send("*4\r\n$16\r\n" + words[1] + "\r\n$2\r\nok\r\n$1\r\n-\r\n$200\r\nhalf");
+                c.send("*4\r\n$16\r\n" + elements[1] + "\r\n$2\r\nok\r\n$1\r\n-\r\n$200\r\nhalf");
         }
     };
     Peer first(script), second(script);
@@ -183,10 +184,10 @@
     Fleet fleet;
     EventCounter pulled;
     Peer cache([&](Connection& c) {
-        const auto words = c.readResp();
+        const auto elements = c.readResp();
         pulled.raise();
         if (pulled.count() > 1) {
-            serving("well")(c, words);
+            serving("well")(c, elements);
             return store(serving("well"))(c);
         }
         c.exactly(1'000'000);  // reads all input and never answers
@@ -207,12 +208,12 @@
         std::atomic<int> kills{0};
         Peer cache([&](Connection& c) {
             std::vector<std::string> pull;
-            for (std::vector<std::string> words; !(words = c.readResp()).empty();) {
-                if (words[0] == "PULL") pull = words;
-                if (words[0] == "KILL") ++kills;
-                if (words[0] != "ECHO") continue;
+            for (std::vector<std::string> elements; !(elements = c.readResp()).empty();) {
+                if (elements[0] == "PULL") pull = elements;
+                if (elements[0] == "KILL") ++kills;
+                if (elements[0] != "ECHO") continue;
                 if (carries) {
-                    c.sendResp({words[1], "yes", "-", ""});
+                    c.sendResp({elements[1], "yes", "-", ""});
                     serving("slow, but here")(c, pull);
                 }
                 echoed.raise();
@@ -240,12 +241,12 @@
     Fleet fleet;
     Peer cache([&](Connection& c) {
         std::vector<std::jthread> answers;
-        for (std::vector<std::string> words; !(words = c.readResp()).empty();) {
-            if (words[0] == "ECHO") c.sendResp({words[1], "yes", "-", ""});
-            if (words[0] != "PULL") continue;
-            answers.emplace_back([&c, words] {
+        for (std::vector<std::string> elements; !(elements = c.readResp()).empty();) {
+            if (elements[0] == "ECHO") c.sendResp({elements[1], "yes", "-", ""});
+            if (elements[0] != "PULL") continue;
+            answers.emplace_back([&c, elements] {
                 std::this_thread::sleep_for(450ms);
-                serving("in its time")(c, words);
+                serving("in its time")(c, elements);
             });
         }
     });
@@ -269,12 +270,12 @@
     std::atomic<int> pulls{0};
     Peer cache([&](Connection& c) {
         int here = 0;
-        for (std::vector<std::string> words; !(words = c.readResp()).empty();) {
-            if (words[0] != "PULL") continue;
+        for (std::vector<std::string> elements; !(elements = c.readResp()).empty();) {
+            if (elements[0] != "PULL") continue;
             if (++pulls == 1 || ++here > 1)
-                c.sendResp({words[1], "nothing", "-", ""});
+                c.sendResp({elements[1], "nothing", "-", ""});
             else
-                serving("the real one")(c, words);
+                serving("the real one")(c, elements);
             if (pulls == 1) here = 1;
         }
     });
@@ -294,10 +295,10 @@
         {"ok", "tag=4be0c1927d55a6f3,minted=1", std::string(240'001, 'x')},  // larger than any object
         {"what", "-", ""}};
     std::atomic<std::size_t> count{0};
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
         const std::size_t at = count++;
-        if (at >= invalidAnswers.size()) return serving("whole")(c, words);
-        std::vector<std::string> answer = {words[1]};
+        if (at >= invalidAnswers.size()) return serving("whole")(c, elements);
+        std::vector<std::string> answer = {elements[1]};
         answer.insert(answer.end(), invalidAnswers[at].begin(), invalidAnswers[at].end());
         c.sendResp(answer);
     }));
--- a/tests/scenarios.hpp
+++ b/tests/scenarios.hpp
@@ -37,9 +37,9 @@
     EventCounter connects, pulls;  // the first to connect is the filler
 
     void start() {
-        const auto serve = store([this](Connection& c, const std::vector<std::string>& words) {
+        const auto serve = store([this](Connection& c, const std::vector<std::string>& elements) {
             pulls.raise();
-            serving("late store")(c, words);
+            serving("late store")(c, elements);
         });
         peer.start([this, serve](Connection& c) {
             connects.raise();
@@ -68,8 +68,8 @@
 // Two stores. The first request gets `firstAnswer`; all later ones are served.
 struct FirstAnswerBad {
     explicit FirstAnswerBad(Answer firstAnswer)
-        : script_(store([this, firstAnswer](Connection& c, const std::vector<std::string>& words) {
-              ++pulls_ > 1 ? serving("whole")(c, words) : firstAnswer(c, words);
+        : script_(store([this, firstAnswer](Connection& c, const std::vector<std::string>& elements) {
+              ++pulls_ > 1 ? serving("whole")(c, elements) : firstAnswer(c, elements);
           })) {}
     json settings(const Fleet& fleet) const {
         return configuration(
--- a/tests/shared_configuration_test.cpp
+++ b/tests/shared_configuration_test.cpp
@@ -160,8 +160,9 @@
     const auto client = cluster.client();
     for (int i = 0; i < 60; ++i) commitOrFail(client, putTransaction("files/a", i));
     const auto all = cluster.control(1) + "," + cluster.control(2) + "," + cluster.control(3);
-    const auto ctl = [&](const std::string& words) {
-        const std::string command = std::string(LOTUSLEAD_CTL) + " --agents " + all + " " + words + " 2>&1";
+    const auto ctl = [&](const std::string& commandLine) {
+        const std::string command =
+            std::string(LOTUSLEAD_CTL) + " --agents " + all + " " + commandLine + " 2>&1";
         std::FILE* pipe = ::popen(command.c_str(), "r");
         std::string text;
         for (int c; (c = std::fgetc(pipe)) != EOF;) text += static_cast<char>(c);
