--- a/bench/scale/hollow_gateways.cpp
+++ b/bench/scale/hollow_gateways.cpp
@@ -143,11 +143,11 @@
             pending_.append(chunk, static_cast<std::size_t>(got));
         if (got == 0) return false;
         for (std::size_t end; (end = pending_.find('\n')) != std::string::npos;) {
-            std::istringstream words(pending_.substr(0, end));
+            std::istringstream fields(pending_.substr(0, end));
             pending_.erase(0, end + 1);
             std::string kind;
             std::size_t count = 0;
-            words >> kind >> count;
+            fields >> kind >> count;
             obey(kind, std::min(count, gateways_.size()));
         }
         return true;
--- a/bench/soak/clients.cpp
+++ b/bench/soak/clients.cpp
@@ -105,13 +105,13 @@
     if (!socket_.send(bytes)) return neverSent(calls), Outcome::ended;
     if (draw < 0.13) {  // takes it back
         std::this_thread::sleep_for(Millis{between(0, 120)});
-        Words words;
-        if (socket_.read(words, Clock::now()) == RespSocket::Read::message) {
-            judge_.answered(call.trace, words, call.expectedPrefix);
+        RespElements elements;
+        if (socket_.read(elements, Clock::now()) == RespSocket::Read::message) {
+            judge_.answered(call.trace, elements, call.expectedPrefix);
             return Outcome::goesOn;
         }
         cancel(call);
-        if (!socket_.sendWords({"CANCEL", call.tag})) return Outcome::ended;
+        if (!socket_.sendMessage({"CANCEL", call.tag})) return Outcome::ended;
     } else if (draw < 0.18) {  // leaves
         std::this_thread::sleep_for(Millis{between(0, 120)});
         judge_.clientEnded(call.trace);
@@ -144,32 +144,32 @@
     while (!calls.empty()) {
         TimePoint until = TimePoint::max();
         for (const auto& [tag, call] : calls) until = std::min(until, call.due);
-        Words words;
-        const auto read = socket_.read(words, until);
+        RespElements elements;
+        const auto read = socket_.read(elements, until);
         if (read == RespSocket::Read::closed)
             return lose(calls, "its connection was closed", wasResting), Outcome::ended;
         if (read == RespSocket::Read::malformed)
             return lose(calls, "an answer can't be read", false), Outcome::ended;
         if (read == RespSocket::Read::message) {
             wasResting = false;
-            if (words.size() < 2) words.resize(2);
-            const auto found = calls.find(words[0]);
-            if (const auto late = takenBack_.find(words[0]);
+            if (elements.size() < 2) elements.resize(2);
+            const auto found = calls.find(elements[0]);
+            if (const auto late = takenBack_.find(elements[0]);
                 found == calls.end() && late != takenBack_.end()) {
-                judge_.answered(late->second.trace, words, late->second.expectedPrefix);
+                judge_.answered(late->second.trace, elements, late->second.expectedPrefix);
                 continue;
             }
             if (found == calls.end()) {
                 judge_.violation(Rule::secondAnswer,
-                                 "an answer under a number that is not open: " + words[0]);
+                                 "an answer under a number that is not open: " + elements[0]);
                 continue;
             }
             Call& call = found->second;
-            judge_.answered(call.trace, words, call.expectedPrefix);
-            if (words[1] == "SERVED" && words.size() > 3 && words[3].rfind(call.expectedPrefix, 0) == 0 &&
-                copies_.size() < kMostCopies)
+            judge_.answered(call.trace, elements, call.expectedPrefix);
+            if (elements[1] == "SERVED" && elements.size() > 3 &&
+                elements[3].rfind(call.expectedPrefix, 0) == 0 && copies_.size() < kMostCopies)
                 copies_[call.entity] =
-                    tagOf(call.entity, std::atoll(words[3].c_str() + call.expectedPrefix.size()));
+                    tagOf(call.entity, std::atoll(elements[3].c_str() + call.expectedPrefix.size()));
             calls.erase(found);
             continue;
         }
@@ -228,17 +228,17 @@
                 socket.send("*3\r\n$4\r\nCALL\r\n$99999999\r\n");
                 break;
             case 4:
-                for (int i = 0; i < 40; ++i) socket.sendWords({"CHECK", std::to_string(i + 1), ""});
+                for (int i = 0; i < 40; ++i) socket.sendMessage({"CHECK", std::to_string(i + 1), ""});
                 break;
             default:
-                socket.sendWords({"CANCEL", "77"});
-                socket.sendWords({"CALL", "1", "nothing", "trace=1", ""});
+                socket.sendMessage({"CANCEL", "77"});
+                socket.sendMessage({"CALL", "1", "nothing", "trace=1", ""});
                 break;
         }
-        Words words;
+        RespElements elements;
         const TimePoint until = Clock::now() + Millis{random() % 1500};
         while (!over && Clock::now() < until) {
-            const auto read = socket.read(words, std::min(until, Clock::now() + 100ms));
+            const auto read = socket.read(elements, std::min(until, Clock::now() + 100ms));
             if (read == RespSocket::Read::closed || read == RespSocket::Read::malformed) break;
         }
         if (random() % 2 == 0) socket.reset();
@@ -252,7 +252,7 @@
         std::vector<RespSocket> crowd;
         for (int i = 0; i < connections && !over; ++i) {
             RespSocket socket = RespSocket::connectTo(plan.port);
-            if (socket.open() && socket.sendWords({"CHECK", "1", ""})) crowd.push_back(std::move(socket));
+            if (socket.open() && socket.sendMessage({"CHECK", "1", ""})) crowd.push_back(std::move(socket));
         }
         const TimePoint until = Clock::now() + kRest;
         while (!over && Clock::now() < until) std::this_thread::sleep_for(kConnectAgain);
--- a/bench/soak/judge.cpp
+++ b/bench/soak/judge.cpp
@@ -63,7 +63,8 @@
     requests_[trace].clientEndedAt = Clock::now();
 }
 
-void Judge::answered(const std::string& trace, const Words& answer, const std::string& expectedPrefix) {
+void Judge::answered(const std::string& trace, const RespElements& answer,
+                     const std::string& expectedPrefix) {
     const std::lock_guard lock(mutex_);
     Request& request = requests_[trace];
     const TimePoint now = Clock::now();
@@ -87,7 +88,7 @@
 
 // An answer that was under way may cross a CANCEL. One that was written by a process that stood still may
 // have been decided on before.
-void Judge::checkAfterCancel(const std::string& trace, const Request& request, const Words& answer,
+void Judge::checkAfterCancel(const std::string& trace, const Request& request, const RespElements& answer,
                              TimePoint now, Millis held) {
     const auto late = std::chrono::duration_cast<Millis>(now - *request.clientEndedAt);
     if (late <= kScheduling) return;
@@ -99,7 +100,7 @@
     note("excused, after CANCEL: " + what);
 }
 
-void Judge::checkServed(const std::string& trace, const Request& request, const Words& answer,
+void Judge::checkServed(const std::string& trace, const Request& request, const RespElements& answer,
                         const std::string& expectedPrefix) {
     if (answer.size() > 2 && answer[2].find("keep=1") != std::string::npos) {
         ++totals_.unchanged;
--- a/bench/soak/judge.hpp
+++ b/bench/soak/judge.hpp
@@ -35,7 +35,7 @@
     longDeadline,    // a store was told more time than the client had left
     staleCopy,       // older than a purge that counts as told
     wrongContent,    // bytes that no store made for this request
-    unnamedCopy,     // 'keep' without a store's word
+    unnamedCopy,     // 'keep' without a store's answer
     coldBudget,      // a server in slow start got more than its budget
     crash,           // a process ended by itself, or with another code than 0
     slowEnd,         // SIGTERM was not followed by an end in time
@@ -71,7 +71,7 @@
               TimePoint connectedAt);
     void countsFromNow(const std::string& trace);  // its last byte is sent now
     void clientEnded(const std::string& trace);    // by CANCEL or a close
-    void answered(const std::string& trace, const Words& answer, const std::string& expectedPrefix);
+    void answered(const std::string& trace, const RespElements& answer, const std::string& expectedPrefix);
     // The connection has ended, or the time is over, with no answer.
     void unanswered(const std::string& trace, const char* how);
     void goesAgain(const std::string& trace, Excuse why);  // within 50 ms, on a connection at rest
@@ -146,10 +146,10 @@
     void checkTimes(const std::string& trace, const Request& request, const std::string& store,
                     std::int64_t maxMs, const std::string& source, TimePoint now);
     void checkRepeat(const std::string& trace, const Request& request, TimePoint now, bool seenLate);
-    void checkAfterCancel(const std::string& trace, const Request& request, const Words& answer,
+    void checkAfterCancel(const std::string& trace, const Request& request, const RespElements& answer,
                           TimePoint now, Millis held);
     void checkRefusal(const std::string& trace, const Request& request);
-    void checkServed(const std::string& trace, const Request& request, const Words& answer,
+    void checkServed(const std::string& trace, const Request& request, const RespElements& answer,
                      const std::string& expectedPrefix);
 
     mutable std::mutex mutex_;
--- a/bench/soak/stores.cpp
+++ b/bench/soak/stores.cpp
@@ -202,17 +202,17 @@
     return copy.mintedMs;
 }
 
-Store::Due Store::answerTo(const Words& words) {
-    const std::string& fields = words[2];
+Store::Due Store::answerTo(const RespElements& elements) {
+    const std::string& fields = elements[2];
     const std::string entity = valueOf(fields, "thing"), block = valueOf(fields, "nth");
     const bool neverKept = valueOf(fields, "profile") != kClassNames[0];
     const bool mayFill =
         !valueOf(fields, "via").empty() && valueOf(fields, "opts").find("peek") == std::string::npos;
     Due due;
-    due.id = words[1];
+    due.id = elements[1];
     due.at = Clock::now() + Millis{between(faults_.leastMs, faults_.mostMs)};
-    const auto plain = [&](const char* word, AttemptEnd end) {
-        due.bytes = RespSocket::encoded({words[1], word, "-", ""});
+    const auto plain = [&](const char* element, AttemptEnd end) {
+        due.bytes = RespSocket::encoded({elements[1], element, "-", ""});
         due.end = end;
         return due;
     };
@@ -224,39 +224,40 @@
     const std::string tag = tagOf(entity, mintedMs);
     const std::string told = "tag=" + tag + ",minted=" + std::to_string(mintedMs) + ",remark=local";
     if (!neverKept && valueOf(fields, "known") == tag) {
-        judge_.saidCurrent(words[1]);
-        due.bytes = RespSocket::encoded({words[1], "current", told, ""});
+        judge_.saidCurrent(elements[1]);
+        due.bytes = RespSocket::encoded({elements[1], "current", told, ""});
         return due;
     }
-    due.bytes = RespSocket::encoded({words[1], "ok", told, bodyOf(entity, block, mintedMs)});
+    due.bytes = RespSocket::encoded({elements[1], "ok", told, bodyOf(entity, block, mintedMs)});
     if (chance(faults_.half)) due.bytes.resize(due.bytes.size() / 2);  // and then silence
     if (chance(faults_.garbage)) due.bytes = "+this is no array\r\n";
     due.closesAfter = chance(faults_.closes);
     return due;
 }
 
-void Store::take(const Words& words, std::deque<Due>& due, bool late) {
-    if (words.size() >= 2 && (words[0] == "ECHO" || words[0] == "METER")) {
+void Store::take(const RespElements& elements, std::deque<Due>& due, bool late) {
+    if (elements.size() >= 2 && (elements[0] == "ECHO" || elements[0] == "METER")) {
         Due echo;
         echo.at = Clock::now();
-        echo.bytes = RespSocket::encoded({words[1], "yes", "-", ""});
+        echo.bytes = RespSocket::encoded({elements[1], "yes", "-", ""});
         echo.isEcho = true;
         return due.push_back(echo);
     }
-    if (words.size() >= 2 && words[0] == "KILL") {
+    if (elements.size() >= 2 && elements[0] == "KILL") {
         const auto found = std::find_if(due.begin(), due.end(),
-                                        [&](const Due& one) { return !one.isEcho && one.id == words[1]; });
+                                        [&](const Due& one) { return !one.isEcho && one.id == elements[1]; });
         if (found == due.end()) return;
         judge_.attemptEnded(found->id, found->attempt, AttemptEnd::mayHaveRun, late);
         due.erase(found);
         return;
     }
-    if (words.size() < 4 || words[0] != "PULL")
+    if (elements.size() < 4 || elements[0] != "PULL")
         return judge_.violation(Rule::wrongContent, name_ + " was sent what is no command");
     if (!late) countColdCall();
-    const int attempt = judge_.attemptArrived(words[1], name_, std::atoll(valueOf(words[2], "max").c_str()),
-                                              valueOf(words[2], "via"), late);
-    Due answer = answerTo(words);
+    const int attempt =
+        judge_.attemptArrived(elements[1], name_, std::atoll(valueOf(elements[2], "max").c_str()),
+                              valueOf(elements[2], "via"), late);
+    Due answer = answerTo(elements);
     answer.attempt = attempt;
     due.push_back(answer);
     if (!chance(faults_.twice)) return;
@@ -280,9 +281,9 @@
         }
         TimePoint next = Clock::now() + kLookAgain;
         for (const Due& one : due) next = std::min(next, one.at);
-        Words words;
-        const auto read = socket.read(words, next);
-        if (read == RespSocket::Read::message) take(words, due, wasHung);
+        RespElements elements;
+        const auto read = socket.read(elements, next);
+        if (read == RespSocket::Read::message) take(elements, due, wasHung);
         if (read == RespSocket::Read::timedOut) wasHung = false;
         good = read == RespSocket::Read::message || read == RespSocket::Read::timedOut;
         for (auto at = due.begin(); good && at != due.end();) {
--- a/bench/soak/stores.hpp
+++ b/bench/soak/stores.hpp
@@ -108,8 +108,8 @@
     };
 
     void serve(RespSocket& socket);
-    void take(const Words& words, std::deque<Due>& due, bool late);
-    Due answerTo(const Words& words);
+    void take(const RespElements& elements, std::deque<Due>& due, bool late);
+    Due answerTo(const RespElements& elements);
     std::string bodyOf(const std::string& entity, const std::string& block, std::int64_t mintedMs) const;
     std::int64_t mintedOf(const std::string& entity, std::int64_t freshMs, bool mayFill, bool neverKept);
     void countColdCall();
--- a/bench/soak/wire.cpp
+++ b/bench/soak/wire.cpp
@@ -84,15 +84,16 @@
     return fd_ >= 0;
 }
 
-std::string RespSocket::encoded(const Words& words) {
-    std::string text = "*" + std::to_string(words.size()) + "\r\n";
-    for (const std::string& word : words) text += "$" + std::to_string(word.size()) + "\r\n" + word + "\r\n";
+std::string RespSocket::encoded(const RespElements& elements) {
+    std::string text = "*" + std::to_string(elements.size()) + "\r\n";
+    for (const std::string& element : elements)
+        text += "$" + std::to_string(element.size()) + "\r\n" + element + "\r\n";
     return text;
 }
 
-RespSocket::Read RespSocket::read(Words& words, TimePoint until) {
+RespSocket::Read RespSocket::read(RespElements& elements, TimePoint until) {
     for (;;) {
-        const Parse parsed = parse(words);
+        const Parse parsed = parse(elements);
         if (parsed == Parse::whole) return Read::message;
         if (parsed == Parse::malformed) return Read::malformed;
         pollfd waits{fd_, POLLIN, 0};
@@ -107,7 +108,7 @@
     }
 }
 
-RespSocket::Parse RespSocket::parse(Words& words) {
+RespSocket::Parse RespSocket::parse(RespElements& elements) {
     std::size_t at = 0;
     const auto number = [&](char kind, long& value) {
         const std::size_t end = buffer_.find("\r\n", at);
@@ -119,13 +120,13 @@
     };
     long count = 0;
     if (const Parse head = number('*', count); head != Parse::whole) return head;
-    words.clear();
+    elements.clear();
     for (long i = 0; i < count; ++i) {
         long size = 0;
         if (const Parse head = number('$', size); head != Parse::whole) return head;
         const auto bytes = static_cast<std::size_t>(size);
         if (buffer_.size() < at + bytes + 2) return Parse::partial;
-        words.push_back(buffer_.substr(at, bytes));
+        elements.push_back(buffer_.substr(at, bytes));
         at += bytes + 2;
     }
     buffer_.erase(0, at);
--- a/bench/soak/wire.hpp
+++ b/bench/soak/wire.hpp
@@ -12,7 +12,7 @@
 using Clock = std::chrono::steady_clock;
 using TimePoint = Clock::time_point;
 using Millis = std::chrono::milliseconds;
-using Words = std::vector<std::string>;
+using RespElements = std::vector<std::string>;
 
 std::int64_t unixMs();
 
@@ -32,16 +32,16 @@
     // The peer has closed it, and nothing is left to be read.
     bool endedByPeer() const;
     bool send(const std::string& bytes);
-    bool sendWords(const Words& words) { return send(encoded(words)); }
-    Read read(Words& words, TimePoint until);
+    bool sendMessage(const RespElements& elements) { return send(encoded(elements)); }
+    Read read(RespElements& elements, TimePoint until);
     void close();
     void reset();  // as a process that dies
 
-    static std::string encoded(const Words& words);
+    static std::string encoded(const RespElements& elements);
 
 private:
     enum class Parse { whole, partial, malformed };
-    Parse parse(Words& words);
+    Parse parse(RespElements& elements);
 
     int fd_;
     std::string buffer_;
