--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -93,13 +93,13 @@
     }
 }
 
-std::string Gateway::handOver() {
+std::string Gateway::exportState() {
     nlohmann::json state = nlohmann::json::object();
     for (const auto& service : services_) state[service->stateKey()] = service->exportState();
     return state.dump();
 }
 
-void Gateway::takeOver(const std::string& state) {
+void Gateway::importState(const std::string& state) {
     try {
         const auto parsed = nlohmann::json::parse(state);
         for (const auto& service : services_)
@@ -110,7 +110,7 @@
     }
 }
 
-void Gateway::processesChanged(int count) {
+void Gateway::processCountChanged(int count) {
     for (const auto& service : services_) service->setProcessCount(count);
     std::fprintf(stderr, "lotuslead: %d processes are one gateway now\n", count);
 }
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -37,9 +37,9 @@
     bool drain() override;
     bool undrain() override;
 
-    std::string handOver() override;
-    void takeOver(const std::string& state) override;
-    void processesChanged(int count) override;
+    std::string exportState() override;
+    void importState(const std::string& state) override;
+    void processCountChanged(int count) override;
 
     enum class AddressSet { operators, all };
 
--- a/src/gateway/handover.cpp
+++ b/src/gateway/handover.cpp
@@ -111,13 +111,13 @@
 void HandoverChannel::onMessage(Peer& peer, const std::vector<std::string>& message) {
     const bool fromSuccessor = successor_.get() == &peer;
     if (fromSuccessor && message[0] == "HELLO" && message.size() == 2 && message[1] == kProtocolVersion) {
-        successor_->send({"STATE", delegate_.handOver()});
+        successor_->send({"STATE", delegate_.exportState()});
         reportProcessCount();
     } else if (fromSuccessor && message[0] == "SERVING") {
         successorServes_ = true;
     } else if (!fromSuccessor && message[0] == "STATE" && message.size() == 2 && stateTimer_) {
         stopStateTimer();
-        delegate_.takeOver(message[1]);
+        delegate_.importState(message[1]);
     }
 }
 
@@ -135,7 +135,7 @@
 }
 
 void HandoverChannel::reportProcessCount() {
-    delegate_.processesChanged(1 + (predecessor_ ? 1 : 0) + (successor_ ? 1 : 0));
+    delegate_.processCountChanged(1 + (predecessor_ ? 1 : 0) + (successor_ ? 1 : 0));
 }
 
 void HandoverChannel::stopStateTimer() {
--- a/src/gateway/handover.hpp
+++ b/src/gateway/handover.hpp
@@ -19,9 +19,9 @@
     class Delegate {
     public:
         virtual ~Delegate() = default;
-        virtual std::string handOver() = 0;                   // state for a successor
-        virtual void takeOver(const std::string& state) = 0;  // never throws; ignores unusable state
-        virtual void processesChanged(int count) = 0;         // that serve as one gateway, including this one
+        virtual std::string exportState() = 0;                   // state for a successor
+        virtual void importState(const std::string& state) = 0;  // never throws; ignores unusable state
+        virtual void processCountChanged(int count) = 0;  // that serve as one gateway, including this one
     };
 
     HandoverChannel(net::Loop& loop, Delegate& delegate) : loop_(loop), delegate_(delegate) {}
