--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -32,7 +32,7 @@
 private:
     std::uint32_t ready(std::uint32_t events) override;  // signals
 
-    bool takesClients() const override { return phase_ == Phase::serving; }
+    bool acceptsClients() const override { return phase_ == Phase::serving; }
     const char* phaseName() const override;
     bool drain() override;
     bool undrain() override;
--- a/src/operator/operator_server.cpp
+++ b/src/operator/operator_server.cpp
@@ -26,7 +26,7 @@
     if (!ready && !drain && !undrain) return {404, "unknown path\n", {}};
     if (head.method != (ready ? "GET" : "POST"))
         return {405, "method not allowed\n", {"Allow", ready ? "GET" : "POST"}};
-    const bool succeeded = ready ? gateway_.takesClients() : drain ? gateway_.drain() : gateway_.undrain();
+    const bool succeeded = ready ? gateway_.acceptsClients() : drain ? gateway_.drain() : gateway_.undrain();
     return {succeeded ? 200 : ready ? 503 : 409, std::string(gateway_.phaseName()) + "\n", {}};
 }
 
--- a/src/operator/operator_server.hpp
+++ b/src/operator/operator_server.hpp
@@ -11,9 +11,9 @@
 class GatewayControl {
 public:
     virtual ~GatewayControl() = default;
-    virtual bool takesClients() const = 0;
+    virtual bool acceptsClients() const = 0;
     virtual const char* phaseName() const = 0;
-    // True if the gateway drains, or takes clients, from now on or did so already.
+    // True if the gateway drains, or accepts clients, from now on or did so already.
     virtual bool drain() = 0;
     virtual bool undrain() = 0;
 };
