--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -44,7 +44,8 @@
     bool idle() const { return open_.empty() && input_.empty() && stream_.unsentBytes() == 0; }
     // Idle and used before, with no further call received, read or unread.
     bool idleAfterUse() const {
-        return idle() && hasSentMessage_ && !refusesMore_ && !input_.midMessage() && stream_.nothingUnread();
+        return idle() && hasSentMessage_ && !refusesNewCalls_ && !input_.midMessage() &&
+               stream_.nothingUnread();
     }
     bool hasSentNothing() const { return !hasSentMessage_ && input_.empty() && stream_.nothingUnread(); }
     bool inPartialMessage() const { return input_.midMessage(); }
@@ -82,7 +83,7 @@
         // A request may have arrived since the connection was checked.
         if (!owner_.requests_.checks().allows(core::mayClose(closeFacts()))) return;
         ++owner_.counters_.drained;
-        refusesMore_ = true;
+        refusesNewCalls_ = true;
         closeIfAnswered();
     }
 
@@ -168,7 +169,7 @@
     // it.
     void closeMalformed() {
         ++owner_.counters_.malformed;
-        refusesMore_ = true;
+        refusesNewCalls_ = true;
         input_.clear();
         failOpenCalls();
         closeIfAnswered();
@@ -176,7 +177,7 @@
     // New calls are refused and open ones keep their answers; then the connection closes. Input is read until
     // then: an unread request would be lost.
     void refuseMore() {
-        if (std::exchange(refusesMore_, true)) return;
+        if (std::exchange(refusesNewCalls_, true)) return;
         const Micros until = connectedAt_ + kFirstMessageTimeout - owner_.loop_.now();
         armMessageTimer(std::max(until, Micros{kCloseLinger}));
     }
@@ -189,14 +190,14 @@
         }
     }
     void closeIfAnswered() {
-        if (!refusesMore_ || !open_.empty() || !input_.empty() || std::exchange(closing_, true)) return;
+        if (!refusesNewCalls_ || !open_.empty() || !input_.empty() || std::exchange(closing_, true)) return;
         if (Trace::on()) Trace::write("client_close", {{"client", std::to_string(traceNumber_)}});
         cancelMessageTimer();
         stream_.closeLingering(kCloseLinger);
     }
     // After a run of useless messages the connection is closed.
     void countUselessMessage() {
-        if (++uselessMessages_ < kMaxUselessMessages || refusesMore_) return;
+        if (++uselessMessages_ < kMaxUselessMessages || refusesNewCalls_) return;
         ++owner_.counters_.retired;
         refuseMore();
     }
@@ -217,7 +218,7 @@
     // ----- timeouts -----
 
     void updateMessageTimer() {
-        if (refusesMore_ || !hasSentMessage_) return;
+        if (refusesNewCalls_ || !hasSentMessage_) return;
         if (!input_.midMessage()) return cancelMessageTimer();
         if (!messageTimer_) armMessageTimer(kMessageTimeout);
     }
@@ -225,7 +226,7 @@
         cancelMessageTimer();
         messageTimer_ = owner_.loop_.after(delay, [this] {
             messageTimer_.reset();
-            if (refusesMore_) {
+            if (refusesNewCalls_) {
                 input_.clear();
                 failOpenCalls();
                 return closeIfAnswered();
@@ -233,7 +234,7 @@
             if (!input_.empty() || backlogged())
                 return armMessageTimer(kMessageTimeout);  // input waits for us, not for the client
             ++(hasSentMessage_ ? owner_.counters_.halfMessages : owner_.counters_.silent);
-            refusesMore_ = true;
+            refusesNewCalls_ = true;
             failOpenCalls();
             closeIfAnswered();
         });
@@ -286,7 +287,7 @@
         }
         const Fields fields(elements.size() > 3 ? std::string_view(elements[3]) : std::string_view{});
         core::Request request;
-        const auto& classes = owner_.vocabulary_.classes;
+        const auto& classes = owner_.settings_.classes;
         const auto known = classes.find(elements[2]);
         request.traceId = fields.text("trace");
         request.object = fields.text("entity");
@@ -314,7 +315,7 @@
         const Micros now = owner_.loop_.now();
         const auto patience = fields.integer("patience");
         const auto giveUp =
-            owner_.vocabulary_.settings.classes[static_cast<std::size_t>(known->second)].clientTimeout;
+            owner_.settings_.settings.classes[static_cast<std::size_t>(known->second)].clientTimeout;
         const Micros wait = patience ? Micros{std::chrono::milliseconds{*patience}}
                                      : std::chrono::duration_cast<Micros>(giveUp);
         request.deadline = arrivedAt + std::max(Micros{1ms}, wait - kAnswerTransitTime);
@@ -334,7 +335,7 @@
         core::AdmissionFacts facts;
         facts.shuttingDown = owner_.failingRequests_;
         facts.draining = owner_.refusesCalls();
-        facts.connectionClosing = refusesMore_;
+        facts.connectionClosing = refusesNewCalls_;
         facts.openOnConnection = open_.size();
         facts.maxOnConnection = kMaxOpenPerConnection;
         return facts;
@@ -429,16 +430,16 @@
     std::optional<net::Loop::TimerKey> messageTimer_, resumeTimer_;
     int uselessMessages_ = 0;
     bool handlingPosted_ = false;
-    bool hasSentMessage_ = false;  // at least one complete message has arrived
-    bool refusesMore_ = false;     // new calls are refused
-    bool closing_ = false;         // no answer is owed any more
+    bool hasSentMessage_ = false;   // at least one complete message has arrived
+    bool refusesNewCalls_ = false;  // new calls are refused
+    bool closing_ = false;          // no answer is owed any more
     net::Stream stream_;
 };
 
 Front::Front(net::Loop& loop, core::RequestDispatcher& requests, const settings::Configuration& configuration)
     : loop_(loop),
       requests_(requests),
-      vocabulary_(configuration.decoded),
+      settings_(configuration.decoded),
       address_(configuration.listen),
       previousListener_(loop) {
     limits_ = configuration.limits;
@@ -580,7 +581,7 @@
 }
 
 std::string Front::noMemoryFields() const {
-    const Settings& s = vocabulary_.settings;
+    const Settings& s = settings_.settings;
     const Micros most = std::chrono::duration_cast<Micros>(s.maxRetryHint);
     return retryAfterFields(s.retryHints ? std::min(kNoMemoryRetryAfter, most) : Micros{0});
 }
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -258,7 +258,7 @@
         result.request = found->second.request;
         result.attempt = found->second.attempt;
         result.outcome = *outcome;
-        result.note = noteOf(fields.text("remark"));
+        result.note = cacheStatusOf(fields.text("remark"));
         if (const auto minted = fields.integer("minted"))
             owner_.copyAgeCheck_.learn(owner_.loop_.now(), *minted);
         if (*outcome == Outcome::served && fields.integer("minted").value_or(found->second.oldestAllowedMs) <
--- a/src/platform/store_protocol.hpp
+++ b/src/platform/store_protocol.hpp
@@ -14,7 +14,7 @@
 
 namespace lotuslead::platform {
 
-inline CacheStatus noteOf(std::string_view remark) {
+inline CacheStatus cacheStatusOf(std::string_view remark) {
     constexpr std::array<std::pair<std::string_view, CacheStatus>, 10> notes{
         {{"local", CacheStatus::hit},
          {"pulled", CacheStatus::filled},
@@ -26,8 +26,8 @@
          {"not_there", CacheStatus::sourceLacks},
          {"no_place", CacheStatus::noFillPlace},
          {"far_fault", CacheStatus::originFailed}}};
-    for (const auto& [name, note] : notes)
-        if (name == remark) return note;
+    for (const auto& [name, cacheStatus] : notes)
+        if (name == remark) return cacheStatus;
     return CacheStatus::none;
 }
 
