--- a/src/disk/caching_carrier.cpp
+++ b/src/disk/caching_carrier.cpp
@@ -35,7 +35,7 @@
                           : s.sync == Settings::Sync::sealed ? SyncPolicy::sealed
                                                              : SyncPolicy::each;
     options.worker.tables = s.tables;
-    options.maxPurgeEntries = static_cast<std::size_t>(s.maxMarks);
+    options.maxPurgeEntries = static_cast<std::size_t>(s.maxPurgeEntries);
     options.purgeClockSkewMs = s.purgeSlackMs;
     options.purges = {bus, s.busKeepsPositions, s.busSilenceMs};
     return options;
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -72,7 +72,7 @@
         const std::string name = baseConfiguration(configuration_).name;
         try {
             Configuration updated = source_();
-            const auto freshDisk = diskSource_ ? diskSource_() : std::nullopt;
+            const auto reloadedDisk = diskSource_ ? diskSource_() : std::nullopt;
             settings::requireSameFields(baseConfiguration(configuration_).paths,
                                         baseConfiguration(updated).paths);
             const settings::BusBatch initialEvents =
@@ -82,7 +82,7 @@
             transport_.reconfigure(updated);
             decisions_.reconfigure(baseConfiguration(updated).decoded);
             configuration_ = std::move(updated);
-            reloadTier(freshDisk);
+            reloadTier(reloadedDisk);
             busReader_.setDrainGrace(drainGrace());
             busReader_.applyBatch(initialEvents);  // skips events already received from the bus
             busReader_.setEndpoints(baseConfiguration(configuration_).bus);
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -82,7 +82,7 @@
         stream_.dropInputOnPeerClose();
         restartTimer();
     }
-    ~Client() override { abandon(); }
+    ~Client() override { abortConnection(); }
 
     bool idle() const { return !current_ && stream_.unsentBytes() == 0; }
     // Idle, and no byte of a further request has arrived, read or unread.
@@ -109,7 +109,7 @@
         closing_ = true;
         stream_.closeLingering(kMinAgeToDrain);
     }
-    void abandon() {
+    void abortConnection() {
         stream_.close();
         if (timer_) owner_.loop_.cancel(*timer_);
         timer_.reset();
@@ -437,7 +437,7 @@
         fetchNextPart();
     }
     void streamEnded(net::Stream::CloseReason) override {
-        abandon();
+        abortConnection();
         owner_.removeClient(this);
     }
     void restartTimer() {
@@ -560,7 +560,7 @@
             oldest = client.get();
     if (!oldest) return false;
     ++counters_.closedIdle;
-    oldest->abandon();
+    oldest->abortConnection();
     removeClient(oldest);
     return true;
 }
--- a/src/settings/disk.cpp
+++ b/src/settings/disk.cpp
@@ -84,7 +84,7 @@
     section.readInteger("most_parts", 1024, 64'000'000, result.maxParts);
     section.readInteger("queue_mb", 1, 4096, result.queueMb);
     section.readInteger("reads", 1, 4096, result.maxQueuedReads);
-    section.readInteger("most_marks", 64, 16'000'000, result.maxMarks);
+    section.readInteger("most_marks", 64, 16'000'000, result.maxPurgeEntries);
     section.readInteger("read_wait_ms", 1, 10'000, result.readWaitMs);
     section.readInteger("purge_slack_ms", 0, 60'000, result.purgeSlackMs);
     section.readInteger("bus_silence_ms", 1600, 60'000,
--- a/src/settings/disk.hpp
+++ b/src/settings/disk.hpp
@@ -20,7 +20,7 @@
     std::int64_t maxParts = 262144;
     std::int64_t queueMb = 32;         // waiting to be written; above it, admissions are dropped
     std::int64_t maxQueuedReads = 64;  // waiting to be read; above it, hits are treated as misses
-    std::int64_t maxMarks = 65536;
+    std::int64_t maxPurgeEntries = 65536;
     std::int64_t readWaitMs = 100;  // after it, the part is fetched instead of read
     std::int64_t purgeSlackMs = 1000;
     std::int64_t busSilenceMs = 2000;  // after it, nothing is served from the tier
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -216,10 +216,11 @@
 
 namespace {
 
-// For each name of `fresh`, its index in `names`, to which new names are appended.
-std::vector<std::size_t> mergeNames(const std::vector<std::string>& fresh, std::vector<std::string>& names) {
+// For each name of `reloaded`, its index in `names`, to which new names are appended.
+std::vector<std::size_t> mergeNames(const std::vector<std::string>& reloaded,
+                                    std::vector<std::string>& names) {
     std::vector<std::size_t> indexes;
-    for (const std::string& name : fresh) {
+    for (const std::string& name : reloaded) {
         const auto found = std::find(names.begin(), names.end(), name);
         indexes.push_back(static_cast<std::size_t>(found - names.begin()));
         if (found == names.end()) names.push_back(name);
@@ -227,31 +228,32 @@
     return indexes;
 }
 
-// Writes `fresh` into `into` at the given indexes; indexes without a value keep theirs or get `absent`.
+// Writes `reloaded` into `into` at the given indexes; indexes without a value keep theirs or get `absent`.
 template <class Item>
-std::vector<Item> reindexed(const std::vector<Item>& fresh, const std::vector<std::size_t>& indexes,
+std::vector<Item> reindexed(const std::vector<Item>& reloaded, const std::vector<std::size_t>& indexes,
                             std::vector<Item> into, std::size_t size, const Item& absent) {
-    if (fresh.empty()) return {};  // not set
+    if (reloaded.empty()) return {};  // not set
     into.resize(size, absent);
-    for (std::size_t i = 0; i < std::min(fresh.size(), indexes.size()); ++i) into[indexes[i]] = fresh[i];
+    for (std::size_t i = 0; i < std::min(reloaded.size(), indexes.size()); ++i)
+        into[indexes[i]] = reloaded[i];
     return into;
 }
 
 }  // namespace
 
-DecodedSettings mergeReloaded(const DecodedSettings& before, const DecodedSettings& fresh) {
-    DecodedSettings decoded = fresh;
+DecodedSettings mergeReloaded(const DecodedSettings& before, const DecodedSettings& reloaded) {
+    DecodedSettings decoded = reloaded;
     decoded.classNames = before.classNames;
     decoded.zoneNames = before.zoneNames;
-    const auto classes = mergeNames(fresh.classNames, decoded.classNames);
-    const auto zones = mergeNames(fresh.zoneNames, decoded.zoneNames);
+    const auto classes = mergeNames(reloaded.classNames, decoded.classNames);
+    const auto zones = mergeNames(reloaded.zoneNames, decoded.zoneNames);
     const auto newIndex = [](const std::vector<std::size_t>& indexes, int at) {
         return at < 0 ? at : static_cast<int>(indexes.at(static_cast<std::size_t>(at)));
     };
     for (auto& [name, at] : decoded.classes) at = newIndex(classes, at);
     for (auto& [name, at] : decoded.zones) at = newIndex(zones, at);
     Settings& s = decoded.settings;
-    const Settings& f = fresh.settings;
+    const Settings& f = reloaded.settings;
     s.zone = newIndex(zones, f.zone);
     s.classes =
         reindexed(f.classes, classes, before.settings.classes, decoded.classNames.size(), ClassSettings{});
@@ -293,9 +295,9 @@
 
 }  // namespace
 
-void requireSameFields(const std::set<std::string>& before, const std::set<std::string>& fresh) {
+void requireSameFields(const std::set<std::string>& before, const std::set<std::string>& reloaded) {
     for (const std::string& path : before)
-        if (fresh.count(path) == 0) throw DecodeError("field '" + path + "' is missing");
+        if (reloaded.count(path) == 0) throw DecodeError("field '" + path + "' is missing");
 }
 
 Configuration readConfiguration(const std::string& text) {
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -41,7 +41,7 @@
 
 // Merges the settings of a reloaded file: classes and zones that both have keep their indexes, so that open
 // requests and listed hosts remain valid.
-DecodedSettings mergeReloaded(const DecodedSettings& before, const DecodedSettings& fresh);
+DecodedSettings mergeReloaded(const DecodedSettings& before, const DecodedSettings& reloaded);
 
 struct Endpoint {
     std::string host;  // a numeric IPv4 address
@@ -71,7 +71,7 @@
 
 Configuration readConfiguration(const std::string& text);
 // Throws DecodeError if a reloaded file lacks a field of the current one, since it may be incomplete.
-void requireSameFields(const std::set<std::string>& before, const std::set<std::string>& fresh);
+void requireSameFields(const std::set<std::string>& before, const std::set<std::string>& reloaded);
 
 // A path prefix that the repository front serves, with the class and group of its requests.
 struct Route {
