--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -161,7 +161,7 @@
     return pull;
 }
 
-void purgesHoldWithAWrongClock(bool beforeTheStart) {
+void purgesApplyWithAWrongClock(bool beforeTheStart) {
     for (const char* clockRule :
          {"realtime=5", "realtime=3600", "realtime=-5", "realtime=-3600", "realtime=0"}) {
         const PullAfterPurge pull = pullAfterPurge(clockRule, beforeTheStart);
@@ -198,8 +198,8 @@
     }
 }
 
-void aPurgeThatIsHeardHolds() { purgesHoldWithAWrongClock(false); }
-void aPurgeFromBeforeTheStartHolds() { purgesHoldWithAWrongClock(true); }
+void aReceivedPurgeApplies() { purgesApplyWithAWrongClock(false); }
+void aPurgeFromBeforeTheStartApplies() { purgesApplyWithAWrongClock(true); }
 
 }  // namespace
 
@@ -209,8 +209,8 @@
         {"first-list-ahead", aClockThatIsAheadDoesNotWarmAColdStoreOfTheFirstList},
         {"behind", aClockThatIsBehindDoesNotKeepAStoreCold},
         {"fresh-time", copiesAreServedWithAWrongClock},
-        {"purge-heard", aPurgeThatIsHeardHolds},
-        {"purge-before-start", aPurgeFromBeforeTheStartHolds},
+        {"purge-heard", aReceivedPurgeApplies},
+        {"purge-before-start", aPurgeFromBeforeTheStartApplies},
     };
     runScenarios(scenarios, argumentCount, arguments);
     return 0;
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -166,7 +166,7 @@
 void aCopyIsCurrentOnlyIfTheAnswerNamesItsTag() {
     for (const std::string fields : {"tag=4be0c1927d55a6f4,minted=1764576000000", "minted=1764576000000"}) {
         Fleet fleet;
-        FirstAnswerBad stores([fields](Connection& c, const std::vector<std::string>& elements) {
+        StoresWithBadFirstAnswer stores([fields](Connection& c, const std::vector<std::string>& elements) {
             c.sendResp({elements[1], "current", fields, ""});
         });
         Program program(stores.settings(fleet));
--- a/tests/fleet_size_test.cpp
+++ b/tests/fleet_size_test.cpp
@@ -144,7 +144,7 @@
     explicit BusyZone(double transfers) : harness(settings(transfers)) {
         harness.listBasicFleet();
         harness.warmUpFilter();
-        for (const char* name : {"known", "a", "b", "c"}) harness.makeKnown(name, 0, 0);
+        for (const char* name : {"known", "a", "b", "c"}) harness.addToAdmissionFilter(name, 0, 0);
         harness.attemptTime = 2s;
         std::vector<RequestId> fills;
         for (const char* name : {"a", "b", "c"}) fills.push_back(harness.ask(name, 0, 0, 500, 10s));
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -166,7 +166,7 @@
     }
 
     // Requests the object once, so that the admission filter knows its name.
-    void makeKnown(const std::string& object, std::int64_t part = 0, int classIndex = 1) {
+    void addToAdmissionFilter(const std::string& object, std::int64_t part = 0, int classIndex = 1) {
         const RequestId id = ask(object, part, classIndex);
         end(id, 0, Outcome::served);
     }
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -300,7 +300,7 @@
 void anEndlessAnswerIsCutOffWithinTheRequestTimeout() {
     Fleet fleet;
     std::atomic<bool> over{false};
-    FirstAnswerBad stores([&](Connection& c, const std::vector<std::string>& elements) {
+    StoresWithBadFirstAnswer stores([&](Connection& c, const std::vector<std::string>& elements) {
         c.send("*4\r\n$16\r\n" + elements[1] + "\r\n$2\r\nok\r\n$1\r\n-\r\n$20000\r\n");
         for (int i = 0; i < 100 && !over; ++i, std::this_thread::sleep_for(50ms)) c.send("x");
     });
@@ -318,7 +318,7 @@
 // Complete answers that match no attempt, or echoes: as long as they arrive, the connection looks alive.
 void unmatchedAnswersCloseTheConnection(const char* status) {
     Fleet fleet;
-    FirstAnswerBad stores([status](Connection& c, const std::vector<std::string>&) {
+    StoresWithBadFirstAnswer stores([status](Connection& c, const std::vector<std::string>&) {
         for (int i = 0; i < 1500; ++i) c.sendResp({"00000000000fffff", status, "minted=1", "stray"});
     });
     Program program(stores.settings(fleet));
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -25,7 +25,7 @@
     Harness h;
     h.listBasicFleet();
     h.warmUpFilter();
-    h.makeKnown("a");
+    h.addToAdmissionFilter("a");
     h.ask("a");
     const auto sent = h.one<Send>();
     ASSERT_TRUE(sent);
@@ -65,7 +65,7 @@
 TEST(Routing, PartsSpreadOverCachesButShareOneParent) {
     Harness h;
     h.listBasicFleet();
-    h.makeKnown("film", 0, 0);
+    h.addToAdmissionFilter("film", 0, 0);
     std::set<std::string> caches, parents;
     for (int part = 1; part < 40; ++part) {
         const RequestId id = h.ask("film", part, 0, 5);
@@ -83,7 +83,7 @@
 TEST(Routing, PartsOfOneViewerGetTheLowestRankUntilASecondViewer) {
     Harness h;
     h.listBasicFleet();
-    h.makeKnown("film", 0, 0);
+    h.addToAdmissionFilter("film", 0, 0);
     RequestId id = h.ask("film", 1, 0);
     EXPECT_EQ(h.one<Send>()->keepRank, 1);
     h.end(id, 0, Outcome::served);
@@ -94,10 +94,10 @@
 TEST(Routing, WholeObjectsRankAboveParts) {
     Harness h;
     h.listBasicFleet();
-    h.makeKnown("page", 0, 1);
+    h.addToAdmissionFilter("page", 0, 1);
     h.ask("page", 0, 1);
     const int whole = h.one<Send>()->keepRank;
-    h.makeKnown("film", 0, 0);
+    h.addToAdmissionFilter("film", 0, 0);
     h.ask("film", 0, 0);
     EXPECT_GT(whole, h.one<Send>()->keepRank);
 }
@@ -199,7 +199,7 @@
     Harness h;
     h.listBasicFleet();
     h.warmUpFilter();
-    h.makeKnown("a");
+    h.addToAdmissionFilter("a");
     for (int i = 0; i < 40; ++i) {  // refused fetches: the origin's limiter restricts from here on
         const RequestId id = h.ask("b" + std::to_string(i));
         for (int attempt = 0; !h.all<Send>().empty(); ++attempt) h.end(id, attempt, Outcome::notTaken);
@@ -307,7 +307,7 @@
     Harness h;
     h.listBasicFleet();
     h.list({Harness::cache("c1")}, true);
-    h.makeKnown("a", 0, 0);
+    h.addToAdmissionFilter("a", 0, 0);
     int refused = 0;
     for (int i = 0; i < 60; ++i) {
         h.ask("a", 0, 0, 500);
@@ -322,7 +322,7 @@
 TEST(ColdParent, OnlyFillsUseItsBudget) {
     Harness h;
     h.listBasicFleet();
-    h.makeKnown("a");
+    h.addToAdmissionFilter("a");
     h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20, h.now),
             Harness::host("o", Role::origin, 0, 1)});
     const RequestId id = h.ask("a");
@@ -340,7 +340,7 @@
     s.classes[1].staleFor = 10s;
     Harness h(s);
     h.listBasicFleet();
-    h.makeKnown("a");
+    h.addToAdmissionFilter("a");
     const RequestId id = h.ask("a");
     EXPECT_EQ(h.one<Send>()->maxCopyAge, 8s);
     EXPECT_TRUE(h.one<Send>()->refreshInBackground);
@@ -353,7 +353,7 @@
     Harness h;
     h.listBasicFleet();
     h.warmUpFilter();
-    h.makeKnown("a");
+    h.addToAdmissionFilter("a");
     const RequestId id = h.ask("a");
     const auto first = h.one<Send>();
     ASSERT_TRUE(first);
@@ -367,7 +367,7 @@
 TEST(Failures, CacheThatKeepsFailingIsEjected) {
     Harness h;
     h.listBasicFleet();
-    h.makeKnown("a");
+    h.addToAdmissionFilter("a");
     RequestId id = h.ask("a");
     const std::string bad(h.one<Send>()->host);
     h.end(id, 0, Outcome::noConnection);
@@ -454,7 +454,7 @@
     h.listBasicFleet();
     h.warmUpFilter();
     for (int i = 0; i < 30; ++i) {
-        h.makeKnown("a");
+        h.addToAdmissionFilter("a");
         const RequestId id = h.ask("a");
         h.end(id, 0, Outcome::served, CacheStatus::none, 30.0);
     }
@@ -472,7 +472,7 @@
     Harness h;
     h.listBasicFleet();
     h.warmUpFilter();
-    h.makeKnown("a");
+    h.addToAdmissionFilter("a");
     const RequestId id = h.ask("a");
     h.end(id, 0, Outcome::served, CacheStatus::none, 30.0);
     h.now += 10s;
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -27,7 +27,7 @@
     Harness h;
     h.list({Harness::cache("c1"), Harness::host("p1", Role::parent, 0, 20)});
     h.warmUpFilter();
-    h.makeKnown("a");
+    h.addToAdmissionFilter("a");
     std::vector<RequestId> ids;
     for (int i = 0; i < 5; ++i) ids.push_back(h.ask("a"));
     for (std::size_t i = 0; i < ids.size(); ++i)
@@ -73,7 +73,7 @@
         Harness h(settings);
         h.listBasicFleet();
         h.warmUpFilter();
-        h.makeKnown("a");
+        h.addToAdmissionFilter("a");
         const RequestId slow = h.ask("a");
         const auto timers = h.all<SetTimer>();  // the slow timer, then the late timer
         ASSERT_EQ(timers.size(), 2u);
@@ -84,7 +84,7 @@
             h.now += 1ms;
             h.end(other, 0, Outcome::served, CacheStatus::hit);
             if (same) break;
-            h.makeKnown("b" + std::to_string(i + 1));
+            h.addToAdmissionFilter("b" + std::to_string(i + 1));
         }
         h.now += timers[0].delay;
         h.fire(timers[0].timer);
@@ -254,7 +254,7 @@
 TEST(Drains, RetriesUseTheCurrentHostList) {
     Harness h;
     h.listBasicFleet();
-    h.makeKnown("a");
+    h.addToAdmissionFilter("a");
     const RequestId id = h.ask("a");
     const auto first = h.one<Send>();
     ASSERT_TRUE(first);
--- a/tests/scenarios.hpp
+++ b/tests/scenarios.hpp
@@ -66,8 +66,8 @@
 }
 
 // Two stores. The first request gets `firstAnswer`; all later ones are served.
-struct FirstAnswerBad {
-    explicit FirstAnswerBad(Answer firstAnswer)
+struct StoresWithBadFirstAnswer {
+    explicit StoresWithBadFirstAnswer(Answer firstAnswer)
         : script_(store([this, firstAnswer](Connection& c, const std::vector<std::string>& elements) {
               ++pulls_ > 1 ? serving("whole")(c, elements) : firstAnswer(c, elements);
           })) {}
