--- a/src/agent/control.cpp
+++ b/src/agent/control.cpp
@@ -285,7 +285,7 @@
 void Control::instances(const net::HttpHead& head, const std::string& rest, const std::string& body,
                         const Reply& reply) {
     if (const std::size_t slash = rest.find('/'); slash != std::string::npos)
-        return callOperatorAddress(rest.substr(0, slash), rest.substr(slash + 1), head, reply);
+        return forwardToOperatorAddress(rest.substr(0, slash), rest.substr(slash + 1), head, reply);
     // Checked before the body is parsed, which takes long for a large one.
     if (!consensus_.isLeader()) return redirectToLeader(head.target, reply);
     if (!consensus_.acceptsProposals()) return reply({503, "not agreed\n", {}});
@@ -328,10 +328,10 @@
                        });
 }
 
-void Control::callOperatorAddress(const std::string& name, const std::string& what, const net::HttpHead& head,
-                                  const Reply& reply) {
-    const bool ready = what == "ready";
-    if (!ready && what != "drain" && what != "undrain" && what != "replace")
+void Control::forwardToOperatorAddress(const std::string& name, const std::string& operation,
+                                       const net::HttpHead& head, const Reply& reply) {
+    const bool ready = operation == "ready";
+    if (!ready && operation != "drain" && operation != "undrain" && operation != "replace")
         return reply({404, "no such path\n", {}});
     if (head.method != (ready ? "GET" : "POST")) return reply({405, "GET ready, POST the others\n", {}});
     const auto* found = store_.find(kInstancePrefix + name);
@@ -342,7 +342,7 @@
         if (control.empty()) return reply({503, "its agent is not known\n", {}});
         return reply({307, "", {"Location", "http://" + control + head.target}});
     }
-    if (what == "replace") {
+    if (operation == "replace") {
         const bool begun = supervisor_.replace(name);
         return reply(
             {begun ? 200 : 409,
@@ -351,7 +351,7 @@
     }
     const auto operatorAddress = supervisor_.operatorAddress(name);
     if (!operatorAddress) return reply({409, "it has no operator address\n", {}});
-    net::sendHttpRequest(loop_, *operatorAddress, head.method, "/" + what, std::chrono::seconds{2},
+    net::sendHttpRequest(loop_, *operatorAddress, head.method, "/" + operation, std::chrono::seconds{2},
                          [reply](int status, std::string body) {
                              reply(status != 0 ? Answer{status, std::move(body), {}}
                                                : Answer{503, "its operator address does not answer\n", {}});
--- a/src/agent/control.hpp
+++ b/src/agent/control.hpp
@@ -45,8 +45,8 @@
     void instances(const net::HttpHead& head, const std::string& rest, const std::string& body,
                    const Reply& reply);
     // Forwards a request to the operator address of an instance; served by the agent that runs it.
-    void callOperatorAddress(const std::string& name, const std::string& what, const net::HttpHead& head,
-                             const Reply& reply);
+    void forwardToOperatorAddress(const std::string& name, const std::string& operation,
+                                  const net::HttpHead& head, const Reply& reply);
     void redirectToLeader(const std::string& target, const Reply& reply);
     std::string controlAddressOf(std::uint64_t agent) const;
     nlohmann::json documents(const RequestTarget& target) const;
