--- a/src/agent/event_feed.hpp
+++ b/src/agent/event_feed.hpp
@@ -1,5 +1,5 @@
-// Serves boxes and purges to gateways in the event bus's format. An agent that knows no leader, or is
-// behind the reader's offset, answers 503, so that the reader goes to another agent.
+// Serves boxes and purges to gateways in the event bus's format. An agent without a known leader, or
+// behind the reader's offset, answers 503, so that the reader switches to another agent.
 #pragma once
 
 #include <list>
--- a/src/agent/supervisor.hpp
+++ b/src/agent/supervisor.hpp
@@ -59,7 +59,7 @@
     enum class Replacement {
         begun,
         failed,      // no process could be started; retry
-        impossible,  // no operator address to tell when the successor is ready
+        impossible,  // no operator address to poll for the readiness of the successor
     };
 
     void reconcile(const std::string& name, Process& process);
--- a/src/gateway/handover.hpp
+++ b/src/gateway/handover.hpp
@@ -1,5 +1,5 @@
 // The hand-over of learned state between a gateway process and its successor while both run, over a Unix
-// socket in $TMPDIR. It is optional: without it the successor starts cold and the processes do not know of
+// socket in $TMPDIR. It is optional: without it the successor starts cold and the processes do not detect
 // each other.
 #pragma once
 
--- a/src/platform/bus_reader.hpp
+++ b/src/platform/bus_reader.hpp
@@ -28,7 +28,7 @@
         std::function<void(std::int64_t from, std::int64_t last, const std::vector<std::int64_t>& offsets,
                            bool complete)>
             onBatch;
-        // Whether the applied events are durable, so that polling from behind them may acknowledge them.
+        // Whether the applied events are durable, so that the next poll may acknowledge them by its offset.
         std::function<bool()> isDurable;
     };
 
