--- a/tests/catch_up_test.cpp
+++ b/tests/catch_up_test.cpp
@@ -72,16 +72,16 @@
     settings["operator"] = "127.0.0.1:0";
     const auto begin = Clock::now();
     Program program(settings);
-    const std::uint16_t door = program.operatorPort();
+    const std::uint16_t operatorPort = program.operatorPort();
     int refused = 0;
     while (program.log().find("serving on") == std::string::npos) {
-        refused += callOperatorAddress(door, "GET /ready") != 200;
+        refused += callOperatorAddress(operatorPort, "GET /ready") != 200;
         std::this_thread::sleep_for(50ms);
         assert(Clock::now() - begin < std::chrono::seconds(kWaitLimitSeconds));
     }
     assert(refused > 0);
     assert(Clock::now() - begin >= 10 * kPageDelay);
-    assert(callOperatorAddress(door, "GET /ready") == 200);
+    assert(callOperatorAddress(operatorPort, "GET /ready") == 200);
     Connection client(program.port());
     call(client, "1");
     assert(client.readResp().at(3) == "from the last page");
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -522,7 +522,7 @@
     Settings, OtherDeployments,
     ::testing::Values(DeploymentCase{"as usual", [](Settings&) {}},
                       DeploymentCase{"no direct sends", [](Settings& s) { s.directUpstream = false; }},
-                      DeploymentCase{"nothing told",
+                      DeploymentCase{"nothing configured",
                                      [](Settings& s) {
                                          s.maxFlowKbPerSecond = 0;
                                          s.weights = WeightMeaning::none;
--- a/tests/shared_configuration_test.cpp
+++ b/tests/shared_configuration_test.cpp
@@ -255,8 +255,8 @@
             }
         });
     for (auto& writer : writers) writer.join();
-    const auto told = ctl::Client::callAgent(cluster.control(1), "GET", "/history");
-    assert(told && json::parse(told->body)["history"][0]["changes"][0]["key"] == "files/a");
+    const auto history = ctl::Client::callAgent(cluster.control(1), "GET", "/history");
+    assert(history && json::parse(history->body)["history"][0]["changes"][0]["key"] == "files/a");
     // The history of a document that was first changed late still begins at revision 1, which `diff` relies
     // on.
     commitOrFail(client, putTransaction("files/late", 1));
