--- a/bench/scale/scale_run.hpp
+++ b/bench/scale/scale_run.hpp
@@ -18,7 +18,7 @@
     double purgesPerSecond = 13;
     double seconds = 10;        // of steady purges
     double changeEvery = 2;     // seconds between two changes of the list of stores
-    std::size_t cutPurges = 0;  // told while a region is cut off; 0: no cut
+    std::size_t cutPurges = 0;  // published while a region is cut off; 0: no cut
 };
 
 // Gateways that came back, and what they lacked when they were ready.
--- a/bench/soak/gateways.cpp
+++ b/bench/soak/gateways.cpp
@@ -137,7 +137,7 @@
 
 void Gateway::awaitEnd(const Process& process, TimePoint since, const char* how) {
     int status = 0;
-    const TimePoint kill = since + kEarliestKill + heldUp_;
+    const TimePoint kill = since + kEarliestKill + stoppedTime_;
     while (::waitpid(process.pid, &status, WNOHANG) == 0) {
         if (Clock::now() > kill) {
             // What it has not answered by now is lost: no excuse.
@@ -145,12 +145,12 @@
                              "gateway " + std::to_string(plan_.number) + " " + how + ", see " + process.log);
             ::kill(process.pid, SIGKILL);
             ::waitpid(process.pid, &status, 0);
-            heldUp_ = {};
+            stoppedTime_ = {};
             return;
         }
         std::this_thread::sleep_for(kLookAgain);
     }
-    heldUp_ = {};
+    stoppedTime_ = {};
     if (!WIFEXITED(status) || WEXITSTATUS(status) != 0)
         judge_.violation(Rule::crash, "gateway " + std::to_string(plan_.number) + " ended with status " +
                                           std::to_string(status) + " " + how + ", see " + process.log);
@@ -169,12 +169,12 @@
 void Gateway::restart() {
     note("SIGTERM and restart");
     judge_.leaves(plan_.number);
-    const TimePoint told = Clock::now();
+    const TimePoint endRequestedAt = Clock::now();
     ::kill(process_.pid, SIGTERM);
     if (between(0, 2) == 0) ::kill(process_.pid, SIGHUP);
     if (between(0, 3) == 0) holdUp();
     signalInSeries();
-    awaitEnd(process_, told, "after SIGTERM");
+    awaitEnd(process_, endRequestedAt, "after SIGTERM");
     start();
     judge_.servesAgain(
         plan_.number);  // what came while nobody listened waits in the socket, if it is inherited
@@ -205,7 +205,7 @@
     const TimePoint begun = Clock::now();
     std::this_thread::sleep_for(time);
     const auto held = std::chrono::duration_cast<Millis>(Clock::now() - begun);
-    heldUp_ += held;
+    stoppedTime_ += held;
     judge_.stopped(plan_.number, held);
     ::kill(process_.pid, SIGCONT);
 }
@@ -234,10 +234,10 @@
         ::waitpid(successor.pid, nullptr, 0);
         return;
     }
-    const TimePoint told = Clock::now();
+    const TimePoint endRequestedAt = Clock::now();
     ::kill(old.pid, SIGTERM);
     process_ = successor;
-    awaitEnd(old, told, "after its successor's start");
+    awaitEnd(old, endRequestedAt, "after its successor's start");
 }
 
 void Gateway::failCalls(const std::atomic<bool>& over) {
@@ -281,9 +281,9 @@
     }
     setSwitch(false);
     checkAlive();
-    const TimePoint told = Clock::now();
+    const TimePoint endRequestedAt = Clock::now();
     ::kill(process_.pid, SIGTERM);
-    awaitEnd(process_, told, "at the end of the run");
+    awaitEnd(process_, endRequestedAt, "at the end of the run");
     process_.pid = 0;
 }
 
--- a/bench/soak/gateways.hpp
+++ b/bench/soak/gateways.hpp
@@ -76,7 +76,7 @@
     std::string rules_;  // of the fault library, for the next process
     bool faultsOn_ = false;
     double clockOffset_ = 0;
-    Millis heldUp_{};  // by SIGSTOP, since the process was told to end
+    Millis stoppedTime_{};  // by SIGSTOP, since the end of the process was requested
 };
 
 }  // namespace lotuslead::soak
--- a/bench/soak/judge.cpp
+++ b/bench/soak/judge.cpp
@@ -12,16 +12,16 @@
 namespace {
 
 // The protocol's figures, with the slack that it gives; kScheduling is for a machine that is busy with the
-// soak itself, which tells its judge of an event some time after it.
+// soak itself, which reports an event to its judge some time after it.
 constexpr Millis kScheduling = 250ms;
 constexpr Millis kAnswerLate = 500ms;
 constexpr Millis kAfterClientEnd = 100ms;
 constexpr Millis kDeadlineSlack = 150ms;
 constexpr Millis kDrainGrace = 1000ms, kPurgeGrace = 500ms, kRuleSlack = 50ms;
-constexpr Millis kToldAtLatest = 7000ms;
+constexpr Millis kMaxBusDelay = 7000ms;
 constexpr Millis kKeyWindow = 3000ms;
 constexpr Millis kNewConnections = 400ms;  // go on coming after SIGTERM
-constexpr std::uint64_t kMostTold = 60;
+constexpr std::uint64_t kMaxReportedViolations = 60;
 constexpr int kNoGateway = -1;
 
 }  // namespace
@@ -69,7 +69,7 @@
     Request& request = requests_[trace];
     const TimePoint now = Clock::now();
     if (++request.answers > 1) return report(Rule::secondAnswer, trace);
-    const Millis held = heldUp(request.gateway, request.sentAt);
+    const Millis held = stoppedTime(request.gateway, request.sentAt);
     if (request.clientEndedAt) {
         return checkAfterCancel(trace, request, answer, now, held);
     }
@@ -96,7 +96,7 @@
                              ", " + std::to_string(late.count()) + " ms after CANCEL, held up for " +
                              std::to_string(held.count()) + " ms";
     if (late > kScheduling + held) return report(Rule::afterCancel, what);
-    excuse(Excuse::heldUp);
+    excuse(Excuse::gatewayStopped);
     note("excused, after CANCEL: " + what);
 }
 
@@ -186,13 +186,13 @@
                        std::int64_t maxMs, const std::string& source, TimePoint now) {
     const auto millis = [](auto time) { return std::chrono::duration_cast<Millis>(time).count(); };
     // A stop that is over by now may have come between the decision and the first byte, once.
-    const Millis held = heldUp(request.gateway, now - kScheduling);
+    const Millis held = stoppedTime(request.gateway, now - kScheduling);
     if (request.clientEndedAt && now > *request.clientEndedAt + kAfterClientEnd + kScheduling + held)
         report(Rule::lateAttempt, trace + " at " + store + " by gateway " + std::to_string(request.gateway) +
                                       ", " + std::to_string(millis(now - *request.clientEndedAt)) +
                                       " ms after its client's end");
     const auto left = millis(request.sentAt + request.patience - now);
-    const Millis stalled = heldUp(kNoGateway, now - kScheduling);
+    const Millis stalled = stoppedTime(kNoGateway, now - kScheduling);
     if (maxMs > left + (kDeadlineSlack + kScheduling + stalled).count())
         report(Rule::longDeadline, trace + " at " + store + " by gateway " + std::to_string(request.gateway) +
                                        ": " + std::to_string(maxMs) + " ms told, " + std::to_string(left) +
@@ -236,7 +236,7 @@
     for (std::size_t i = static_cast<std::size_t>(attempt) + 1; i < request.attempts.size(); ++i)
         if (!request.attempts[i].arrivalSeenLate &&
             ended.endedAt >
-                request.attempts[i].arrivedAt + kScheduling + heldUp(request.gateway, request.sentAt))
+                request.attempts[i].arrivedAt + kScheduling + stoppedTime(request.gateway, request.sentAt))
             report(Rule::twoAttemptsOut, trace + " by gateway " + std::to_string(request.gateway) + " at " +
                                              ended.store + " and " + request.attempts[i].store);
 }
@@ -269,7 +269,7 @@
     stalls_.push_back({Clock::now(), time});
 }
 
-Millis Judge::heldUp(int gateway, TimePoint since) const {
+Millis Judge::stoppedTime(int gateway, TimePoint since) const {
     const auto found = stops_.find(gateway);
     Millis sum{};
     for (const Stop& stall : stalls_)
@@ -280,14 +280,14 @@
     return sum;
 }
 
-TimePoint Judge::whenTold() const {
+TimePoint Judge::latestBusDelivery() const {
     const TimePoint now = Clock::now();
-    return now < busTroubleUntil_ ? now + kToldAtLatest : now;
+    return now < busTroubleUntil_ ? now + kMaxBusDelay : now;
 }
 
 void Judge::withdrawnFromList(const std::string& store) {
     const std::lock_guard lock(mutex_);
-    withdrawnAt_[store] = whenTold() + kDrainGrace + kRuleSlack;
+    withdrawnAt_[store] = latestBusDelivery() + kDrainGrace + kRuleSlack;
 }
 
 void Judge::listedAgain(const std::string& store) {
@@ -302,17 +302,17 @@
 
 void Judge::busTrouble(Millis time) {
     const std::lock_guard lock(mutex_);
-    // What was told shortly before may not have been heard either.
+    // Events sent shortly before may not have been received either.
     for (auto& [store, at] : withdrawnAt_)
-        if (at > Clock::now()) at += kToldAtLatest;
+        if (at > Clock::now()) at += kMaxBusDelay;
     for (auto& [entity, purge] : purges_)
-        if (purge.binds > Clock::now()) purge.binds += kToldAtLatest;
+        if (purge.binds > Clock::now()) purge.binds += kMaxBusDelay;
     busTroubleUntil_ = std::max(busTroubleUntil_, Clock::now() + time + 1s);
 }
 
 void Judge::purged(const std::string& entity, std::int64_t purgeMs) {
     const std::lock_guard lock(mutex_);
-    purges_[entity] = {purgeMs, whenTold() + kPurgeGrace + kRuleSlack};
+    purges_[entity] = {purgeMs, latestBusDelivery() + kPurgeGrace + kRuleSlack};
 }
 
 void Judge::violation(Rule rule, const std::string& what) {
@@ -330,7 +330,7 @@
     ++totals_.violations[static_cast<std::size_t>(rule)];
     std::uint64_t all = 0;
     for (const std::uint64_t count : totals_.violations) all += count;
-    if (all > kMostTold) return;
+    if (all > kMaxReportedViolations) return;
     const std::chrono::duration<double> at = Clock::now() - begun_;
     std::printf("%.3f violation %s: %s\n", at.count(), nameOf(rule), what.c_str());
 }
--- a/bench/soak/judge.hpp
+++ b/bench/soak/judge.hpp
@@ -1,9 +1,9 @@
-// Judges a soak run by the protocol's invariants. Clients tell what they asked and got, stores what arrived
-// and how it ended, the schedule what it did to whom. Used by all threads.
+// Judges a soak run by the protocol's invariants. Clients report what they sent and received, stores what
+// arrived and how it ended, the schedule what it did to whom. Used by all threads.
 //
-// A violation is reported only where the protocol's pages excuse it; excuses are counted by reason (Excuse).
-// A gateway that was stopped (SIGSTOP) has so much more time, and what the event bus could not tell counts as
-// told 7 s later.
+// A violation is reported unless the protocol's pages excuse it; excuses are counted by reason (Excuse).
+// A gateway that was stopped (SIGSTOP) has so much more time, and what the event bus could not deliver counts
+// as delivered 7 s later.
 #pragma once
 
 #include <array>
@@ -32,8 +32,8 @@
     twoAttemptsOut,  // at one time
     duplicate,       // what may have run was sent again, or refused as if it had not
     drainedStore,    // a send to a draining or removed store, or with such a source
-    longDeadline,    // a store was told more time than the client had left
-    staleCopy,       // older than a purge that counts as told
+    longDeadline,    // a store was given more time than the client had left
+    staleCopy,       // older than a purge that counts as delivered
     wrongContent,    // bytes that no store made for this request
     unnamedCopy,     // 'keep' without a store's answer
     coldBudget,      // a server in slow start got more than its budget
@@ -51,7 +51,7 @@
     lateConnection,  // PROTOCOL, planned restarts: new connections come for up to 0.4 s after SIGTERM, not
                      // later
     crossedAClose,   // PROTOCOL, clients: a request that crosses a close within 50 ms goes again
-    heldUp,          // an answer after CANCEL, of a gateway that stood still (SIGSTOP) between the two
+    gatewayStopped,  // an answer after CANCEL, of a gateway that was stopped (SIGSTOP) between the two
     neverSent,       // the system took back its last byte: it never left the client
     count_
 };
@@ -139,10 +139,10 @@
 
     // All with the lock held.
     void report(Rule rule, const std::string& what);
-    Millis heldUp(int gateway, TimePoint since) const;
+    Millis stoppedTime(int gateway, TimePoint since) const;
     std::optional<Excuse> excuseOf(const Request& request) const;
     void excuse(Excuse why) { ++totals_.excused[static_cast<std::size_t>(why)]; }
-    TimePoint whenTold() const;
+    TimePoint latestBusDelivery() const;
     void checkTimes(const std::string& trace, const Request& request, const std::string& store,
                     std::int64_t maxMs, const std::string& source, TimePoint now);
     void checkRepeat(const std::string& trace, const Request& request, TimePoint now, bool seenLate);
--- a/bench/soak/main.cpp
+++ b/bench/soak/main.cpp
@@ -184,24 +184,24 @@
     judge_.note(store.name() + " dies");
     store.crash();
     sleepUnlessOver(Millis{100 + random() % 2000});
-    bus_->tell(topology({listed(store, "up", store.comeBackCold())}));
+    bus_->publish(topology({listed(store, "up", store.comeBackCold())}));
     judge_.note(store.name() + " is back, cold");
 }
 
 // Drained, removed, and later there again under its name, cold.
 void Soak::replaceStore(Store& store, std::mt19937_64& random) {
     judge_.note(store.name() + " drains");
-    bus_->tell(topology({listed(store, "draining", 0)}));
+    bus_->publish(topology({listed(store, "draining", 0)}));
     judge_.withdrawnFromList(store.name());
     sleepUnlessOver(kDrainBeforeEnd + Millis{random() % 1500});
     if (random() % 2 == 0) {
-        bus_->tell(topology({listed(store, "removed", 0)}));
+        bus_->publish(topology({listed(store, "removed", 0)}));
         sleepUnlessOver(Millis{random() % 1000});
     }
     store.crash();
     sleepUnlessOver(Millis{random() % 500});
     judge_.listedAgain(store.name());
-    bus_->tell(topology({listed(store, "up", store.comeBackCold())}));
+    bus_->publish(topology({listed(store, "up", store.comeBackCold())}));
     judge_.note(store.name() + " is back, cold");
 }
 
@@ -273,7 +273,7 @@
                       static_cast<unsigned long long>(0x1000'0000ULL + random() % 20));
         const std::int64_t now = unixMs();
         purges_.add(entity, now);
-        bus_->tell({{"ban", {{"url", entity}, {"ts", now}}}});
+        bus_->publish({{"ban", {{"url", entity}, {"ts", now}}}});
         judge_.purged(entity, now);
     }
 }
--- a/bench/soak/stores.cpp
+++ b/bench/soak/stores.cpp
@@ -159,10 +159,11 @@
 
 // The budget over every window: N calls, 2 x root of N and 2 more; under 30, 3 x root of N and 3 more.
 void Store::countColdCall() {
-    const bool toldLate = judge_.busMayBeLate();
+    const bool lateBus = judge_.busMayBeLate();
     const std::lock_guard lock(mutex_);
     if (!coldSince_) return;
-    if (toldLate) return coldCalls_.clear();  // who has not been told of the start keeps to no budget
+    if (lateBus)
+        return coldCalls_.clear();  // a gateway that has not received the start has no budget to keep
     const TimePoint now = Clock::now();
     const std::chrono::duration<double> age = now - *coldSince_, warm = cold_.warmWithin;
     if (age >= warm) {
@@ -222,13 +223,13 @@
         mintedOf(entity, std::atoll(valueOf(fields, "fresh").c_str()), mayFill, neverKept);
     if (mintedMs == 0) return plain("nothing", AttemptEnd::neverRan);
     const std::string tag = tagOf(entity, mintedMs);
-    const std::string told = "tag=" + tag + ",minted=" + std::to_string(mintedMs) + ",remark=local";
+    const std::string answerFields = "tag=" + tag + ",minted=" + std::to_string(mintedMs) + ",remark=local";
     if (!neverKept && valueOf(fields, "known") == tag) {
         judge_.saidCurrent(elements[1]);
-        due.bytes = RespSocket::encoded({elements[1], "current", told, ""});
+        due.bytes = RespSocket::encoded({elements[1], "current", answerFields, ""});
         return due;
     }
-    due.bytes = RespSocket::encoded({elements[1], "ok", told, bodyOf(entity, block, mintedMs)});
+    due.bytes = RespSocket::encoded({elements[1], "ok", answerFields, bodyOf(entity, block, mintedMs)});
     if (chance(faults_.half)) due.bytes.resize(due.bytes.size() / 2);  // and then silence
     if (chance(faults_.garbage)) due.bytes = "+this is no array\r\n";
     due.closesAfter = chance(faults_.closes);
@@ -307,7 +308,7 @@
 // ----- EventBus -----
 
 EventBus::EventBus(json first) : server_([this](RespSocket& socket) { serve(socket); }) {
-    tell(std::move(first));
+    publish(std::move(first));
 }
 
 EventBus::~EventBus() {
@@ -317,7 +318,7 @@
     server_.down();
 }
 
-void EventBus::tell(json event) {
+void EventBus::publish(json event) {
     const std::lock_guard lock(mutex_);
     event["offset"] = ++last_;
     events_.push_back(std::move(event));
--- a/bench/soak/stores.hpp
+++ b/bench/soak/stores.hpp
@@ -140,7 +140,7 @@
     explicit EventBus(json first);
     ~EventBus();
     std::string address() const { return "127.0.0.1:" + std::to_string(server_.port()); }
-    void tell(json event);
+    void publish(json event);
     json known() const;  // for the configuration of a gateway that starts now
     void down() { server_.down(); }
     void up() { server_.up(); }
