--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -38,7 +38,7 @@
     return path;
 }
 
-// Ties the folder to one agent of one cluster. Used by another, it would bring along the wrong Raft log.
+// Ties the folder to one agent of one cluster. Another agent would start with the wrong Raft log there.
 void claimFolder(const AgentConfiguration& configuration) {
     ensureFolder(configuration, "raft");
     const std::string path = configuration.folder + "/cluster";
