--- a/src/adapter/fields.hpp
+++ b/src/adapter/fields.hpp
@@ -10,7 +10,7 @@
 
 namespace lotuslead::wire {
 
-// An absent or null field results in the fallback; a value of another type throws Malformed.
+// An absent or null field results in the fallback; a value of another type throws settings::DecodeError.
 double numberOr(simdjson::dom::element object, std::string_view key, double fallback);
 std::int64_t integerOr(simdjson::dom::element object, std::string_view key, std::int64_t fallback);
 Time timeOr(simdjson::dom::element object, std::string_view key, Time fallback = Time{0});
