--- a/bench/soak/clients.cpp
+++ b/bench/soak/clients.cpp
@@ -35,7 +35,7 @@
             continue;
         }
         connectedAt_ = Clock::now();
-        takenBack_.clear();
+        cancelledCalls_.clear();
         bool used = false;
         Outcome outcome = Outcome::goesOn;
         while (outcome == Outcome::goesOn && !over_) {
@@ -154,8 +154,8 @@
             wasResting = false;
             if (elements.size() < 2) elements.resize(2);
             const auto found = calls.find(elements[0]);
-            if (const auto late = takenBack_.find(elements[0]);
-                found == calls.end() && late != takenBack_.end()) {
+            if (const auto late = cancelledCalls_.find(elements[0]);
+                found == calls.end() && late != cancelledCalls_.end()) {
                 judge_.answered(late->second.trace, elements, late->second.expectedPrefix);
                 continue;
             }
@@ -179,7 +179,7 @@
                 continue;
             }
             judge_.unanswered(at->second.trace, "was never answered");
-            if (at->second.ended) takenBack_.insert(*at);
+            if (at->second.ended) cancelledCalls_.insert(*at);
             at = calls.erase(at);
         }
     }
--- a/bench/soak/clients.hpp
+++ b/bench/soak/clients.hpp
@@ -54,7 +54,7 @@
     std::uint64_t nextTag_ = 0;
     // Taken back on this connection, by tag, and not waited for any more. An answer that comes all the same
     // is judged.
-    std::map<std::string, Call> takenBack_;
+    std::map<std::string, Call> cancelledCalls_;
     std::map<std::string, std::string> copies_;  // tags of what was served, by entity
 };
 
--- a/bench/soak/gateways.cpp
+++ b/bench/soak/gateways.cpp
@@ -47,8 +47,8 @@
 
 }  // namespace
 
-Gateway::Gateway(GatewayPlan plan, const Troubles& troubles, Judge& judge)
-    : plan_(std::move(plan)), troubles_(troubles), judge_(judge), random_(plan_.seed) {
+Gateway::Gateway(GatewayPlan plan, const FaultOptions& faultOptions, Judge& judge)
+    : plan_(std::move(plan)), faultOptions_(faultOptions), judge_(judge), random_(plan_.seed) {
     ::mkdir(plan_.folder.c_str(), 0755);
     ::mkdir((plan_.folder + "/tmp").c_str(), 0755);
     const int socket = listenOnLastingPort(kBacklog);
@@ -172,7 +172,7 @@
     const TimePoint endRequestedAt = Clock::now();
     ::kill(process_.pid, SIGTERM);
     if (between(0, 2) == 0) ::kill(process_.pid, SIGHUP);
-    if (between(0, 3) == 0) holdUp();
+    if (between(0, 3) == 0) stopAndContinue();
     signalInSeries();
     awaitEnd(process_, endRequestedAt, "after SIGTERM");
     start();
@@ -198,7 +198,7 @@
     judge_.servesAgain(plan_.number);
 }
 
-void Gateway::holdUp() {
+void Gateway::stopAndContinue() {
     const Millis time{between(50, 900)};
     note("stopped for " + std::to_string(time.count()) + " ms");
     ::kill(process_.pid, SIGSTOP);
@@ -228,7 +228,7 @@
     const Process old = process_;
     const Process successor = spawn();
     const bool ready = awaitReady(successor, kReadyAtLatest);
-    if (between(0, 3) == 0 && ready) holdUp();
+    if (between(0, 3) == 0 && ready) stopAndContinue();
     if (!ready) {
         ::kill(successor.pid, SIGKILL);
         ::waitpid(successor.pid, nullptr, 0);
@@ -244,9 +244,9 @@
     note("calls fail: " + rules_);
     setSwitch(true);
     const TimePoint until = Clock::now() + Millis{between(300, 3000)};
-    // Other troubles meet the failing calls.
-    if (between(0, 2) == 0 && troubles_.reloads) reload();
-    if (between(0, 3) == 0 && troubles_.restarts) restart();
+    // Other faults overlap with the failing calls.
+    if (between(0, 2) == 0 && faultOptions_.reloads) reload();
+    if (between(0, 3) == 0 && faultOptions_.restarts) restart();
     while (!over && Clock::now() < until) std::this_thread::sleep_for(kLookAgain);
     setSwitch(false);
     note("calls work again");
@@ -264,20 +264,20 @@
 }
 
 void Gateway::run(const std::atomic<bool>& over) {
-    std::exponential_distribution<> wait(1.0 / static_cast<double>(troubles_.between.count()));
+    std::exponential_distribution<> wait(1.0 / static_cast<double>(faultOptions_.between.count()));
     while (!over) {
         const TimePoint next = Clock::now() + Millis{static_cast<int>(wait(random_))};
         while (!over && Clock::now() < next) std::this_thread::sleep_for(kLookAgain);
         if (over) break;
         checkAlive();
         const int draw = between(0, 9);
-        if (draw == 0 && troubles_.restarts) restart();
-        if (draw == 1 && troubles_.kills) killAndRestart();
-        if ((draw == 2 || draw == 3) && troubles_.stops) holdUp();
-        if ((draw == 4 || draw == 5) && troubles_.reloads) reload();
-        if (draw == 6 && troubles_.handOvers) handOver();
-        if ((draw == 7 || draw == 8) && troubles_.faults) failCalls(over);
-        if (draw == 9 && troubles_.clocks) stepClock();
+        if (draw == 0 && faultOptions_.restarts) restart();
+        if (draw == 1 && faultOptions_.kills) killAndRestart();
+        if ((draw == 2 || draw == 3) && faultOptions_.stops) stopAndContinue();
+        if ((draw == 4 || draw == 5) && faultOptions_.reloads) reload();
+        if (draw == 6 && faultOptions_.handOvers) handOver();
+        if ((draw == 7 || draw == 8) && faultOptions_.faults) failCalls(over);
+        if (draw == 9 && faultOptions_.clocks) stepClock();
     }
     setSwitch(false);
     checkAlive();
--- a/bench/soak/gateways.hpp
+++ b/bench/soak/gateways.hpp
@@ -1,5 +1,5 @@
-// The gateways' processes, and the thread that troubles each: signals, restarts, reloads, hand-overs, failing
-// system calls and a wall clock that is stepped.
+// The gateways' processes, and the thread that injects faults into each: signals, restarts, reloads,
+// hand-overs, failing system calls and a wall clock that is stepped.
 #pragma once
 
 #include <sys/types.h>
@@ -14,11 +14,11 @@
 
 namespace lotuslead::soak {
 
-// The shared troubles of one run; each may be left out to find a cause.
-struct Troubles {
+// The kinds of faults of one run; each may be left out to find a cause.
+struct FaultOptions {
     bool restarts = true, kills = true, stops = true, reloads = true, handOvers = true;
     bool faults = true, clocks = true, stores = true, bus = true, badClients = true;
-    Millis between{2500};  // two troubles of one gateway, in the mean
+    Millis between{2500};  // between two faults of one gateway, in the mean
 };
 
 struct GatewayPlan {
@@ -31,11 +31,11 @@
 
 class Gateway {
 public:
-    Gateway(GatewayPlan plan, const Troubles& troubles, Judge& judge);
+    Gateway(GatewayPlan plan, const FaultOptions& faultOptions, Judge& judge);
     ~Gateway();
     std::uint16_t port() const { return port_; }
     void start();
-    // Troubles it until `over`; then ends it.
+    // Injects faults until `over`; then ends the process.
     void run(const std::atomic<bool>& over);
     std::vector<std::string> internalViolations() const;
     const std::vector<Millis>& readyTimes() const { return readyTimes_; }
@@ -52,11 +52,11 @@
     void checkAlive();
     void writeConfiguration(const json& configuration);
     void setSwitch(bool faults);
-    void trouble();
+    void injectFaults();
     void restart();
     void signalInSeries();
     void killAndRestart();
-    void holdUp();
+    void stopAndContinue();
     void reload();
     void handOver();
     void failCalls(const std::atomic<bool>& over);
@@ -65,7 +65,7 @@
     int between(int least, int most) { return std::uniform_int_distribution<>(least, most)(random_); }
 
     GatewayPlan plan_;
-    const Troubles& troubles_;
+    const FaultOptions& faultOptions_;
     Judge& judge_;
     std::mt19937_64 random_;
     std::uint16_t port_ = 0;
--- a/bench/soak/judge.cpp
+++ b/bench/soak/judge.cpp
@@ -104,7 +104,7 @@
                         const std::string& expectedPrefix) {
     if (answer.size() > 2 && answer[2].find("keep=1") != std::string::npos) {
         ++totals_.unchanged;
-        if (!request.saidCurrent || !request.namedCopy) report(Rule::unnamedCopy, trace);
+        if (!request.answeredCurrent || !request.namedCopy) report(Rule::unnamedCopy, trace);
         return;
     }
     ++totals_.served;
@@ -219,9 +219,9 @@
     }
 }
 
-void Judge::saidCurrent(const std::string& trace) {
+void Judge::answeredCurrent(const std::string& trace) {
     const std::lock_guard lock(mutex_);
-    requests_[trace].saidCurrent = true;
+    requests_[trace].answeredCurrent = true;
 }
 
 void Judge::attemptEnded(const std::string& trace, int attempt, AttemptEnd end, bool seenLate) {
@@ -282,7 +282,7 @@
 
 TimePoint Judge::latestBusDelivery() const {
     const TimePoint now = Clock::now();
-    return now < busTroubleUntil_ ? now + kMaxBusDelay : now;
+    return now < busFaultUntil_ ? now + kMaxBusDelay : now;
 }
 
 void Judge::withdrawnFromList(const std::string& store) {
@@ -297,17 +297,17 @@
 
 bool Judge::busMayBeLate() const {
     const std::lock_guard lock(mutex_);
-    return Clock::now() < busTroubleUntil_;
+    return Clock::now() < busFaultUntil_;
 }
 
-void Judge::busTrouble(Millis time) {
+void Judge::busFault(Millis time) {
     const std::lock_guard lock(mutex_);
     // Events sent shortly before may not have been received either.
     for (auto& [store, at] : withdrawnAt_)
         if (at > Clock::now()) at += kMaxBusDelay;
     for (auto& [entity, purge] : purges_)
         if (purge.binds > Clock::now()) purge.binds += kMaxBusDelay;
-    busTroubleUntil_ = std::max(busTroubleUntil_, Clock::now() + time + 1s);
+    busFaultUntil_ = std::max(busFaultUntil_, Clock::now() + time + 1s);
 }
 
 void Judge::purged(const std::string& entity, std::int64_t purgeMs) {
--- a/bench/soak/judge.hpp
+++ b/bench/soak/judge.hpp
@@ -84,7 +84,7 @@
                        const std::string& source, bool seenLate);
     // `seenLate`: the store was hung, and can't say when it was given up.
     void attemptEnded(const std::string& trace, int attempt, AttemptEnd end, bool seenLate = false);
-    void saidCurrent(const std::string& trace);
+    void answeredCurrent(const std::string& trace);
 
     // ----- the world -----
     void killed(int gateway);  // SIGKILL: what comes until it serves again waits in its socket, or is refused
@@ -95,7 +95,7 @@
     void withdrawnFromList(const std::string& store);  // draining or removed from now on
     void listedAgain(const std::string& store);
     bool busMayBeLate() const;
-    void busTrouble(Millis time);  // from now on
+    void busFault(Millis time);  // from now on
     void purged(const std::string& entity, std::int64_t purgeMs);
     void violation(Rule rule, const std::string& what);
 
@@ -119,7 +119,7 @@
         RequestClass kind = RequestClass::page;
         TimePoint sentAt, connectedAt;
         Millis patience{};
-        bool namedCopy = false, saidCurrent = false;
+        bool namedCopy = false, answeredCurrent = false;
         int answers = 0;
         std::optional<TimePoint> clientEndedAt;
         std::vector<Attempt> attempts;
@@ -162,7 +162,7 @@
     std::deque<Stop> stalls_;
     std::map<std::string, TimePoint> withdrawnAt_;  // from when on nothing may be sent
     std::map<std::string, Purge> purges_;
-    TimePoint busTroubleUntil_{};
+    TimePoint busFaultUntil_{};
     Totals totals_;
 };
 
--- a/bench/soak/main.cpp
+++ b/bench/soak/main.cpp
@@ -1,5 +1,5 @@
 // A soak over real processes and sockets on loopback: gateways, scripted stores, an event bus and clients,
-// under troubles that overlap in time, judged by the protocol's invariants.
+// under faults that overlap in time, judged by the protocol's invariants.
 //
 //   lotuslead_soak --gateways 24 --seconds 30 --seed 1     exit code 0: nothing was violated
 #include <sys/resource.h>
@@ -37,7 +37,7 @@
     int gateways = 24, clientsEach = 3, seconds = 30;
     std::uint64_t seed = 1;
     bool keepsLogs = false, timeline = false, crowd = false;
-    Troubles troubles;
+    FaultOptions faultOptions;
 };
 
 ColdStart coldStart() {
@@ -90,11 +90,11 @@
     }
     json configuration() const;
     void startGateways();
-    void troubleStores();
+    void injectStoreFaults();
     void hangStore(Store& store, std::mt19937_64& random);
     void crashStore(Store& store, std::mt19937_64& random);
     void replaceStore(Store& store, std::mt19937_64& random);
-    void troubleBus();
+    void injectBusFaults();
     void purgeNowAndThen();
     void watchForStalls();
     void addCrowd(int gateway, std::vector<std::thread>& clients);
@@ -109,7 +109,7 @@
     std::vector<std::unique_ptr<Store>> stores_;
     std::unique_ptr<EventBus> bus_;
     std::vector<std::unique_ptr<Gateway>> gateways_;
-    std::vector<std::thread> troubles_;
+    std::vector<std::thread> faultThreads_;
     std::atomic<bool> over_{false}, clientsOver_{false};
 };
 
@@ -154,12 +154,12 @@
         plan.folder = folder_ + "/g" + std::to_string(i);
         plan.inheritsSocket = i % 2 == 0;
         plan.configuration = [this] { return configuration(); };
-        gateways_.push_back(std::make_unique<Gateway>(plan, options_.troubles, judge_));
+        gateways_.push_back(std::make_unique<Gateway>(plan, options_.faultOptions, judge_));
     }
     // Each process ends with the thread that has started it, so one thread runs it from start to end.
     std::latch ready(options_.gateways);
     for (const auto& gateway : gateways_)
-        troubles_.emplace_back([this, &gateway, &ready] {
+        faultThreads_.emplace_back([this, &gateway, &ready] {
             gateway->start();
             ready.count_down();
             gateway->run(clientsOver_);
@@ -184,7 +184,7 @@
     judge_.note(store.name() + " dies");
     store.crash();
     sleepUnlessOver(Millis{100 + random() % 2000});
-    bus_->publish(topology({listed(store, "up", store.comeBackCold())}));
+    bus_->publish(topology({listed(store, "up", store.restartCold())}));
     judge_.note(store.name() + " is back, cold");
 }
 
@@ -201,12 +201,12 @@
     store.crash();
     sleepUnlessOver(Millis{random() % 500});
     judge_.listedAgain(store.name());
-    bus_->publish(topology({listed(store, "up", store.comeBackCold())}));
+    bus_->publish(topology({listed(store, "up", store.restartCold())}));
     judge_.note(store.name() + " is back, cold");
 }
 
 // Two threads of this run at once: each has its own half of the caches.
-void Soak::troubleStores() {
+void Soak::injectStoreFaults() {
     std::vector<std::thread> threads;
     for (int half = 0; half < 2; ++half)
         threads.emplace_back([this, half, seed = random_()] {
@@ -237,13 +237,13 @@
     for (std::thread& thread : threads) thread.join();
 }
 
-void Soak::troubleBus() {
+void Soak::injectBusFaults() {
     std::mt19937_64 random(options_.seed + 77);
     while (!over_) {
         sleepUnlessOver(Millis{2000 + random() % 5000});
         if (over_) return;
         const Millis time{200 + random() % 3500};
-        judge_.busTrouble(time);
+        judge_.busFault(time);
         judge_.note("event bus in trouble for " + std::to_string(time.count()) + " ms");
         switch (random() % 3) {
             case 0:
@@ -307,22 +307,22 @@
                             200};
             clients.emplace_back([this, plan] { Client(plan, judge_, clientsOver_).run(); });
         }
-        if (options_.troubles.badClients) {
+        if (options_.faultOptions.badClients) {
             ClientPlan plan{static_cast<int>(&gateway - gateways_.data()), gateway->port(), random_(), 0ms,
                             0};
             clients.emplace_back([this, plan] { runBadClient(plan, clientsOver_); });
         }
     }
     for (int i = 0; options_.crowd && i < options_.gateways; i += kCrowdedPart) addCrowd(i, clients);
-    if (options_.troubles.stores) troubles_.emplace_back([this] { troubleStores(); });
-    if (options_.troubles.bus) troubles_.emplace_back([this] { troubleBus(); });
-    troubles_.emplace_back([this] { purgeNowAndThen(); });
-    troubles_.emplace_back([this] { watchForStalls(); });
+    if (options_.faultOptions.stores) faultThreads_.emplace_back([this] { injectStoreFaults(); });
+    if (options_.faultOptions.bus) faultThreads_.emplace_back([this] { injectBusFaults(); });
+    faultThreads_.emplace_back([this] { purgeNowAndThen(); });
+    faultThreads_.emplace_back([this] { watchForStalls(); });
     std::this_thread::sleep_for(std::chrono::seconds(options_.seconds));
     over_ = true;
     clientsOver_ = true;
     for (std::thread& client : clients) client.join();
-    for (std::thread& trouble : troubles_) trouble.join();
+    for (std::thread& thread : faultThreads_) thread.join();
     return report();
 }
 
@@ -360,7 +360,7 @@
 
 int main(int argumentCount, char** arguments) {
     Options options;
-    CLI::App app("Soak of many gateways on loopback under overlapping troubles");
+    CLI::App app("Soak of many gateways on loopback under overlapping faults");
     app.add_option("--gateways", options.gateways, "processes")->check(CLI::Range(1, 60));
     app.add_option("--clients", options.clientsEach, "clients of each gateway")->check(CLI::Range(1, 20));
     app.add_option("--seconds", options.seconds, "time under load")->check(CLI::Range(1, 3600));
@@ -369,15 +369,15 @@
     app.add_flag("--crowd", options.crowd, "a crowd at one gateway of four; every third seed has one anyway");
     app.add_flag("--timeline", options.timeline, "print what is done to whom, and when");
     int betweenMs = 2500;
-    app.add_option("--between-ms", betweenMs, "troubles of one gateway, in the mean")
+    app.add_option("--between-ms", betweenMs, "between two faults of one gateway, in the mean")
         ->check(CLI::Range(100, 60000));
     std::vector<std::string> without;
     app.add_option(
         "--without", without,
-        "troubles left out: restarts kills stops reloads handovers faults clocks stores bus bad-clients");
+        "faults left out: restarts kills stops reloads handovers faults clocks stores bus bad-clients");
     CLI11_PARSE(app, argumentCount, arguments);
     options.crowd = options.crowd || options.seed % kCrowdEvery == 0;
-    Troubles& t = options.troubles;
+    FaultOptions& t = options.faultOptions;
     t.between = Millis{betweenMs};
     const std::pair<const char*, bool*> names[] = {
         {"restarts", &t.restarts},     {"kills", &t.kills},         {"stops", &t.stops},
--- a/bench/soak/stores.cpp
+++ b/bench/soak/stores.cpp
@@ -144,7 +144,7 @@
     copies_.clear();
 }
 
-std::int64_t Store::comeBackCold() {
+std::int64_t Store::restartCold() {
     {
         const std::lock_guard lock(mutex_);
         copies_.clear();
@@ -225,7 +225,7 @@
     const std::string tag = tagOf(entity, mintedMs);
     const std::string answerFields = "tag=" + tag + ",minted=" + std::to_string(mintedMs) + ",remark=local";
     if (!neverKept && valueOf(fields, "known") == tag) {
-        judge_.saidCurrent(elements[1]);
+        judge_.answeredCurrent(elements[1]);
         due.bytes = RespSocket::encoded({elements[1], "current", answerFields, ""});
         return due;
     }
--- a/bench/soak/stores.hpp
+++ b/bench/soak/stores.hpp
@@ -92,7 +92,7 @@
 
     void hang(bool hung) { hung_ = hung; }  // reads and answers nothing; the kernel still takes connections
     void crash();
-    std::int64_t comeBackCold();  // the Unix millisecond of its start
+    std::int64_t restartCold();  // the Unix millisecond of its start
 
 private:
     struct Due {
