--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -19,8 +19,8 @@
 // after the longest deadline, limited to 3 s, plus 0.7 s.
 constexpr Micros kTrafficAfterSigterm = 700ms;
 constexpr Micros kMaxDeadline = 3s;
-constexpr Micros kLastCallBeforeKill = 150ms;  // then all open requests are answered
-constexpr Micros kExitBeforeKill = 40ms;       // then the process exits, even with unread answers
+constexpr Micros kFailRequestsBeforeKill = 150ms;  // then all open requests are answered
+constexpr Micros kExitBeforeKill = 40ms;           // then the process exits, even with unread answers
 constexpr Micros kPhaseCheckInterval = 20ms;
 constexpr Micros kMaxStartTime = 1500ms;    // the platform waits 6 s for a start
 constexpr Micros kReloadRetryDelay = 50ms;  // after a shortage of descriptors or memory
@@ -54,7 +54,7 @@
     if (!handover_.openError().empty())
         std::fprintf(stderr, "lotuslead: no meeting place for a successor: %s\n",
                      handover_.openError().c_str());
-    for (const auto& service : services_) service->prepare();
+    for (const auto& service : services_) service->startInitialSync();
 }
 
 // Starts serving once the predecessor's state and the events since the configuration was written have
@@ -63,7 +63,7 @@
 void Gateway::open() {
     if (phase_ != Phase::starting) return;
     const bool ready = std::all_of(services_.begin(), services_.end(),
-                                   [](const auto& service) { return service->prepared(); });
+                                   [](const auto& service) { return service->initialSyncComplete(); });
     const bool catchingUp = std::any_of(services_.begin(), services_.end(),
                                         [](const auto& service) { return service->catchingUp(); });
     const Micros longest = catchingUp ? kMaxCatchUpTime : kMaxStartTime;
@@ -93,24 +93,24 @@
     }
 }
 
-std::string Gateway::handOver() {
-    nlohmann::json known = nlohmann::json::object();
-    for (const auto& service : services_) known[service->stateKey()] = service->exportState();
-    return known.dump();
+std::string Gateway::exportState() {
+    nlohmann::json state = nlohmann::json::object();
+    for (const auto& service : services_) state[service->stateKey()] = service->exportState();
+    return state.dump();
 }
 
-void Gateway::takeOver(const std::string& state) {
+void Gateway::importState(const std::string& state) {
     try {
-        const auto known = nlohmann::json::parse(state);
+        const auto parsed = nlohmann::json::parse(state);
         for (const auto& service : services_)
-            if (known.contains(service->stateKey())) service->importState(known.at(service->stateKey()));
+            if (parsed.contains(service->stateKey())) service->importState(parsed.at(service->stateKey()));
         std::fprintf(stderr, "lotuslead: taken over what the predecessor knew, %zu bytes\n", state.size());
     } catch (const std::exception& problem) {
         std::fprintf(stderr, "lotuslead: cannot use what the predecessor knew: %s\n", problem.what());
     }
 }
 
-void Gateway::processesChanged(int count) {
+void Gateway::processCountChanged(int count) {
     for (const auto& service : services_) service->setProcessCount(count);
     std::fprintf(stderr, "lotuslead: %d processes are one gateway now\n", count);
 }
@@ -120,11 +120,11 @@
     while (phase_ != Phase::stopped) {
         Micros until = Micros::max();
         for (const auto& service : services_) until = std::min(until, service->nextTimerAt());
-        if (phase_ == Phase::starting || phase_ == Phase::leaving)
+        if (phase_ == Phase::starting || phase_ == Phase::shuttingDown)
             until = std::min(until, loop_.now() + kPhaseCheckInterval);
         loop_.turn(until);
         // After the turn, so that a successor's SERVING message from the same turn counts.
-        if (std::exchange(shutdownRequested_, false)) leave();
+        if (std::exchange(shutdownRequested_, false)) startShutdown();
         reload();
         if (!loop_.timersDeferred())
             for (const auto& service : services_) service->runTimers(loop_.now());
@@ -197,22 +197,23 @@
     return true;
 }
 
-void Gateway::leave() {
+void Gateway::startShutdown() {
     if (phase_ == Phase::starting) phase_ = Phase::stopped;
     if (phase_ != Phase::serving && phase_ != Phase::draining) return;
-    phase_ = Phase::leaving;
-    leavingSince_ = loop_.now();
+    phase_ = Phase::shuttingDown;
+    shutdownStartedAt_ = loop_.now();
     longestDeadline_ = Micros::max();
     updateLongestDeadline();
     // Without a successor, new connections still arrive here for a while and must be served.
     handedOver_ = handover_.successorServes();
-    for (const auto& service : services_) handedOver_ ? service->leaveToSuccessor() : service->leave();
+    for (const auto& service : services_)
+        handedOver_ ? service->stopAcceptingForSuccessor() : service->startShutdown();
     std::fprintf(stderr, "lotuslead: leaving%s, %zu requests open\n", handedOver_ ? " to a successor" : "",
                  openRequests());
 }
 
-// A reload while leaving may change the longest deadline. Which one the platform uses is unknown, so the
-// lowest counts.
+// A reload during the shutdown may change the longest deadline. Which one the platform uses is unknown, so
+// the lowest counts.
 void Gateway::updateLongestDeadline() {
     Micros longest{};
     for (const auto& service : services_) longest = std::max(longest, service->longestRequestTimeout());
@@ -220,19 +221,19 @@
 }
 
 void Gateway::advanceShutdown() {
-    if (phase_ != Phase::leaving) return;
+    if (phase_ != Phase::shuttingDown) return;
     updateLongestDeadline();
-    const Micros passed = loop_.now() - leavingSince_;
+    const Micros passed = loop_.now() - shutdownStartedAt_;
     if (passed < kTrafficAfterSigterm && !handedOver_) return;
     const Micros kill = std::min(longestDeadline_, kMaxDeadline) + kTrafficAfterSigterm;
-    if (passed >= kill - kLastCallBeforeKill && !std::exchange(lastCallMade_, true)) {
+    if (passed >= kill - kFailRequestsBeforeKill && !std::exchange(openRequestsFailed_, true)) {
         std::fprintf(stderr, "lotuslead: last call, %zu requests open\n", openRequests());
         for (const auto& service : services_) service->failOpenRequests();
     }
-    bool settled = true;
+    bool allQuiescent = true;
     for (const auto& service : services_)
-        settled = service->settled() && (!handedOver_ || service->hasNoClients()) && settled;
-    if (!settled && passed < kill - kExitBeforeKill) return;
+        allQuiescent = service->isQuiescent() && (!handedOver_ || service->hasNoClients()) && allQuiescent;
+    if (!allQuiescent && passed < kill - kExitBeforeKill) return;
     phase_ = Phase::stopped;
     std::fprintf(stderr, "lotuslead: stopped, %zu requests open\n", openRequests());
 }
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -14,8 +14,8 @@
 
 class Gateway : private net::Handler, private operators::GatewayControl, private HandoverChannel::Delegate {
 public:
-    // Operators start draining and can undo it; SIGTERM starts leaving, which ends the process.
-    enum class Phase { starting, serving, draining, leaving, stopped };
+    // Operators start draining and can undo it; SIGTERM starts the shutdown.
+    enum class Phase { starting, serving, draining, shuttingDown, stopped };
 
     // Blocks the handled signals until there is a Gateway to read them; otherwise SIGHUP would end the
     // process.
@@ -32,14 +32,14 @@
 private:
     std::uint32_t ready(std::uint32_t events) override;  // signals
 
-    bool takesClients() const override { return phase_ == Phase::serving; }
+    bool acceptsClients() const override { return phase_ == Phase::serving; }
     const char* phaseName() const override;
     bool drain() override;
     bool undrain() override;
 
-    std::string handOver() override;
-    void takeOver(const std::string& state) override;
-    void processesChanged(int count) override;
+    std::string exportState() override;
+    void importState(const std::string& state) override;
+    void processCountChanged(int count) override;
 
     enum class AddressSet { operators, all };
 
@@ -48,7 +48,7 @@
     bool openAddresses(AddressSet which);
     void reload();
     void openOperatorServer();
-    void leave();
+    void startShutdown();
     void updateLongestDeadline();
     void advanceShutdown();
     std::size_t openRequests() const;
@@ -63,10 +63,10 @@
     std::string addressProblem_;
     int failedReloads_ = 0;  // in a row, for lack of a resource
     bool reloadRequested_ = false, shutdownRequested_ = false;
-    bool handedOver_ = false;    // a successor serves while this process leaves
-    bool lastCallMade_ = false;  // open requests are answered and new ones refused
-    core::Micros startedAt_{}, leavingSince_{};
-    core::Micros longestDeadline_{};  // the lowest value since leavingSince_
+    bool handedOver_ = false;          // a successor serves while this process shuts down
+    bool openRequestsFailed_ = false;  // open requests are answered and new ones refused
+    core::Micros startedAt_{}, shutdownStartedAt_{};
+    core::Micros longestDeadline_{};  // the lowest value since shutdownStartedAt_
     const char* folder_;
     HandoverChannel handover_;
     std::optional<settings::Endpoint> operatorAddressOverride_, operatorAddress_;
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -44,16 +44,17 @@
     bool idle() const { return open_.empty() && input_.empty() && stream_.unsentBytes() == 0; }
     // Idle and used before, with no further call received, read or unread.
     bool idleAfterUse() const {
-        return idle() && hasSentMessage_ && !refusesMore_ && !input_.midMessage() && stream_.nothingUnread();
+        return idle() && hasSentMessage_ && !refusesNewCalls_ && !input_.midMessage() &&
+               stream_.nothingUnread();
     }
-    bool saidNothing() const { return !hasSentMessage_ && input_.empty() && stream_.nothingUnread(); }
+    bool hasSentNothing() const { return !hasSentMessage_ && input_.empty() && stream_.nothingUnread(); }
     bool inPartialMessage() const { return input_.midMessage(); }
     bool unused() const { return !hasSentMessage_; }
     bool recentlyActive() const {
         return owner_.loop_.now() - lastUsed_ < (inPartialMessage() ? kPartialMessageGrace : kSilentGrace);
     }
     // Whether the process may exit: nothing of a request is here, and none is expected right now.
-    bool settled() const {
+    bool isQuiescent() const {
         if (!idle() || (!closing_ && !stream_.nothingUnread())) return false;
         const Micros still = owner_.loop_.now() - lastByteAt_;
         return closing_ || (hasSentMessage_ ? !inPartialMessage() || still >= kPartialMessageShutdownGrace
@@ -82,7 +83,7 @@
         // A request may have arrived since the connection was checked.
         if (!owner_.requests_.checks().allows(core::mayClose(closeFacts()))) return;
         ++owner_.counters_.drained;
-        refusesMore_ = true;
+        refusesNewCalls_ = true;
         closeIfAnswered();
     }
 
@@ -152,7 +153,7 @@
         for (int i = 0; i < kMaxMessagesPerTurn && fits && input_.hasMessage() && !closing_ && !backlogged();
              ++i) {
             ClientMessages::Message message = input_.takeFirst();
-            fits = handleMessage(std::move(message.words), message.arrivedAt);
+            fits = handleMessage(std::move(message.elements), message.arrivedAt);
         }
         if (stream_.closed() || closing_) return;
         if (!fits || (input_.malformed() && !input_.hasMessage())) return closeMalformed();
@@ -168,7 +169,7 @@
     // it.
     void closeMalformed() {
         ++owner_.counters_.malformed;
-        refusesMore_ = true;
+        refusesNewCalls_ = true;
         input_.clear();
         failOpenCalls();
         closeIfAnswered();
@@ -176,7 +177,7 @@
     // New calls are refused and open ones keep their answers; then the connection closes. Input is read until
     // then: an unread request would be lost.
     void refuseMore() {
-        if (std::exchange(refusesMore_, true)) return;
+        if (std::exchange(refusesNewCalls_, true)) return;
         const Micros until = connectedAt_ + kFirstMessageTimeout - owner_.loop_.now();
         armMessageTimer(std::max(until, Micros{kCloseLinger}));
     }
@@ -189,14 +190,14 @@
         }
     }
     void closeIfAnswered() {
-        if (!refusesMore_ || !open_.empty() || !input_.empty() || std::exchange(closing_, true)) return;
+        if (!refusesNewCalls_ || !open_.empty() || !input_.empty() || std::exchange(closing_, true)) return;
         if (Trace::on()) Trace::write("client_close", {{"client", std::to_string(traceNumber_)}});
         cancelMessageTimer();
         stream_.closeLingering(kCloseLinger);
     }
     // After a run of useless messages the connection is closed.
     void countUselessMessage() {
-        if (++uselessMessages_ < kMaxUselessMessages || refusesMore_) return;
+        if (++uselessMessages_ < kMaxUselessMessages || refusesNewCalls_) return;
         ++owner_.counters_.retired;
         refuseMore();
     }
@@ -211,13 +212,13 @@
                           {"why", why == net::Stream::CloseReason::closedByPeer ? "closed" : "reset"},
                           {"open", std::to_string(open_.size())}});
         abortConnection();
-        owner_.forget(this);
+        owner_.removeClient(this);
     }
 
     // ----- timeouts -----
 
     void updateMessageTimer() {
-        if (refusesMore_ || !hasSentMessage_) return;
+        if (refusesNewCalls_ || !hasSentMessage_) return;
         if (!input_.midMessage()) return cancelMessageTimer();
         if (!messageTimer_) armMessageTimer(kMessageTimeout);
     }
@@ -225,7 +226,7 @@
         cancelMessageTimer();
         messageTimer_ = owner_.loop_.after(delay, [this] {
             messageTimer_.reset();
-            if (refusesMore_) {
+            if (refusesNewCalls_) {
                 input_.clear();
                 failOpenCalls();
                 return closeIfAnswered();
@@ -233,7 +234,7 @@
             if (!input_.empty() || backlogged())
                 return armMessageTimer(kMessageTimeout);  // input waits for us, not for the client
             ++(hasSentMessage_ ? owner_.counters_.halfMessages : owner_.counters_.silent);
-            refusesMore_ = true;
+            refusesNewCalls_ = true;
             failOpenCalls();
             closeIfAnswered();
         });
@@ -245,19 +246,19 @@
 
     // ----- messages -----
 
-    bool handleMessage(std::vector<std::string> words, Micros arrivedAt) {
-        if (words.size() < 2 || !isTag(words[1])) return false;
+    bool handleMessage(std::vector<std::string> elements, Micros arrivedAt) {
+        if (elements.size() < 2 || !isTag(elements[1])) return false;
         const bool first = !std::exchange(hasSentMessage_, true);
         if (first) cancelMessageTimer();
         lastUsed_ = owner_.loop_.now();
-        if (words[0] == "CALL") return handleCall(words, arrivedAt);
-        if (words[0] == "CANCEL") {
-            cancelCall(words[1]);
+        if (elements[0] == "CALL") return handleCall(elements, arrivedAt);
+        if (elements[0] == "CANCEL") {
+            cancelCall(elements[1]);
             return true;
         }
-        if (words[0] != "CHECK") return false;
+        if (elements[0] != "CHECK") return false;
         ++owner_.counters_.checks;
-        sendAnswer(words[1], owner_.reportsLeaving() ? "LEAVING" : "PASS", "-", {});
+        sendAnswer(elements[1], owner_.reportsLeaving() ? "LEAVING" : "PASS", "-", {});
         return true;
     }
 
@@ -270,9 +271,9 @@
         if (owner_.loop_.now() - call.takenAt < kImmediateCancel) countUselessMessage();
     }
 
-    bool handleCall(std::vector<std::string>& words, Micros arrivedAt) {
-        if (words.size() < 3) return false;
-        const std::string tag = words[1];
+    bool handleCall(std::vector<std::string>& elements, Micros arrivedAt) {
+        if (elements.size() < 3) return false;
+        const std::string tag = elements[1];
         if (open_.count(tag) > 0) {
             // An answer under this tag would be taken for that of the open request, which is unrelated.
             ++owner_.counters_.unusable;
@@ -284,16 +285,16 @@
             refuse(tag, denial);
             return true;
         }
-        const Fields fields(words.size() > 3 ? std::string_view(words[3]) : std::string_view{});
+        const Fields fields(elements.size() > 3 ? std::string_view(elements[3]) : std::string_view{});
         core::Request request;
-        const auto& classes = owner_.vocabulary_.classes;
-        const auto known = classes.find(words[2]);
+        const auto& classes = owner_.settings_.classes;
+        const auto known = classes.find(elements[2]);
         request.traceId = fields.text("trace");
         request.object = fields.text("entity");
         request.repeated = fields.text("redo") == "1";
         request.key = fields.text("nonce");
         request.knownTag = fields.text("cached");
-        if (words.size() > 4) request.body = std::move(words[4]);
+        if (elements.size() > 4) request.body = std::move(elements[4]);
         // A second request under an open id would look like a second attempt in flight to the stores.
         if (known == classes.end() || !isValidCall(fields, request) ||
             owner_.openTraceIds_.count(request.traceId) > 0) {
@@ -308,13 +309,13 @@
         }
         request.id = owner_.nextId_++;
         request.classIndex = known->second;
-        request.className = words[2];
-        request.group = fields.whole("family").value_or(0);
-        request.part = fields.whole("block").value_or(0);
+        request.className = elements[2];
+        request.group = fields.integer("family").value_or(0);
+        request.part = fields.integer("block").value_or(0);
         const Micros now = owner_.loop_.now();
-        const auto patience = fields.whole("patience");
+        const auto patience = fields.integer("patience");
         const auto giveUp =
-            owner_.vocabulary_.settings.classes[static_cast<std::size_t>(known->second)].clientTimeout;
+            owner_.settings_.settings.classes[static_cast<std::size_t>(known->second)].clientTimeout;
         const Micros wait = patience ? Micros{std::chrono::milliseconds{*patience}}
                                      : std::chrono::duration_cast<Micros>(giveUp);
         request.deadline = arrivedAt + std::max(Micros{1ms}, wait - kAnswerTransitTime);
@@ -334,7 +335,7 @@
         core::AdmissionFacts facts;
         facts.shuttingDown = owner_.failingRequests_;
         facts.draining = owner_.refusesCalls();
-        facts.connectionClosing = refusesMore_;
+        facts.connectionClosing = refusesNewCalls_;
         facts.openOnConnection = open_.size();
         facts.maxOnConnection = kMaxOpenPerConnection;
         return facts;
@@ -385,10 +386,10 @@
     }
 
     // The body is passed on without a copy.
-    void sendAnswer(const std::string& tag, std::string_view word, std::string_view fields,
+    void sendAnswer(const std::string& tag, std::string_view status, std::string_view fields,
                     std::string body) {
         std::string head;
-        net::appendRespHead(head, {tag, word, fields}, body.size());
+        net::appendRespHead(head, {tag, status, fields}, body.size());
         constexpr std::size_t kSmall = 4096;
         if (body.size() <= kSmall) {
             head += body;
@@ -429,18 +430,18 @@
     std::optional<net::Loop::TimerKey> messageTimer_, resumeTimer_;
     int uselessMessages_ = 0;
     bool handlingPosted_ = false;
-    bool hasSentMessage_ = false;  // at least one complete message has arrived
-    bool refusesMore_ = false;     // new calls are refused
-    bool closing_ = false;         // no answer is owed any more
+    bool hasSentMessage_ = false;   // at least one complete message has arrived
+    bool refusesNewCalls_ = false;  // new calls are refused
+    bool closing_ = false;          // no answer is owed any more
     net::Stream stream_;
 };
 
 Front::Front(net::Loop& loop, core::RequestDispatcher& requests, const settings::Configuration& configuration)
     : loop_(loop),
       requests_(requests),
-      vocabulary_(configuration.decoded),
+      settings_(configuration.decoded),
       address_(configuration.listen),
-      formerListener_(loop) {
+      previousListener_(loop) {
     limits_ = configuration.limits;
     applyLimits();
 }
@@ -454,7 +455,7 @@
 
 void Front::reconfigure(const settings::Configuration& configuration) {
     if (listener_ && !(configuration.listen == address_))
-        formerListener_.replace(listener_, listenOn(configuration.listen));
+        previousListener_.replace(listener_, listenOn(configuration.listen));
     address_ = configuration.listen;
     limits_ = configuration.limits;
     applyLimits();
@@ -486,14 +487,14 @@
     sweepForDrain();
 }
 
-bool Front::reportsLeaving() const { return leaving_ || (drainingSince_ && !successorServes_); }
+bool Front::reportsLeaving() const { return shuttingDown_ || (drainingSince_ && !successorServes_); }
 
 void Front::setProcessCount(int processes) {
     processes_ = processes;
     applyLimits();
 }
 
-void Front::leaveToSuccessor() {
+void Front::stopAcceptingForSuccessor() {
     stopListening();
     successorServes_ = true;
     drain();
@@ -524,7 +525,7 @@
 
 void Front::stopListening() {
     listener_.reset();
-    formerListener_.close();
+    previousListener_.close();
 }
 
 void Front::accept(net::Descriptor fd) {
@@ -548,7 +549,7 @@
         if (client->unused()) ++unusedCount;
         Client*& place = !client->unused() ? idle : client->inPartialMessage() ? partial : silent;
         const bool older = !place || client->lastUsed() < place->lastUsed();
-        if (older && (client->unused() ? client->saidNothing() : client->idleAfterUse()))
+        if (older && (client->unused() ? client->hasSentNothing() : client->idleAfterUse()))
             place = client.get();
     }
     if (!silent || (silent->recentlyActive() && partial && partial->lastUsed() < silent->lastUsed()))
@@ -562,7 +563,7 @@
        : victim->inPartialMessage() ? counters_.halfMessages
                                     : counters_.silent);
     victim->abortConnection();
-    forget(victim);
+    removeClient(victim);
     return true;
 }
 
@@ -580,7 +581,7 @@
 }
 
 std::string Front::noMemoryFields() const {
-    const Settings& s = vocabulary_.settings;
+    const Settings& s = settings_.settings;
     const Micros most = std::chrono::duration_cast<Micros>(s.maxRetryHint);
     return retryAfterFields(s.retryHints ? std::min(kNoMemoryRetryAfter, most) : Micros{0});
 }
@@ -596,14 +597,14 @@
     for (const auto& client : snapshot) client->failAndClose();
 }
 
-bool Front::settled() {
+bool Front::isQuiescent() {
     if (listener_ && !listener_->acceptPending()) return false;
-    if (!formerListener_.settled()) return false;
+    if (!previousListener_.acceptPending()) return false;
     return std::all_of(clients_.begin(), clients_.end(),
-                       [](const auto& entry) { return entry.second->settled(); });
+                       [](const auto& entry) { return entry.second->isQuiescent(); });
 }
 
-void Front::forget(Client* client) {
+void Front::removeClient(Client* client) {
     const auto found = clients_.find(client);
     if (found == clients_.end()) return;
     loop_.destroyAfterTurn(found->second);
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -36,19 +36,19 @@
     // Applies new limits and possibly a new address; throws without any change if that cannot be listened on.
     void reconfigure(const settings::Configuration& configuration);
     void stopListening();
-    void leave() { leaving_ = true; }  // reported by CHECK
+    void startShutdown() { shuttingDown_ = true; }  // reported by CHECK
     // CHECK reports it at once, and connections close when they are idle; new calls are served, and refused
     // from kDrainRefuseAfter on. The few connections that are left then are closed at kDrainFailAfter.
     void drain();
     void undrain();
     // Another process listens on the same socket: this one stops listening and closes its connections as in a
     // drain, but CHECK keeps passing.
-    void leaveToSuccessor();
+    void stopAcceptingForSuccessor();
     bool hasNoClients() const { return clients_.empty(); }
     void failOpenRequests();  // open calls are failed at once, new ones refused
     // No answer is owed, all answers have been handed to the kernel, and all input has been read. Accepts the
     // connections that are still in the backlog.
-    bool settled();
+    bool isQuiescent();
     std::size_t clientCount() const { return clients_.size(); }
     std::uint16_t port() const { return listener_->port(); }
     const Counters& counters() const { return counters_; }
@@ -65,7 +65,7 @@
     // Limit of the held bytes, for a client with this many unread bytes.
     std::size_t heldBytesLimit(std::size_t backlog) const;
     std::string noMemoryFields() const;  // fields of a refusal here, with a retry hint if allowed
-    void forget(Client* client);
+    void removeClient(Client* client);
     std::size_t maxClientBacklog() const;
     void sweepForDrain();
     bool refusesCalls() const;
@@ -75,7 +75,7 @@
 
     net::Loop& loop_;
     core::RequestDispatcher& requests_;
-    const settings::DecodedSettings& vocabulary_;
+    const settings::DecodedSettings& settings_;
     settings::Endpoint address_;
     settings::Limits limits_;
     int processes_ = 1;
@@ -86,7 +86,7 @@
     std::size_t heldBytes_ = 0;
     // Sizes of about the last fifty answers; before the first one, a quarter of the maximum.
     MovingAverage answerBytes_{0.02, 0.02, 60'000};
-    bool leaving_ = false;
+    bool shuttingDown_ = false;
     bool failingRequests_ = false;
     bool successorServes_ = false;
     std::optional<core::Micros> drainingSince_;
@@ -95,7 +95,7 @@
     RequestId nextId_ = 1;
     std::uint64_t lastClientNumber_ = 0;
     std::unique_ptr<net::Listener> listener_;
-    net::PreviousListener formerListener_;
+    net::PreviousListener previousListener_;
     std::unordered_map<Client*, std::shared_ptr<Client>> clients_;
     std::unordered_set<std::string> openTraceIds_;  // of the open requests
     Counters counters_;
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -20,7 +20,7 @@
 inline const settings::Configuration& baseConfiguration(const settings::RepositoryConfiguration& c) {
     return c.base;
 }
-// Makes `fresh` a continuation of the configuration before it: classes keep their indexes.
+// Makes `updated` a continuation of the configuration before it: classes keep their indexes.
 inline void continueFrom(const settings::Configuration& before, settings::Configuration& updated) {
     updated.decoded = settings::mergeReloaded(before.decoded, updated.decoded);
 }
@@ -50,12 +50,12 @@
         diskSettings_ = diskSource_();
         if (diskSettings_) openTier();
     }
-    void prepare() override {
-        busReader_.applyBatch(settings::readBatch(baseConfiguration(configuration_).known));
+    void startInitialSync() override {
+        busReader_.applyBatch(settings::readBatch(baseConfiguration(configuration_).initialEvents));
         busReader_.setDrainGrace(drainGrace());
         busReader_.setEndpoints(baseConfiguration(configuration_).bus);
     }
-    bool prepared() const override {
+    bool initialSyncComplete() const override {
         return busReader_.caughtUp() &&
                (!tier_ || tier_->startupComplete(tierTransport_.clockReadingAt(loop_.now())));
     }
@@ -72,18 +72,19 @@
         const std::string name = baseConfiguration(configuration_).name;
         try {
             Configuration updated = source_();
-            const auto freshDisk = diskSource_ ? diskSource_() : std::nullopt;
+            const auto reloadedDisk = diskSource_ ? diskSource_() : std::nullopt;
             settings::requireSameFields(baseConfiguration(configuration_).paths,
                                         baseConfiguration(updated).paths);
-            const settings::BusBatch known = settings::readBatch(baseConfiguration(updated).known);
+            const settings::BusBatch initialEvents =
+                settings::readBatch(baseConfiguration(updated).initialEvents);
             continueFrom(configuration_, updated);
             front_.reconfigure(updated);
             transport_.reconfigure(updated);
             decisions_.reconfigure(baseConfiguration(updated).decoded);
             configuration_ = std::move(updated);
-            reloadTier(freshDisk);
+            reloadTier(reloadedDisk);
             busReader_.setDrainGrace(drainGrace());
-            busReader_.applyBatch(known);  // skips events already received from the bus
+            busReader_.applyBatch(initialEvents);  // skips events already received from the bus
             busReader_.setEndpoints(baseConfiguration(configuration_).bus);
             std::fprintf(stderr, "%s: configuration read again\n", name.c_str());
         } catch (const std::system_error& problem) {
@@ -105,14 +106,14 @@
     }
     void drain() override { front_.drain(); }
     void undrain() override { front_.undrain(); }
-    void leave() override { front_.leave(); }
-    void leaveToSuccessor() override {
-        front_.leaveToSuccessor();
+    void startShutdown() override { front_.startShutdown(); }
+    void stopAcceptingForSuccessor() override {
+        front_.stopAcceptingForSuccessor();
         if (tier_) tier_->close();  // the successor waits for the folder
     }
     const char* stateKey() const override { return listenLabel_; }
     nlohmann::json exportState() override { return decisions_.exportState(loop_.now()); }
-    void importState(const nlohmann::json& known) override { decisions_.importState(loop_.now(), known); }
+    void importState(const nlohmann::json& state) override { decisions_.importState(loop_.now(), state); }
     bool hasNoClients() const override { return front_.hasNoClients(); }
     void setProcessCount(int processes) override {
         front_.setProcessCount(processes);
@@ -121,7 +122,7 @@
     }
     void failOpenRequests() override { front_.failOpenRequests(); }
     std::size_t openRequests() const override { return requests_.openCount(); }
-    bool settled() override { return requests_.openCount() == 0 && front_.settled(); }
+    bool isQuiescent() override { return requests_.openCount() == 0 && front_.isQuiescent(); }
     core::Micros longestRequestTimeout() const override {
         return core::longestClientTimeout(baseConfiguration(configuration_).decoded.settings);
     }
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -82,16 +82,16 @@
         stream_.dropInputOnPeerClose();
         restartTimer();
     }
-    ~Client() override { abandon(); }
+    ~Client() override { abortConnection(); }
 
     bool idle() const { return !current_ && stream_.unsentBytes() == 0; }
     // Idle, and no byte of a further request has arrived, read or unread.
-    bool resting() const {
+    bool idleWithNoInput() const {
         return idle() && unparsed_.empty() && !parser_.midMessage() && stream_.nothingUnread();
     }
     Micros lastActivity() const { return lastActivity_; }
-    bool settled() const { return closing_ ? idle() : resting(); }
-    void lastCall() {
+    bool isQuiescent() const { return closing_ ? idle() : idleWithNoInput(); }
+    void failOpenRequest() {
         if (!current_) return;
         if (current_->openFetch) {
             const RequestId id = *std::exchange(current_->openFetch, std::nullopt);
@@ -100,7 +100,7 @@
         }
         current_->headSent ? abortTransfer("the process is stopping") : sendUnavailable(1s);
     }
-    void endForDrain() {
+    void closeForDrain() {
         if (current_ || closing_ || !unparsed_.empty() || !stream_.allAcknowledged() ||
             !stream_.nothingUnread())
             return;
@@ -109,7 +109,7 @@
         closing_ = true;
         stream_.closeLingering(kMinAgeToDrain);
     }
-    void abandon() {
+    void abortConnection() {
         stream_.close();
         if (timer_) owner_.loop_.cancel(*timer_);
         timer_.reset();
@@ -192,7 +192,7 @@
 
     void beginRequest(const net::HttpHead& head) {
         current_.emplace();
-        current_->keepAlive = head.keepAlive() && !owner_.leaving_ && !owner_.drainingSince_;
+        current_->keepAlive = head.keepAlive() && !owner_.shuttingDown_ && !owner_.drainingSince_;
         current_->isHead = head.method == "HEAD";
         if (head.minorVersion >= 1 && !head.field("host")) return rejectAndClose(400);
         const auto path = normalizePath(head.target);
@@ -437,8 +437,8 @@
         fetchNextPart();
     }
     void streamEnded(net::Stream::CloseReason) override {
-        abandon();
-        owner_.forget(this);
+        abortConnection();
+        owner_.removeClient(this);
     }
     void restartTimer() {
         if (timer_) owner_.loop_.cancel(*timer_);
@@ -532,11 +532,11 @@
 }
 
 bool Front::refusesRequests() const {
-    return lastCall_ || (drainingSince_ && loop_.now() - *drainingSince_ >= kRefuseAfterDrainStart);
+    return failingRequests_ || (drainingSince_ && loop_.now() - *drainingSince_ >= kRefuseAfterDrainStart);
 }
 
 void Front::sweepForDrain() {
-    for (const auto& [key, client] : clients_) client->endForDrain();
+    for (const auto& [key, client] : clients_) client->closeForDrain();
     drainSweepTimer_ = loop_.after(kDrainSweepInterval, [this] {
         drainSweepTimer_.reset();
         sweepForDrain();
@@ -556,12 +556,12 @@
 bool Front::makeRoom() {
     Client* oldest = nullptr;
     for (const auto& [key, client] : clients_)
-        if ((!oldest || client->lastActivity() < oldest->lastActivity()) && client->resting())
+        if ((!oldest || client->lastActivity() < oldest->lastActivity()) && client->idleWithNoInput())
             oldest = client.get();
     if (!oldest) return false;
     ++counters_.closedIdle;
-    oldest->abandon();
-    forget(oldest);
+    oldest->abortConnection();
+    removeClient(oldest);
     return true;
 }
 
@@ -570,18 +570,18 @@
 }
 
 void Front::failOpenRequests() {
-    lastCall_ = true;
-    for (const auto& [key, client] : clients_) client->lastCall();
+    failingRequests_ = true;
+    for (const auto& [key, client] : clients_) client->failOpenRequest();
 }
 
-bool Front::settled() {
+bool Front::isQuiescent() {
     if (listener_ && !listener_->acceptPending()) return false;
-    if (!previousListener_.settled()) return false;
+    if (!previousListener_.acceptPending()) return false;
     return std::all_of(clients_.begin(), clients_.end(),
-                       [](const auto& entry) { return entry.second->settled(); });
+                       [](const auto& entry) { return entry.second->isQuiescent(); });
 }
 
-void Front::forget(Client* client) {
+void Front::removeClient(Client* client) {
     const auto found = clients_.find(client);
     if (found == clients_.end()) return;
     loop_.destroyAfterTurn(found->second);
--- a/src/repository/front.hpp
+++ b/src/repository/front.hpp
@@ -34,16 +34,16 @@
     void reconfigure(const settings::RepositoryConfiguration& configuration);
     // Answers or aborts all open requests at once and refuses new ones.
     void failOpenRequests();
-    void leave() { leaving_ = true; }  // ends connections after their answers
+    void startShutdown() { shuttingDown_ = true; }  // ends connections after their answers
     // As in the platform's front: new requests are served at first and refused later; downloads continue.
     void drain();
     void undrain();
-    void leaveToSuccessor() {
+    void stopAcceptingForSuccessor() {
         listener_.reset();
         drain();
     }
     bool hasNoClients() const { return clients_.empty(); }
-    bool settled();  // as in the platform's front
+    bool isQuiescent();  // as in the platform's front
     std::uint16_t port() const { return listener_->port(); }
     const Counters& counters() const { return counters_; }
 
@@ -53,7 +53,7 @@
     void accept(net::Descriptor fd);
     bool makeRoom();
     bool roomFor(std::size_t bytes) const;
-    void forget(Client* client);
+    void removeClient(Client* client);
     void sweepForDrain();
     bool refusesRequests() const;
     void applyLimits(const settings::Limits& limits);
@@ -68,8 +68,8 @@
     std::size_t maxBufferedBytes_ = 0;
     std::size_t unsentBytes_ = 0;    // of answers, not yet sent to clients
     std::size_t reservedBytes_ = 0;  // that open fetches may still deliver
-    bool leaving_ = false;
-    bool lastCall_ = false;
+    bool shuttingDown_ = false;
+    bool failingRequests_ = false;
     std::optional<core::Micros> drainingSince_;
     std::optional<net::Loop::TimerKey> drainSweepTimer_;
     RequestId nextId_ = 1;
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -241,11 +241,11 @@
     for (auto& [name, server] : servers_) {
         const bool named = std::any_of(event.stores.begin(), event.stores.end(),
                                        [&, &key = name](const auto& s) { return s.name == key; });
-        if (event.whole && !named) closeConnections(server);
+        if (event.isSnapshot && !named) closeConnections(server);
     }
     for (const settings::ListedStore& listed : event.stores) {
         Server& server = servers_[listed.name];
-        const bool restarted = listed.sinceMs > server.sinceMs && !server.address.empty();
+        const bool restarted = listed.startedAtMs > server.startedAtMs && !server.address.empty();
         const bool moved = !listed.address.empty() && listed.address != server.address;
         if (restarted || moved || listed.readiness == Readiness::gone) closeConnections(server);
         try {
@@ -254,7 +254,7 @@
         } catch (const settings::DecodeError& problem) {
             std::fprintf(stderr, "repository server %s: %s\n", listed.name.c_str(), problem.what());
         }
-        server.sinceMs = listed.sinceMs;
+        server.startedAtMs = listed.startedAtMs;
         server.origin = configuration_.base.decoded.roleOf(listed.type) == Role::origin;
     }
 }
@@ -339,7 +339,9 @@
     }
     if (!request.knownTag.empty()) text += "If-None-Match: " + request.knownTag + "\r\n";
     std::string control;
-    const auto add = [&](const std::string& word) { control += (control.empty() ? "" : ", ") + word; };
+    const auto add = [&](const std::string& directive) {
+        control += (control.empty() ? "" : ", ") + directive;
+    };
     if (send.maxAge.count() > 0)
         add(send.maxAge < kMinAgeLimit ? "no-cache"
                                        : "max-age=" + std::to_string(toSeconds(send.maxAge) - 1));
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -14,30 +14,30 @@
 
 namespace {
 
-Effect parseEffect(const std::string& word) {
-    if (word == "free") return Effect::safe;
-    if (word == "guarded") return Effect::keyed;
-    if (word == "single_shot") return Effect::unsafe;
-    throw DecodeError("unknown effect '" + word + "'");
+Effect parseEffect(const std::string& text) {
+    if (text == "free") return Effect::safe;
+    if (text == "guarded") return Effect::keyed;
+    if (text == "single_shot") return Effect::unsafe;
+    throw DecodeError("unknown effect '" + text + "'");
 }
 
-DeduplicationScope parseRepeatGroup(const std::string& word) {
-    if (word == "all") return DeduplicationScope::all;
-    if (word == "zone") return DeduplicationScope::zone;
-    if (word == "cell") return DeduplicationScope::cell;
-    throw DecodeError("unknown group '" + word + "'");
+DeduplicationScope parseRepeatGroup(const std::string& text) {
+    if (text == "all") return DeduplicationScope::all;
+    if (text == "zone") return DeduplicationScope::zone;
+    if (text == "cell") return DeduplicationScope::cell;
+    throw DecodeError("unknown group '" + text + "'");
 }
 
-WeightMeaning parseWeights(const std::string& word) {
-    if (word == "nominal") return WeightMeaning::nominal;
-    if (word == "rough") return WeightMeaning::rough;
-    if (word == "live") return WeightMeaning::live;
+WeightMeaning parseWeights(const std::string& text) {
+    if (text == "nominal") return WeightMeaning::nominal;
+    if (text == "rough") return WeightMeaning::rough;
+    if (text == "live") return WeightMeaning::live;
     return WeightMeaning::none;
 }
 
-SiblingSources parseSiblings(const std::string& word) {
-    if (word == "any") return SiblingSources::any;
-    if (word == "location") return SiblingSources::zone;
+SiblingSources parseSiblings(const std::string& text) {
+    if (text == "any") return SiblingSources::any;
+    if (text == "location") return SiblingSources::zone;
     return SiblingSources::none;
 }
 
@@ -122,11 +122,11 @@
                  [&](ClassSettings& c, const json& item) { c.uncacheable = flag(item, "neverKept"); });
 }
 
-Readiness parseReadiness(const std::string& word) {
-    if (word == "up") return Readiness::ready;
-    if (word == "draining") return Readiness::draining;
-    if (word == "removed") return Readiness::gone;
-    throw DecodeError("unknown status '" + word + "'");
+Readiness parseReadiness(const std::string& text) {
+    if (text == "up") return Readiness::ready;
+    if (text == "draining") return Readiness::draining;
+    if (text == "removed") return Readiness::gone;
+    throw DecodeError("unknown status '" + text + "'");
 }
 
 BusEvent readEvent(const json& entry) {
@@ -134,7 +134,7 @@
     event.offset = integerOr(entry, "offset", 0);
     if (const json* list = findValue(entry, "topology")) {
         event.isStoreList = true;
-        event.whole = boolOr(*list, "snapshot", false);
+        event.isSnapshot = boolOr(*list, "snapshot", false);
         for (const json& item : listOrEmpty(*list, "endpoints")) {
             ListedStore store;
             store.name = requireString(item, "name");
@@ -143,7 +143,7 @@
             store.type = stringOr(item, "type", "");
             store.cell = integerOr(item, "group", 0);
             store.weight = numberOr(item, "weight", 1);
-            store.sinceMs = integerOr(item, "since_ms", 0);
+            store.startedAtMs = integerOr(item, "since_ms", 0);
             store.readiness = parseReadiness(stringOr(item, "status", "up"));
             event.stores.push_back(std::move(store));
         }
@@ -216,10 +216,11 @@
 
 namespace {
 
-// For each name of `fresh`, its index in `names`, to which new names are appended.
-std::vector<std::size_t> mergeNames(const std::vector<std::string>& fresh, std::vector<std::string>& names) {
+// For each name of `reloaded`, its index in `names`, to which new names are appended.
+std::vector<std::size_t> mergeNames(const std::vector<std::string>& reloaded,
+                                    std::vector<std::string>& names) {
     std::vector<std::size_t> indexes;
-    for (const std::string& name : fresh) {
+    for (const std::string& name : reloaded) {
         const auto found = std::find(names.begin(), names.end(), name);
         indexes.push_back(static_cast<std::size_t>(found - names.begin()));
         if (found == names.end()) names.push_back(name);
@@ -227,31 +228,32 @@
     return indexes;
 }
 
-// Writes `fresh` into `into` at the given indexes; indexes without a value keep theirs or get `absent`.
+// Writes `reloaded` into `into` at the given indexes; indexes without a value keep theirs or get `absent`.
 template <class Item>
-std::vector<Item> reindexed(const std::vector<Item>& fresh, const std::vector<std::size_t>& indexes,
+std::vector<Item> reindexed(const std::vector<Item>& reloaded, const std::vector<std::size_t>& indexes,
                             std::vector<Item> into, std::size_t size, const Item& absent) {
-    if (fresh.empty()) return {};  // not set
+    if (reloaded.empty()) return {};  // not set
     into.resize(size, absent);
-    for (std::size_t i = 0; i < std::min(fresh.size(), indexes.size()); ++i) into[indexes[i]] = fresh[i];
+    for (std::size_t i = 0; i < std::min(reloaded.size(), indexes.size()); ++i)
+        into[indexes[i]] = reloaded[i];
     return into;
 }
 
 }  // namespace
 
-DecodedSettings mergeReloaded(const DecodedSettings& before, const DecodedSettings& fresh) {
-    DecodedSettings decoded = fresh;
+DecodedSettings mergeReloaded(const DecodedSettings& before, const DecodedSettings& reloaded) {
+    DecodedSettings decoded = reloaded;
     decoded.classNames = before.classNames;
     decoded.zoneNames = before.zoneNames;
-    const auto classes = mergeNames(fresh.classNames, decoded.classNames);
-    const auto zones = mergeNames(fresh.zoneNames, decoded.zoneNames);
+    const auto classes = mergeNames(reloaded.classNames, decoded.classNames);
+    const auto zones = mergeNames(reloaded.zoneNames, decoded.zoneNames);
     const auto newIndex = [](const std::vector<std::size_t>& indexes, int at) {
         return at < 0 ? at : static_cast<int>(indexes.at(static_cast<std::size_t>(at)));
     };
     for (auto& [name, at] : decoded.classes) at = newIndex(classes, at);
     for (auto& [name, at] : decoded.zones) at = newIndex(zones, at);
     Settings& s = decoded.settings;
-    const Settings& f = fresh.settings;
+    const Settings& f = reloaded.settings;
     s.zone = newIndex(zones, f.zone);
     s.classes =
         reindexed(f.classes, classes, before.settings.classes, decoded.classNames.size(), ClassSettings{});
@@ -293,9 +295,9 @@
 
 }  // namespace
 
-void requireSameFields(const std::set<std::string>& before, const std::set<std::string>& fresh) {
+void requireSameFields(const std::set<std::string>& before, const std::set<std::string>& reloaded) {
     for (const std::string& path : before)
-        if (fresh.count(path) == 0) throw DecodeError("field '" + path + "' is missing");
+        if (reloaded.count(path) == 0) throw DecodeError("field '" + path + "' is missing");
 }
 
 Configuration readConfiguration(const std::string& text) {
@@ -331,7 +333,7 @@
     }
     if (const std::string address = stringOr(root, "operator", ""); !address.empty())
         result.operatorAddress = readEndpoint(address, "operator");
-    result.known = objectOrEmpty(root, "known");
+    result.initialEvents = objectOrEmpty(root, "known");
     const json* info = findValue(root, "settings");
     if (!info) throw DecodeError("field 'settings' is missing");
     result.decoded = readSettings(*info);
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -41,7 +41,7 @@
 
 // Merges the settings of a reloaded file: classes and zones that both have keep their indexes, so that open
 // requests and listed hosts remain valid.
-DecodedSettings mergeReloaded(const DecodedSettings& before, const DecodedSettings& fresh);
+DecodedSettings mergeReloaded(const DecodedSettings& before, const DecodedSettings& reloaded);
 
 struct Endpoint {
     std::string host;  // a numeric IPv4 address
@@ -62,7 +62,7 @@
     Limits limits;
     std::vector<Endpoint> bus;                // several carry the same events; empty: there is no bus
     std::optional<Endpoint> operatorAddress;  // of the operators' HTTP endpoint; none: it is off
-    nlohmann::json known;                     // the events up to now, in the format of the event bus
+    nlohmann::json initialEvents;             // the events up to now, in the format of the event bus
     double flowBytesPerSecond = 0,
            linkBytesPerSecond = 0;  // of one transfer, of all; zero: not set
     DecodedSettings decoded;
@@ -71,7 +71,7 @@
 
 Configuration readConfiguration(const std::string& text);
 // Throws DecodeError if a reloaded file lacks a field of the current one, since it may be incomplete.
-void requireSameFields(const std::set<std::string>& before, const std::set<std::string>& fresh);
+void requireSameFields(const std::set<std::string>& before, const std::set<std::string>& reloaded);
 
 // A path prefix that the repository front serves, with the class and group of its requests.
 struct Route {
@@ -94,14 +94,14 @@
     std::string name, address, zone, type;
     std::int64_t cell = 0;
     double weight = 1;
-    std::int64_t sinceMs = 0;  // Unix milliseconds of its start, if it started late; otherwise 0
+    std::int64_t startedAtMs = 0;  // Unix milliseconds of its start, if it started late; otherwise 0
     Readiness readiness = Readiness::ready;
 };
 // One event of the event bus: a change of the list of stores, or a purge.
 struct BusEvent {
     std::int64_t offset = 0;
     bool isStoreList = false;
-    bool whole = false;  // a snapshot: stores that it does not name are gone
+    bool isSnapshot = false;  // the whole list: stores that it does not name are gone
     std::vector<ListedStore> stores;
     std::string purgedObject;  // empty: the purge concerns the whole group
     std::int64_t purgedGroup = 0;
--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -61,9 +61,9 @@
     EventCounter cold;
     Fleet fleet;
     const std::string body(kObjectBytes, 'b');
-    Peer warm(store(serving(body))), fresh(store([&](Connection&c, const std::vector<std::string>&words) {
+    Peer warm(store(serving(body))), fresh(store([&](Connection&c, const std::vector<std::string>&elements) {
         cold.raise();
-        serving(body)(c, words);
+        serving(body)(c, elements);
     }));
     Bus bus;
     json settings =
@@ -72,7 +72,7 @@
     Program program(settings, "LB_CONFIG", 1024, faultVariables("realtime=3600"));
     Connection client(program.port());
     callManyObjects(client, 1);
-    bus.tell(topology({listedSince(host("cache-2", fresh.address()), unixMs())}));
+    bus.publish(topology({listedSince(host("cache-2", fresh.address()), unixMs())}));
     callManyObjects(client, 1 + kCalls);
     std::fprintf(stderr, "%d calls at the cold store, %d allowed\n", cold.count(), kSlowStartBudget);
     assert(cold.count() <= kSlowStartBudget);
@@ -84,9 +84,9 @@
     Fleet fleet;
     const std::string body(kObjectBytes, 'b');
     Peer warm(store(serving(body)));
-    Peer fresh(store([&](Connection& c, const std::vector<std::string>& words) {
+    Peer fresh(store([&](Connection& c, const std::vector<std::string>& elements) {
         cold.raise();
-        serving(body)(c, words);
+        serving(body)(c, elements);
     }));
     const json settings =
         slowStartConfiguration(fleet.with({listedSince(host("cache-1", warm.address()), 0),
@@ -104,9 +104,9 @@
     Fleet fleet;
     std::atomic<int> pulls{0};
     const std::string body(kObjectBytes, 'b');
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
         ++pulls;
-        serving(body)(c, words);
+        serving(body)(c, elements);
     }));
     const json settings = slowStartConfiguration(
         fleet.with({listedSince(host("cache-1", cache.address()), unixMs() - kHourMs / 60)}), 1000);
@@ -131,23 +131,23 @@
     PullAfterPurge pull;
     std::atomic<std::int64_t> freshMs{0}, pulledMs{0};
     Fleet fleet;
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
-        freshMs = std::atoll(valueOf(words[2], "fresh").c_str());
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
+        freshMs = std::atoll(valueOf(elements[2], "fresh").c_str());
         pulledMs = unixMs();
-        c.sendResp({words[1], "ok",
+        c.sendResp({elements[1], "ok",
                     "tag=4be0c1927d55a6f3,minted=" + std::to_string(unixMs()) + ",remark=local", "new"});
     }));
     Bus bus;
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
     settings["bus"] = bus.address();
     std::int64_t purgedMs = unixMs() - kPurgedBeforeStartMs;
-    if (beforeTheStart) bus.note({{"ban", {{"url", kEntity}, {"ts", purgedMs}}}});
+    if (beforeTheStart) bus.publishWithoutWaiting({{"ban", {{"url", kEntity}, {"ts", purgedMs}}}});
     Program program(settings, "LB_CONFIG", 1024, faultVariables(clockRule));
     Connection client(program.port());
     if (!beforeTheStart) {
         std::this_thread::sleep_for(300ms);
         purgedMs = unixMs();
-        bus.tell({{"ban", {{"url", kEntity}, {"ts", purgedMs}}}});
+        bus.publish({{"ban", {{"url", kEntity}, {"ts", purgedMs}}}});
     }
     std::this_thread::sleep_for(1s);
     call(client, "1");
@@ -161,7 +161,7 @@
     return pull;
 }
 
-void purgesHoldWithAWrongClock(bool beforeTheStart) {
+void purgesApplyWithAWrongClock(bool beforeTheStart) {
     for (const char* clockRule :
          {"realtime=5", "realtime=3600", "realtime=-5", "realtime=-3600", "realtime=0"}) {
         const PullAfterPurge pull = pullAfterPurge(clockRule, beforeTheStart);
@@ -178,8 +178,8 @@
     constexpr std::int64_t kAgeMs = 1000;
     for (const char* clockRule : {"realtime=3600", "realtime=5", "realtime=-3600", "realtime=0"}) {
         Fleet fleet;
-        Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
-            c.sendResp({words[1], "ok",
+        Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
+            c.sendResp({elements[1], "ok",
                         "tag=4be0c1927d55a6f3,minted=" + std::to_string(unixMs() - kAgeMs) + ",remark=local",
                         "copy"});
         }));
@@ -198,20 +198,20 @@
     }
 }
 
-void aPurgeThatIsHeardHolds() { purgesHoldWithAWrongClock(false); }
-void aPurgeFromBeforeTheStartHolds() { purgesHoldWithAWrongClock(true); }
+void aReceivedPurgeApplies() { purgesApplyWithAWrongClock(false); }
+void aPurgeFromBeforeTheStartApplies() { purgesApplyWithAWrongClock(true); }
 
 }  // namespace
 
-int main(int count, char** names) {
+int main(int argumentCount, char** arguments) {
     const Scenario scenarios[] = {
         {"ahead", aClockThatIsAheadDoesNotWarmAColdStore},
         {"first-list-ahead", aClockThatIsAheadDoesNotWarmAColdStoreOfTheFirstList},
         {"behind", aClockThatIsBehindDoesNotKeepAStoreCold},
         {"fresh-time", copiesAreServedWithAWrongClock},
-        {"purge-heard", aPurgeThatIsHeardHolds},
-        {"purge-before-start", aPurgeFromBeforeTheStartHolds},
+        {"purge-heard", aReceivedPurgeApplies},
+        {"purge-before-start", aPurgeFromBeforeTheStartApplies},
     };
-    runScenarios(scenarios, count, names);
+    runScenarios(scenarios, argumentCount, arguments);
     return 0;
 }
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -74,9 +74,9 @@
 void callsCancelledBeforeTheyAreReadAreNotForwarded() {
     Fleet fleet;
     EventCounter pulled;
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
         pulled.raise();
-        serving("here")(c, words);
+        serving("here")(c, elements);
     }));
     Program program(configuration(fleet.with({host("cache-1", cache.address())})));
     const std::uint16_t port = program.port();
@@ -116,7 +116,7 @@
     call(leaves, "1");  // waits for a connection to the store
     leaves.sendResp({"CHECK", "2", ""});
     assert(leaves.readResp()[0] == "2");
-    bus.tell(topology({wide}));
+    bus.publish(topology({wide}));
     for (int i = 3; i < 30; ++i) call(leaves, std::to_string(i));
     program.awaitCounters(" served=27 ");  // 6 MB, none of which the client reads
     if (closes) {
@@ -128,7 +128,7 @@
     }
     program.awaitCounters(" gone=1 ");
     late.start();
-    bus.tell(topology({host("cache-1", cache.address(), "small", "draining")}));
+    bus.publish(topology({host("cache-1", cache.address(), "small", "draining")}));
     call(stays, "1");
     assert(stays.readResp()[3] == "late store");
     assert(late.pulls.count() == 1);
@@ -160,9 +160,9 @@
     std::atomic<int> connections{0};
     Peer cache([&](Connection& c) {
         const int here = ++connections;
-        const auto words = c.readResp();
-        if (words.empty()) return;
-        serving("here")(c, words);
+        const auto elements = c.readResp();
+        if (elements.empty()) return;
+        serving("here")(c, elements);
         close.await(here);
         c.shut();
         closed.raise();
@@ -196,8 +196,8 @@
     cache.start([&](Connection& c) {
         if (++connections > 1) return;
         read.await(1);
-        for (std::vector<std::string> words; !(words = c.readResp()).empty();)
-            if (words[0] == "KILL") ++kills;
+        for (std::vector<std::string> elements; !(elements = c.readResp()).empty();)
+            if (elements[0] == "KILL") ++kills;
         ended.raise();
     });
     Program program(withAmpleCapacity(host("cache-1", cache.address()), fleet));
@@ -234,7 +234,7 @@
         json restarted = host("cache-1", cache.address());
         restarted["since_ms"] =
             now + (older ? 1 : -60'000);  // the connection is older or newer than the restart
-        bus.tell(topology({restarted}));
+        bus.publish(topology({restarted}));
         if (!older) go.raise();
         assert((client.readResp()[1] == "SERVED") == !older);
         if (older) go.raise();
@@ -263,7 +263,7 @@
     call(client, "1", kKeyField, "checkout");
     pulled.await(1);
     const auto sent = Clock::now();
-    bus.tell(topology({host("cache-2", late.peer.address())}));
+    bus.publish(topology({host("cache-2", late.peer.address())}));
     go.raise();
     program.awaitCounters("attempts sent=2 ");  // within the key window, but its connection is not open
     std::this_thread::sleep_until(sent + 1550ms);
@@ -277,9 +277,9 @@
     Fleet fleet;
     EventCounter pulled;
     Bus bus;
-    Peer cache(store([&](Connection& c, const std::vector<std::string>& words) {
+    Peer cache(store([&](Connection& c, const std::vector<std::string>& elements) {
         pulled.raise();
-        serving("done, says an old date")(c, words);
+        serving("done, says an old date")(c, elements);
     }));
     json settings = configuration(fleet.with({host("cache-1", cache.address())}));
     classSettings(settings, 2)["effect"] = "single_shot";
@@ -288,7 +288,7 @@
     Connection client(program.port());
     const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
         std::chrono::system_clock::now().time_since_epoch());
-    bus.tell({{"ban", {{"tag", 3}, {"ts", now.count()}}}});
+    bus.publish({{"ban", {{"tag", 3}, {"ts", now.count()}}}});
     call(client, "1", "", "checkout");
     assert(client.readResp()[1] == "ERR");  // never a refusal, which would allow a retry
     waitUntilHandled(program.port());
@@ -300,8 +300,8 @@
 void anEndlessAnswerIsCutOffWithinTheRequestTimeout() {
     Fleet fleet;
     std::atomic<bool> over{false};
-    FirstAnswerBad stores([&](Connection& c, const std::vector<std::string>& words) {
-        c.send("*4\r\n$16\r\n" + words[1] + "\r\n$2\r\nok\r\n$1\r\n-\r\n$20000\r\n");
+    StoresWithBadFirstAnswer stores([&](Connection& c, const std::vector<std::string>& elements) {
+        c.send("*4\r\n$16\r\n" + elements[1] + "\r\n$2\r\nok\r\n$1\r\n-\r\n$20000\r\n");
         for (int i = 0; i < 100 && !over; ++i, std::this_thread::sleep_for(50ms)) c.send("x");
     });
     json settings = stores.settings(fleet);
@@ -316,10 +316,10 @@
 }
 
 // Complete answers that match no attempt, or echoes: as long as they arrive, the connection looks alive.
-void unmatchedAnswersCloseTheConnection(const char* word) {
+void unmatchedAnswersCloseTheConnection(const char* status) {
     Fleet fleet;
-    FirstAnswerBad stores([word](Connection& c, const std::vector<std::string>&) {
-        for (int i = 0; i < 1500; ++i) c.sendResp({"00000000000fffff", word, "minted=1", "stray"});
+    StoresWithBadFirstAnswer stores([status](Connection& c, const std::vector<std::string>&) {
+        for (int i = 0; i < 1500; ++i) c.sendResp({"00000000000fffff", status, "minted=1", "stray"});
     });
     Program program(stores.settings(fleet));
     Connection client(program.port());
@@ -377,9 +377,9 @@
 void largeObjectsAreServedAsOftenAsTheRest() {
     for (const bool quiet : {true, false}) {
         Fleet fleet;
-        Peer cache(store([](Connection& c, const std::vector<std::string>& words) {
-            const bool large = valueOf(words[2], "thing").back() == '0';
-            serving(std::string(large ? 240'000 : 12'000, 'x'))(c, words);
+        Peer cache(store([](Connection& c, const std::vector<std::string>& elements) {
+            const bool large = valueOf(elements[2], "thing").back() == '0';
+            serving(std::string(large ? 240'000 : 12'000, 'x'))(c, elements);
         }));
         json settings = withAmpleCapacity(host("cache-1", cache.address()), fleet);
         settings["limits"]["memory_mb"] = 24;
@@ -433,4 +433,4 @@
 
 }  // namespace
 
-int main(int count, char** names) { runScenarios(kScenarios, count, names); }
+int main(int argumentCount, char** arguments) { runScenarios(kScenarios, argumentCount, arguments); }
--- a/tests/scenarios.hpp
+++ b/tests/scenarios.hpp
@@ -37,9 +37,9 @@
     EventCounter connects, pulls;  // the first to connect is the filler
 
     void start() {
-        const auto serve = store([this](Connection& c, const std::vector<std::string>& words) {
+        const auto serve = store([this](Connection& c, const std::vector<std::string>& elements) {
             pulls.raise();
-            serving("late store")(c, words);
+            serving("late store")(c, elements);
         });
         peer.start([this, serve](Connection& c) {
             connects.raise();
@@ -66,10 +66,10 @@
 }
 
 // Two stores. The first request gets `firstAnswer`; all later ones are served.
-struct FirstAnswerBad {
-    explicit FirstAnswerBad(Answer firstAnswer)
-        : script_(store([this, firstAnswer](Connection& c, const std::vector<std::string>& words) {
-              ++pulls_ > 1 ? serving("whole")(c, words) : firstAnswer(c, words);
+struct StoresWithBadFirstAnswer {
+    explicit StoresWithBadFirstAnswer(Answer firstAnswer)
+        : script_(store([this, firstAnswer](Connection& c, const std::vector<std::string>& elements) {
+              ++pulls_ > 1 ? serving("whole")(c, elements) : firstAnswer(c, elements);
           })) {}
     json settings(const Fleet& fleet) const {
         return configuration(
@@ -89,10 +89,11 @@
 
 // Runs the scenarios named by the arguments, or all of them.
 template <std::size_t N>
-void runScenarios(const Scenario (&scenarios)[N], int count, char** names) {
+void runScenarios(const Scenario (&scenarios)[N], int argumentCount, char** arguments) {
     for (const Scenario& scenario : scenarios) {
-        bool wanted = count < 2;
-        for (int i = 1; i < count; ++i) wanted = wanted || std::strcmp(names[i], scenario.name) == 0;
+        bool wanted = argumentCount < 2;
+        for (int i = 1; i < argumentCount; ++i)
+            wanted = wanted || std::strcmp(arguments[i], scenario.name) == 0;
         if (wanted) scenario.run();
     }
 }
--- a/tests/shared_configuration_test.cpp
+++ b/tests/shared_configuration_test.cpp
@@ -160,8 +160,9 @@
     const auto client = cluster.client();
     for (int i = 0; i < 60; ++i) commitOrFail(client, putTransaction("files/a", i));
     const auto all = cluster.control(1) + "," + cluster.control(2) + "," + cluster.control(3);
-    const auto ctl = [&](const std::string& words) {
-        const std::string command = std::string(LOTUSLEAD_CTL) + " --agents " + all + " " + words + " 2>&1";
+    const auto ctl = [&](const std::string& commandLine) {
+        const std::string command =
+            std::string(LOTUSLEAD_CTL) + " --agents " + all + " " + commandLine + " 2>&1";
         std::FILE* pipe = ::popen(command.c_str(), "r");
         std::string text;
         for (int c; (c = std::fgetc(pipe)) != EOF;) text += static_cast<char>(c);
@@ -254,8 +255,8 @@
             }
         });
     for (auto& writer : writers) writer.join();
-    const auto told = ctl::Client::callAgent(cluster.control(1), "GET", "/history");
-    assert(told && json::parse(told->body)["history"][0]["changes"][0]["key"] == "files/a");
+    const auto history = ctl::Client::callAgent(cluster.control(1), "GET", "/history");
+    assert(history && json::parse(history->body)["history"][0]["changes"][0]["key"] == "files/a");
     // The history of a document that was first changed late still begins at revision 1, which `diff` relies
     // on.
     commitOrFail(client, putTransaction("files/late", 1));
