--- a/src/disk/caching_carrier.cpp
+++ b/src/disk/caching_transport.cpp
@@ -1,4 +1,4 @@
-#include "caching_carrier.hpp"
+#include "caching_transport.hpp"
 
 #include <algorithm>
 
@@ -41,24 +41,27 @@
     return options;
 }
 
-void CachingCarrier::attachTier(Tier* tier, const settings::DiskSettings& settings, const LinkPacer& pacer) {
+void CachingTransport::attachTier(Tier* tier, const settings::DiskSettings& settings,
+                                  const LinkPacer& pacer) {
     tier_ = tier;
     readTimeout_ = std::chrono::milliseconds{settings.readWaitMs};
     pacer_ = pacer;
 }
 
-void CachingCarrier::reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t variant,
-                                 const LinkPacer& pacer) {
+void CachingTransport::reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t variant,
+                                   const LinkPacer& pacer) {
     classes_ = classes;
     keyVariant_ = variant;
     pacer_ = pacer;
 }
 
-ClockReading CachingCarrier::clockReadingAt(Micros now) const { return {msOf(now), msOf(now + unixAhead_)}; }
+ClockReading CachingTransport::clockReadingAt(Micros now) const {
+    return {msOf(now), msOf(now + unixAhead_)};
+}
 
 // Only requests for a named object, without a body and without side effects, whose class allows stored
 // copies.
-bool CachingCarrier::isCacheable(const core::Request& request) const {
+bool CachingTransport::isCacheable(const core::Request& request) const {
     if (tier_ == nullptr || classes_ == nullptr || request.object.empty() || !request.body.empty())
         return false;
     const ClassSettings& c = classes_->at(static_cast<std::size_t>(request.classIndex));
@@ -67,7 +70,7 @@
 
 // The age limits are rounded down to milliseconds, so that a copy within the rounded limit is also within the
 // exact one.
-std::int64_t CachingCarrier::maxAgeMs(const core::Request& request, const core::Decision& send) const {
+std::int64_t CachingTransport::maxAgeMs(const core::Request& request, const core::Decision& send) const {
     const ClassSettings& c = classes_->at(static_cast<std::size_t>(request.classIndex));
     std::int64_t maxAge = msOf(std::chrono::duration_cast<Micros>(c.freshFor));
     if (send.maxAge.count() > 0) {
@@ -77,7 +80,7 @@
     return maxAge;
 }
 
-void CachingCarrier::send(Micros now, const core::Request& request, const core::Decision& send) {
+void CachingTransport::send(Micros now, const core::Request& request, const core::Decision& send) {
     if (!isCacheable(request)) return inner_.send(now, request, send);
     now_ = now;
     const bool inParts = classes_->at(static_cast<std::size_t>(request.classIndex)).inParts;
@@ -93,12 +96,13 @@
     lookups_.insert_or_assign(id, PendingLookup{&request, send, std::move(key), ticket, deadline});
 }
 
-void CachingCarrier::forward(Micros now, const core::Request& request, const core::Decision& send, Key key) {
+void CachingTransport::forward(Micros now, const core::Request& request, const core::Decision& send,
+                               Key key) {
     fetches_.insert_or_assign(request.id, PendingFetch{std::move(key), send.attempt, send.localKeepRank});
     inner_.send(now, request, send);
 }
 
-void CachingCarrier::lookupDone(RequestId id, std::optional<Copy> copy) {
+void CachingTransport::lookupDone(RequestId id, std::optional<Copy> copy) {
     const auto at = lookups_.find(id);
     if (at == lookups_.end()) return;
     PendingLookup lookup = std::move(at->second);
@@ -134,7 +138,7 @@
     ended_(std::move(end));
 }
 
-bool CachingCarrier::cancel(Micros now, RequestId request, int attempt) {
+bool CachingTransport::cancel(Micros now, RequestId request, int attempt) {
     const auto lookup = lookups_.find(request);
     if (lookup != lookups_.end() && lookup->second.send.attempt == attempt) {
         tier_->cancelLookup(lookup->second.ticket);
@@ -146,7 +150,7 @@
     return inner_.cancel(now, request, attempt);
 }
 
-void CachingCarrier::ended(Micros now, core::AttemptResult end) {
+void CachingTransport::ended(Micros now, core::AttemptResult end) {
     now_ = now;
     const auto at = fetches_.find(end.request);
     if (at != fetches_.end() && at->second.attempt == end.attempt) {
@@ -165,7 +169,7 @@
     ended_(std::move(end));
 }
 
-void CachingCarrier::turn(Micros now) {
+void CachingTransport::turn(Micros now) {
     now_ = now;
     while (!lookupDeadlines_.empty() && lookupDeadlines_.begin()->first <= now) {
         const auto [deadline, id] = *lookupDeadlines_.begin();
@@ -181,7 +185,7 @@
     if (tier_ != nullptr) tier_->turn(clockReadingAt(now));
 }
 
-core::Micros CachingCarrier::nextTurn() const {
+core::Micros CachingTransport::nextTurn() const {
     if (tier_ != nullptr && tier_->hasMoreWork()) return now_;
     return lookupDeadlines_.empty() ? Micros::max() : lookupDeadlines_.begin()->first;
 }
--- a/src/disk/caching_carrier.hpp
+++ b/src/disk/caching_transport.hpp
@@ -1,4 +1,4 @@
-// A carrier that wraps another one and caches on disk: it answers an attempt from the disk tier where a
+// A transport that wraps another one and caches on disk: it answers an attempt from the disk tier where a
 // usable copy is held, forwards it otherwise, and offers the answers that it receives to the tier. Without a
 // tier it forwards everything. Runs on the event loop's thread.
 #pragma once
@@ -30,14 +30,14 @@
         false;  // copies carry the date of this gateway's wall clock, not of their origin's
 };
 
-class CachingCarrier : public core::AttemptTransport {
+class CachingTransport : public core::AttemptTransport {
 public:
     using Micros = core::Micros;
     struct Counters {
         std::uint64_t asked = 0, served = 0, unchanged = 0, slowReads = 0, linkFull = 0;
     };
 
-    CachingCarrier(core::AttemptTransport& inner, Micros unixAhead, PayloadTraits traits)
+    CachingTransport(core::AttemptTransport& inner, Micros unixAhead, PayloadTraits traits)
         : inner_(inner), unixAhead_(unixAhead), traits_(std::move(traits)) {}
 
     void listen(std::function<void(core::AttemptResult)> ended) { ended_ = std::move(ended); }
@@ -49,7 +49,7 @@
 
     void send(Micros now, const core::Request& request, const core::Decision& send) override;
     bool cancel(Micros now, RequestId request, int attempt) override;
-    // Called with each result of the inner carrier.
+    // Called with each result of the inner transport.
     void ended(Micros now, core::AttemptResult end);
 
     void turn(Micros now);  // gives up disk reads that exceed the read timeout and forwards their attempts
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "../core/service.hpp"
-#include "../disk/caching_carrier.hpp"
+#include "../disk/caching_transport.hpp"
 #include "../net/system_errors.hpp"
 #include "bus_reader.hpp"
 
@@ -181,7 +181,7 @@
     const char* listenLabel_;
     Transport transport_;
     core::DecisionFacade decisions_;
-    disk::CachingCarrier tierTransport_;
+    disk::CachingTransport tierTransport_;
     core::RequestDispatcher requests_;
     Front front_;
 
