--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -165,15 +165,15 @@
 
 struct Send {
     RequestId request = 0;
-    std::string_view host;             // views stay valid for the lifetime of the router
-    bool withoutSource = false;        // an ordinary request: no fill, and the host keeps no copy
-    std::string_view source;           // where a miss is filled from; equal to `host`: no fill
-    int keepRank = 0;                  // rank of the copy that the host keeps; zero: none
-    int ownCopyRank = 0;               // rank of a copy that the gateway itself keeps; zero: none
-    Time maxCopyAge{};                 // of an acceptable copy; zero: the class's fresh time
-    bool coalesce = false;             // wait for a fill in progress
-    bool sourceOnlyIfCached = false;   // the source answers only from its own copies
-    bool refreshInBackground = false;  // an aging copy is served and refreshed in the background
+    std::string_view host;              // views stay valid for the lifetime of the router
+    bool withoutSource = false;         // an ordinary request: no fill, and the host keeps no copy
+    std::string_view source;            // where a miss is filled from; equal to `host`: no fill
+    int keepRank = 0;                   // rank of the copy that the host keeps; zero: none
+    int localKeepRank = 0;              // rank of a copy that the gateway itself keeps; zero: none
+    Time maxCopyAge{};                  // of an acceptable copy; zero: the class's fresh time
+    bool coalesceFill = false;          // wait for a fill in progress
+    bool sourceOnlyIfCached = false;    // the source answers only from its own copies
+    bool staleWhileRevalidate = false;  // an aging copy is served and refreshed in the background
     Time timeout{};
 };
 // Why a request was given up, that is, answered at once by Refuse or Fail.
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -151,7 +151,7 @@
         field("holdRank", a.keepRank);
         field("howOld", a.maxCopyAge.count());
         field("switches",
-              (a.coalesce ? 1 : 0) + (a.sourceOnlyIfCached ? 2 : 0) + (a.refreshInBackground ? 8 : 0));
+              (a.coalesceFill ? 1 : 0) + (a.sourceOnlyIfCached ? 2 : 0) + (a.staleWhileRevalidate ? 8 : 0));
     }
     void write(std::int64_t instance, const Refuse& a) {
         beginAction("deny", instance);
--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -158,7 +158,7 @@
     if (!purge) return;
     constexpr Micros kRounding{1000};
     send.lastPurgeMs = purge->purgeUnixMs;
-    send.maxAgeFromPurge = send.maxAge + kRounding >= now - purge->receivedAt;
+    send.maxCopyAgeFromPurge = send.maxCopyAge + kRounding >= now - purge->receivedAt;
 }
 
 std::int64_t DecisionFacade::unixMsOf(Micros when) const {
@@ -241,13 +241,14 @@
             decision.host = action.host;
             if (!action.withoutSource && action.source != action.host) decision.source = action.source;
             decision.keepRank = action.withoutSource ? 0 : action.keepRank;
-            decision.localKeepRank = action.ownCopyRank;
-            decision.maxAge = duration_cast<Micros>(action.maxCopyAge);
+            decision.localKeepRank = action.localKeepRank;
+            decision.maxCopyAge = duration_cast<Micros>(action.maxCopyAge);
             // Must not be rounded down to zero, which means "any age".
-            if (action.maxCopyAge.count() > 0 && decision.maxAge.count() == 0) decision.maxAge = Micros{1};
-            decision.joinFill = action.coalesce;
-            decision.onlyIfCached = action.sourceOnlyIfCached;
-            decision.staleWhileRevalidate = action.refreshInBackground;
+            if (action.maxCopyAge.count() > 0 && decision.maxCopyAge.count() == 0)
+                decision.maxCopyAge = Micros{1};
+            decision.coalesceFill = action.coalesceFill;
+            decision.sourceOnlyIfCached = action.sourceOnlyIfCached;
+            decision.staleWhileRevalidate = action.staleWhileRevalidate;
             decision.timeout = duration_cast<Micros>(action.timeout);
             decision.pickedAt = now;
         } else if constexpr (std::is_same_v<Kind, Refuse>) {
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -48,13 +48,13 @@
     std::string source;  // host that a miss is filled from; empty: no fill
     int keepRank = 0;
     int localKeepRank = 0;  // rank of a local copy; zero: none is kept
-    Micros maxAge{};        // zero: the class's freshness lifetime
+    Micros maxCopyAge{};    // zero: the class's freshness lifetime
     // Time of the latest remembered purge of the object or its group, by the clock that dates purges and
     // copies; copies made before it must not be served. Zero: no purge is remembered.
     std::int64_t lastPurgeMs = 0;
-    bool maxAgeFromPurge = false;  // `maxAge` results from that purge
-    bool joinFill = false;
-    bool onlyIfCached = false;
+    bool maxCopyAgeFromPurge = false;  // `maxCopyAge` results from that purge
+    bool coalesceFill = false;
+    bool sourceOnlyIfCached = false;
     bool staleWhileRevalidate = false;
     Micros timeout{};
     Micros pickedAt{};
--- a/src/disk/caching_transport.cpp
+++ b/src/disk/caching_transport.cpp
@@ -70,14 +70,14 @@
 
 // The age limits are rounded down to milliseconds, so that a copy within the rounded limit is also within the
 // exact one.
-std::int64_t CachingTransport::maxAgeMs(const core::Request& request, const core::Decision& send) const {
+std::int64_t CachingTransport::maxCopyAgeMs(const core::Request& request, const core::Decision& send) const {
     const ClassSettings& c = classes_->at(static_cast<std::size_t>(request.classIndex));
-    std::int64_t maxAge = msOf(std::chrono::duration_cast<Micros>(c.freshFor));
-    if (send.maxAge.count() > 0) {
-        const std::int64_t wanted = std::max<std::int64_t>(1, msOf(send.maxAge));
-        maxAge = maxAge > 0 ? std::min(maxAge, wanted) : wanted;
+    std::int64_t limitMs = msOf(std::chrono::duration_cast<Micros>(c.freshFor));
+    if (send.maxCopyAge.count() > 0) {
+        const std::int64_t requestedMs = std::max<std::int64_t>(1, msOf(send.maxCopyAge));
+        limitMs = limitMs > 0 ? std::min(limitMs, requestedMs) : requestedMs;
     }
-    return maxAge;
+    return limitMs;
 }
 
 void CachingTransport::send(Micros now, const core::Request& request, const core::Decision& send) {
@@ -88,7 +88,7 @@
     ++counters_.asked;
     const RequestId id = request.id;
     const std::uint64_t ticket =
-        tier_->lookUp(clockReadingAt(now), key, maxAgeMs(request, send),
+        tier_->lookUp(clockReadingAt(now), key, maxCopyAgeMs(request, send),
                       [this, id](std::optional<Copy> copy) { lookupDone(id, std::move(copy)); });
     if (ticket == 0) return forward(now, request, send, std::move(key));
     const Micros deadline = now + readTimeout_;
--- a/src/disk/caching_transport.hpp
+++ b/src/disk/caching_transport.hpp
@@ -73,7 +73,7 @@
     };
 
     bool isCacheable(const core::Request& request) const;
-    std::int64_t maxAgeMs(const core::Request& request, const core::Decision& send) const;
+    std::int64_t maxCopyAgeMs(const core::Request& request, const core::Decision& send) const;
     void forward(Micros now, const core::Request& request, const core::Decision& send, Key key);
     void lookupDone(RequestId id, std::optional<Copy> copy);
 
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -77,7 +77,7 @@
 // ----- reading -----
 
 // Whether a copy of this creation time may be served now. All such decisions are made here.
-bool Tier::isServable(ClockReading now, const Key& key, std::int64_t maxAgeMs, std::int64_t createdMs) {
+bool Tier::isServable(ClockReading now, const Key& key, std::int64_t maxCopyAgeMs, std::int64_t createdMs) {
     if (purgeLogFailing_ || !purgeFeed_.isCurrent(now.monotonicMs)) {
         ++counters_.unproved;
         return false;
@@ -87,19 +87,20 @@
         return false;
     }
     const std::int64_t age = now.unixMs - createdMs;
-    if (age < -options_.purgeClockSkewMs || (maxAgeMs > 0 && age > maxAgeMs)) {
+    if (age < -options_.purgeClockSkewMs || (maxCopyAgeMs > 0 && age > maxCopyAgeMs)) {
         ++counters_.expired;
         return false;
     }
     return true;
 }
 
-std::uint64_t Tier::lookUp(ClockReading now, const Key& key, std::int64_t maxAgeMs, LookupCallback callback) {
+std::uint64_t Tier::lookUp(ClockReading now, const Key& key, std::int64_t maxCopyAgeMs,
+                           LookupCallback callback) {
     if (!holdsFolder()) return 0;
     const std::uint64_t fingerprint = key.fingerprint();
     catalog_.recordRequest(fingerprint);
     const auto part = catalog_.findForRead(fingerprint);
-    if (!part || !isServable(now, key, maxAgeMs, part->createdMs)) {
+    if (!part || !isServable(now, key, maxCopyAgeMs, part->createdMs)) {
         ++counters_.misses;
         return 0;
     }
@@ -109,7 +110,7 @@
         ++counters_.misses;
         return 0;
     }
-    lookups_.emplace(ticket, PendingLookup{key, maxAgeMs, std::move(callback)});
+    lookups_.emplace(ticket, PendingLookup{key, maxCopyAgeMs, std::move(callback)});
     return ticket;
 }
 
@@ -132,7 +133,7 @@
     lookups_.erase(at);
     // Two keys may share a fingerprint, and a purge may have arrived during the read.
     const bool same = good && done.record->first == lookup.key;
-    if (!same || !isServable(now, lookup.key, lookup.maxAgeMs, done.record->second.createdMs) ||
+    if (!same || !isServable(now, lookup.key, lookup.maxCopyAgeMs, done.record->second.createdMs) ||
         !isLatest(lookup.key, done.record->second)) {
         ++counters_.misses;
         return lookup.callback({});
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -71,8 +71,8 @@
     void retryOpen();
 
     // Returns zero for a miss. Otherwise returns a ticket, and a later turn() calls `callback`, unless the
-    // lookup is cancelled before. `maxAgeMs`: the largest acceptable age; zero accepts any age.
-    [[nodiscard]] std::uint64_t lookUp(ClockReading now, const Key& key, std::int64_t maxAgeMs,
+    // lookup is cancelled before. `maxCopyAgeMs`: the largest acceptable age; zero accepts any age.
+    [[nodiscard]] std::uint64_t lookUp(ClockReading now, const Key& key, std::int64_t maxCopyAgeMs,
                                        LookupCallback callback);
     void cancelLookup(std::uint64_t ticket) { lookups_.erase(ticket); }
     // Offers a fetched copy. `rank` comes from the decision module; zero means that the copy is not to be
@@ -111,7 +111,7 @@
 private:
     struct PendingLookup {
         Key key;
-        std::int64_t maxAgeMs = 0;
+        std::int64_t maxCopyAgeMs = 0;
         LookupCallback callback;
     };
     struct Version {
@@ -132,7 +132,7 @@
     void handle(ClockReading now, ReadDone& done);
 
     bool holdsFolder() const { return state_ == State::loading || state_ == State::ready; }
-    bool isServable(ClockReading now, const Key& key, std::int64_t maxAgeMs, std::int64_t createdMs);
+    bool isServable(ClockReading now, const Key& key, std::int64_t maxCopyAgeMs, std::int64_t createdMs);
     void addPurge(const PurgeEntry& entry);
     void persist(std::vector<PurgeEntry> entries);
     void raiseWatermark(ClockReading now, const char* why);
--- a/src/platform/copy_age.hpp
+++ b/src/platform/copy_age.hpp
@@ -25,9 +25,10 @@
     // Copies made before this are too old; zero: none is.
     std::int64_t oldestAllowedMs(core::Micros now, const core::Decision& send) const {
         const std::int64_t fromPurge = send.lastPurgeMs > 0 ? send.lastPurgeMs - kClockTolerance.count() : 0;
-        if (send.maxAge.count() <= 0 || send.maxAgeFromPurge || !youngestCopyOffset_) return fromPurge;
+        if (send.maxCopyAge.count() <= 0 || send.maxCopyAgeFromPurge || !youngestCopyOffset_)
+            return fromPurge;
         const core::Micros oldestAllowed =
-            now + std::min(unixClockOffset_, *youngestCopyOffset_) - send.maxAge - kClockTolerance;
+            now + std::min(unixClockOffset_, *youngestCopyOffset_) - send.maxCopyAge - kClockTolerance;
         return std::max(fromPurge, oldestAllowed.count() / 1000);
     }
 
--- a/src/platform/store_protocol.hpp
+++ b/src/platform/store_protocol.hpp
@@ -51,13 +51,13 @@
     if (!send.source.empty()) fields.add("via", send.source);
     if (send.keepRank > 0) fields.add("tier", send.keepRank);
     // Rounded down, so that no copy from before a purge passes; 0 would mean "any age".
-    if (send.maxAge.count() > 0) fields.add("fresh", std::max<std::int64_t>(1, ms(send.maxAge)));
+    if (send.maxCopyAge.count() > 0) fields.add("fresh", std::max<std::int64_t>(1, ms(send.maxCopyAge)));
     std::string options;
     const auto option = [&](bool on, const char* word) {
         if (on) options += (options.empty() ? "" : "+") + std::string(word);
     };
-    option(send.joinFill, "share");
-    option(send.onlyIfCached, "peek");
+    option(send.coalesceFill, "share");
+    option(send.sourceOnlyIfCached, "peek");
     option(send.staleWhileRevalidate, "swr");
     if (!options.empty()) fields.add("opts", options);
     if (!request.knownTag.empty()) fields.add("known", request.knownTag);
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -826,16 +826,16 @@
         s.host = host.entry.name;
         s.timeout = p.request.deadline - now;
         s.withoutSource = host.entry.role == Role::origin;
-        s.ownCopyRank = p.keepRank;
+        s.localKeepRank = p.keepRank;
         if (!s.withoutSource) {
             const HostIndex source = sourceOf(route);
             s.source = hosts_[source].entry.name;
             s.keepRank = host.entry.role == Role::cache ? route.keepRank : 0;
             s.maxCopyAge = maxCopyAgeFor(now, p, c);
-            s.coalesce = settings_->fillCoalescing;
+            s.coalesceFill = settings_->fillCoalescing;
             s.sourceOnlyIfCached = route.sourceOnlyIfCached && host.entry.role == Role::cache;
             if (route.sourceOnlyIfCached && host.entry.role == Role::parent) s.source = host.entry.name;
-            s.refreshInBackground = c.freshFor.count() > 0 && p.inFilter;
+            s.staleWhileRevalidate = c.freshFor.count() > 0 && p.inFilter;
             if (source != route.host) chargeColdBudget(now, hosts_[source], p);
         }
         chargeColdBudget(now, host, p);
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -168,7 +168,7 @@
         } else if (status == 410 || status == 404) {
             status = 404;
         } else if (status == 504) {  // also the answer to only-if-cached (RFC 9111, 5.2.1.7)
-            const bool held = attempt.send.source.empty() || attempt.send.onlyIfCached;
+            const bool held = attempt.send.source.empty() || attempt.send.sourceOnlyIfCached;
             end.outcome = held ? Outcome::noCopy : Outcome::error;
         } else if (status == 503 || status == 429) {
             end.outcome = Outcome::notTaken;
@@ -180,8 +180,8 @@
         constexpr std::uint64_t kTenYears = 315'360'000;  // in seconds; prevents overflow
         const auto age =
             field ? static_cast<std::int64_t>(std::min(parseInteger(*field).value_or(0), kTenYears)) : 0;
-        if (end.outcome == Outcome::served && field && attempt.send.maxAge >= kMinAgeLimit &&
-            age + 1 > toSeconds(attempt.send.maxAge)) {
+        if (end.outcome == Outcome::served && field && attempt.send.maxCopyAge >= kMinAgeLimit &&
+            age + 1 > toSeconds(attempt.send.maxCopyAge)) {
             ++owner_.counters_.tooOld;
             end.outcome = Outcome::noCopy;
         }
@@ -340,11 +340,11 @@
     if (!request.knownTag.empty()) text += "If-None-Match: " + request.knownTag + "\r\n";
     std::string control;
     const auto add = [&](const std::string& word) { control += (control.empty() ? "" : ", ") + word; };
-    if (send.maxAge.count() > 0)
-        add(send.maxAge < kMinAgeLimit ? "no-cache"
-                                       : "max-age=" + std::to_string(toSeconds(send.maxAge) - 1));
+    if (send.maxCopyAge.count() > 0)
+        add(send.maxCopyAge < kMinAgeLimit ? "no-cache"
+                                           : "max-age=" + std::to_string(toSeconds(send.maxCopyAge) - 1));
     if (!server.origin) {
-        if (send.source.empty() || send.onlyIfCached) add("only-if-cached");
+        if (send.source.empty() || send.sourceOnlyIfCached) add("only-if-cached");
         if (send.keepRank == 0) add("no-store");
         // Caches that support this field fill a miss from that source; others use their own configuration.
         if (!send.source.empty()) text += "Lotuslead-Source: " + servers_[send.source].address + "\r\n";
--- a/tests/disk_tier_harness.hpp
+++ b/tests/disk_tier_harness.hpp
@@ -188,10 +188,10 @@
                turnUntil([&] { return tier.queuedBytes() == 0; }) &&
                tier.catalog().contains(keyOf(i).fingerprint());
     }
-    std::optional<Copy> load(int i, std::int64_t maxAgeMs = 0) {
+    std::optional<Copy> load(int i, std::int64_t maxCopyAgeMs = 0) {
         std::optional<Copy> result;
         bool completed = false;
-        const auto ticket = tier.lookUp(now, keyOf(i), maxAgeMs, [&](std::optional<Copy> copy) {
+        const auto ticket = tier.lookUp(now, keyOf(i), maxCopyAgeMs, [&](std::optional<Copy> copy) {
             completed = true;
             result = std::move(copy);
         });
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -343,7 +343,7 @@
     h.makeKnown("a");
     const RequestId id = h.ask("a");
     EXPECT_EQ(h.one<Send>()->maxCopyAge, 8s);
-    EXPECT_TRUE(h.one<Send>()->refreshInBackground);
+    EXPECT_TRUE(h.one<Send>()->staleWhileRevalidate);
     h.end(id, 0, Outcome::error, CacheStatus::sourceUnreached);
     ASSERT_TRUE(h.one<Send>());
     EXPECT_EQ(h.one<Send>()->maxCopyAge, 18s);
