--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -137,8 +137,8 @@
     int attempt = 0;
     Outcome outcome = Outcome::error;
     Time elapsed{};
-    bool requestClosed = false;  // the request is closed: it needs no further answer
-    bool blameless = false;      // tells nothing about its host beyond an outcome already reported
+    bool requestClosed = false;    // the request is closed: it needs no further answer
+    bool ignoreForHealth = false;  // tells nothing about its host beyond an outcome already reported
     CacheStatus cacheStatus = CacheStatus::none;
     double sizeKb = 0;  // of the answer; zero: unknown; negative: not sent, since the client had it
     LoadReport load;
--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -191,7 +191,7 @@
     ended.outcome = report.outcome;
     ended.elapsed = report.elapsed;
     ended.cacheStatus = report.note;
-    ended.blameless = report.ignoreForHealth;
+    ended.ignoreForHealth = report.ignoreForHealth;
     if (report.unchanged)
         ended.sizeKb = -1;
     else if (vocabulary_.bytesPerKb > 0)
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -290,7 +290,7 @@
             if (a.highestTier != Tier::origin && e.outcome == Outcome::noCopy)
                 sendOrGiveUp(now, p, out);  // now it is known that a fill is needed
             else if (e.outcome != Outcome::cancelled || p.retryAfterCancel)
-                retryOrGiveUp(now, p, e.blameless, out);
+                retryOrGiveUp(now, p, e.ignoreForHealth, out);
             else
                 giveUp(p, GiveUpReason::cancelled, out);
         }
@@ -755,7 +755,8 @@
     // arrive. Cost: when many answers are late by chance, the limits shrink a little. Hits at the caches are
     // not limited.
     void updateLimiters(Time now, const Pending& p, const Attempt& a, const AttemptEnded& e) {
-        if (a.highestTier == Tier::caches || a.countedLate || e.outcome == Outcome::notSent || e.blameless)
+        if (a.highestTier == Tier::caches || a.countedLate || e.outcome == Outcome::notSent ||
+            e.ignoreForHealth)
             return;
         if (hosts_[a.host].entry.role == Role::cache) {
             if (e.cacheStatus == CacheStatus::hit || e.cacheStatus == CacheStatus::stale ||
@@ -942,8 +943,8 @@
         if (std::count(p.excludedHosts.begin(), p.excludedHosts.end(), i) == 0) p.excludedHosts.push_back(i);
     }
 
-    void retryOrGiveUp(Time now, Pending& p, bool blameless, Actions& out) {
-        if (!p.retryAfterCancel && !blameless && !retryBudget_.tryTake())
+    void retryOrGiveUp(Time now, Pending& p, bool ignoreForHealth, Actions& out) {
+        if (!p.retryAfterCancel && !ignoreForHealth && !retryBudget_.tryTake())
             return giveUp(p, GiveUpReason::noRetryBudget, out);
         p.retryAfterCancel = false;
         p.acceptStale = true;
@@ -1034,13 +1035,13 @@
                 return;
             case Outcome::noConnection:
             case Outcome::broken:
-                if (e.blameless && answeredSince(a))
+                if (e.ignoreForHealth && answeredSince(a))
                     return;  // may be retried at once over another connection
-                return blame(now, p, a.host, e.blameless ? 0 : 1);
+                return blame(now, p, a.host, e.ignoreForHealth ? 0 : 1);
             default:
                 break;
         }
-        const double weight = e.blameless ? 0 : a.countedSlow ? 1 - kSlowAttemptFailureWeight : 1;
+        const double weight = e.ignoreForHealth ? 0 : a.countedSlow ? 1 - kSlowAttemptFailureWeight : 1;
         // This value and the later ones tell why a fill failed.
         if (e.cacheStatus >= CacheStatus::sourceRefused) {
             const bool atSource = hasSource && e.cacheStatus != CacheStatus::noFillPlace;
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -265,13 +265,13 @@
     for (const auto& connection : connections) connection->fail(Outcome::broken);
 }
 
-void Upstreams::removeConnection(const std::string& host, Connection* connection, bool blameless) {
+void Upstreams::removeConnection(const std::string& host, Connection* connection, bool ignoreForHealth) {
     Server& server = servers_[host];
     std::erase_if(server.connections, [&](const auto& held) { return held.get() == connection; });
     // Attempts that waited for this connection fail with it.
     if (server.connections.empty())
         for (const QueuedAttempt& w : std::exchange(server.queue, {}))
-            report(w, Outcome::noConnection, blameless);
+            report(w, Outcome::noConnection, ignoreForHealth);
 }
 
 void Upstreams::send(Micros, const core::Request& request, const core::Decision& send) {
@@ -353,9 +353,9 @@
     return text + "\r\n";
 }
 
-void Upstreams::report(const QueuedAttempt& attempt, Outcome outcome, bool blameless) {
+void Upstreams::report(const QueuedAttempt& attempt, Outcome outcome, bool ignoreForHealth) {
     AttemptResult end;
-    end.ignoreForHealth = blameless;
+    end.ignoreForHealth = ignoreForHealth;
     end.request = attempt.send.request;
     end.attempt = attempt.send.attempt;
     end.outcome = outcome;
--- a/src/repository/upstreams.hpp
+++ b/src/repository/upstreams.hpp
@@ -59,8 +59,8 @@
     void serveQueue(const std::string& host);
     std::string requestText(const core::Request& request, const core::Decision& send);
     void report(core::AttemptResult end);
-    void report(const QueuedAttempt& attempt, Outcome outcome, bool blameless = false);
-    void removeConnection(const std::string& host, Connection* connection, bool blameless);
+    void report(const QueuedAttempt& attempt, Outcome outcome, bool ignoreForHealth = false);
+    void removeConnection(const std::string& host, Connection* connection, bool ignoreForHealth);
     void closeConnections(Server& server);
 
     net::Loop& loop_;
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -102,10 +102,10 @@
     }
 
     void end(RequestId id, int attempt, Outcome outcome, CacheStatus note = CacheStatus::none,
-             std::optional<double> linkFill = std::nullopt, bool blameless = false, double sizeKb = 0) {
+             std::optional<double> linkFill = std::nullopt, bool ignoreForHealth = false, double sizeKb = 0) {
         AttemptEnded e;
         e.sizeKb = sizeKb;
-        e.blameless = blameless;
+        e.ignoreForHealth = ignoreForHealth;
         e.request = id;
         e.attempt = attempt;
         e.outcome = outcome;
