--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -69,14 +69,14 @@
 }
 
 CacheStatus cacheStatusOf(std::int64_t number) {
-    constexpr std::array notes{CacheStatus::none,          CacheStatus::hit,
-                               CacheStatus::filled,        CacheStatus::filledByOrigin,
-                               CacheStatus::joined,        CacheStatus::stale,
-                               CacheStatus::sourceRefused, CacheStatus::sourceUnreached,
-                               CacheStatus::sourceLacks,   CacheStatus::noFillPlace,
-                               CacheStatus::originFailed};
-    if (number < 0 || number >= static_cast<std::int64_t>(notes.size())) return CacheStatus::none;
-    return notes[static_cast<std::size_t>(number)];
+    constexpr std::array statuses{CacheStatus::none,          CacheStatus::hit,
+                                  CacheStatus::filled,        CacheStatus::filledByOrigin,
+                                  CacheStatus::joined,        CacheStatus::stale,
+                                  CacheStatus::sourceRefused, CacheStatus::sourceUnreached,
+                                  CacheStatus::sourceLacks,   CacheStatus::noFillPlace,
+                                  CacheStatus::originFailed};
+    if (number < 0 || number >= static_cast<std::int64_t>(statuses.size())) return CacheStatus::none;
+    return statuses[static_cast<std::size_t>(number)];
 }
 
 LoadReport loadOf(element event) {
--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -190,7 +190,7 @@
     ended.attempt = report.attempt;
     ended.outcome = report.outcome;
     ended.elapsed = report.elapsed;
-    ended.cacheStatus = report.note;
+    ended.cacheStatus = report.cacheStatus;
     ended.ignoreForHealth = report.ignoreForHealth;
     if (report.unchanged)
         ended.sizeKb = -1;
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -66,7 +66,7 @@
     int attempt = 0;
     Outcome outcome = Outcome::error;
     Micros elapsed{};
-    CacheStatus note = CacheStatus::none;
+    CacheStatus cacheStatus = CacheStatus::none;
     bool ignoreForHealth = false;
     std::size_t bytes = 0;  // bytes served
     bool unchanged = false;
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -77,7 +77,7 @@
         report.servedLocally = true;
         ++counters_.servedLocally;
     }
-    report.note = result.note;
+    report.cacheStatus = result.cacheStatus;
     report.ignoreForHealth = result.ignoreForHealth;
     report.bytes = result.payload.body.size();
     report.unchanged = result.payload.unchanged;
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -39,7 +39,7 @@
     RequestId request = 0;
     int attempt = 0;
     Outcome outcome = Outcome::error;
-    CacheStatus note = CacheStatus::none;
+    CacheStatus cacheStatus = CacheStatus::none;
     bool ignoreForHealth = false;  // tells nothing new about the host's health
     bool servedLocally = false;    // from a local copy: no host was asked
     Payload payload;
--- a/src/disk/caching_transport.cpp
+++ b/src/disk/caching_transport.cpp
@@ -131,7 +131,7 @@
     if (end.payload.unchanged) ++counters_.unchanged;
     end.servedLocally = true;
     end.outcome = Outcome::served;
-    end.note = CacheStatus::hit;
+    end.cacheStatus = CacheStatus::hit;
     end.payload.mintedMs = copy->createdMs;
     end.payload.metadata = std::move(copy->facts);
     if (!end.payload.unchanged) end.payload.body = std::move(copy->body);
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -258,7 +258,7 @@
         result.request = found->second.request;
         result.attempt = found->second.attempt;
         result.outcome = *outcome;
-        result.note = noteOf(fields.text("remark"));
+        result.cacheStatus = cacheStatusOf(fields.text("remark"));
         if (const auto minted = fields.whole("minted"))
             owner_.copyAgeCheck_.learn(owner_.loop_.now(), *minted);
         if (*outcome == Outcome::served &&
--- a/src/platform/store_protocol.hpp
+++ b/src/platform/store_protocol.hpp
@@ -14,8 +14,8 @@
 
 namespace lotuslead::platform {
 
-inline CacheStatus noteOf(std::string_view word) {
-    constexpr std::array<std::pair<std::string_view, CacheStatus>, 10> notes{
+inline CacheStatus cacheStatusOf(std::string_view word) {
+    constexpr std::array<std::pair<std::string_view, CacheStatus>, 10> cacheStatuses{
         {{"local", CacheStatus::hit},
          {"pulled", CacheStatus::filled},
          {"pulled_far", CacheStatus::filledByOrigin},
@@ -26,8 +26,8 @@
          {"not_there", CacheStatus::sourceLacks},
          {"no_place", CacheStatus::noFillPlace},
          {"far_fault", CacheStatus::originFailed}}};
-    for (const auto& [name, note] : notes)
-        if (name == word) return note;
+    for (const auto& [name, cacheStatus] : cacheStatuses)
+        if (name == word) return cacheStatus;
     return CacheStatus::none;
 }
 
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -185,7 +185,7 @@
             ++owner_.counters_.tooOld;
             end.outcome = Outcome::noCopy;
         }
-        end.note = age > 0 ? CacheStatus::hit : CacheStatus::none;
+        end.cacheStatus = age > 0 ? CacheStatus::hit : CacheStatus::none;
         // An upper bound of the copy's age: Age is computed after the request was sent and truncates less
         // than a second (RFC 9111, 4.2.3).
         const Micros held = field ? std::chrono::seconds{age + 1} : Micros{0};
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -101,7 +101,7 @@
         return r.id;
     }
 
-    void end(RequestId id, int attempt, Outcome outcome, CacheStatus note = CacheStatus::none,
+    void end(RequestId id, int attempt, Outcome outcome, CacheStatus cacheStatus = CacheStatus::none,
              std::optional<double> linkFill = std::nullopt, bool ignoreForHealth = false, double sizeKb = 0) {
         AttemptEnded e;
         e.sizeKb = sizeKb;
@@ -110,7 +110,7 @@
         e.attempt = attempt;
         e.outcome = outcome;
         e.requestClosed = outcome == Outcome::served;
-        e.cacheStatus = note;
+        e.cacheStatus = cacheStatus;
         e.elapsed = attemptTime;
         e.load.linkUtilization = linkFill;
         last.clear();
