--- a/src/core/rules.cpp
+++ b/src/core/rules.cpp
@@ -25,11 +25,11 @@
                  Locality to) {
     if (!earlier || rules.effect == Effect::safe) return Denial::none;
     if (rules.effect == Effect::unsafe) return Denial::mayRunTwice;
-    if (now - earlier->sentAt >= rules.deduplicationWindow) return Denial::keyWindowPassed;
+    if (now - earlier->sentAt >= rules.deduplicationWindow) return Denial::deduplicationWindowPassed;
     if (rules.deduplicationScope == DeduplicationScope::zone && to.zone != earlier->at.zone)
-        return Denial::otherRepeatGroup;
+        return Denial::outsideDeduplicationScope;
     if (rules.deduplicationScope == DeduplicationScope::cell && to.cell != earlier->at.cell)
-        return Denial::otherRepeatGroup;
+        return Denial::outsideDeduplicationScope;
     return Denial::none;
 }
 
--- a/src/core/rules.hpp
+++ b/src/core/rules.hpp
@@ -17,26 +17,26 @@
 // Why a step is denied; `none`: it is allowed.
 enum class Denial : std::uint8_t {
     none,
-    answered,            // the request has its final answer, or its client has left
-    attemptInFlight,     // another attempt of the request is in flight
-    deadlinePassed,      // the client's deadline has passed
-    hostNotReady,        // draining or gone
-    sourceNotReady,      // the source of the fill is draining or gone
-    purgedSincePick,     // a purge arrived after the age limit was chosen
-    mayRunTwice,         // an attempt may have run, and the class allows no second one
-    keyWindowPassed,     // the server no longer knows the key of the attempt that may have run
-    otherRepeatGroup,    // the key is known in another zone or cell only
-    mayHaveTakenEffect,  // a refusal would promise no effect, but an attempt may have run
-    copyNotNamed,        // no server has confirmed the tag of the client's copy
-    shuttingDown,        // the process completes open requests and admits no new ones
-    draining,            // operators have told clients to go elsewhere
-    connectionClosing,   // further input on this connection is unreadable or useless
-    tooManyOpen,         // on one connection
-    noMemory,            // for the answer
-    requestOpen,         // an answer is owed on the connection
-    unreadBytes,         // another request may have arrived
-    unsentAnswer,        // closing could discard the answer
-    notReady,            // host lists or purges have not been received yet
+    answered,                   // the request has its final answer, or its client has left
+    attemptInFlight,            // another attempt of the request is in flight
+    deadlinePassed,             // the client's deadline has passed
+    hostNotReady,               // draining or gone
+    sourceNotReady,             // the source of the fill is draining or gone
+    purgedSincePick,            // a purge arrived after the age limit was chosen
+    mayRunTwice,                // an attempt may have run, and the class allows no second one
+    deduplicationWindowPassed,  // the server no longer knows the key of the attempt that may have run
+    outsideDeduplicationScope,  // the key is known in another zone or cell only
+    mayHaveTakenEffect,         // a refusal would promise no effect, but an attempt may have run
+    copyNotNamed,               // no server has confirmed the tag of the client's copy
+    shuttingDown,               // the process completes open requests and admits no new ones
+    draining,                   // operators have told clients to go elsewhere
+    connectionClosing,          // further input on this connection is unreadable or useless
+    tooManyOpen,                // on one connection
+    noMemory,                   // for the answer
+    requestOpen,                // an answer is owed on the connection
+    unreadBytes,                // another request may have arrived
+    unsentAnswer,               // closing could discard the answer
+    notReady,                   // host lists or purges have not been received yet
     count_
 };
 const char* nameOf(Denial denial);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -21,21 +21,21 @@
     throw DecodeError("unknown effect '" + word + "'");
 }
 
-DeduplicationScope parseRepeatGroup(const std::string& word) {
+DeduplicationScope parseDeduplicationScope(const std::string& word) {
     if (word == "all") return DeduplicationScope::all;
     if (word == "zone") return DeduplicationScope::zone;
     if (word == "cell") return DeduplicationScope::cell;
     throw DecodeError("unknown group '" + word + "'");
 }
 
-WeightMeaning parseWeights(const std::string& word) {
+WeightMeaning parseWeightMeaning(const std::string& word) {
     if (word == "nominal") return WeightMeaning::nominal;
     if (word == "rough") return WeightMeaning::rough;
     if (word == "live") return WeightMeaning::live;
     return WeightMeaning::none;
 }
 
-SiblingSources parseSiblings(const std::string& word) {
+SiblingSources parseSiblingSources(const std::string& word) {
     if (word == "any") return SiblingSources::any;
     if (word == "location") return SiblingSources::zone;
     return SiblingSources::none;
@@ -58,7 +58,7 @@
     result.value = numberOr(entry, "value", 1);
     result.lateValueShare = numberOr(entry, "lateValue", 0);
     result.effect = parseEffect(requireString(entry, "effect"));
-    result.deduplicationScope = parseRepeatGroup(stringOr(entry, "group", "all"));
+    result.deduplicationScope = parseDeduplicationScope(stringOr(entry, "group", "all"));
     result.deduplicationWindow = timeOr(entry, "window");
     if (result.effect == Effect::keyed) requirePositive(entry, "window");
     result.streamed = boolOr(entry, "stream", false);
@@ -86,7 +86,7 @@
     settings.directUpstream = boolOr(extra, "direct", false);
     settings.fillCoalescing = boolOr(extra, "joins", false);
     settings.maxFlowKbPerSecond = numberOr(extra, "flowKbPerS", 0);
-    settings.siblings = parseSiblings(stringOr(extra, "siblings", "silent"));
+    settings.siblings = parseSiblingSources(stringOr(extra, "siblings", "silent"));
     settings.cacheStatusReported = stringOr(extra, "noteLevel", "silent") == "all";
     settings.purgeGrace = timeOr(extra, "obeyAfter");
     settings.purgeSettleTime = timeOr(extra, "purgeSettles");
@@ -186,7 +186,7 @@
     }
     settings.zone = decoded.zoneOf(stringOr(info, "zone", ""));
     settings.routers = static_cast<int>(integerOr(info, "balancers", 1));
-    settings.weights = parseWeights(stringOr(info, "weights", "silent"));
+    settings.weights = parseWeightMeaning(stringOr(info, "weights", "silent"));
     settings.mustSubscribeToList = stringOr(info, "discovery", "pushed") == "on_request";
 
     const json& allowed = objectOrEmpty(info, "allowed");
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -48,15 +48,15 @@
     EXPECT_EQ(mayRepeat(classOf(Effect::unsafe), earlier, 10s, {1, 7}), Denial::mayRunTwice);
     EXPECT_EQ(mayRepeat(classOf(Effect::safe), earlier, 99s, {2, 8}), Denial::none);
     EXPECT_EQ(mayRepeat(classOf(Effect::keyed), earlier, 10s, {2, 8}), Denial::none);
-    EXPECT_EQ(mayRepeat(classOf(Effect::keyed), earlier, 11s, {1, 7}), Denial::keyWindowPassed);
+    EXPECT_EQ(mayRepeat(classOf(Effect::keyed), earlier, 11s, {1, 7}), Denial::deduplicationWindowPassed);
     EXPECT_EQ(mayRepeat(classOf(Effect::keyed, DeduplicationScope::zone), earlier, 10s, {1, 8}),
               Denial::none);
     EXPECT_EQ(mayRepeat(classOf(Effect::keyed, DeduplicationScope::zone), earlier, 10s, {2, 7}),
-              Denial::otherRepeatGroup);
+              Denial::outsideDeduplicationScope);
     EXPECT_EQ(mayRepeat(classOf(Effect::keyed, DeduplicationScope::cell), earlier, 10s, {2, 7}),
               Denial::none);
     EXPECT_EQ(mayRepeat(classOf(Effect::keyed, DeduplicationScope::cell), earlier, 10s, {1, 8}),
-              Denial::otherRepeatGroup);
+              Denial::outsideDeduplicationScope);
 }
 
 TEST(Rules, ARefusalPromisesThatNothingHasHappened) {
