--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -193,7 +193,7 @@
 
 struct Instance {
     Router router;
-    settings::DecodedSettings words;
+    settings::DecodedSettings decodedSettings;
 };
 
 // The gateway and the adapter share one settings decoder. simdjson is used only for events, which are
@@ -250,7 +250,7 @@
         if (found == instances_.end()) throw DecodeError("unknown instance " + std::to_string(instance));
         Instance& to = *found->second;
         if (what == "req") {
-            to.router.handle(now_, requestOf(to.words, event), actions_);
+            to.router.handle(now_, requestOf(to.decodedSettings, event), actions_);
         } else if (what == "response") {
             AttemptEnded ended;
             ended.request = requestId(event);
@@ -294,9 +294,10 @@
             seed = static_cast<std::uint64_t>(integerOr(event, "salt", 0));
         const auto info = valueAt(event, "info");
         if (!info) throw DecodeError("field 'info' is missing");
-        settings::DecodedSettings words = settingsOf(*info);
-        Router router(words.settings, seed);
-        instances_[instance] = std::make_unique<Instance>(Instance{std::move(router), std::move(words)});
+        settings::DecodedSettings decodedSettings = settingsOf(*info);
+        Router router(decodedSettings.settings, seed);
+        instances_[instance] =
+            std::make_unique<Instance>(Instance{std::move(router), std::move(decodedSettings)});
         instances_[instance]->router.start(now_, actions_);
         writeActions(instance);
     }
@@ -340,19 +341,19 @@
         list.whole = form != 0;
         for (const ListedHost& listed : lists_[static_cast<std::size_t>(number)]) {
             HostEntry entry = listed.entry;
-            entry.role = to.words.roleOf(listed.shape);
-            entry.zone = to.words.zoneOf(listed.zone);
+            entry.role = to.decodedSettings.roleOf(listed.shape);
+            entry.zone = to.decodedSettings.zoneOf(listed.zone);
             list.entries.push_back(std::move(entry));
         }
         to.router.handle(now_, list, actions_);
     }
 
-    static Request requestOf(const settings::DecodedSettings& words, element event) {
+    static Request requestOf(const settings::DecodedSettings& decodedSettings, element event) {
         Request request;
         request.id = requestId(event);
         const std::string profile(requireText(event, "profile"));
-        const auto known = words.classes.find(profile);
-        if (known == words.classes.end()) throw DecodeError("unknown class '" + profile + "'");
+        const auto known = decodedSettings.classes.find(profile);
+        if (known == decodedSettings.classes.end()) throw DecodeError("unknown class '" + profile + "'");
         request.classIndex = known->second;
         const std::string_view object = textOr(event, "object", "");
         request.object = object.empty() ? 0 : fingerprint(object);
--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -12,24 +12,24 @@
 namespace {
 
 // Whatever the settings allow, a request of this gateway has at most one attempt in flight.
-settings::DecodedSettings withoutSecondCopies(settings::DecodedSettings vocabulary) {
-    vocabulary.settings.mayHedge = false;
-    return vocabulary;
+settings::DecodedSettings withoutSecondCopies(settings::DecodedSettings decodedSettings) {
+    decodedSettings.settings.mayHedge = false;
+    return decodedSettings;
 }
 
 }  // namespace
 
-DecisionFacade::DecisionFacade(settings::DecodedSettings vocabulary, std::uint64_t seed, Micros now,
+DecisionFacade::DecisionFacade(settings::DecodedSettings decodedSettings, std::uint64_t seed, Micros now,
                                Micros unixClockOffset)
-    : vocabulary_(withoutSecondCopies(std::move(vocabulary))),
-      router_(vocabulary_.settings, seed),
+    : decodedSettings_(withoutSecondCopies(std::move(decodedSettings))),
+      router_(decodedSettings_.settings, seed),
       unixClockOffset_(unixClockOffset) {
     router_.start(routerTime(now), actions_);
     convertActions(now);
 }
 
-void DecisionFacade::reconfigure(settings::DecodedSettings vocabulary) {
-    vocabulary_ = withoutSecondCopies(std::move(vocabulary));
+void DecisionFacade::reconfigure(settings::DecodedSettings decodedSettings) {
+    decodedSettings_ = withoutSecondCopies(std::move(decodedSettings));
     router_.reconfigure(settingsForAllProcesses());
 }
 
@@ -40,7 +40,7 @@
 
 // To the decision module, each process of a gateway is a router of its own.
 Settings DecisionFacade::settingsForAllProcesses() const {
-    Settings settings = vocabulary_.settings;
+    Settings settings = decodedSettings_.settings;
     settings.routers = std::max(1, settings.routers) * processes_;
     for (int& routers : settings.routersByZone) routers *= processes_;
     return settings;
@@ -51,7 +51,7 @@
     const LearnedState known = router_.learnedState(routerTime(now));
     json work = json::object(), objects = json::array(), hosts = json::object();
     for (std::size_t i = 0; i < known.meanSendSeconds.size(); ++i)
-        work[vocabulary_.classNames[i]] = known.meanSendSeconds[i];
+        work[decodedSettings_.classNames[i]] = known.meanSendSeconds[i];
     for (const auto& [name, object] : known.objects)
         objects.push_back({name, object.lastPart, object.manyViewers, object.sendSeconds});
     for (const NamedLearnedHost& h : known.hosts)
@@ -65,7 +65,7 @@
     LearnedState learnedState;
     const auto time = [](const nlohmann::json& value) { return Time{value.get<std::int64_t>()}; };
     learnedState.startedAt = time(known.at("startedAt"));
-    for (const std::string& name : vocabulary_.classNames)
+    for (const std::string& name : decodedSettings_.classNames)
         learnedState.meanSendSeconds.push_back(known.at("work").value(name, 0.0));
     for (const auto& o : known.at("objects"))
         learnedState.objects.push_back({o.at(0), {o.at(1), o.at(2).get<bool>(), o.at(3)}});
@@ -99,8 +99,8 @@
     for (const settings::ListedStore& store : event.stores) {
         HostEntry entry;
         entry.name = store.name;
-        entry.role = vocabulary_.roleOf(store.type);
-        entry.zone = vocabulary_.zoneOf(store.zone);
+        entry.role = decodedSettings_.roleOf(store.type);
+        entry.zone = decodedSettings_.zoneOf(store.zone);
         entry.cell = store.cell;
         entry.weight = store.weight;
         entry.readiness = store.readiness;
@@ -135,7 +135,8 @@
 // decision module has forgotten those purges too.
 void DecisionFacade::forgetOldPurges(Micros now) {
     constexpr std::chrono::minutes kPurgeRetention{2};
-    const Micros kept = kPurgeRetention + 2 * duration_cast<Micros>(vocabulary_.settings.purgeSettleTime);
+    const Micros kept =
+        kPurgeRetention + 2 * duration_cast<Micros>(decodedSettings_.settings.purgeSettleTime);
     if (now - lastPurgeSweep_ < kPurgeRetention) return;
     lastPurgeSweep_ = now;
     const auto old = [&](const auto& entry) { return now - entry.second.receivedAt > kept; };
@@ -174,7 +175,7 @@
     event.part = request.part;
     event.deadline = routerTime(request.deadline);
     event.repeated = request.repeated;
-    event.write = vocabulary_.settings.classes[static_cast<std::size_t>(request.classIndex)].uncacheable;
+    event.write = decodedSettings_.settings.classes[static_cast<std::size_t>(request.classIndex)].uncacheable;
     attempts_[request.id] = 0;
     router_.handle(routerTime(now), event, actions_);
     for (Decision& decision : convertActions(now))
@@ -194,8 +195,8 @@
     ended.ignoreForHealth = report.ignoreForHealth;
     if (report.unchanged)
         ended.sizeKb = -1;
-    else if (vocabulary_.bytesPerKb > 0)
-        ended.sizeKb = static_cast<double>(report.bytes) / vocabulary_.bytesPerKb;
+    else if (decodedSettings_.bytesPerKb > 0)
+        ended.sizeKb = static_cast<double>(report.bytes) / decodedSettings_.bytesPerKb;
     ended.requestClosed = report.outcome == Outcome::served || report.servedLocally;
     if (ended.requestClosed) attempts_.erase(report.request);
     router_.handle(routerTime(now), ended, actions_);
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -78,12 +78,12 @@
 public:
     // `unixClockOffset` is the Unix clock minus the monotonic clock; it stays fixed for the life of the
     // process.
-    DecisionFacade(settings::DecodedSettings vocabulary, std::uint64_t seed, Micros now,
+    DecisionFacade(settings::DecodedSettings decodedSettings, std::uint64_t seed, Micros now,
                    Micros unixClockOffset);
 
-    const settings::DecodedSettings& vocabulary() const { return vocabulary_; }
+    const settings::DecodedSettings& decodedSettings() const { return decodedSettings_; }
     // Replaces the settings. The new ones must continue the old ones (settings::mergeReloaded).
-    void reconfigure(settings::DecodedSettings vocabulary);
+    void reconfigure(settings::DecodedSettings decodedSettings);
     // Sets the number of processes that together form this gateway; each takes its share of the limits.
     void setProcessCount(int processes);
     // State for a successor process on this machine, as JSON. A successor keeps the entries whose names it
@@ -140,7 +140,7 @@
     // has a time above zero (zero stands for "long ago").
     static constexpr std::chrono::hours kRouterClockOffset{24 * 365};
 
-    settings::DecodedSettings vocabulary_;
+    settings::DecodedSettings decodedSettings_;
     int processes_ = 1;
     Router router_;
     Micros unixClockOffset_;
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -33,7 +33,7 @@
     RequestState& state = states_[id];
     state.request = std::move(request);
     state.classSettings =
-        decisions_.vocabulary().settings.classes[static_cast<std::size_t>(state.request.classIndex)];
+        decisions_.decodedSettings().settings.classes[static_cast<std::size_t>(state.request.classIndex)];
     state.answer = std::move(answer);
     ++openCount_;
     ++counters_.taken;
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -286,7 +286,7 @@
         }
         const Fields fields(words.size() > 3 ? std::string_view(words[3]) : std::string_view{});
         core::Request request;
-        const auto& classes = owner_.vocabulary_.classes;
+        const auto& classes = owner_.decodedSettings_.classes;
         const auto known = classes.find(words[2]);
         request.traceId = fields.text("trace");
         request.object = fields.text("entity");
@@ -314,7 +314,7 @@
         const Micros now = owner_.loop_.now();
         const auto patience = fields.whole("patience");
         const auto giveUp =
-            owner_.vocabulary_.settings.classes[static_cast<std::size_t>(known->second)].clientTimeout;
+            owner_.decodedSettings_.settings.classes[static_cast<std::size_t>(known->second)].clientTimeout;
         const Micros wait = patience ? Micros{std::chrono::milliseconds{*patience}}
                                      : std::chrono::duration_cast<Micros>(giveUp);
         request.deadline = arrivedAt + std::max(Micros{1ms}, wait - kAnswerTransitTime);
@@ -438,7 +438,7 @@
 Front::Front(net::Loop& loop, core::RequestDispatcher& requests, const settings::Configuration& configuration)
     : loop_(loop),
       requests_(requests),
-      vocabulary_(configuration.decoded),
+      decodedSettings_(configuration.decoded),
       address_(configuration.listen),
       formerListener_(loop) {
     limits_ = configuration.limits;
@@ -580,7 +580,7 @@
 }
 
 std::string Front::noMemoryFields() const {
-    const Settings& s = vocabulary_.settings;
+    const Settings& s = decodedSettings_.settings;
     const Micros most = std::chrono::duration_cast<Micros>(s.maxRetryHint);
     return retryAfterFields(s.retryHints ? std::min(kNoMemoryRetryAfter, most) : Micros{0});
 }
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -75,7 +75,7 @@
 
     net::Loop& loop_;
     core::RequestDispatcher& requests_;
-    const settings::DecodedSettings& vocabulary_;
+    const settings::DecodedSettings& decodedSettings_;
     settings::Endpoint address_;
     settings::Limits limits_;
     int processes_ = 1;
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -412,24 +412,25 @@
 }
 
 void StoreConnections::reconfigure(const settings::Configuration& configuration) {
-    const settings::DecodedSettings& words = configuration.decoded;
+    const settings::DecodedSettings& decodedSettings = configuration.decoded;
     connectTimeout_ = kDefaultConnectTimeout;
     idleTimeout_ = kDefaultIdleTimeout;
     maxAttemptsPerConnection_ = kDefaultAttemptsPerConnection;
-    if (words.connectTimeout.count() > 0)
-        connectTimeout_ = std::chrono::duration_cast<Micros>(words.connectTimeout);
-    if (words.idleTimeout.count() > 0)
-        idleTimeout_ = std::chrono::duration_cast<Micros>(words.idleTimeout) * 9 / 10;
+    if (decodedSettings.connectTimeout.count() > 0)
+        connectTimeout_ = std::chrono::duration_cast<Micros>(decodedSettings.connectTimeout);
+    if (decodedSettings.idleTimeout.count() > 0)
+        idleTimeout_ = std::chrono::duration_cast<Micros>(decodedSettings.idleTimeout) * 9 / 10;
     socketLimit_ = static_cast<std::size_t>(configuration.limits.sockets);
     setProcessCount(processes_);
-    const Micros longest = core::longestClientTimeout(words.settings);
+    const Micros longest = core::longestClientTimeout(decodedSettings.settings);
     silenceTimeout_.setUpperBound(longest / 2);
     maxAnswerTime_ = std::min(kMaxAnswerTime, longest / 2);
     repeatable_.clear();
-    for (const ClassSettings& c : words.settings.classes) repeatable_.push_back(c.effect == Effect::safe);
-    mayProbe_ = words.settings.mayProbe;
-    if (words.streamsPerConnection > 0)
-        maxAttemptsPerConnection_ = static_cast<std::size_t>(words.streamsPerConnection);
+    for (const ClassSettings& c : decodedSettings.settings.classes)
+        repeatable_.push_back(c.effect == Effect::safe);
+    mayProbe_ = decodedSettings.settings.mayProbe;
+    if (decodedSettings.streamsPerConnection > 0)
+        maxAttemptsPerConnection_ = static_cast<std::size_t>(decodedSettings.streamsPerConnection);
 }
 
 // What remains beside the third for clients, less what the process needs for itself and for operators.
