--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -84,7 +84,7 @@
         if (attempt_) owner_.report(*attempt_, outcome);
         attempt_.reset();
         owner_.loop_.destroyAfterTurn(self);
-        owner_.removeConnection(host_, this, blameless_);
+        owner_.removeConnection(host_, this, ignoreForHealth_);
     }
     // Closes the connection, since HTTP/1.1 has no other way to cancel a request.
     void abort() {
@@ -124,7 +124,7 @@
             std::fprintf(stderr, "repository server %s: malformed answer, connection closed\n",
                          host_.c_str());
         }
-        blameless_ = why == End::localShortage;
+        ignoreForHealth_ = why == End::localShortage;
         fail(cameUp ? Outcome::broken : Outcome::noConnection);
     }
 
@@ -217,7 +217,7 @@
     std::optional<QueuedAttempt> attempt_;
     std::optional<net::Loop::TimerKey> timer_;
     bool ended_ = false;
-    bool blameless_ = false;  // its failure does not count against the server
+    bool ignoreForHealth_ = false;  // its failure does not count against the server
     net::Stream stream_;
 };
 
