--- a/src/disk/caching_transport.cpp
+++ b/src/disk/caching_transport.cpp
@@ -8,8 +8,8 @@
 
 std::int64_t msOf(core::Micros t) { return std::chrono::duration_cast<std::chrono::milliseconds>(t).count(); }
 
-std::string factOf(const Facts& facts, std::string_view name) {
-    for (const auto& [key, value] : facts)
+std::string findMetadata(const Metadata& metadata, std::string_view name) {
+    for (const auto& [key, value] : metadata)
         if (key == name) return value;
     return {};
 }
@@ -112,7 +112,8 @@
     end.request = id;
     end.attempt = lookup.send.attempt;
     if (copy) {
-        const std::string tag = traits_.tagFact ? factOf(copy->facts, traits_.tagFact) : std::string{};
+        const std::string tag =
+            traits_.tagMetadataName ? findMetadata(copy->metadata, traits_.tagMetadataName) : std::string{};
         end.payload.unchanged = !tag.empty() && tag == request.knownTag;
         // An answer that only confirms the client's tag costs a twentieth of the bytes on the link.
         const std::size_t bytes = end.payload.unchanged ? copy->body.size() / 20 : copy->body.size();
@@ -133,7 +134,7 @@
     end.outcome = Outcome::served;
     end.cacheStatus = CacheStatus::hit;
     end.payload.mintedMs = copy->createdMs;
-    end.payload.metadata = std::move(copy->facts);
+    end.payload.metadata = std::move(copy->metadata);
     if (!end.payload.unchanged) end.payload.body = std::move(copy->body);
     ended_(std::move(end));
 }
@@ -162,7 +163,7 @@
             // would be wasted.
             Copy copy{end.payload.mintedMs, std::move(end.payload.metadata), std::move(end.payload.body)};
             tier_->offer(clockReadingAt(now), fetch.key, fetch.rank, copy);
-            end.payload.metadata = std::move(copy.facts);
+            end.payload.metadata = std::move(copy.metadata);
             end.payload.body = std::move(copy.body);
         }
     }
--- a/src/disk/caching_transport.hpp
+++ b/src/disk/caching_transport.hpp
@@ -22,10 +22,10 @@
 // How a front's payloads are cached.
 struct PayloadTraits {
     std::function<bool(const Key&, const core::Payload&)>
-        storable;                                        // whether the payload may be cached at all
-    std::function<std::uint64_t(const Facts&)> version;  // as Tier::Callbacks::version
-    const char* tagFact = nullptr;  // name of the fact that is compared with `Request::knownTag`; null: the
-                                    // front compares by itself
+        storable;                                           // whether the payload may be cached at all
+    std::function<std::uint64_t(const Metadata&)> version;  // as Tier::Callbacks::version
+    const char* tagMetadataName = nullptr;  // name of the metadata entry that is compared with
+                                            // `Request::knownTag`; null: the front compares by itself
     bool datedByGatewayClock =
         false;  // copies carry the date of this gateway's wall clock, not of their origin's
 };
--- a/src/disk/record.cpp
+++ b/src/disk/record.cpp
@@ -86,7 +86,7 @@
 
 std::size_t metadataBytesFor(const Key& key, const Copy& copy) {
     std::size_t bytes = encodedTextBytes(key.object) + encodedTextBytes(key.className);
-    for (const auto& [name, value] : copy.facts) bytes += encodedTextBytes(name) + encodedTextBytes(value);
+    for (const auto& [name, value] : copy.metadata) bytes += encodedTextBytes(name) + encodedTextBytes(value);
     return bytes;
 }
 
@@ -120,7 +120,7 @@
     metadata.reserve(metadataBytes);
     putText(metadata, key.object);
     putText(metadata, key.className);
-    for (const auto& [name, value] : copy.facts) {
+    for (const auto& [name, value] : copy.metadata) {
         putText(metadata, name);
         putText(metadata, value);
     }
@@ -179,7 +179,7 @@
     Reader metadata(record.subspan(sizeof fixed, fixed.metadataBytes));
     if (!metadata.text(key.object) || !metadata.text(key.className)) return {};
     while (!metadata.empty()) {
-        auto& [name, value] = copy.facts.emplace_back();
+        auto& [name, value] = copy.metadata.emplace_back();
         if (!metadata.text(name) || !metadata.text(value)) return {};
     }
     key.group = fixed.group;
--- a/src/disk/record.hpp
+++ b/src/disk/record.hpp
@@ -1,7 +1,7 @@
 // The binary format of records, purge log entries and segment tables. A record is a header of fixed size,
-// metadata (names and facts) and the body. Header and body each have a checksum (XXH3, 64 bits), so that a
-// segment can be scanned by its headers, and no body is served unverified. All numbers are little-endian. The
-// functions have no state and may be called on any thread.
+// metadata (the key and the front's names and values) and the body. Header and body each have a checksum
+// (XXH3, 64 bits), so that a segment can be scanned by its headers, and no body is served unverified. All
+// numbers are little-endian. The functions have no state and may be called on any thread.
 #pragma once
 
 #include <cstddef>
@@ -32,11 +32,11 @@
 };
 
 // Names and values that a front keeps with a copy, such as header fields.
-using Facts = std::vector<std::pair<std::string, std::string>>;
+using Metadata = std::vector<std::pair<std::string, std::string>>;
 
 struct Copy {
     std::int64_t createdMs = 0;  // Unix milliseconds: the copy is of this time or later
-    Facts facts;
+    Metadata metadata;
     std::string body;
 };
 
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -181,7 +181,7 @@
 // Parts of two versions must not be combined in one download: when a second version of an object is seen, the
 // parts of the older one are purged.
 bool Tier::isLatest(const Key& key, const Copy& copy) {
-    const std::uint64_t version = callbacks_.version(copy.facts);
+    const std::uint64_t version = callbacks_.version(copy.metadata);
     if (version == 0) return true;
     const std::uint64_t object = key.objectFingerprint();
     auto [known, had] = versions_.touch(object);
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -50,7 +50,7 @@
             resumeBusFrom;  // makes the bus reader go back to this event number
         // A number that is equal for all parts of one version of an object; zero if its parts carry no
         // version.
-        std::function<std::uint64_t(const Facts&)> version;
+        std::function<std::uint64_t(const Metadata&)> version;
     };
     // Receives the copy, or none when it may not be served.
     using LookupCallback = std::function<void(std::optional<Copy>)>;
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -5,7 +5,7 @@
 Service::Service(net::Loop& loop, Source source, const std::string& listening)
     : FrontService(loop, std::move(source), "serving", core::RequestDispatcher::PurgeDuringFetch::serve,
                    {[](const disk::Key&, const core::Payload& payload) { return payload.mintedMs > 0; },
-                    [](const disk::Facts&) { return std::uint64_t{0}; }, "tag", false}) {
+                    [](const disk::Metadata&) { return std::uint64_t{0}; }, "tag", false}) {
     if (listening.empty()) return;
     try {
         front_.inherit(net::adoptListeningSocket(listening, configuration_.listen));
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -56,7 +56,7 @@
     }
 }
 
-std::string findFact(const core::Payload& payload, std::string_view name) {
+std::string findMetadata(const core::Payload& payload, std::string_view name) {
     for (const auto& [key, value] : payload.metadata)
         if (key == name) return value;
     return {};
@@ -259,9 +259,10 @@
     void handleReply(Reply&& reply) {
         if (reply.kind != Reply::Kind::served) return handleFailure(reply);
         const core::Payload& payload = reply.payload;
-        const std::uint64_t status = parseNumber(findFact(payload, kStatus));
-        const std::string tag = findFact(payload, "etag"), modified = findFact(payload, "last-modified");
-        const std::uint64_t total = parseNumber(findFact(payload, kTotal));
+        const std::uint64_t status = parseNumber(findMetadata(payload, kStatus));
+        const std::string tag = findMetadata(payload, "etag"),
+                          modified = findMetadata(payload, "last-modified");
+        const std::uint64_t total = parseNumber(findMetadata(payload, kTotal));
         if (current_->headSent) {
             if ((status != 200 && status != 206) || tag != current_->etag || total != current_->fileBytes)
                 return abortTransfer("the file has changed");
@@ -290,7 +291,7 @@
         }
         current_->nextByte = span.begin;
         current_->endByte = span.end;
-        const std::uint64_t first = parseNumber(findFact(payload, kFirst));
+        const std::uint64_t first = parseNumber(findMetadata(payload, kFirst));
         const bool holdsIt = span.begin >= first && span.begin < first + payload.body.size();
         if (!holdsIt && !current_->isHead && span.begin < span.end) {
             if (!current_->isFile || ++refetches_ > 2) return sendPlain(502);
@@ -308,7 +309,7 @@
     }
 
     void sendPart(const core::Payload& payload) {
-        const std::uint64_t first = parseNumber(findFact(payload, kFirst));
+        const std::uint64_t first = parseNumber(findMetadata(payload, kFirst));
         const std::uint64_t upTo = std::min(current_->endByte, first + payload.body.size());
         if (current_->nextByte < first || current_->nextByte >= upTo)
             return abortTransfer("the upstream sent a different part");
@@ -382,7 +383,7 @@
     void sendHead(int status, std::uint64_t length, const core::Payload& payload,
                   const std::string& extra = {}) {
         std::string response = statusLine(status);
-        const std::string type = findFact(payload, "content-type");
+        const std::string type = findMetadata(payload, "content-type");
         response += "Content-Type: " + (type.empty() ? "application/octet-stream" : type) + "\r\n";
         response += "Content-Length: " + std::to_string(length) + "\r\nAccept-Ranges: bytes\r\n";
         if (!current_->etag.empty()) response += "ETag: " + current_->etag + "\r\n";
--- a/src/repository/service.cpp
+++ b/src/repository/service.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-std::string factOf(const disk::Facts& facts, std::string_view name) {
-    for (const auto& [key, value] : facts)
+std::string findMetadata(const disk::Metadata& metadata, std::string_view name) {
+    for (const auto& [key, value] : metadata)
         if (key == name) return value;
     return {};
 }
@@ -17,17 +17,17 @@
 // Only complete responses for the requested part can be stored: a server without support for ranges sends the
 // whole file.
 bool storable(const disk::Key& key, const core::Payload& payload) {
-    const std::string status = factOf(payload.metadata, kStatus);
+    const std::string status = findMetadata(payload.metadata, kStatus);
     const bool inParts = key.variant != 0;
     if (status == "200") return !inParts || key.part == 0;
     if (status != "206" || !inParts) return false;
-    return factOf(payload.metadata, kFirst) ==
+    return findMetadata(payload.metadata, kFirst) ==
            std::to_string(static_cast<std::uint64_t>(key.part) * key.variant);
 }
 
 // The version of the file, which the front compares before it joins two parts.
-std::uint64_t versionOf(const disk::Facts& facts) {
-    return fingerprint(factOf(facts, "etag") + "\n" + factOf(facts, kTotal));
+std::uint64_t versionOf(const disk::Metadata& metadata) {
+    return fingerprint(findMetadata(metadata, "etag") + "\n" + findMetadata(metadata, kTotal));
 }
 
 }  // namespace
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -143,20 +143,20 @@
         end.request = attempt.send.request;
         end.attempt = attempt.send.attempt;
         end.outcome = Outcome::served;
-        auto& facts = end.payload.metadata;
+        auto& metadata = end.payload.metadata;
         for (const char* name : {"etag", "last-modified", "content-type"})
-            if (const std::string* value = head.field(name)) facts.emplace_back(name, *value);
+            if (const std::string* value = head.field(name)) metadata.emplace_back(name, *value);
         int status = head.status;
         const ContentRange range = parseContentRange(head.field("content-range"));
         if (status == 200) {
-            facts.emplace_back(kTotal, std::to_string(parser_.body().size()));
-            facts.emplace_back(kFirst, "0");
+            metadata.emplace_back(kTotal, std::to_string(parser_.body().size()));
+            metadata.emplace_back(kFirst, "0");
         } else if (status == 206) {
             const bool fits = range.first && range.last && range.total && *range.last >= *range.first &&
                               *range.last - *range.first + 1 == parser_.body().size();
             if (!fits) end.outcome = Outcome::error;
-            facts.emplace_back(kTotal, std::to_string(range.total.value_or(0)));
-            facts.emplace_back(kFirst, std::to_string(range.first.value_or(0)));
+            metadata.emplace_back(kTotal, std::to_string(range.total.value_or(0)));
+            metadata.emplace_back(kFirst, std::to_string(range.first.value_or(0)));
         } else if (status == 304) {
             // Valid only for the copy that the client named.
             const std::string& known = attempt.request->knownTag;
@@ -164,7 +164,7 @@
             end.payload.unchanged = !known.empty() && (!tag || matchesIfNoneMatch(known, *tag));
             if (!end.payload.unchanged) end.outcome = Outcome::error;
         } else if (status == 416 && range.total) {
-            facts.emplace_back(kTotal, std::to_string(*range.total));
+            metadata.emplace_back(kTotal, std::to_string(*range.total));
         } else if (status == 410 || status == 404) {
             status = 404;
         } else if (status == 504) {  // also the answer to only-if-cached (RFC 9111, 5.2.1.7)
@@ -192,7 +192,7 @@
         end.payload.mintedMs = std::chrono::duration_cast<std::chrono::milliseconds>(
                                    attempt.send.pickedAt + owner_.unixClockOffset_ - held)
                                    .count();
-        facts.emplace_back(kStatus, std::to_string(status));
+        metadata.emplace_back(kStatus, std::to_string(status));
         if (end.outcome == Outcome::served && (status == 200 || status == 206))
             end.payload.body = std::move(parser_.body());
         return end;
--- a/src/repository/upstreams.hpp
+++ b/src/repository/upstreams.hpp
@@ -15,7 +15,7 @@
 
 namespace lotuslead::repository {
 
-// Names of the facts that come with a payload.
+// Names of the metadata entries of a payload.
 inline constexpr const char* kStatus = "status";
 inline constexpr const char* kTotal = "total";  // bytes of the whole file
 inline constexpr const char* kFirst = "first";  // offset of the payload's first byte in the file
--- a/tests/audit_disk.cpp
+++ b/tests/audit_disk.cpp
@@ -169,7 +169,7 @@
     }
     Tier::Callbacks callbacks() {
         return {[](const std::string&) {}, [this](std::int64_t position) { busPosition_ = position; },
-                [](const Facts&) { return std::uint64_t{0}; }};
+                [](const Metadata&) { return std::uint64_t{0}; }};
     }
     static ClockReading now() { return {monotonicMs(), unixMs()}; }
     void report(const std::string& line) {
--- a/tests/disk_policy_test.cpp
+++ b/tests/disk_policy_test.cpp
@@ -285,11 +285,11 @@
     ASSERT_TRUE(found);
     EXPECT_EQ(found->first, kKey);
     EXPECT_EQ(found->second.createdMs, kCopy.createdMs);
-    EXPECT_EQ(found->second.facts, kCopy.facts);
+    EXPECT_EQ(found->second.metadata, kCopy.metadata);
     EXPECT_EQ(found->second.body, kCopy.body);
     EXPECT_EQ(decodeRecordHeader(bytes)->part.fingerprint, kKey.fingerprint());
     Copy huge = kCopy;
-    huge.facts.emplace_back("x", std::string(kMaxMetadataBytes, 'y'));
+    huge.metadata.emplace_back("x", std::string(kMaxMetadataBytes, 'y'));
     EXPECT_FALSE(encodeRecord(kKey, huge, bytes));
 }
 
--- a/tests/disk_tier_harness.hpp
+++ b/tests/disk_tier_harness.hpp
@@ -169,7 +169,7 @@
         : tier(calls ? *calls : realFiles_, options,
                {[this](const std::string& line) { logLines.push_back(line); },
                 [this](std::int64_t position) { resumeBusFrom = position; },
-                [](const Facts&) { return std::uint64_t{0}; }}) {
+                [](const Metadata&) { return std::uint64_t{0}; }}) {
         if (awaitReady) turnUntil([&] { return tier.state() == Tier::State::ready; });
     }
     bool turnUntil(const std::function<bool()>& done) {
