--- a/src/disk/caching_transport.cpp
+++ b/src/disk/caching_transport.cpp
@@ -26,25 +26,26 @@
     options.catalog.maxParts = static_cast<std::size_t>(s.maxParts);
     options.catalog.probationShare = s.probationShare;
     options.catalog.rewriteShare = s.rewriteShare;
-    options.catalog.admissionHistory = s.admission == Settings::Admission::ghost    ? AdmissionHistory::ghost
-                                       : s.admission == Settings::Admission::sketch ? AdmissionHistory::sketch
-                                                                                    : AdmissionHistory::none;
+    options.catalog.admissionHistory =
+        s.admissionHistory == Settings::AdmissionHistory::ghost    ? AdmissionHistory::ghost
+        : s.admissionHistory == Settings::AdmissionHistory::sketch ? AdmissionHistory::sketch
+                                                                   : AdmissionHistory::none;
     options.worker.queueBytes = megabytes(s.queueMb);
     options.worker.maxQueuedReads = static_cast<std::size_t>(s.maxQueuedReads);
-    options.worker.sync = s.sync == Settings::Sync::never    ? SyncPolicy::never
-                          : s.sync == Settings::Sync::sealed ? SyncPolicy::sealed
-                                                             : SyncPolicy::each;
+    options.worker.sync = s.sync == Settings::SyncPolicy::never    ? SyncPolicy::never
+                          : s.sync == Settings::SyncPolicy::sealed ? SyncPolicy::sealed
+                                                                   : SyncPolicy::each;
     options.worker.tables = s.tables;
-    options.maxPurgeEntries = static_cast<std::size_t>(s.maxMarks);
-    options.purgeClockSkewMs = s.purgeSlackMs;
-    options.purges = {bus, s.busKeepsPositions, s.busSilenceMs};
+    options.maxTombstones = static_cast<std::size_t>(s.maxTombstones);
+    options.purgeClockSkewMs = s.purgeClockSkewMs;
+    options.purges = {bus, s.busKeepsPositions, s.maxBusSilenceMs};
     return options;
 }
 
 void CachingTransport::attachTier(Tier* tier, const settings::DiskSettings& settings,
                                   const LinkPacer& pacer) {
     tier_ = tier;
-    readTimeout_ = std::chrono::milliseconds{settings.readWaitMs};
+    readTimeout_ = std::chrono::milliseconds{settings.readTimeoutMs};
     pacer_ = pacer;
 }
 
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -19,7 +19,7 @@
     : options_(options),
       callbacks_(std::move(callbacks)),
       catalog_(options.catalog),
-      tombstones_(options.maxPurgeEntries, options.purgeClockSkewMs),
+      tombstones_(options.maxTombstones, options.purgeClockSkewMs),
       versions_(kMaxTrackedVersions),
       worker_(calls, options.folder, [&] {
           IoWorkerOptions worker = options.worker;
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -30,7 +30,7 @@
     std::string folder;
     SegmentCatalogOptions catalog;
     IoWorkerOptions worker;
-    std::size_t maxPurgeEntries = 65536;  // purged objects that are held one by one, and as many groups
+    std::size_t maxTombstones = 65536;  // purged objects that are held one by one, and as many groups
     std::int64_t purgeClockSkewMs = 1000;
     PurgeFeedTracker::Options purges;
 };
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -250,9 +250,9 @@
             if (!tier_) return;
         }
         if (updated) {
-            diskSettings_->readWaitMs = updated->readWaitMs;
-            diskSettings_->purgeSlackMs = updated->purgeSlackMs;
-            diskSettings_->busSilenceMs = updated->busSilenceMs;
+            diskSettings_->readTimeoutMs = updated->readTimeoutMs;
+            diskSettings_->purgeClockSkewMs = updated->purgeClockSkewMs;
+            diskSettings_->maxBusSilenceMs = updated->maxBusSilenceMs;
         }
         tier_->reconfigure(disk::tierOptions(*diskSettings_, !base.bus.empty()));
         tierTransport_.attachTier(tier_.get(), *diskSettings_, pacer());
--- a/src/settings/disk.cpp
+++ b/src/settings/disk.cpp
@@ -84,23 +84,25 @@
     section.readInteger("most_parts", 1024, 64'000'000, result.maxParts);
     section.readInteger("queue_mb", 1, 4096, result.queueMb);
     section.readInteger("reads", 1, 4096, result.maxQueuedReads);
-    section.readInteger("most_marks", 64, 16'000'000, result.maxMarks);
-    section.readInteger("read_wait_ms", 1, 10'000, result.readWaitMs);
-    section.readInteger("purge_slack_ms", 0, 60'000, result.purgeSlackMs);
+    section.readInteger("most_marks", 64, 16'000'000, result.maxTombstones);
+    section.readInteger("read_wait_ms", 1, 10'000, result.readTimeoutMs);
+    section.readInteger("purge_slack_ms", 0, 60'000, result.purgeClockSkewMs);
     section.readInteger("bus_silence_ms", 1600, 60'000,
-                        result.busSilenceMs);  // an idle bus answers once per second
+                        result.maxBusSilenceMs);  // an idle bus answers once per second
     section.readBool("bus_keeps_positions", result.busKeepsPositions);
     section.readBool("tables", result.tables);
     section.readShare("probation_share", 0.01, 0.5, result.probationShare);
     section.readShare("rewrite_share", 0.0, 0.9, result.rewriteShare);
-    using Sync = DiskSettings::Sync;
-    section.readChoice("sync", {{"never", Sync::never}, {"sealed", Sync::sealed}, {"each", Sync::each}},
-                       result.sync);
-    using Admission = DiskSettings::Admission;
+    using SyncPolicy = DiskSettings::SyncPolicy;
     section.readChoice(
-        "admission",
-        {{"ghost", Admission::ghost}, {"sketch", Admission::sketch}, {"plain", Admission::plain}},
-        result.admission);
+        "sync", {{"never", SyncPolicy::never}, {"sealed", SyncPolicy::sealed}, {"each", SyncPolicy::each}},
+        result.sync);
+    using AdmissionHistory = DiskSettings::AdmissionHistory;
+    section.readChoice("admission",
+                       {{"ghost", AdmissionHistory::ghost},
+                        {"sketch", AdmissionHistory::sketch},
+                        {"plain", AdmissionHistory::none}},
+                       result.admissionHistory);
     return result;
 }
 
--- a/src/settings/disk.hpp
+++ b/src/settings/disk.hpp
@@ -11,8 +11,8 @@
 namespace lotuslead::settings {
 
 struct DiskSettings {
-    enum class Sync { never, sealed, each };        // when records are synced to the disk
-    enum class Admission { ghost, sketch, plain };  // filter that remembers parts that are not stored
+    enum class SyncPolicy { never, sealed, each };        // when records are synced to the disk
+    enum class AdmissionHistory { ghost, sketch, none };  // filter that remembers parts that are not stored
 
     std::string folder;
     std::int64_t capacityMb = 4096;  // total of all segment files
@@ -20,16 +20,16 @@
     std::int64_t maxParts = 262144;
     std::int64_t queueMb = 32;         // waiting to be written; above it, admissions are dropped
     std::int64_t maxQueuedReads = 64;  // waiting to be read; above it, hits are treated as misses
-    std::int64_t maxMarks = 65536;
-    std::int64_t readWaitMs = 100;  // after it, the part is fetched instead of read
-    std::int64_t purgeSlackMs = 1000;
-    std::int64_t busSilenceMs = 2000;  // after it, nothing is served from the tier
+    std::int64_t maxTombstones = 65536;
+    std::int64_t readTimeoutMs = 100;  // after it, the part is fetched instead of read
+    std::int64_t purgeClockSkewMs = 1000;
+    std::int64_t maxBusSilenceMs = 2000;  // after it, nothing is served from the tier
     bool busKeepsPositions = false;
     bool tables = true;
     double probationShare = 0.1;
     double rewriteShare = 0.5;
-    Sync sync = Sync::sealed;
-    Admission admission = Admission::ghost;
+    SyncPolicy sync = SyncPolicy::sealed;
+    AdmissionHistory admissionHistory = AdmissionHistory::ghost;
 };
 
 // The settings by front; a front without an entry has no disk tier.
--- a/tests/audit_disk.cpp
+++ b/tests/audit_disk.cpp
@@ -162,7 +162,7 @@
         options.catalog.maxParts = 4096;
         options.worker.queueBytes = 512 << 10;
         options.worker.sync = SyncPolicy::never;
-        options.maxPurgeEntries = 40;  // few, so that the watermark is raised now and then
+        options.maxTombstones = 40;  // few, so that the watermark is raised now and then
         options.purgeClockSkewMs = 0;
         options.purges = {true, true, 2000};
         return options;
--- a/tests/disk_faults_test.cpp
+++ b/tests/disk_faults_test.cpp
@@ -22,7 +22,7 @@
 TEST(DiskFaults, PurgesLastThoughTheFolderOfANewLogCannotBeSynced) {
     TemporaryFolder folder;
     TierOptions options = optionsFor(folder);
-    options.maxPurgeEntries = 600;
+    options.maxTombstones = 600;
     {
         FaultyFiles files;
         TierHarness harness(options, &files);
--- a/tests/disk_tier_test.cpp
+++ b/tests/disk_tier_test.cpp
@@ -389,7 +389,7 @@
 TEST(DiskTier, ALongPurgeLogIsWrittenAnewAndStillHolds) {
     TemporaryFolder folder;
     TierOptions options = optionsFor(folder);
-    options.maxPurgeEntries = 600;
+    options.maxTombstones = 600;
     {
         TierHarness harness(options);
         for (int i = 0; i < 12; ++i) ASSERT_TRUE(harness.store(i, 1000));
