--- a/bench/disk.cpp
+++ b/bench/disk.cpp
@@ -233,7 +233,7 @@
                                harness.tier.turn(harness.now);
                            }));
         std::printf("  offered %d, dropped as the queue was full %llu\n", kTurns,
-                    static_cast<unsigned long long>(harness.tier.counters().queueFull));
+                    static_cast<unsigned long long>(harness.tier.counters().writeQueueFull));
     }
     for (int i = 0; i < kTurns / 10; ++i)
         plain.push_back(1e6 * secondsFor([&] {
--- a/src/disk/caching_transport.cpp
+++ b/src/disk/caching_transport.cpp
@@ -86,7 +86,7 @@
     now_ = now;
     const bool inParts = classes_->at(static_cast<std::size_t>(request.classIndex)).inParts;
     Key key{request.object, request.className, request.group, request.part, inParts ? keyVariant_ : 0};
-    ++counters_.asked;
+    ++counters_.lookups;
     const RequestId id = request.id;
     const std::uint64_t ticket =
         tier_->lookUp(clockReadingAt(now), key, maxCopyAgeMs(request, send),
--- a/src/disk/caching_transport.hpp
+++ b/src/disk/caching_transport.hpp
@@ -34,7 +34,7 @@
 public:
     using Micros = core::Micros;
     struct Counters {
-        std::uint64_t asked = 0, served = 0, unchanged = 0, slowReads = 0, linkFull = 0;
+        std::uint64_t lookups = 0, served = 0, unchanged = 0, slowReads = 0, linkFull = 0;
     };
 
     CachingTransport(core::AttemptTransport& inner, Micros unixAhead, PayloadTraits traits)
--- a/src/disk/io_worker.cpp
+++ b/src/disk/io_worker.cpp
@@ -239,7 +239,7 @@
         result.parts = std::move(found.parts);
         result.bytes = found.fileBytes;
         result.fromTable = found.fromTable;
-        result.torn = found.bytes < found.fileBytes;
+        result.tornTail = found.bytes < found.fileBytes;
         result.problem = std::move(found.problem);
         post(std::move(result));
     }
@@ -414,10 +414,10 @@
         done.problem = describeError(
             "read", folder_.path() + " segment " + std::to_string(job.location.segment), read.error);
     } else if (read.bytes != record.size()) {
-        done.torn = true;
+        done.damaged = true;
     } else {
         done.record = decodeRecord(record);
-        done.torn = !done.record;
+        done.damaged = !done.record;
     }
     return done;
 }
--- a/src/disk/io_worker.hpp
+++ b/src/disk/io_worker.hpp
@@ -69,7 +69,7 @@
     SegmentName name;
     std::vector<Part> parts;
     std::uint64_t bytes = 0;
-    bool fromTable = false, torn = false;
+    bool fromTable = false, tornTail = false;
     Problem problem;
 };
 struct LoadFinished {};
@@ -109,7 +109,7 @@
     std::uint64_t ticket = 0, fingerprint = 0;
     RecordLocation location;
     std::optional<std::pair<Key, Copy>> record;
-    bool torn = false;  // the record was read, but it is incomplete or damaged
+    bool damaged = false;  // the record was read, but it is incomplete or damaged
     Problem problem;
 };
 using Completion =
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -79,7 +79,7 @@
 // Whether a copy of this creation time may be served now. All such decisions are made here.
 bool Tier::isServable(ClockReading now, const Key& key, std::int64_t maxCopyAgeMs, std::int64_t createdMs) {
     if (purgeLogFailing_ || !purgeFeed_.isCurrent(now.monotonicMs)) {
-        ++counters_.unproved;
+        ++counters_.unprovable;
         return false;
     }
     if (tombstones_.covers(key.objectFingerprint(), key.group, createdMs)) {
@@ -106,7 +106,7 @@
     }
     const std::uint64_t ticket = nextTicket_++;
     if (!worker_.read({ticket, fingerprint, part->location})) {
-        ++counters_.busy;
+        ++counters_.readQueueFull;
         ++counters_.misses;
         return 0;
     }
@@ -120,8 +120,8 @@
         ++counters_.readErrors;
         log("disk tier: " + done.problem);
     }
-    if (done.torn) {
-        ++counters_.torn;
+    if (done.damaged) {
+        ++counters_.damagedRecords;
         log("disk tier: a record in segment " + std::to_string(done.location.segment) + " at byte " +
             std::to_string(done.location.offset) + " is not as it was written, dropped");
     }
@@ -164,18 +164,18 @@
     if (!purgeFeed_.isCurrent(now.monotonicMs) && catalog_.contains(fingerprint)) return;
     const std::uint64_t bytes = recordBytes(key, copy);
     if (pendingWriteBytes_ + bytes > options_.worker.queueBytes) {
-        ++counters_.queueFull;
+        ++counters_.writeQueueFull;
         return;
     }
     const auto queue = catalog_.admit(fingerprint, rank, bytes, pendingWriteBytes_);
     if (!queue) return;
     AppendJob job{key, std::make_shared<const Copy>(copy), *queue, rank, bytes};
     if (!worker_.append(std::move(job))) {
-        ++counters_.queueFull;
+        ++counters_.writeQueueFull;
         return;
     }
     pendingWriteBytes_ += bytes;
-    noteCreated(copy.createdMs);
+    trackLatestCreated(copy.createdMs);
 }
 
 // Parts of two versions must not be combined in one download: when a second version of an object is seen, the
@@ -260,7 +260,7 @@
 
 void Tier::addPurge(const PurgeEntry& entry) {
     tombstones_.add(entry);
-    ++counters_.marks;
+    ++counters_.purgesAdded;
     (sweeping_ ? sweepAgain_ : sweeping_) = true;
     persist({entry});
 }
@@ -303,14 +303,16 @@
 }
 
 void Tier::raiseWatermark(ClockReading now, const char* why) {
-    ++counters_.floors;
+    ++counters_.watermarksRaised;
     log(std::string("disk tier: what is held can't be proved newer than every purge (") + why + "), dropped");
     // Copies may carry a later time than this machine's clock, which may be behind.
     dropLoadingParts_ = dropLoadingParts_ || state_ == State::loading;
     addPurge({PurgeEntry::Kind::watermark, 0, std::max(now.unixMs, latestCreatedMs_)});
 }
 
-void Tier::noteCreated(std::int64_t createdMs) { latestCreatedMs_ = std::max(latestCreatedMs_, createdMs); }
+void Tier::trackLatestCreated(std::int64_t createdMs) {
+    latestCreatedMs_ = std::max(latestCreatedMs_, createdMs);
+}
 
 void Tier::handle(ClockReading, PurgesPersisted& done) {
     const bool failed = !done.problem.empty();
@@ -357,11 +359,11 @@
         ++counters_.readErrors;
         log("disk tier: " + done.problem);
     }
-    if (done.torn) {
-        ++counters_.truncatedTails;
+    if (done.tornTail) {
+        ++counters_.tornTails;
         log("disk tier: " + segmentFile(done.name) + " ends in the middle of a record, which is dropped");
     }
-    for (const Part& part : done.parts) noteCreated(part.createdMs);
+    for (const Part& part : done.parts) trackLatestCreated(part.createdMs);
     if (dropLoadingParts_ && latestCreatedMs_ > tombstones_.watermarkMs())
         addPurge({PurgeEntry::Kind::watermark, 0, latestCreatedMs_});
     // If the index is full, the remaining parts are garbage and are removed with their segment.
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -39,9 +39,10 @@
 public:
     enum class State { opening, waiting, loading, ready, off, closed };
     struct Counters {
-        std::uint64_t hits = 0, misses = 0, purged = 0, expired = 0, unproved = 0, torn = 0, readErrors = 0,
-                      busy = 0, offered = 0, queueFull = 0, paused = 0, writeErrors = 0, marks = 0,
-                      floors = 0, superseded = 0, logErrors = 0, truncatedTails = 0;
+        std::uint64_t hits = 0, misses = 0, purged = 0, expired = 0, unprovable = 0, damagedRecords = 0,
+                      readErrors = 0, readQueueFull = 0, offered = 0, writeQueueFull = 0, paused = 0,
+                      writeErrors = 0, purgesAdded = 0, watermarksRaised = 0, superseded = 0, logErrors = 0,
+                      tornTails = 0;
         std::uint64_t hitBytes = 0;
     };
     struct Callbacks {
@@ -136,7 +137,7 @@
     void addPurge(const PurgeEntry& entry);
     void persist(std::vector<PurgeEntry> entries);
     void raiseWatermark(ClockReading now, const char* why);
-    void noteCreated(std::int64_t createdMs);
+    void trackLatestCreated(std::int64_t createdMs);
     bool isLatest(const Key& key, const Copy& copy);
     void submitBusPosition(ClockReading now);
     void reclaim();
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -272,7 +272,7 @@
         const auto& s = tier_->catalog().counters();
         const auto& b = tierTransport_.counters();
         core::printCounterLine(name, "disk",
-                               {{"asked", b.asked},
+                               {{"asked", b.lookups},
                                 {"hits", t.hits},
                                 {"misses", t.misses},
                                 {"hit_bytes", t.hitBytes},
@@ -281,10 +281,10 @@
                                 {"link_full", b.linkFull},
                                 {"purged", t.purged + s.purged},
                                 {"expired", t.expired},
-                                {"unproved", t.unproved},
-                                {"torn", t.torn + t.truncatedTails},
+                                {"unproved", t.unprovable},
+                                {"torn", t.damagedRecords + t.tornTails},
                                 {"read_errors", t.readErrors},
-                                {"busy", t.busy}});
+                                {"busy", t.readQueueFull}});
         core::printCounterLine(name, "disk_kept",
                                {{"parts", tier_->catalog().parts()},
                                 {"bytes", tier_->catalog().bytes()},
@@ -295,7 +295,7 @@
                                 {"to_main", s.toMain},
                                 {"unranked", s.unranked},
                                 {"full", s.full},
-                                {"queue_full", t.queueFull},
+                                {"queue_full", t.writeQueueFull},
                                 {"paused", t.paused},
                                 {"evicted", s.evicted},
                                 {"moved", s.moved},
@@ -304,7 +304,7 @@
                                 {"write_errors", t.writeErrors},
                                 {"marks", tier_->tombstoneCount()},
                                 {"log_errors", t.logErrors},
-                                {"floors", t.floors},
+                                {"floors", t.watermarksRaised},
                                 {"superseded", t.superseded}});
     }
 
--- a/tests/disk_tier_test.cpp
+++ b/tests/disk_tier_test.cpp
@@ -135,7 +135,7 @@
     files.clear();
     TierHarness harness(optionsFor(folder), &files);
     EXPECT_TRUE(harness.logged("ends in the middle of a record"));
-    EXPECT_EQ(harness.tier.counters().truncatedTails, 1U);
+    EXPECT_EQ(harness.tier.counters().tornTails, 1U);
     for (int i = 0; i < 5; ++i) EXPECT_TRUE(harness.has(i, 1000));
     EXPECT_FALSE(harness.load(5));
     EXPECT_TRUE(harness.store(5, 1001));  // into a new segment
@@ -196,7 +196,7 @@
         }
     }
     EXPECT_EQ(whole, 28);
-    EXPECT_EQ(harness.tier.counters().torn, 2U);
+    EXPECT_EQ(harness.tier.counters().damagedRecords, 2U);
 }
 
 TEST(DiskTier, MissingSegmentsAndLyingTablesCostOnlyWhatIsGone) {
@@ -220,7 +220,7 @@
     }
     EXPECT_GT(whole, 50);
     EXPECT_LT(whole, 120);
-    EXPECT_EQ(harness.tier.counters().truncatedTails, 1U);
+    EXPECT_EQ(harness.tier.counters().tornTails, 1U);
 }
 
 TEST(DiskTier, WithoutAWorkingPurgeLogNothingIsServed) {
@@ -298,7 +298,7 @@
     files.set("probation", Faults{.holdWrites = true});
     for (int i = 100; i < 900; ++i)
         harness.tier.offer(harness.now, keyOf(i), 1, {1000, {}, bodyOf(i, 1000)});  // returns at once
-    EXPECT_GT(harness.tier.counters().queueFull, 300U);
+    EXPECT_GT(harness.tier.counters().writeQueueFull, 300U);
     EXPECT_LE(harness.tier.queuedBytes(), 1U << 20);
     EXPECT_TRUE(harness.has(1, 1000));
     files.clear();
@@ -372,7 +372,7 @@
         admitted = harness.tier.catalog().counters().admittedBytes;
         moved = harness.tier.catalog().counters().movedBytes;
         EXPECT_GT(harness.tier.catalog().counters().reclaimed, 10U);
-        EXPECT_EQ(harness.tier.counters().torn, 0U);
+        EXPECT_EQ(harness.tier.counters().damagedRecords, 0U);
     }
     // Removals may be behind by a segment or two.
     EXPECT_LE(folder.bytes(), options.catalog.capacityBytes + 4 * options.catalog.segmentBytes);
