--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -66,7 +66,7 @@
     std::uint64_t servedLocally = 0;  // from a local copy
     std::uint64_t sent = 0, cancelled = 0;
     std::array<std::uint64_t, kOutcomeCount> outcomes{};  // indexed by Outcome
-    // Refused or failed without an answer, indexed by GiveUp.
+    // Refused or failed without an answer, indexed by GiveUpReason.
     std::array<std::uint64_t, kGiveUpCount> gaveUp{};
 };
 
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -20,7 +20,7 @@
 inline const settings::Configuration& baseConfiguration(const settings::RepositoryConfiguration& c) {
     return c.base;
 }
-// Makes `fresh` a continuation of the configuration before it: classes keep their indexes.
+// Makes `updated` a continuation of `before`: classes keep their indexes.
 inline void continueFrom(const settings::Configuration& before, settings::Configuration& updated) {
     updated.decoded = settings::mergeReloaded(before.decoded, updated.decoded);
 }
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -26,7 +26,7 @@
 constexpr HostIndex kNoHost = ~HostIndex{0};
 
 // Routing.
-// Object names remembered per router.
+// Object names remembered per router: the default of the published design.
 constexpr std::size_t kFilterCapacity = 4096;
 // After a start the popular names have not all been asked for again.
 constexpr Time kFilterWarmUpTime = 8s;
--- a/tests/disk_story_test.cpp
+++ b/tests/disk_story_test.cpp
@@ -218,7 +218,8 @@
     assert((site.server.bytesSent() - before) * 10 <= site.server.file.size());
 }
 
-// The platform front uses the disk tier as well, and applies purges to it.
+// The platform front uses the disk tier as well, and applies purges to it. On the hosted platform itself the
+// tier is off, since there is no lasting disk, but the front supports it for other deployments.
 void platformFrontServesFromDisk() {
     Folder folder;
     std::atomic<int> pulled{0};
