--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -22,7 +22,7 @@
     std::string body;
     bool unchanged = false;  // the client's own copy is still valid: no body
     std::vector<std::pair<std::string, std::string>> metadata;
-    std::int64_t mintedMs = 0;  // Unix milliseconds; the content is of this time or later; zero: not known
+    std::int64_t createdMs = 0;  // Unix milliseconds; the content is of this time or later; zero: not known
 };
 
 // Final answer to a request.
--- a/src/disk/caching_transport.cpp
+++ b/src/disk/caching_transport.cpp
@@ -134,7 +134,7 @@
     end.servedLocally = true;
     end.outcome = Outcome::served;
     end.cacheStatus = CacheStatus::hit;
-    end.payload.mintedMs = copy->createdMs;
+    end.payload.createdMs = copy->createdMs;
     end.payload.metadata = std::move(copy->metadata);
     if (!end.payload.unchanged) end.payload.body = std::move(copy->body);
     ended_(std::move(end));
@@ -162,7 +162,7 @@
         if (fetched && traits_.storable(fetch.key, end.payload)) {
             // The payload is moved into the copy and back: most offers are rejected, and copying it each time
             // would be wasted.
-            Copy copy{end.payload.mintedMs, std::move(end.payload.metadata), std::move(end.payload.body)};
+            Copy copy{end.payload.createdMs, std::move(end.payload.metadata), std::move(end.payload.body)};
             tier_->offer(clockReadingAt(now), fetch.key, fetch.rank, copy);
             end.payload.metadata = std::move(copy.metadata);
             end.payload.body = std::move(copy.body);
--- a/src/platform/copy_age.hpp
+++ b/src/platform/copy_age.hpp
@@ -18,8 +18,8 @@
     // `unixClockOffset`: our wall clock minus the monotonic clock, at the start.
     explicit CopyAgeCheck(core::Micros unixClockOffset) : unixClockOffset_(unixClockOffset) {}
 
-    void learn(core::Micros now, std::int64_t mintedMs) {
-        const core::Micros offset = std::chrono::milliseconds{mintedMs} - now;
+    void learn(core::Micros now, std::int64_t createdMs) {
+        const core::Micros offset = std::chrono::milliseconds{createdMs} - now;
         youngestCopyOffset_ = std::max(offset, youngestCopyOffset_.value_or(offset));
     }
     // Copies made before this are too old; zero: none is.
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -4,7 +4,7 @@
 
 Service::Service(net::Loop& loop, Source source, const std::string& listening)
     : FrontService(loop, std::move(source), "serving", core::RequestDispatcher::PurgeDuringFetch::serve,
-                   {[](const disk::Key&, const core::Payload& payload) { return payload.mintedMs > 0; },
+                   {[](const disk::Key&, const core::Payload& payload) { return payload.createdMs > 0; },
                     [](const disk::Metadata&) { return std::uint64_t{0}; }, "tag", false}) {
     if (listening.empty()) return;
     try {
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -269,7 +269,7 @@
         }
         if (result.outcome == Outcome::served) {
             result.payload.unchanged = words[1] == "current";
-            result.payload.mintedMs = fields.whole("minted").value_or(0);
+            result.payload.createdMs = fields.whole("minted").value_or(0);
             if (!fields.text("tag").empty()) result.payload.metadata.emplace_back("tag", fields.text("tag"));
             if (words.size() > 3) result.payload.body = std::move(words[3]);
         }
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -189,9 +189,9 @@
         // An upper bound of the copy's age: Age is computed after the request was sent and truncates less
         // than a second (RFC 9111, 4.2.3).
         const Micros held = field ? std::chrono::seconds{age + 1} : Micros{0};
-        end.payload.mintedMs = std::chrono::duration_cast<std::chrono::milliseconds>(
-                                   attempt.send.pickedAt + owner_.unixClockOffset_ - held)
-                                   .count();
+        end.payload.createdMs = std::chrono::duration_cast<std::chrono::milliseconds>(
+                                    attempt.send.pickedAt + owner_.unixClockOffset_ - held)
+                                    .count();
         metadata.emplace_back(kStatus, std::to_string(status));
         if (end.outcome == Outcome::served && (status == 200 || status == 206))
             end.payload.body = std::move(parser_.body());
