--- a/src/platform/call_validation.hpp
+++ b/src/platform/call_validation.hpp
@@ -13,9 +13,9 @@
 namespace lotuslead::platform {
 
 inline constexpr std::size_t kMaxBodyBytes = 48'000;
-inline constexpr std::int64_t kMaxPatienceMs = 600'000;
-inline constexpr std::int64_t kMaxBlock = 1'000'000;
-inline constexpr std::int64_t kMaxFamily = 255;
+inline constexpr std::int64_t kMaxClientTimeoutMs = 600'000;
+inline constexpr std::int64_t kMaxPart = 1'000'000;
+inline constexpr std::int64_t kMaxGroup = 255;
 
 inline std::size_t totalBytes(const std::vector<std::string>& words) {
     std::size_t bytes = 0;
@@ -39,8 +39,9 @@
         return text.empty() || isHex(text, size);
     };
     return isHex(request.traceId, 16) && isHex(request.object, 16) && hex(request.knownTag, 16) &&
-           hex(request.key, 32) && within("patience", 1, kMaxPatienceMs) && within("block", 0, kMaxBlock) &&
-           within("family", 0, kMaxFamily) && within("redo", 1, 1) && request.body.size() <= kMaxBodyBytes;
+           hex(request.key, 32) && within("patience", 1, kMaxClientTimeoutMs) &&
+           within("block", 0, kMaxPart) && within("family", 0, kMaxGroup) && within("redo", 1, 1) &&
+           request.body.size() <= kMaxBodyBytes;
 }
 
 }  // namespace lotuslead::platform
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -440,7 +440,7 @@
       requests_(requests),
       decodedSettings_(configuration.decoded),
       address_(configuration.listen),
-      formerListener_(loop) {
+      previousListener_(loop) {
     limits_ = configuration.limits;
     applyLimits();
 }
@@ -454,7 +454,7 @@
 
 void Front::reconfigure(const settings::Configuration& configuration) {
     if (listener_ && !(configuration.listen == address_))
-        formerListener_.replace(listener_, listenOn(configuration.listen));
+        previousListener_.replace(listener_, listenOn(configuration.listen));
     address_ = configuration.listen;
     limits_ = configuration.limits;
     applyLimits();
@@ -524,7 +524,7 @@
 
 void Front::stopListening() {
     listener_.reset();
-    formerListener_.close();
+    previousListener_.close();
 }
 
 void Front::accept(net::Descriptor fd) {
@@ -598,7 +598,7 @@
 
 bool Front::settled() {
     if (listener_ && !listener_->acceptPending()) return false;
-    if (!formerListener_.settled()) return false;
+    if (!previousListener_.settled()) return false;
     return std::all_of(clients_.begin(), clients_.end(),
                        [](const auto& entry) { return entry.second->settled(); });
 }
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -95,7 +95,7 @@
     RequestId nextId_ = 1;
     std::uint64_t lastClientNumber_ = 0;
     std::unique_ptr<net::Listener> listener_;
-    net::PreviousListener formerListener_;
+    net::PreviousListener previousListener_;
     std::unordered_map<Client*, std::shared_ptr<Client>> clients_;
     std::unordered_set<std::string> openTraceIds_;  // of the open requests
     Counters counters_;
--- a/src/platform/front_service.hpp
+++ b/src/platform/front_service.hpp
@@ -32,8 +32,8 @@
 }
 
 // Distinguishes keys of copies further: parts of another size are different parts.
-inline std::uint64_t keyFormOf(const settings::Configuration&) { return 0; }
-inline std::uint64_t keyFormOf(const settings::RepositoryConfiguration& c) { return c.partBytes; }
+inline std::uint64_t keyVariantOf(const settings::Configuration&) { return 0; }
+inline std::uint64_t keyVariantOf(const settings::RepositoryConfiguration& c) { return c.partBytes; }
 
 // One front with its transport, decisions, event bus reader and, if configured, disk tier.
 template <class Configuration, class Front, class Transport>
@@ -57,7 +57,7 @@
     }
     bool prepared() const override {
         return busReader_.caughtUp() &&
-               (!tier_ || tier_->startupComplete(tierTransport_.clockReadingAt(loop_.now())));
+               (!tier_ || tier_->startupComplete(cachingTransport_.clockReadingAt(loop_.now())));
     }
     bool catchingUp() const override { return busReader_.catchingUp(); }
     void open() override {
@@ -72,7 +72,7 @@
         const std::string name = baseConfiguration(configuration_).name;
         try {
             Configuration updated = source_();
-            const auto freshDisk = diskSource_ ? diskSource_() : std::nullopt;
+            const auto updatedDisk = diskSource_ ? diskSource_() : std::nullopt;
             settings::requireSameFields(baseConfiguration(configuration_).paths,
                                         baseConfiguration(updated).paths);
             const settings::BusBatch known = settings::readBatch(baseConfiguration(updated).known);
@@ -81,7 +81,7 @@
             transport_.reconfigure(updated);
             decisions_.reconfigure(baseConfiguration(updated).decoded);
             configuration_ = std::move(updated);
-            reloadTier(freshDisk);
+            reloadTier(updatedDisk);
             busReader_.setDrainGrace(drainGrace());
             busReader_.applyBatch(known);  // skips events already received from the bus
             busReader_.setEndpoints(baseConfiguration(configuration_).bus);
@@ -97,11 +97,11 @@
         return true;
     }
     void runTimers(core::Micros now) override {
-        tierTransport_.turn(now);
+        cachingTransport_.turn(now);
         requests_.runTimers(now);
     }
     core::Micros nextTimerAt() const override {
-        return std::min(requests_.nextTimerAt(), tierTransport_.nextTurn());
+        return std::min(requests_.nextTimerAt(), cachingTransport_.nextTurn());
     }
     void drain() override { front_.drain(); }
     void undrain() override { front_.undrain(); }
@@ -152,23 +152,24 @@
           transport_(loop_, configuration_),
           decisions_(baseConfiguration(configuration_).decoded, baseConfiguration(configuration_).seed,
                      loop_.now(), core::unixClockOffset()),
-          tierTransport_(transport_, core::unixClockOffset(), std::move(traits)),
-          requests_(decisions_, tierTransport_, purgeDuringFetch),
+          cachingTransport_(transport_, core::unixClockOffset(), std::move(traits)),
+          requests_(decisions_, cachingTransport_, purgeDuringFetch),
           front_(loop_, requests_, configuration_),
           busReader_(loop_, [this](const settings::BusEvent& event) { applyEvent(event); }) {
-        transport_.setCallbacks(
-            {[this](RequestId request, int attempt) {
-                 return requests_.mayBegin(loop_.now(), request, attempt);
-             },
-             [this](core::AttemptResult result) { tierTransport_.ended(loop_.now(), std::move(result)); }});
-        tierTransport_.listen(
+        transport_.setCallbacks({[this](RequestId request, int attempt) {
+                                     return requests_.mayBegin(loop_.now(), request, attempt);
+                                 },
+                                 [this](core::AttemptResult result) {
+                                     cachingTransport_.ended(loop_.now(), std::move(result));
+                                 }});
+        cachingTransport_.listen(
             [this](core::AttemptResult result) { requests_.attemptEnded(loop_.now(), std::move(result)); });
-        tierTransport_.reconfigure(&baseConfiguration(configuration_).decoded.settings.classes,
-                                   keyFormOf(configuration_), pacer());
+        cachingTransport_.reconfigure(&baseConfiguration(configuration_).decoded.settings.classes,
+                                      keyVariantOf(configuration_), pacer());
         busReader_.setObserver({[this](std::int64_t from, std::int64_t last,
                                        const std::vector<std::int64_t>& offsets, bool complete) {
                                     if (tier_)
-                                        tier_->busBatchReceived(tierTransport_.clockReadingAt(loop_.now()),
+                                        tier_->busBatchReceived(cachingTransport_.clockReadingAt(loop_.now()),
                                                                 from, last, offsets, complete);
                                 },
                                 [this] { return !tier_ || tier_->purgesPersisted(); }});
@@ -181,7 +182,7 @@
     const char* listenLabel_;
     Transport transport_;
     core::DecisionFacade decisions_;
-    disk::CachingTransport tierTransport_;
+    disk::CachingTransport cachingTransport_;
     core::RequestDispatcher requests_;
     Front front_;
 
@@ -206,7 +207,7 @@
     // Copies that we date ourselves are compared with our own time of the purge, if that is the later one.
     void purgeTier(const settings::BusEvent& event) {
         std::int64_t atMs = event.purgedMs;
-        if (tierTransport_.traits().datedByGatewayClock)
+        if (cachingTransport_.traits().datedByGatewayClock)
             atMs = std::max(atMs, decisions_.unixMsOf(loop_.now()));
         if (event.purgedObject.empty())
             tier_->purgeGroup(event.purgedGroup, atMs);
@@ -228,9 +229,9 @@
                                                    line.c_str());
                                   },
                                   [this](std::int64_t position) { busReader_.rewindTo(position); },
-                                  tierTransport_.traits().version});
+                                  cachingTransport_.traits().version});
         tierHandlerId_ = loop_.add(tier_->wakeDescriptor(), EPOLLIN, *this);
-        tierTransport_.attachTier(tier_.get(), *diskSettings_, pacer());
+        cachingTransport_.attachTier(tier_.get(), *diskSettings_, pacer());
         scheduleTierRetry();
     }
     void closeTier() {
@@ -242,7 +243,7 @@
     // Limits apply at once; the settings that the folder was opened with stay for the life of the process.
     void reloadTier(const std::optional<settings::DiskSettings>& updated) {
         const auto& base = baseConfiguration(configuration_);
-        tierTransport_.reconfigure(&base.decoded.settings.classes, keyFormOf(configuration_), pacer());
+        cachingTransport_.reconfigure(&base.decoded.settings.classes, keyVariantOf(configuration_), pacer());
         if (!tier_ || !updated) {
             if (updated || tier_)
                 std::fprintf(stderr, "%s: disk tier: it is switched on and off at a start only\n",
@@ -255,7 +256,7 @@
             diskSettings_->maxBusSilenceMs = updated->maxBusSilenceMs;
         }
         tier_->reconfigure(disk::tierOptions(*diskSettings_, !base.bus.empty()));
-        tierTransport_.attachTier(tier_.get(), *diskSettings_, pacer());
+        cachingTransport_.attachTier(tier_.get(), *diskSettings_, pacer());
     }
     void scheduleTierRetry() {
         tierTimer_ = loop_.after(std::chrono::seconds{1}, [this] {
@@ -264,13 +265,13 @@
         });
     }
     std::uint32_t ready(std::uint32_t) override {
-        tierTransport_.turn(loop_.now());
+        cachingTransport_.turn(loop_.now());
         return 0;
     }
     void printTierCounters(const std::string& name) const {
         const auto& t = tier_->counters();
         const auto& s = tier_->catalog().counters();
-        const auto& b = tierTransport_.counters();
+        const auto& b = cachingTransport_.counters();
         core::printCounterLine(name, "disk",
                                {{"asked", b.lookups},
                                 {"hits", t.hits},
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -273,7 +273,7 @@
             if (!fields.text("tag").empty()) result.payload.metadata.emplace_back("tag", fields.text("tag"));
             if (words.size() > 3) result.payload.body = std::move(words[3]);
         }
-        owner_.noteAnswered(host_, found->second.writtenAt);
+        owner_.recordAnsweredWrite(host_, found->second.writtenAt);
         owner_.silenceTimeout_.learn(owner_.loop_.now() - std::max(lastAnswerAt_, waitingSince_));
         lastAnswerAt_ = owner_.loop_.now();
         // A duplicate answer would be taken for the answer to a later attempt of the same request.
@@ -546,7 +546,7 @@
     }
 }
 
-void StoreConnections::noteAnswered(const std::string& host, Micros writtenAt) {
+void StoreConnections::recordAnsweredWrite(const std::string& host, Micros writtenAt) {
     const auto found = stores_.find(host);
     if (found != stores_.end())
         found->second.latestAnsweredWriteAt = std::max(found->second.latestAnsweredWriteAt, writtenAt);
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -66,7 +66,7 @@
     std::shared_ptr<Connection> connectionFor(const std::string& host, const std::string& traceId);
     void dispatch(QueuedAttempt queued);
     void closeStuck(Store& store);
-    void noteAnswered(const std::string& host, core::Micros writtenAt);
+    void recordAnsweredWrite(const std::string& host, core::Micros writtenAt);
     void reportResult(core::AttemptResult result);
     void clearReusedAddress(const std::string& address, const settings::BusEvent& event);
     void removeConnection(const std::string& host, Connection* connection);
