--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // Whatever the settings allow, a request of this gateway has at most one attempt in flight.
-settings::DecodedSettings withoutSecondCopies(settings::DecodedSettings decodedSettings) {
+settings::DecodedSettings withoutHedging(settings::DecodedSettings decodedSettings) {
     decodedSettings.settings.mayHedge = false;
     return decodedSettings;
 }
@@ -21,7 +21,7 @@
 
 DecisionFacade::DecisionFacade(settings::DecodedSettings decodedSettings, std::uint64_t seed, Micros now,
                                Micros unixClockOffset)
-    : decodedSettings_(withoutSecondCopies(std::move(decodedSettings))),
+    : decodedSettings_(withoutHedging(std::move(decodedSettings))),
       router_(decodedSettings_.settings, seed),
       unixClockOffset_(unixClockOffset) {
     router_.start(routerTime(now), actions_);
@@ -29,20 +29,20 @@
 }
 
 void DecisionFacade::reconfigure(settings::DecodedSettings decodedSettings) {
-    decodedSettings_ = withoutSecondCopies(std::move(decodedSettings));
+    decodedSettings_ = withoutHedging(std::move(decodedSettings));
     router_.reconfigure(settingsForAllProcesses());
 }
 
 void DecisionFacade::setProcessCount(int processes) {
-    if (processes == std::exchange(processes_, processes)) return;
+    if (processes == std::exchange(processCount_, processes)) return;
     router_.reconfigure(settingsForAllProcesses());
 }
 
 // To the decision module, each process of a gateway is a router of its own.
 Settings DecisionFacade::settingsForAllProcesses() const {
     Settings settings = decodedSettings_.settings;
-    settings.routers = std::max(1, settings.routers) * processes_;
-    for (int& routers : settings.routersByZone) routers *= processes_;
+    settings.routers = std::max(1, settings.routers) * processCount_;
+    for (int& routers : settings.routersByZone) routers *= processCount_;
     return settings;
 }
 
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -141,7 +141,7 @@
     static constexpr std::chrono::hours kRouterClockOffset{24 * 365};
 
     settings::DecodedSettings decodedSettings_;
-    int processes_ = 1;
+    int processCount_ = 1;
     Router router_;
     Micros unixClockOffset_;
     Actions actions_;
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -14,8 +14,8 @@
 }
 
 const char* nameOf(GiveUpReason why) {
-    constexpr std::array<const char*, kGiveUpCount> names{"no_time", "most_attempts", "no_route",
-                                                          "no_allowance", "cancelled"};
+    constexpr std::array<const char*, kGiveUpReasonCount> names{"no_time", "most_attempts", "no_route",
+                                                                "no_allowance", "cancelled"};
     return names[static_cast<std::size_t>(why)];
 }
 
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -56,7 +56,7 @@
 };
 
 inline constexpr std::size_t kOutcomeCount = 9;
-inline constexpr std::size_t kGiveUpCount = 5;
+inline constexpr std::size_t kGiveUpReasonCount = 5;
 const char* nameOf(Outcome outcome);
 const char* nameOf(GiveUpReason why);
 
@@ -67,7 +67,7 @@
     std::uint64_t sent = 0, cancelled = 0;
     std::array<std::uint64_t, kOutcomeCount> outcomes{};  // indexed by Outcome
     // Refused or failed without an answer, indexed by GiveUpReason.
-    std::array<std::uint64_t, kGiveUpCount> gaveUp{};
+    std::array<std::uint64_t, kGiveUpReasonCount> gaveUp{};
 };
 
 // Executes the decisions for the open requests and answers each of them once.
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -75,7 +75,7 @@
         attempts.emplace_back(nameOf(static_cast<Outcome>(i)), r.outcomes[i]);
     printCounterLine(name, "attempts", attempts);
     std::vector<CounterValue> gaveUp;
-    for (std::size_t i = 0; i < kGiveUpCount; ++i)
+    for (std::size_t i = 0; i < kGiveUpReasonCount; ++i)
         gaveUp.emplace_back(nameOf(static_cast<GiveUpReason>(i)), r.gaveUp[i]);
     printCounterLine(name, "gave_up", gaveUp);
     std::vector<CounterValue> rules{{"violations", requests.checks().violations()}};
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -446,7 +446,7 @@
 }
 
 void Front::applyLimits() {
-    const auto processes = static_cast<std::size_t>(processes_);
+    const auto processes = static_cast<std::size_t>(processCount_);
     maxClients_ = static_cast<std::size_t>(limits_.sockets) / 3 / processes;  // the rest is for stores
     const std::size_t all = static_cast<std::size_t>(limits_.memoryMb) * 1024 * 1024;
     maxHeldBytes_ = (all - std::min(all / 2, kProcessBaseBytes * processes)) / processes * 3 / 4;
@@ -489,7 +489,7 @@
 bool Front::reportsLeaving() const { return leaving_ || (drainingSince_ && !successorServes_); }
 
 void Front::setProcessCount(int processes) {
-    processes_ = processes;
+    processCount_ = processes;
     applyLimits();
 }
 
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -78,7 +78,7 @@
     const settings::DecodedSettings& decodedSettings_;
     settings::Endpoint address_;
     settings::Limits limits_;
-    int processes_ = 1;
+    int processCount_ = 1;
     net::Descriptor inherited_;
     std::size_t maxClients_ = 0;
     std::size_t maxHeldBytes_ = 0;
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -421,7 +421,7 @@
     if (decodedSettings.idleTimeout.count() > 0)
         idleTimeout_ = std::chrono::duration_cast<Micros>(decodedSettings.idleTimeout) * 9 / 10;
     socketLimit_ = static_cast<std::size_t>(configuration.limits.sockets);
-    setProcessCount(processes_);
+    setProcessCount(processCount_);
     const Micros longest = core::longestClientTimeout(decodedSettings.settings);
     silenceTimeout_.setUpperBound(longest / 2);
     maxAnswerTime_ = std::min(kMaxAnswerTime, longest / 2);
@@ -435,7 +435,7 @@
 
 // What remains beside the third for clients, less what the process needs for itself and for operators.
 void StoreConnections::setProcessCount(int processes) {
-    processes_ = processes;
+    processCount_ = processes;
     const std::size_t rest = socketLimit_ - socketLimit_ / 3;
     const std::size_t own = std::min<std::size_t>(64, rest / 4);
     maxConnections_ = std::max<std::size_t>(8, (rest - own) / static_cast<std::size_t>(processes));
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -81,7 +81,7 @@
     core::Micros maxAnswerTime_{};  // from an answer's first byte to its last
     std::vector<bool> repeatable_;  // by class: an attempt that ran may run again
     std::size_t socketLimit_ = 0, maxConnections_ = 0;
-    int processes_ = 1;
+    int processCount_ = 1;
     bool mayProbe_ = false;
     // With attempts in flight and no byte for longer than this, the machine may be gone or an answer may
     // block the connection: it is probed with ECHO, and new attempts use another connection.
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -493,12 +493,12 @@
     const auto sockets = static_cast<std::size_t>(limits.sockets);
     maxClients_ = std::min(sockets / 3, sockets - std::min(sockets / 2, kMaxReservedDescriptors));
     maxBufferedBytes_ = static_cast<std::size_t>(limits.memoryMb) * 1024 * 1024 / 2;
-    maxClients_ /= static_cast<std::size_t>(processes_);
-    maxBufferedBytes_ /= static_cast<std::size_t>(processes_);
+    maxClients_ /= static_cast<std::size_t>(processCount_);
+    maxBufferedBytes_ /= static_cast<std::size_t>(processCount_);
 }
 
 void Front::setProcessCount(int processes) {
-    processes_ = processes;
+    processCount_ = processes;
     applyLimits(configuration_.base.limits);
 }
 
--- a/src/repository/front.hpp
+++ b/src/repository/front.hpp
@@ -64,7 +64,7 @@
     core::RequestDispatcher& requests_;
     const settings::RepositoryConfiguration& configuration_;
     std::size_t maxClients_ = 0;
-    int processes_ = 1;
+    int processCount_ = 1;
     std::size_t maxBufferedBytes_ = 0;
     std::size_t unsentBytes_ = 0;    // of answers, not yet sent to clients
     std::size_t reservedBytes_ = 0;  // that open fetches may still deliver
