--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -111,7 +111,7 @@
     bool write = false;
 };
 
-enum class Outcome { served, error, notTaken, timedOut, noConnection, broken, cancelled, notSent, noCopy };
+enum class Outcome { served, error, rejected, timedOut, noConnection, broken, cancelled, notSent, noCopy };
 
 // Where the answer came from, or why the fill failed, as far as reported.
 enum class CacheStatus {
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -48,7 +48,7 @@
             case 'E':
                 return Outcome::error;
             case 'F':
-                return Outcome::notTaken;
+                return Outcome::rejected;
             case 'T':
                 return Outcome::timedOut;
             case 'C':
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 bool mayHaveRun(Outcome outcome) {
-    return outcome != Outcome::notTaken && outcome != Outcome::noConnection && outcome != Outcome::notSent &&
+    return outcome != Outcome::rejected && outcome != Outcome::noConnection && outcome != Outcome::notSent &&
            outcome != Outcome::noCopy;
 }
 
--- a/src/platform/store_protocol.hpp
+++ b/src/platform/store_protocol.hpp
@@ -34,7 +34,7 @@
 inline std::optional<Outcome> outcomeOf(std::string_view word) {
     if (word == "ok" || word == "current") return Outcome::served;
     if (word == "nothing") return Outcome::noCopy;
-    if (word == "refused") return Outcome::notTaken;
+    if (word == "refused") return Outcome::rejected;
     if (word == "error") return Outcome::error;
     if (word == "stale") return Outcome::notSent;
     return std::nullopt;
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -931,12 +931,12 @@
     // ----- after an attempt -----
 
     static bool mayHaveRun(Outcome o) {
-        return o != Outcome::notTaken && o != Outcome::noConnection && o != Outcome::notSent &&
+        return o != Outcome::rejected && o != Outcome::noConnection && o != Outcome::notSent &&
                o != Outcome::noCopy;
     }
 
     static bool isAnswerFromHost(Outcome o) {
-        return o == Outcome::served || o == Outcome::noCopy || o == Outcome::error || o == Outcome::notTaken;
+        return o == Outcome::served || o == Outcome::noCopy || o == Outcome::error || o == Outcome::rejected;
     }
 
     static void excludeHost(Pending& p, HostIndex i) {
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -171,7 +171,7 @@
             const bool held = attempt.send.source.empty() || attempt.send.sourceOnlyIfCached;
             end.outcome = held ? Outcome::noCopy : Outcome::error;
         } else if (status == 503 || status == 429) {
-            end.outcome = Outcome::notTaken;
+            end.outcome = Outcome::rejected;
         } else {
             end.outcome = Outcome::error;
         }
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -202,7 +202,7 @@
     h.makeKnown("a");
     for (int i = 0; i < 40; ++i) {  // refused fetches: the origin's limiter restricts from here on
         const RequestId id = h.ask("b" + std::to_string(i));
-        for (int attempt = 0; !h.all<Send>().empty(); ++attempt) h.end(id, attempt, Outcome::notTaken);
+        for (int attempt = 0; !h.all<Send>().empty(); ++attempt) h.end(id, attempt, Outcome::rejected);
         h.now += 20ms;
     }
     int compared = 0;
@@ -216,7 +216,7 @@
             EXPECT_EQ(second->source, first->source);
             ++compared;
         }
-        for (int k = 1; !h.all<Send>().empty(); ++k) h.end(id, k, Outcome::notTaken);
+        for (int k = 1; !h.all<Send>().empty(); ++k) h.end(id, k, Outcome::rejected);
         h.now += 50ms;
     }
     EXPECT_EQ(compared, 1);
@@ -299,7 +299,7 @@
         return toOrigin;
     };
     EXPECT_GT(served(Outcome::served), 150);
-    EXPECT_LT(served(Outcome::notTaken), 60);
+    EXPECT_LT(served(Outcome::rejected), 60);
 }
 
 // A full cache gets no request that it cannot answer in time; an answer at full pace proves free capacity.
@@ -503,7 +503,7 @@
             std::size_t sent = h.all<Send>().size();
             for (std::size_t k = 0; k < sent; ++k) {
                 const bool good = (i + static_cast<int>(k)) % 3 == 0;
-                h.end(id, static_cast<int>(k), good ? Outcome::served : Outcome::notTaken);
+                h.end(id, static_cast<int>(k), good ? Outcome::served : Outcome::rejected);
                 if (good) {
                     ++answers;
                     break;
