--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -197,10 +197,10 @@
 struct ConcurrencyLimiter {
     double limit = kUnlimitedConcurrency;  // below 1: one attempt at a time, with pauses
     int inFlight = 0;
-    Time decreasedAt = -1h, closedUntil{};
+    Time decreasedAt = -1h, pausedUntil{};
     DecayingRate successes, failures;
     bool admits(Time now) const {
-        return inFlight < std::max(1.0, limit) && (limit >= 1 || now >= closedUntil);
+        return inFlight < std::max(1.0, limit) && (limit >= 1 || now >= pausedUntil);
     }
     bool isLimiting(Time now) const { return now - decreasedAt < kLimiterAveragingTime || !admits(now); }
 };
@@ -534,8 +534,8 @@
 
     // When most of a group fails at once the cause is probably elsewhere, and ejections are ignored.
     bool mostAreEjected(const std::vector<HostIndex>& group) const {
-        const auto bad = std::ranges::count_if(group, [&](HostIndex i) { return hosts_[i].ejected; });
-        return 2 * bad > static_cast<std::ptrdiff_t>(group.size());
+        const auto ejected = std::ranges::count_if(group, [&](HostIndex i) { return hosts_[i].ejected; });
+        return 2 * ejected > static_cast<std::ptrdiff_t>(group.size());
     }
 
     bool isCold(Time now, const Host& host) const {
@@ -558,15 +558,18 @@
         const double present =
             linkTransfersOf(host) * (from + (1 - from) * std::max(0.0, age) / seconds(warm));
         const double share = std::min(kColdLoadCapacityMultiple, kColdLoadOverloadShare * multiple);
-        const double part = share * present * seconds(settings_->coldLoadWindow) / routersSharing(host);
+        const double routerBudget =
+            share * present * seconds(settings_->coldLoadWindow) / routersSharing(host);
         const double used = host.coldSendSeconds.over(now, settings_->coldLoadWindow);
-        if (used + sendSeconds <= part) return true;
-        if (used > 0 || part * routersSharing(host) < kLotteryMinBudgetRequests * sendSeconds) return false;
+        if (used + sendSeconds <= routerBudget) return true;
+        if (used > 0 || routerBudget * routersSharing(host) < kLotteryMinBudgetRequests * sendSeconds)
+            return false;
         // One draw per window. The windows of different routers begin at different times.
         const auto window = static_cast<std::uint64_t>(settings_->coldLoadWindow.count());
-        const std::uint64_t turn = (static_cast<std::uint64_t>(now.count()) + drawSalt_ % window) / window;
-        return unitInterval(combine(combine(drawSalt_, host.hash), turn)) <
-               kLotteryBudgetShare * part / sendSeconds;
+        const std::uint64_t windowNumber =
+            (static_cast<std::uint64_t>(now.count()) + drawSalt_ % window) / window;
+        return unitInterval(combine(combine(drawSalt_, host.hash), windowNumber)) <
+               kLotteryBudgetShare * routerBudget / sendSeconds;
     }
 
     // The load that an attempt counts for. Too low an estimate would overload a cold host unnoticed.
@@ -588,9 +591,9 @@
                    bool spread) {
         // If most caches fail while most parents answer, and the parents may be asked directly, the caches
         // are really down, for example with their whole zone, and their ejections hold.
-        const bool lost =
+        const bool cachesDown =
             &group == &caches_ && settings_->directUpstream && !parents_.empty() && !mostAreEjected(parents_);
-        const bool ignoreHealth = mostAreEjected(group) && !lost;
+        const bool ignoreHealth = mostAreEjected(group) && !cachesDown;
         HostIndex first = kNoHost, second = kNoHost;
         double best = HUGE_VAL, next = HUGE_VAL;
         for (const HostIndex i : group) {
@@ -701,29 +704,30 @@
         const bool write = c.uncacheable || p.request.write;
         if (!write && !zoneLinkMeetsTarget(now, p)) return staleCopyRoute(now, p, kNoHost);
         const HostIndex parent = pickParent(now, p);
-        const HostIndex top = parent == kNoHost || write ? pickOrigin(now, p) : kNoHost;
-        const HostIndex source = parent != kNoHost ? parent : top;
+        const HostIndex originHost = parent == kNoHost || write ? pickOrigin(now, p) : kNoHost;
+        const HostIndex source = parent != kNoHost ? parent : originHost;
         // A filter that was started recently does not know all popular names: an unknown one still goes
         // through its cache, which keeps no copy of it.
-        const bool young = now - startedAt_ < kFilterWarmUpTime;
-        const bool upward =
-            settings_->directUpstream && (write || (!p.inFilter && (!young || !p.attempts.empty())));
+        const bool filterWarmingUp = now - startedAt_ < kFilterWarmUpTime;
+        const bool bypassCache = settings_->directUpstream &&
+                                 (write || (!p.inFilter && (!filterWarmingUp || !p.attempts.empty())));
         // The copy is requested first and the fill only after a miss where fills are limited, and where the
         // parent is cold: each attempt that could become a fill is charged to its budget.
         if (!write && p.attempts.empty() && source != kNoHost) {
             const bool cacheOnly = limiters_[0].isLimiting(now) || isCold(now, hosts_[source]);
-            if (!upward && cacheOnly) return cachedOnlyRoute(now, p, kNoHost);
+            if (!bypassCache && cacheOnly) return cachedOnlyRoute(now, p, kNoHost);
             if (!cacheOnly && parent != kNoHost && limiters_[1].isLimiting(now))
-                return upward ? Route{parent, kNoHost, 0, true} : cachedOnlyRoute(now, p, parent);
+                return bypassCache ? Route{parent, kNoHost, 0, true} : cachedOnlyRoute(now, p, parent);
         }
         if (!write && !limiters_[0].admits(now)) return staleCopyRoute(now, p, kNoHost);
         if (!write && !limiters_[1].admits(now)) return staleCopyRoute(now, p, parent);
-        if (upward && parent != kNoHost) return {parent, write ? top : kNoHost, 0, false};
+        if (bypassCache && parent != kNoHost) return {parent, write ? originHost : kNoHost, 0, false};
         const HostIndex cache = pickCache(now, p);
-        if (cache != kNoHost && source != kNoHost && (!upward || top == kNoHost))
-            if (source != top || originBudget_.tryTake()) return {cache, source, p.keepRank, false};
+        if (cache != kNoHost && source != kNoHost && (!bypassCache || originHost == kNoHost))
+            if (source != originHost || originBudget_.tryTake()) return {cache, source, p.keepRank, false};
         if (settings_->directUpstream && parent != kNoHost) return {parent, kNoHost, 0, false};
-        if (settings_->directUpstream && top != kNoHost && originBudget_.tryTake()) return {top, kNoHost, 0};
+        if (settings_->directUpstream && originHost != kNoHost && originBudget_.tryTake())
+            return {originHost, kNoHost, 0};
         return write ? Route{} : staleCopyRoute(now, p, kNoHost);
     }
 
@@ -775,38 +779,40 @@
         const bool prompt = e.outcome == Outcome::error && e.cacheStatus != CacheStatus::originFailed;
         if (inTime && (prompt || e.outcome == Outcome::cancelled)) return;
         const bool good = e.outcome == Outcome::noCopy || (served && inTime);
-        const bool atParent = a.highestTier == Tier::parents || e.cacheStatus == CacheStatus::filled;
+        const bool attributedToParents =
+            a.highestTier == Tier::parents || e.cacheStatus == CacheStatus::filled;
         const HostIndex upper = a.source != kNoHost ? a.source : a.host;
         if (good && hosts_[upper].entry.role == Role::origin) originBudget_.deposit(kOriginSendsPerSuccess);
 
-        const double bad = good ? 0 : silent ? kUnansweredFailureWeight : 1;
+        const double failureWeight = good ? 0 : silent ? kUnansweredFailureWeight : 1;
         // Answers well in time raise the limit by more than those just in time.
         const double spare = 1 - seconds(e.elapsed) / std::max(1e-3, seconds(p.targetTime - p.arrived));
-        if (good || atParent) recordOutcome(now, limiters_[0], p, a, bad, spare);
-        if (!atParent) recordOutcome(now, limiters_[1], p, a, bad, spare);
+        if (good || attributedToParents) recordOutcome(now, limiters_[0], p, a, failureWeight, spare);
+        if (!attributedToParents) recordOutcome(now, limiters_[1], p, a, failureWeight, spare);
     }
 
-    void recordOutcome(Time now, ConcurrencyLimiter& limiter, const Pending& p, const Attempt& a, double bad,
-                       double spare) {
-        (bad > 0 ? limiter.failures : limiter.successes).add(now, kLimiterAveragingTime, bad > 0 ? bad : 1);
+    void recordOutcome(Time now, ConcurrencyLimiter& limiter, const Pending& p, const Attempt& a,
+                       double failureWeight, double spare) {
+        (failureWeight > 0 ? limiter.failures : limiter.successes)
+            .add(now, kLimiterAveragingTime, failureWeight > 0 ? failureWeight : 1);
         const double failureSum =
             limiter.failures.perSecond(now, kLimiterAveragingTime) * seconds(kLimiterAveragingTime);
         const double successSum =
             limiter.successes.perSecond(now, kLimiterAveragingTime) * seconds(kLimiterAveragingTime);
-        if (bad > 0 && failureSum >= kLimiterMinFailures &&
+        if (failureWeight > 0 && failureSum >= kLimiterMinFailures &&
             failureSum > kLimiterFailureShare * (failureSum + successSum) && a.sentAt > limiter.decreasedAt) {
             limiter.limit =
                 std::max(kMinConcurrencyLimit,
                          kLimiterDecreaseFactor * std::min(limiter.limit, limiter.inFlight + 1.0));
             limiter.decreasedAt = now;
-        } else if (bad <= 0 && limiter.limit < kUnlimitedConcurrency) {
+        } else if (failureWeight <= 0 && limiter.limit < kUnlimitedConcurrency) {
             limiter.limit += kLimiterIncreasePerSuccess * std::max(0.0, spare);
         }
         if (limiter.limit >= 1) return;
         const double spread = 0.5 + unitInterval(randomState_ = mix(randomState_ + 1));
         // A refusal may take no time at all.
         const double took = seconds(std::max(overheadTime(p), now - a.sentAt));
-        limiter.closedUntil = now + fromSeconds(took * (1 / limiter.limit - 1) * spread);
+        limiter.pausedUntil = now + fromSeconds(took * (1 / limiter.limit - 1) * spread);
     }
 
     // ----- sending -----
@@ -903,19 +909,19 @@
     void attemptIsLate(Time now, const Pending& p, Attempt& a) {
         if (zoneLinkUtilization(now) > 1) return;
         a.countedLate = true;
-        const double bad = answeredSince(a) ? 1 : kUnansweredFailureWeight;
-        recordOutcome(now, limiters_[0], p, a, bad, 0);
-        if (a.highestTier == Tier::origin) recordOutcome(now, limiters_[1], p, a, bad, 0);
+        const double failureWeight = answeredSince(a) ? 1 : kUnansweredFailureWeight;
+        recordOutcome(now, limiters_[0], p, a, failureWeight, 0);
+        if (a.highestTier == Tier::origin) recordOutcome(now, limiters_[1], p, a, failureWeight, 0);
     }
 
     void attemptIsSlow(Time now, Pending& p, Attempt& a, int number, Actions& out) {
         // If the host answers other requests, its fill is slow, and a new fill would be slower still.
-        const bool alive = answeredSince(a);
+        const bool hostAnswers = answeredSince(a);
         a.countedSlow = true;
-        if (!alive) recordFailure(now, a.host, kSlowAttemptFailureWeight);
+        if (!hostAnswers) recordFailure(now, a.host, kSlowAttemptFailureWeight);
         if (a.source != kNoHost && a.source != a.host)
             recordFailure(now, a.source, kSlowAttemptFailureWeight);
-        if (alive || static_cast<int>(p.attempts.size()) >= p.settings->maxAttempts ||
+        if (hostAnswers || static_cast<int>(p.attempts.size()) >= p.settings->maxAttempts ||
             p.attemptsInFlight() > 1)
             return;
         if (p.classSettings().effect != Effect::safe) return;
@@ -1037,7 +1043,7 @@
             case Outcome::broken:
                 if (e.ignoreForHealth && answeredSince(a))
                     return;  // may be retried at once over another connection
-                return blame(now, p, a.host, e.ignoreForHealth ? 0 : 1);
+                return excludeAndRecordFailure(now, p, a.host, e.ignoreForHealth ? 0 : 1);
             default:
                 break;
         }
@@ -1046,13 +1052,13 @@
         if (e.cacheStatus >= CacheStatus::sourceRefused) {
             const bool atSource = hasSource && e.cacheStatus != CacheStatus::noFillPlace;
             const bool itsOwn = atSource && e.cacheStatus != CacheStatus::originFailed;
-            return blame(now, p, atSource ? a.source : a.host, itsOwn ? weight : 0);
+            return excludeAndRecordFailure(now, p, atSource ? a.source : a.host, itsOwn ? weight : 0);
         }
-        blame(now, p, a.host, hasSource ? weight / 2 : weight);
-        if (hasSource) blame(now, p, a.source, weight / 2);
+        excludeAndRecordFailure(now, p, a.host, hasSource ? weight / 2 : weight);
+        if (hasSource) excludeAndRecordFailure(now, p, a.source, weight / 2);
     }
 
-    void blame(Time now, Pending& p, HostIndex i, double weight) {
+    void excludeAndRecordFailure(Time now, Pending& p, HostIndex i, double weight) {
         excludeHost(p, i);
         if (weight > 0) recordFailure(now, i, weight);
     }
