--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -197,7 +197,7 @@
     // After a run of useless messages the connection is closed.
     void countUselessMessage() {
         if (++uselessMessages_ < kMaxUselessMessages || refusesMore_) return;
-        ++owner_.counters_.retired;
+        ++owner_.counters_.closedAsUseless;
         refuseMore();
     }
 
@@ -232,7 +232,7 @@
             }
             if (!input_.empty() || backlogged())
                 return armMessageTimer(kMessageTimeout);  // input waits for us, not for the client
-            ++(hasSentMessage_ ? owner_.counters_.halfMessages : owner_.counters_.silent);
+            ++(hasSentMessage_ ? owner_.counters_.closedMidMessage : owner_.counters_.closedSilent);
             refusesMore_ = true;
             failOpenCalls();
             closeIfAnswered();
@@ -275,7 +275,7 @@
         const std::string tag = words[1];
         if (open_.count(tag) > 0) {
             // An answer under this tag would be taken for that of the open request, which is unrelated.
-            ++owner_.counters_.unusable;
+            ++owner_.counters_.invalidCalls;
             refuseMore();
             return true;
         }
@@ -297,7 +297,7 @@
         // A second request under an open id would look like a second attempt in flight to the stores.
         if (known == classes.end() || !isValidCall(fields, request) ||
             owner_.openTraceIds_.count(request.traceId) > 0) {
-            ++owner_.counters_.unusable;
+            ++owner_.counters_.invalidCalls;
             sendAnswer(tag, "ERR", "-", {});
             countUselessMessage();
             return true;
@@ -343,8 +343,8 @@
     void refuse(const std::string& tag, core::Denial denial) {
         using core::Denial;
         const bool useless = denial == Denial::connectionClosing || denial == Denial::tooManyOpen;
-        ++(useless                      ? owner_.counters_.beyondBound
-           : denial == Denial::noMemory ? owner_.counters_.noRoom
+        ++(useless                      ? owner_.counters_.refusedOverLimit
+           : denial == Denial::noMemory ? owner_.counters_.refusedNoMemory
                                         : owner_.counters_.drainRefused);
         if (Trace::on())
             Trace::write("refuse",
@@ -370,7 +370,7 @@
             if (reply.payload.unchanged) {
                 sendAnswer(tag, "SERVED", "keep=1", {});
             } else if (owner_.heldBytes_ + reply.payload.body.size() > owner_.heldBytesLimit(countedBytes_)) {
-                ++owner_.counters_.dropped;
+                ++owner_.counters_.droppedAnswers;
                 sendAnswer(tag, "ERR", "-", {});
             } else
                 sendAnswer(tag, "SERVED", "-", std::move(reply.payload.body));
@@ -529,7 +529,7 @@
 
 void Front::accept(net::Descriptor fd) {
     if (clients_.size() >= maxClients_ && !evictClient()) {
-        ++counters_.turnedAway;
+        ++counters_.rejectedConnections;
         return;
     }
     ++counters_.connections;
@@ -559,8 +559,8 @@
     // A request may have arrived since the choice; then the next candidate is tried.
     if (!requests_.checks().allows(core::mayClose(victim->closeFacts()))) return evictClient();
     ++(victim == idle               ? counters_.closedIdle
-       : victim->inPartialMessage() ? counters_.halfMessages
-                                    : counters_.silent);
+       : victim->inPartialMessage() ? counters_.closedMidMessage
+                                    : counters_.closedSilent);
     victim->abortConnection();
     forget(victim);
     return true;
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -21,9 +21,10 @@
 class Front {
 public:
     struct Counters {
-        std::uint64_t connections = 0, turnedAway = 0, closedIdle = 0, silent = 0, halfMessages = 0,
-                      malformed = 0, unusable = 0, beyondBound = 0, retired = 0, noRoom = 0, dropped = 0,
-                      checks = 0, drained = 0, drainRefused = 0, endedByClient = 0, reset = 0;
+        std::uint64_t connections = 0, rejectedConnections = 0, closedIdle = 0, closedSilent = 0,
+                      closedMidMessage = 0, malformed = 0, invalidCalls = 0, refusedOverLimit = 0,
+                      closedAsUseless = 0, refusedNoMemory = 0, droppedAnswers = 0, checks = 0, drained = 0,
+                      drainRefused = 0, endedByClient = 0, reset = 0;
     };
 
     Front(net::Loop& loop, core::RequestDispatcher& requests, const settings::Configuration& configuration);
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -130,7 +130,7 @@
         owner_.removeConnection(host_, this);
         for (const QueuedAttempt& w : unsent) {
             if (requeue && w.reassignments < kMaxReassignments) {
-                ++owner_.counters_.movedOn;
+                ++owner_.counters_.requeued;
                 auto shared = std::make_shared<QueuedAttempt>(w);
                 ++shared->reassignments;
                 const auto location = owner_.locations_.find(w.send.request);
@@ -306,7 +306,7 @@
             const Micros now = owner_.loop_.now();
             const Micros waited = now - next.send.pickedAt;
             if (waited.count() > 0 && !owner_.callbacks_.mayBegin(next.send.request, next.send.attempt)) {
-                ++owner_.counters_.heldBack;
+                ++owner_.counters_.notBegun;
                 reportOutcome(next.send.request, next.send.attempt, Outcome::notSent);
                 queue_.pop_front();
                 continue;
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -25,7 +25,7 @@
     };
     struct Counters {
         std::uint64_t connects = 0, connectFailures = 0, resets = 0, malformed = 0, stalled = 0, echoes = 0,
-                      stuck = 0, movedOn = 0, tooOld = 0, lateAnswers = 0, heldBack = 0, noDescriptor = 0;
+                      stuck = 0, requeued = 0, tooOld = 0, lateAnswers = 0, notBegun = 0, noDescriptor = 0;
     };
 
     StoreConnections(net::Loop& loop, const settings::Configuration& configuration);
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -546,7 +546,7 @@
 
 void Front::accept(net::Descriptor fd) {
     if (clients_.size() >= maxClients_ && !makeRoom()) {
-        ++counters_.turnedAway;
+        ++counters_.rejectedConnections;
         return;
     }
     ++counters_.connections;
--- a/src/repository/service.cpp
+++ b/src/repository/service.cpp
@@ -42,7 +42,7 @@
     const auto& u = transport_.counters();
     core::printCounterLine(name, "repository",
                            {{"connections", f.connections},
-                            {"turned_away", f.turnedAway},
+                            {"turned_away", f.rejectedConnections},
                             {"indexes", f.indexes},
                             {"files", f.files},
                             {"bad_requests", f.badRequests},
@@ -60,7 +60,7 @@
                             {"resets", u.resets},
                             {"malformed", u.malformed},
                             {"too_old", u.tooOld},
-                            {"held_back", u.heldBack}});
+                            {"held_back", u.notBegun}});
 }
 
 }  // namespace lotuslead::repository
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -289,7 +289,7 @@
         const QueuedAttempt next = server.queue.front();
         if (loop_.now() > next.send.pickedAt && !callbacks_.mayBegin(next.send.request, next.send.attempt)) {
             server.queue.pop_front();
-            ++counters_.heldBack;
+            ++counters_.notBegun;
             report(next, Outcome::notSent);
             continue;
         }
--- a/src/repository/upstreams.hpp
+++ b/src/repository/upstreams.hpp
@@ -27,7 +27,7 @@
         std::function<void(core::AttemptResult)> ended;
     };
     struct Counters {
-        std::uint64_t connects = 0, connectFailures = 0, resets = 0, malformed = 0, tooOld = 0, heldBack = 0;
+        std::uint64_t connects = 0, connectFailures = 0, resets = 0, malformed = 0, tooOld = 0, notBegun = 0;
     };
 
     Upstreams(net::Loop& loop, const settings::RepositoryConfiguration& configuration);
