--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -46,7 +46,7 @@
     bool idleAfterUse() const {
         return idle() && hasSentMessage_ && !refusesMore_ && !input_.midMessage() && stream_.nothingUnread();
     }
-    bool saidNothing() const { return !hasSentMessage_ && input_.empty() && stream_.nothingUnread(); }
+    bool hasSentNothing() const { return !hasSentMessage_ && input_.empty() && stream_.nothingUnread(); }
     bool inPartialMessage() const { return input_.midMessage(); }
     bool unused() const { return !hasSentMessage_; }
     bool recentlyActive() const {
@@ -55,9 +55,9 @@
     // Whether the process may exit: nothing of a request is here, and none is expected right now.
     bool settled() const {
         if (!idle() || (!closing_ && !stream_.nothingUnread())) return false;
-        const Micros still = owner_.loop_.now() - lastByteAt_;
-        return closing_ || (hasSentMessage_ ? !inPartialMessage() || still >= kPartialMessageShutdownGrace
-                                            : still >= kSilentGrace);
+        const Micros silence = owner_.loop_.now() - lastByteAt_;
+        return closing_ || (hasSentMessage_ ? !inPartialMessage() || silence >= kPartialMessageShutdownGrace
+                                            : silence >= kSilentGrace);
     }
     void failAndClose() {
         failOpenCalls();
@@ -105,7 +105,7 @@
     struct Call {
         RequestId id = 0;
         std::string traceId;
-        Micros takenAt{};
+        Micros acceptedAt{};
     };
 
     // ----- input -----
@@ -113,7 +113,7 @@
     bool streamData(std::string_view data) override {
         lastByteAt_ = owner_.loop_.now();
         if (!hasSentMessage_) lastUsed_ = lastByteAt_;
-        input_.append(data, lastByteAt_ - waitedUnread());
+        input_.append(data, lastByteAt_ - unreadDuration());
         handleMessagesOnceAllRead();
         return true;
     }
@@ -130,7 +130,7 @@
     }
 
     // Input may have been sent while this process was delayed, or before it listened.
-    Micros waitedUnread() const {
+    Micros unreadDuration() const {
         const bool fromBeforeTheStart = owner_.loop_.now() - owner_.openedAt_ < kStartupBacklogWindow;
         const bool mayBeOld =
             fromBeforeTheStart || owner_.loop_.recentlyStalled() || stream_.readBacklogged();
@@ -148,14 +148,15 @@
             input_.extractCancellations([this](const std::string& tag) { return open_.count(tag) > 0; });
         for (const std::string& tag : cancellations.openTags) cancelCall(tag);
         for (int i = 0; i < cancellations.droppedCalls; ++i) countUselessMessage();
-        bool fits = true;
-        for (int i = 0; i < kMaxMessagesPerTurn && fits && input_.hasMessage() && !closing_ && !backlogged();
+        bool wellFormed = true;
+        for (int i = 0;
+             i < kMaxMessagesPerTurn && wellFormed && input_.hasMessage() && !closing_ && !backlogged();
              ++i) {
             ClientMessages::Message message = input_.takeFirst();
-            fits = handleMessage(std::move(message.words), message.arrivedAt);
+            wellFormed = handleMessage(std::move(message.words), message.arrivedAt);
         }
         if (stream_.closed() || closing_) return;
-        if (!fits || (input_.malformed() && !input_.hasMessage())) return closeMalformed();
+        if (!wellFormed || (input_.malformed() && !input_.hasMessage())) return closeMalformed();
         closeIfAnswered();
         updateMessageTimer();
         updateFlowControl();
@@ -267,7 +268,7 @@
         const Call call = found->second;
         release(tag);
         owner_.requests_.clientGone(owner_.loop_.now(), call.id);
-        if (owner_.loop_.now() - call.takenAt < kImmediateCancel) countUselessMessage();
+        if (owner_.loop_.now() - call.acceptedAt < kImmediateCancel) countUselessMessage();
     }
 
     bool handleCall(std::vector<std::string>& words, Micros arrivedAt) {
@@ -313,10 +314,10 @@
         request.part = fields.whole("block").value_or(0);
         const Micros now = owner_.loop_.now();
         const auto patience = fields.whole("patience");
-        const auto giveUp =
+        const auto clientTimeout =
             owner_.decodedSettings_.settings.classes[static_cast<std::size_t>(known->second)].clientTimeout;
         const Micros wait = patience ? Micros{std::chrono::milliseconds{*patience}}
-                                     : std::chrono::duration_cast<Micros>(giveUp);
+                                     : std::chrono::duration_cast<Micros>(clientTimeout);
         request.deadline = arrivedAt + std::max(Micros{1ms}, wait - kAnswerTransitTime);
         open_[tag] = {request.id, request.traceId, now};
         if (Trace::on())
@@ -349,7 +350,7 @@
         if (Trace::on())
             Trace::write("refuse",
                          {{"client", std::to_string(traceNumber_)}, {"tag", tag}, {"why", nameOf(denial)}});
-        sendAnswer(tag, "SHED", owner_.noMemoryFields(), {});
+        sendAnswer(tag, "SHED", owner_.refusalFields(), {});
         if (useless) countUselessMessage();
     }
 
@@ -548,7 +549,7 @@
         if (client->unused()) ++unusedCount;
         Client*& place = !client->unused() ? idle : client->inPartialMessage() ? partial : silent;
         const bool older = !place || client->lastUsed() < place->lastUsed();
-        if (older && (client->unused() ? client->saidNothing() : client->idleAfterUse()))
+        if (older && (client->unused() ? client->hasSentNothing() : client->idleAfterUse()))
             place = client.get();
     }
     if (!silent || (silent->recentlyActive() && partial && partial->lastUsed() < silent->lastUsed()))
@@ -570,19 +571,20 @@
 // margin, and one answer of the largest size. A slow reader may use only half of the limit.
 bool Front::hasRoomForCall(std::size_t backlog) const {
     const auto open = static_cast<double>(requests_.openCount() + 1);
-    const double coming = open * answerBytes_.mean +
-                          kAnswerSizeDeviations * std::sqrt(open) * answerBytes_.deviation + kMaxAnswerBytes;
-    return coming + static_cast<double>(heldBytes_) <= static_cast<double>(heldBytesLimit(backlog));
+    const double expectedBytes = open * answerBytes_.mean +
+                                 kAnswerSizeDeviations * std::sqrt(open) * answerBytes_.deviation +
+                                 kMaxAnswerBytes;
+    return expectedBytes + static_cast<double>(heldBytes_) <= static_cast<double>(heldBytesLimit(backlog));
 }
 
 std::size_t Front::heldBytesLimit(std::size_t backlog) const {
     return backlog > kSlowReaderBytes ? maxHeldBytes_ / 2 : maxHeldBytes_;
 }
 
-std::string Front::noMemoryFields() const {
+std::string Front::refusalFields() const {
     const Settings& s = decodedSettings_.settings;
-    const Micros most = std::chrono::duration_cast<Micros>(s.maxRetryHint);
-    return retryAfterFields(s.retryHints ? std::min(kNoMemoryRetryAfter, most) : Micros{0});
+    const Micros maxRetryHint = std::chrono::duration_cast<Micros>(s.maxRetryHint);
+    return retryAfterFields(s.retryHints ? std::min(kRefusalRetryAfter, maxRetryHint) : Micros{0});
 }
 
 std::size_t Front::maxClientBacklog() const {
--- a/src/platform/front_limits.hpp
+++ b/src/platform/front_limits.hpp
@@ -21,7 +21,7 @@
 inline constexpr double kAnswerSizeDeviations = 3;           // deviations of the answer size above its mean
 // Time for the answer to reach the client, whose own deadline counts from when it sent the call.
 inline constexpr Micros kAnswerTransitTime = 10ms;
-inline constexpr Micros kNoMemoryRetryAfter = 200ms;
+inline constexpr Micros kRefusalRetryAfter = 200ms;
 // Misbehaving clients: each is owed a refusal, an error or a close within 3 s of connecting.
 inline constexpr Micros kFirstMessageTimeout = 2800ms;  // from connecting to the first complete message
 inline constexpr Micros kMessageTimeout = 2800ms;       // from the first byte of a later message to its last
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -184,11 +184,11 @@
     bool streamData(std::string_view data) override {
         lastByteAt_ = owner_.loop_.now();
         hasReceived_ = true;
-        const bool fits = handleMessages(data);
+        const bool wellFormed = handleMessages(data);
         stop(stallTimer_);
-        if (!fits || ended_ || !parser_.midMessage()) {
+        if (!wellFormed || ended_ || !parser_.midMessage()) {
             answerBegunAt_.reset();
-            return fits;
+            return wellFormed;
         }
         if (!answerBegunAt_) answerBegunAt_ = lastByteAt_;
         const Micros wait =
@@ -436,9 +436,10 @@
 // What remains beside the third for clients, less what the process needs for itself and for operators.
 void StoreConnections::setProcessCount(int processes) {
     processCount_ = processes;
-    const std::size_t rest = socketLimit_ - socketLimit_ / 3;
-    const std::size_t own = std::min<std::size_t>(64, rest / 4);
-    maxConnections_ = std::max<std::size_t>(8, (rest - own) / static_cast<std::size_t>(processes));
+    const std::size_t upstreamSockets = socketLimit_ - socketLimit_ / 3;
+    const std::size_t reservedSockets = std::min<std::size_t>(64, upstreamSockets / 4);
+    maxConnections_ =
+        std::max<std::size_t>(8, (upstreamSockets - reservedSockets) / static_cast<std::size_t>(processes));
 }
 
 StoreConnections::~StoreConnections() = default;
