--- a/bench/disk.cpp
+++ b/bench/disk.cpp
@@ -163,13 +163,13 @@
     const double ours = secondsFor([&] {
         while (done < kReads) {
             while (asked < kReads && asked - done < 32) {
-                const auto ticket = harness.tier.lookUp(harness.now, benchKey(mix(asked) % kParts), 0,
-                                                        [&](std::optional<Copy> copy) {
-                                                            ++done;
-                                                            bytes += copy ? copy->body.size() : 0;
-                                                        });
+                const auto lookupId = harness.tier.lookUp(harness.now, benchKey(mix(asked) % kParts), 0,
+                                                          [&](std::optional<Copy> copy) {
+                                                              ++done;
+                                                              bytes += copy ? copy->body.size() : 0;
+                                                          });
                 ++asked;
-                done += ticket == 0;
+                done += lookupId == 0;
             }
             pollfd waits{harness.tier.wakeDescriptor(), POLLIN, 0};
             ::poll(&waits, 1, 100);
--- a/src/disk/caching_transport.cpp
+++ b/src/disk/caching_transport.cpp
@@ -88,13 +88,13 @@
     Key key{request.object, request.className, request.group, request.part, inParts ? keyVariant_ : 0};
     ++counters_.lookups;
     const RequestId id = request.id;
-    const std::uint64_t ticket =
+    const std::uint64_t lookupId =
         tier_->lookUp(clockReadingAt(now), key, maxCopyAgeMs(request, send),
                       [this, id](std::optional<Copy> copy) { lookupDone(id, std::move(copy)); });
-    if (ticket == 0) return forward(now, request, send, std::move(key));
+    if (lookupId == 0) return forward(now, request, send, std::move(key));
     const Micros deadline = now + readTimeout_;
     lookupDeadlines_.emplace(deadline, id);
-    lookups_.insert_or_assign(id, PendingLookup{&request, send, std::move(key), ticket, deadline});
+    lookups_.insert_or_assign(id, PendingLookup{&request, send, std::move(key), lookupId, deadline});
 }
 
 void CachingTransport::forward(Micros now, const core::Request& request, const core::Decision& send,
@@ -143,7 +143,7 @@
 bool CachingTransport::cancel(Micros now, RequestId request, int attempt) {
     const auto lookup = lookups_.find(request);
     if (lookup != lookups_.end() && lookup->second.send.attempt == attempt) {
-        tier_->cancelLookup(lookup->second.ticket);
+        tier_->cancelLookup(lookup->second.lookupId);
         lookups_.erase(lookup);
         return true;
     }
@@ -179,7 +179,7 @@
         const auto at = lookups_.find(id);
         if (at == lookups_.end() || at->second.deadline != deadline) continue;
         ++counters_.slowReads;
-        tier_->cancelLookup(at->second.ticket);
+        tier_->cancelLookup(at->second.lookupId);
         const PendingLookup lookup = std::move(at->second);
         lookups_.erase(at);
         forward(now, *lookup.request, lookup.send, lookup.key);
--- a/src/disk/caching_transport.hpp
+++ b/src/disk/caching_transport.hpp
@@ -63,7 +63,7 @@
         const core::Request* request;  // outlives the attempt
         core::Decision send;
         Key key;
-        std::uint64_t ticket = 0;
+        std::uint64_t lookupId = 0;
         Micros deadline{};
     };
     struct PendingFetch {
--- a/src/disk/io_worker.cpp
+++ b/src/disk/io_worker.cpp
@@ -403,7 +403,7 @@
 }
 
 ReadDone IoWorker::readOne(const ReadJob& job) {
-    ReadDone done{job.ticket, job.fingerprint, job.location, {}, false, {}};
+    ReadDone done{job.lookupId, job.fingerprint, job.location, {}, false, {}};
     const std::shared_ptr<File> file = files_.get(job.location.segment);
     // Reused between reads: zeroing a new buffer costs as much as the checksum.
     if (readBuffer_.size() < job.location.bytes) readBuffer_.resize(job.location.bytes);
--- a/src/disk/io_worker.hpp
+++ b/src/disk/io_worker.hpp
@@ -49,7 +49,7 @@
     std::uint32_t segment = 0;
 };
 struct ReadJob {
-    std::uint64_t ticket = 0;
+    std::uint64_t lookupId = 0;
     std::uint64_t fingerprint = 0;
     RecordLocation location;
 };
@@ -106,7 +106,7 @@
     Problem problem;
 };
 struct ReadDone {
-    std::uint64_t ticket = 0, fingerprint = 0;
+    std::uint64_t lookupId = 0, fingerprint = 0;
     RecordLocation location;
     std::optional<std::pair<Key, Copy>> record;
     bool damaged = false;  // the record was read, but it is incomplete or damaged
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -64,7 +64,7 @@
     state_ = State::closed;
     worker_.beginClose();
     auto pending = std::exchange(lookups_, {});
-    for (auto& [ticket, lookup] : pending) lookup.callback({});
+    for (auto& [lookupId, lookup] : pending) lookup.callback({});
 }
 
 void Tier::reconfigure(const TierOptions& options) {
@@ -104,14 +104,14 @@
         ++counters_.misses;
         return 0;
     }
-    const std::uint64_t ticket = nextTicket_++;
-    if (!worker_.read({ticket, fingerprint, part->location})) {
+    const std::uint64_t lookupId = nextLookupId_++;
+    if (!worker_.read({lookupId, fingerprint, part->location})) {
         ++counters_.readQueueFull;
         ++counters_.misses;
         return 0;
     }
-    lookups_.emplace(ticket, PendingLookup{key, maxCopyAgeMs, std::move(callback)});
-    return ticket;
+    lookups_.emplace(lookupId, PendingLookup{key, maxCopyAgeMs, std::move(callback)});
+    return lookupId;
 }
 
 void Tier::handle(ClockReading now, ReadDone& done) {
@@ -127,7 +127,7 @@
     }
     // A part that was moved meanwhile has another location and is kept.
     if (!good) catalog_.partLost(done.fingerprint, done.location);
-    const auto at = lookups_.find(done.ticket);
+    const auto at = lookups_.find(done.lookupId);
     if (at == lookups_.end()) return;
     PendingLookup lookup = std::move(at->second);
     lookups_.erase(at);
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -71,11 +71,12 @@
     // about every second.
     void retryOpen();
 
-    // Returns zero for a miss. Otherwise returns a ticket, and a later turn() calls `callback`, unless the
-    // lookup is cancelled before. `maxCopyAgeMs`: the largest acceptable age; zero accepts any age.
+    // Returns zero for a miss. Otherwise returns the id of the lookup, and a later turn() calls `callback`,
+    // unless the lookup is cancelled before. `maxCopyAgeMs`: the largest acceptable age; zero accepts any
+    // age.
     [[nodiscard]] std::uint64_t lookUp(ClockReading now, const Key& key, std::int64_t maxCopyAgeMs,
                                        LookupCallback callback);
-    void cancelLookup(std::uint64_t ticket) { lookups_.erase(ticket); }
+    void cancelLookup(std::uint64_t lookupId) { lookups_.erase(lookupId); }
     // Offers a fetched copy. `rank` comes from the decision module; zero means that the copy is not to be
     // kept.
     void offer(ClockReading now, const Key& key, int rank, const Copy& copy);
@@ -154,7 +155,7 @@
     PurgeFeedTracker purgeFeed_;
     State state_ = State::opening;
     std::string lastProblem_;  // the last one that was logged
-    std::uint64_t nextTicket_ = 1;
+    std::uint64_t nextLookupId_ = 1;
     std::unordered_map<std::uint64_t, PendingLookup> lookups_;
     LruMap<std::uint64_t, Version> versions_;
     std::uint64_t pendingWriteBytes_ = 0;
--- a/tests/audit_disk.cpp
+++ b/tests/audit_disk.cpp
@@ -206,7 +206,7 @@
 
     void lookUp(int object, int part, bool scan) {
         const auto requestedMs = unixMs();
-        const auto ticket =
+        const auto lookupId =
             tier_.lookUp(now(), auditKey(object, part), 0, [=, this](std::optional<Copy> copy) {
                 --pendingLookups_;
                 if (copy) {
@@ -218,8 +218,8 @@
                     fetch(object, part);
                 }
             });
-        pendingLookups_ += ticket != 0;
-        if (ticket == 0 && !scan) fetch(object, part);
+        pendingLookups_ += lookupId != 0;
+        if (lookupId == 0 && !scan) fetch(object, part);
     }
     void fetch(int object, int part) {
         const std::int64_t createdMs = unixMs();
--- a/tests/disk_tier_harness.hpp
+++ b/tests/disk_tier_harness.hpp
@@ -191,11 +191,11 @@
     std::optional<Copy> load(int i, std::int64_t maxCopyAgeMs = 0) {
         std::optional<Copy> result;
         bool completed = false;
-        const auto ticket = tier.lookUp(now, keyOf(i), maxCopyAgeMs, [&](std::optional<Copy> copy) {
+        const auto lookupId = tier.lookUp(now, keyOf(i), maxCopyAgeMs, [&](std::optional<Copy> copy) {
             completed = true;
             result = std::move(copy);
         });
-        if (ticket != 0) turnUntil([&] { return completed; });
+        if (lookupId != 0) turnUntil([&] { return completed; });
         return result;
     }
     // Whether the tier serves this copy with the same bytes.
