--- a/src/disk/folder.hpp
+++ b/src/disk/folder.hpp
@@ -43,9 +43,9 @@
 
     struct OpenResult {
         Problem problem;
-        bool busy = false;       // another process holds the lock
+        bool lockHeld = false;   // another process holds the lock
         bool transient = false;  // the error may go away by itself
-        bool retryable() const { return busy || transient; }
+        bool retryable() const { return lockHeld || transient; }
     };
     [[nodiscard]] OpenResult open(Access access);
     void close() { lock_ = File(); }
--- a/src/disk/inspect.cpp
+++ b/src/disk/inspect.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kMaxProblems = 20;
 constexpr std::size_t kUnlimitedEntries = std::numeric_limits<std::size_t>::max();
 
-bool isHeld(FileCalls& calls, const Folder& folder) {
+bool isLockHeld(FileCalls& calls, const Folder& folder) {
     const IoResult opened = calls.open(folder.pathOf("lock"), O_RDONLY);
     if (opened.error != 0) return false;
     const File lock(static_cast<int>(opened.bytes));
@@ -81,7 +81,7 @@
     Folder folder(calls, path);
     result.problem = folder.open(Folder::Access::read).problem;
     if (!result.problem.empty()) return result;
-    result.held = isHeld(calls, folder);
+    result.lockHeld = isLockHeld(calls, folder);
     PurgeLog log(calls, folder);
     PurgeLog::LoadResult loaded = log.load(Folder::Access::read);
     result.problem = std::move(loaded.problem);
@@ -95,7 +95,7 @@
     for (const SegmentName& name : folder.segments()) {
         Folder::SegmentContents contents = folder.readSegment(name, tables);
         // A process that holds the folder may remove a segment between the listing and the read.
-        if (!contents.problem.empty() && result.held && contents.fileBytes == 0) continue;
+        if (!contents.problem.empty() && result.lockHeld && contents.fileBytes == 0) continue;
         Survey::Segment segment;
         segment.name = name;
         segment.fileBytes = contents.fileBytes;
@@ -161,7 +161,7 @@
         const auto addProblem = [&](const std::string& what) {
             if (result.problems.size() < kMaxProblems) result.problems.push_back(where + ": " + what);
         };
-        if (read.error == ENOENT && survey.held)
+        if (read.error == ENOENT && survey.lockHeld)
             continue;  // removed meanwhile by the process that holds the folder
         if (read.error != 0) {
             ++result.unreadable;
@@ -186,7 +186,7 @@
     if (!result.problem.empty()) return result;
     const Folder::OpenResult opened = folder.open(Folder::Access::write);
     result.problem = opened.problem;
-    result.busy = opened.busy;
+    result.lockHeld = opened.lockHeld;
     if (!result.problem.empty()) return result;
     PurgeLog log(calls, folder);
     PurgeLog::LoadResult loaded = log.load(Folder::Access::write);
@@ -222,7 +222,7 @@
     awaitCompletions(worker, [&](Completion& completion) {
         if (auto* opened = std::get_if<FolderOpened>(&completion)) {
             result.problem = opened->problem;
-            result.busy = opened->busy;
+            result.lockHeld = opened->lockHeld;
             damaged = opened->damaged;
             return !result.problem.empty() || damaged;
         }
--- a/src/disk/inspect.hpp
+++ b/src/disk/inspect.hpp
@@ -13,8 +13,8 @@
 namespace lotuslead::disk {
 
 struct Survey {
-    Problem problem;    // if set, the other fields are not valid
-    bool held = false;  // a process holds the folder now, and the last segments are still being written
+    Problem problem;        // if set, the other fields are not valid
+    bool lockHeld = false;  // a process holds the folder now, and the last segments are still being written
     std::vector<PurgeEntry> entries;
     std::optional<std::int64_t> busPosition;
     bool logDamaged = false;
@@ -50,10 +50,10 @@
 // Reads every live part and verifies its checksums.
 [[nodiscard]] VerifyResult verify(FileCalls& calls, const std::string& folder, const Survey& survey);
 
-// The functions below need the folder's lock. `busy`: another process holds it, and nothing was changed.
+// The functions below need the folder's lock. `lockHeld`: another process holds it, and nothing was changed.
 struct ChangeResult {
     Problem problem;
-    bool busy = false;
+    bool lockHeld = false;
     std::uint64_t bytesBefore = 0, bytesAfter = 0;  // total size of the segment files
 };
 // Appends purges to the log; they are on disk when it returns without a problem.
--- a/src/disk/io_worker.cpp
+++ b/src/disk/io_worker.cpp
@@ -196,7 +196,7 @@
     FolderOpened result;
     auto opened = folder_.open(Folder::Access::write);
     result.problem = std::move(opened.problem);
-    result.busy = opened.busy;
+    result.lockHeld = opened.lockHeld;
     result.retryable = opened.retryable();
     if (result.problem.empty()) {
         PurgeLog::LoadResult log = log_.load(Folder::Access::write);
--- a/src/disk/io_worker.hpp
+++ b/src/disk/io_worker.hpp
@@ -58,7 +58,7 @@
 
 struct FolderOpened {  // the first completion, and one for each further attempt to open the folder
     Problem problem;
-    bool busy = false;       // another process holds the lock
+    bool lockHeld = false;   // another process holds the lock
     bool retryable = false;  // the lock is held, or the error may go away by itself
     std::vector<PurgeEntry> entries;
     std::optional<std::int64_t> busPosition;
--- a/src/disktool/main.cpp
+++ b/src/disktool/main.cpp
@@ -23,10 +23,10 @@
     std::uint32_t segmentMb = 64;
 };
 
-int reportFailure(const std::string& problem, bool busy = false) {
+int reportFailure(const std::string& problem, bool lockHeld = false) {
     std::fprintf(stderr, "lotuslead_disk: %s%s\n", problem.c_str(),
-                 busy ? "; stop it first, or purge over the event bus" : "");
-    return busy ? kFolderHeld : kUnusable;
+                 lockHeld ? "; stop it first, or purge over the event bus" : "");
+    return lockHeld ? kFolderHeld : kUnusable;
 }
 
 // Prints named fields, as JSON or as a table.
@@ -57,7 +57,7 @@
     for (const disk::PurgeEntry& entry : found.entries)
         if (entry.kind == disk::PurgeEntry::Kind::watermark) watermarkMs = std::max(watermarkMs, entry.atMs);
     print(arguments, {{"folder", arguments.folder},
-                      {"held", found.held},
+                      {"held", found.lockHeld},
                       {"segments", found.segments.size()},
                       {"tables", tables},
                       {"bytes", bytes},
@@ -123,9 +123,10 @@
                       {"unreadable", unreadable},
                       {"torn_tails", torn},
                       {"marks_damaged", found.logDamaged},
-                      {"held", found.held}});
+                      {"held", found.lockHeld}});
     // While a process holds the folder, an incomplete tail is a record that is being written.
-    const bool bad = result.damaged > 0 || unreadable > 0 || found.logDamaged || (torn > 0 && !found.held);
+    const bool bad =
+        result.damaged > 0 || unreadable > 0 || found.logDamaged || (torn > 0 && !found.lockHeld);
     return bad ? kDamage : kDone;
 }
 
@@ -140,7 +141,7 @@
     if (arguments.all) entries.push_back({Kind::watermark, 0, at});
     if (entries.empty()) return reportFailure("purge needs --object, --group or --all");
     const disk::ChangeResult result = disk::addPurges(calls, arguments.folder, entries);
-    if (!result.problem.empty()) return reportFailure(result.problem, result.busy);
+    if (!result.problem.empty()) return reportFailure(result.problem, result.lockHeld);
     print(arguments, {{"marks", entries.size()}, {"at_ms", at}});
     return kDone;
 }
@@ -148,7 +149,7 @@
 int compact(const Arguments& arguments, disk::FileCalls& calls) {
     const disk::ChangeResult result =
         disk::compact(calls, arguments.folder, arguments.segmentMb * std::uint32_t{1 << 20});
-    if (!result.problem.empty()) return reportFailure(result.problem, result.busy);
+    if (!result.problem.empty()) return reportFailure(result.problem, result.lockHeld);
     print(arguments, {{"bytes_before", result.bytesBefore}, {"bytes_after", result.bytesAfter}});
     return kDone;
 }
