--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -62,10 +62,10 @@
     bool mayHedge = false;             // a second attempt while the first is in flight
     bool mayCancel = false;
     bool mayProbe = false;
-    bool retryHints = false;
+    bool retryAfterSupported = false;
     bool mustSubscribeToList = false;  // changes are sent only to subscribers
     int maxAttempts = 1;
-    Time maxRetryHint{};
+    Time maxRetryAfter{};
     Time answerGrace{};  // how long after the client's deadline an answer still counts
     Time askWithin{};
     Time drainGrace{};
@@ -170,7 +170,7 @@
     std::string_view source;            // where a miss is filled from; equal to `host`: no fill
     int keepRank = 0;                   // rank of the copy that the host keeps; zero: none
     int localKeepRank = 0;              // rank of a copy that the gateway itself keeps; zero: none
-    Time maxCopyAge{};                  // of an acceptable copy; zero: the class's fresh time
+    Time maxCopyAge{};                  // of an acceptable copy; zero: the class's freshness lifetime
     bool coalesceFill = false;          // wait for a fill in progress
     bool sourceOnlyIfCached = false;    // the source answers only from its own copies
     bool staleWhileRevalidate = false;  // an aging copy is served and refreshed in the background
@@ -186,7 +186,7 @@
 };
 struct Refuse {
     RequestId request = 0;
-    Time retryIn{};
+    Time retryAfter{};
     GiveUpReason why = GiveUpReason::noRoute;
 };
 struct Fail {
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -156,7 +156,7 @@
     void write(std::int64_t instance, const Refuse& a) {
         beginAction("deny", instance);
         id(a.request);
-        if (a.retryIn.count() > 0) field("retryIn", a.retryIn.count());
+        if (a.retryAfter.count() > 0) field("retryIn", a.retryAfter.count());
     }
     void write(std::int64_t instance, const Fail& a) {
         beginAction("finishError", instance);
--- a/src/core/decision_facade.cpp
+++ b/src/core/decision_facade.cpp
@@ -125,7 +125,7 @@
     ReceivedPurge& received =
         event.purgedObject.empty() ? groupPurges_[event.purgedGroup] : objectPurges_[event.purgedObject];
     received.receivedAt = now;
-    received.purgeUnixMs = std::max(received.purgeUnixMs, event.purgedMs);
+    received.purgedMs = std::max(received.purgedMs, event.purgedMs);
     forgetOldPurges(now);
     router_.handle(routerTime(now), purge, actions_);
     convertActions(now);
@@ -151,14 +151,14 @@
     if (object == objectPurges_.end()) return group->second;
     if (group == groupPurges_.end()) return object->second;
     return {{std::max(object->second.receivedAt, group->second.receivedAt),
-             std::max(object->second.purgeUnixMs, group->second.purgeUnixMs)}};
+             std::max(object->second.purgedMs, group->second.purgedMs)}};
 }
 
 void DecisionFacade::applyPurgeLimit(Micros now, const Request& request, Decision& send) const {
     const auto purge = lastPurgeOf(request);
     if (!purge) return;
     constexpr Micros kRounding{1000};
-    send.lastPurgeMs = purge->purgeUnixMs;
+    send.lastPurgeMs = purge->purgedMs;
     send.maxCopyAgeFromPurge = send.maxCopyAge + kRounding >= now - purge->receivedAt;
 }
 
@@ -255,7 +255,7 @@
         } else if constexpr (std::is_same_v<Kind, Refuse>) {
             decision.kind = DecisionKind::refuse;
             decision.request = action.request;
-            decision.retryAfter = duration_cast<Micros>(action.retryIn);
+            decision.retryAfter = duration_cast<Micros>(action.retryAfter);
             decision.why = action.why;
             attempts_.erase(action.request);
         } else if constexpr (std::is_same_v<Kind, Fail>) {
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -124,7 +124,7 @@
 private:
     struct ReceivedPurge {
         Micros receivedAt{};
-        std::int64_t purgeUnixMs = 0;  // date that the event carries
+        std::int64_t purgedMs = 0;  // date that the event carries
     };
 
     // Empty if none is remembered.
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -583,8 +583,8 @@
 
 std::string Front::refusalFields() const {
     const Settings& s = decodedSettings_.settings;
-    const Micros maxRetryHint = std::chrono::duration_cast<Micros>(s.maxRetryHint);
-    return retryAfterFields(s.retryHints ? std::min(kRefusalRetryAfter, maxRetryHint) : Micros{0});
+    const Micros maxRetryAfter = std::chrono::duration_cast<Micros>(s.maxRetryAfter);
+    return retryAfterFields(s.retryAfterSupported ? std::min(kRefusalRetryAfter, maxRetryAfter) : Micros{0});
 }
 
 std::size_t Front::maxClientBacklog() const {
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -65,7 +65,8 @@
     bool hasRoomForCall(std::size_t backlog) const;
     // Limit of the held bytes, for a client with this many unread bytes.
     std::size_t heldBytesLimit(std::size_t backlog) const;
-    std::string refusalFields() const;  // fields of a refusal by this front, with a retry hint if allowed
+    std::string refusalFields()
+        const;  // fields of a refusal by this front, with a retry-after time if allowed
     void forget(Client* client);
     std::size_t maxClientBacklog() const;
     void sweepForDrain();
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -983,8 +983,9 @@
     }
 
     void giveUp(Pending& p, GiveUpReason why, Actions& out) {
-        const Time hint = p.settings->retryHints ? std::min(kRetryAfter, p.settings->maxRetryHint) : Time{0};
-        refusalAllowed(p) ? out.push_back(Refuse{p.request.id, hint, why})
+        const Time retryAfter =
+            p.settings->retryAfterSupported ? std::min(kRetryAfter, p.settings->maxRetryAfter) : Time{0};
+        refusalAllowed(p) ? out.push_back(Refuse{p.request.id, retryAfter, why})
                           : out.push_back(Fail{p.request.id, why});
         markAnswered(p, out);
         eraseIfDone(p.request.id);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -193,10 +193,10 @@
     settings.mayHedge = boolOr(allowed, "secondCopies", false);
     settings.mayCancel = boolOr(allowed, "mayCancel", false);
     settings.mayProbe = boolOr(allowed, "mayProbe", false);
-    settings.retryHints = boolOr(allowed, "retryAfter", false);
+    settings.retryAfterSupported = boolOr(allowed, "retryAfter", false);
     settings.maxAttempts =
         static_cast<int>(std::min<std::int64_t>(requirePositive(allowed, "mostTries"), 1000));
-    settings.maxRetryHint = timeOr(allowed, "maxRetryAfter");
+    settings.maxRetryAfter = timeOr(allowed, "maxRetryAfter");
     decoded.connectTimeout = timeOr(allowed, "connectTimeout");
     decoded.idleTimeout = timeOr(allowed, "keepalive");
     decoded.streamsPerConnection = static_cast<int>(integerOr(allowed, "streamsPerConn", 0));
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -39,9 +39,9 @@
     s.fillCoalescing = true;
     s.mayHedge = true;
     s.mayCancel = true;
-    s.retryHints = true;
+    s.retryAfterSupported = true;
     s.maxAttempts = 6;
-    s.maxRetryHint = 1s;
+    s.maxRetryAfter = 1s;
     s.answerGrace = 8ms;
     s.coldStartShare = 0.2;
     s.warmUpTime = 16s;
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -528,8 +528,9 @@
                                          s.weights = WeightMeaning::none;
                                          s.routersByZone.clear();
                                      }},
-                      DeploymentCase{"no cancel, no second copy",
-                                     [](Settings& s) { s.mayCancel = s.mayHedge = s.retryHints = false; }},
+                      DeploymentCase{
+                          "no cancel, no second copy",
+                          [](Settings& s) { s.mayCancel = s.mayHedge = s.retryAfterSupported = false; }},
                       DeploymentCase{"one try", [](Settings& s) { s.maxAttempts = 1; }},
                       DeploymentCase{"keyed by cell",
                                      [](Settings& s) {
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -122,8 +122,8 @@
     h.ask("a");
     const auto refusal = h.one<Refuse>();
     ASSERT_TRUE(refusal);
-    EXPECT_GT(refusal->retryIn, 0ms);
-    EXPECT_LT(refusal->retryIn, 250ms);  // a retry can still meet the latency target
+    EXPECT_GT(refusal->retryAfter, 0ms);
+    EXPECT_LT(refusal->retryAfter, 250ms);  // a retry can still meet the latency target
 }
 
 TEST(Answers, EveryRequestEndsOnceWhateverFails) {
