--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -65,8 +65,8 @@
     bool hasRoomForCall(std::size_t backlog) const;
     // Limit of the held bytes, for a client with this many unread bytes.
     std::size_t heldBytesLimit(std::size_t backlog) const;
-    std::string refusalFields()
-        const;  // fields of a refusal by this front, with a retry-after time if allowed
+    // Fields of a refusal by this front, with a retry-after time if the settings support it.
+    std::string refusalFields() const;
     void forget(Client* client);
     std::size_t maxClientBacklog() const;
     void sweepForDrain();
