--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -113,9 +113,9 @@
 // With many routers, one router's part of a cold host's budget is less than one request: a random draw then
 // lets single requests through.
 // Share of the budget that the draws use, since several routers may draw at the same time by chance.
-constexpr double kLotteryBudgetShare = 0.5;
+constexpr double kRandomAdmissionBudgetShare = 0.5;
 // Requests that the whole budget must hold, since chance has too much weight in a smaller one.
-constexpr double kLotteryMinBudgetRequests = 8;
+constexpr double kRandomAdmissionMinBudgetRequests = 8;
 
 // Learned links, in transfers at a time at full pace.
 // Where nothing has been learned: deliberately low.
@@ -562,14 +562,14 @@
             share * present * seconds(settings_->coldLoadWindow) / routersSharing(host);
         const double used = host.coldSendSeconds.over(now, settings_->coldLoadWindow);
         if (used + sendSeconds <= routerBudget) return true;
-        if (used > 0 || routerBudget * routersSharing(host) < kLotteryMinBudgetRequests * sendSeconds)
+        if (used > 0 || routerBudget * routersSharing(host) < kRandomAdmissionMinBudgetRequests * sendSeconds)
             return false;
         // One draw per window. The windows of different routers begin at different times.
         const auto window = static_cast<std::uint64_t>(settings_->coldLoadWindow.count());
         const std::uint64_t windowNumber =
             (static_cast<std::uint64_t>(now.count()) + drawSalt_ % window) / window;
         return unitInterval(combine(combine(drawSalt_, host.hash), windowNumber)) <
-               kLotteryBudgetShare * routerBudget / sendSeconds;
+               kRandomAdmissionBudgetShare * routerBudget / sendSeconds;
     }
 
     // The load that an attempt counts for. Too low an estimate would overload a cold host unnoticed.
@@ -684,8 +684,8 @@
     double linkUtilizationOf(Time now, const Host& host) const {
         const double own = host.attemptsInFlight;
         const bool recent = now - host.reportedAt < kLoadReportLifetime;
-        const double guessed = own * routersSharing(host);
-        return (recent ? std::max(own, host.reportedInFlight) : guessed) /
+        const double estimated = own * routersSharing(host);
+        return (recent ? std::max(own, host.reportedInFlight) : estimated) /
                std::max(kMinLoadLinkTransfers, linkTransfersOf(host));
     }
 
