--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -36,7 +36,7 @@
         decisions_.decodedSettings().settings.classes[static_cast<std::size_t>(state.request.classIndex)];
     state.answer = std::move(answer);
     ++openCount_;
-    ++counters_.taken;
+    ++counters_.submitted;
     if (Trace::on())
         Trace::write("take", {{"request", state.request.traceId},
                               {"class", state.request.className},
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -61,7 +61,7 @@
 const char* nameOf(GiveUpReason why);
 
 struct Counters {
-    std::uint64_t taken = 0, served = 0, unchanged = 0, refused = 0, failed = 0, clientsGone = 0,
+    std::uint64_t submitted = 0, served = 0, unchanged = 0, refused = 0, failed = 0, clientsGone = 0,
                   deadlineExceeded = 0;
     std::uint64_t servedLocally = 0;  // from a local copy
     std::uint64_t sent = 0, cancelled = 0;
--- a/src/core/service.hpp
+++ b/src/core/service.hpp
@@ -61,7 +61,7 @@
 inline void printRequestCounters(const std::string& name, const RequestDispatcher& requests) {
     const Counters& r = requests.counters();
     printCounterLine(name, "requests",
-                     {{"taken", r.taken},
+                     {{"taken", r.submitted},
                       {"served", r.served},
                       {"unchanged", r.unchanged},
                       {"refused", r.refused},
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -360,7 +360,7 @@
 
     // Closes the connection before the announced length, so that the client sees an incomplete response.
     void abortTransfer(const char* why) {
-        ++owner_.counters_.brokenOff;
+        ++owner_.counters_.truncatedResponses;
         std::fprintf(stderr, "repository: %s broken off at byte %llu of %llu: %s\n", current_->path.c_str(),
                      static_cast<unsigned long long>(current_->nextByte),
                      static_cast<unsigned long long>(current_->endByte), why);
@@ -453,7 +453,7 @@
             timer_.reset();
             // Also for requests whose bytes arrive slowly: they must not occupy a connection.
             if (requestPending && parser_.midMessage() && !closing_) {
-                ++owner_.counters_.halfRequests;
+                ++owner_.counters_.closedMidRequest;
                 return rejectAndClose(408);
             }
             // An open fetch is bounded by its own deadline.
--- a/src/repository/front.hpp
+++ b/src/repository/front.hpp
@@ -19,8 +19,8 @@
 public:
     struct Counters {
         std::uint64_t connections = 0, rejectedConnections = 0, indexes = 0, files = 0, badRequests = 0,
-                      notFound = 0, refused = 0, upstreamFailed = 0, late = 0, brokenOff = 0, drained = 0,
-                      closedIdle = 0, halfRequests = 0;
+                      notFound = 0, refused = 0, upstreamFailed = 0, late = 0, truncatedResponses = 0,
+                      drained = 0, closedIdle = 0, closedMidRequest = 0;
     };
 
     Front(net::Loop& loop, core::RequestDispatcher& requests,
--- a/src/repository/service.cpp
+++ b/src/repository/service.cpp
@@ -50,10 +50,10 @@
                             {"refused", f.refused},
                             {"upstream_failed", f.upstreamFailed},
                             {"late", f.late},
-                            {"broken_off", f.brokenOff},
+                            {"broken_off", f.truncatedResponses},
                             {"drained", f.drained},
                             {"closed_idle", f.closedIdle},
-                            {"half_requests", f.halfRequests}});
+                            {"half_requests", f.closedMidRequest}});
     core::printCounterLine(name, "upstreams",
                            {{"connects", u.connects},
                             {"connect_failures", u.connectFailures},
