--- a/include/lotuslead/router.hpp
+++ b/include/lotuslead/router.hpp
@@ -62,10 +62,10 @@
     bool mayHedge = false;             // a second attempt while the first is in flight
     bool mayCancel = false;
     bool mayProbe = false;
-    bool retryHints = false;
+    bool retryAfterSupported = false;
     bool mustSubscribeToList = false;  // changes are sent only to subscribers
     int maxAttempts = 1;
-    Time maxRetryHint{};
+    Time maxRetryAfter{};
     Time answerGrace{};  // how long after the client's deadline an answer still counts
     Time askWithin{};
     Time drainGrace{};
@@ -111,7 +111,7 @@
     bool write = false;
 };
 
-enum class Outcome { served, error, notTaken, timedOut, noConnection, broken, cancelled, notSent, noCopy };
+enum class Outcome { served, error, rejected, timedOut, noConnection, broken, cancelled, notSent, noCopy };
 
 // Where the answer came from, or why the fill failed, as far as reported.
 enum class CacheStatus {
@@ -137,8 +137,8 @@
     int attempt = 0;
     Outcome outcome = Outcome::error;
     Time elapsed{};
-    bool requestClosed = false;  // the request is closed: it needs no further answer
-    bool blameless = false;      // tells nothing about its host beyond an outcome already reported
+    bool requestClosed = false;    // the request is closed: it needs no further answer
+    bool ignoreForHealth = false;  // tells nothing about its host beyond an outcome already reported
     CacheStatus cacheStatus = CacheStatus::none;
     double sizeKb = 0;  // of the answer; zero: unknown; negative: not sent, since the client had it
     LoadReport load;
@@ -165,15 +165,15 @@
 
 struct Send {
     RequestId request = 0;
-    std::string_view host;             // views stay valid for the lifetime of the router
-    bool withoutSource = false;        // an ordinary request: no fill, and the host keeps no copy
-    std::string_view source;           // where a miss is filled from; equal to `host`: no fill
-    int keepRank = 0;                  // rank of the copy that the host keeps; zero: none
-    int ownCopyRank = 0;               // rank of a copy that the gateway itself keeps; zero: none
-    Time maxCopyAge{};                 // of an acceptable copy; zero: the class's fresh time
-    bool coalesce = false;             // wait for a fill in progress
-    bool sourceOnlyIfCached = false;   // the source answers only from its own copies
-    bool refreshInBackground = false;  // an aging copy is served and refreshed in the background
+    std::string_view host;              // views stay valid for the lifetime of the router
+    bool withoutSource = false;         // an ordinary request: no fill, and the host keeps no copy
+    std::string_view source;            // where a miss is filled from; equal to `host`: no fill
+    int keepRank = 0;                   // rank of the copy that the host keeps; zero: none
+    int localKeepRank = 0;              // rank of a copy that the gateway itself keeps; zero: none
+    Time maxCopyAge{};                  // of an acceptable copy; zero: the class's freshness lifetime
+    bool coalesceFill = false;          // wait for a fill in progress
+    bool sourceOnlyIfCached = false;    // the source answers only from its own copies
+    bool staleWhileRevalidate = false;  // an aging copy is served and refreshed in the background
     Time timeout{};
 };
 // Why a request was given up, that is, answered at once by Refuse or Fail.
@@ -186,7 +186,7 @@
 };
 struct Refuse {
     RequestId request = 0;
-    Time retryIn{};
+    Time retryAfter{};
     GiveUpReason why = GiveUpReason::noRoute;
 };
 struct Fail {
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -48,7 +48,7 @@
             case 'E':
                 return Outcome::error;
             case 'F':
-                return Outcome::notTaken;
+                return Outcome::rejected;
             case 'T':
                 return Outcome::timedOut;
             case 'C':
@@ -69,14 +69,14 @@
 }
 
 CacheStatus cacheStatusOf(std::int64_t number) {
-    constexpr std::array notes{CacheStatus::none,          CacheStatus::hit,
-                               CacheStatus::filled,        CacheStatus::filledByOrigin,
-                               CacheStatus::joined,        CacheStatus::stale,
-                               CacheStatus::sourceRefused, CacheStatus::sourceUnreached,
-                               CacheStatus::sourceLacks,   CacheStatus::noFillPlace,
-                               CacheStatus::originFailed};
-    if (number < 0 || number >= static_cast<std::int64_t>(notes.size())) return CacheStatus::none;
-    return notes[static_cast<std::size_t>(number)];
+    constexpr std::array statuses{CacheStatus::none,          CacheStatus::hit,
+                                  CacheStatus::filled,        CacheStatus::filledByOrigin,
+                                  CacheStatus::joined,        CacheStatus::stale,
+                                  CacheStatus::sourceRefused, CacheStatus::sourceUnreached,
+                                  CacheStatus::sourceLacks,   CacheStatus::noFillPlace,
+                                  CacheStatus::originFailed};
+    if (number < 0 || number >= static_cast<std::int64_t>(statuses.size())) return CacheStatus::none;
+    return statuses[static_cast<std::size_t>(number)];
 }
 
 LoadReport loadOf(element event) {
@@ -151,12 +151,12 @@
         field("holdRank", a.keepRank);
         field("howOld", a.maxCopyAge.count());
         field("switches",
-              (a.coalesce ? 1 : 0) + (a.sourceOnlyIfCached ? 2 : 0) + (a.refreshInBackground ? 8 : 0));
+              (a.coalesceFill ? 1 : 0) + (a.sourceOnlyIfCached ? 2 : 0) + (a.staleWhileRevalidate ? 8 : 0));
     }
     void write(std::int64_t instance, const Refuse& a) {
         beginAction("deny", instance);
         id(a.request);
-        if (a.retryIn.count() > 0) field("retryIn", a.retryIn.count());
+        if (a.retryAfter.count() > 0) field("retryIn", a.retryAfter.count());
     }
     void write(std::int64_t instance, const Fail& a) {
         beginAction("finishError", instance);
@@ -193,7 +193,7 @@
 
 struct Instance {
     Router router;
-    settings::DecodedSettings decoded;
+    settings::DecodedSettings decodedSettings;
 };
 
 // The gateway and the adapter share one settings decoder. simdjson is used only for events, which are
@@ -250,7 +250,7 @@
         if (found == instances_.end()) throw DecodeError("unknown instance " + std::to_string(instance));
         Instance& to = *found->second;
         if (what == "req") {
-            to.router.handle(now_, requestOf(to.decoded, event), actions_);
+            to.router.handle(now_, requestOf(to.decodedSettings, event), actions_);
         } else if (what == "response") {
             AttemptEnded ended;
             ended.request = requestId(event);
@@ -294,9 +294,10 @@
             seed = static_cast<std::uint64_t>(integerOr(event, "salt", 0));
         const auto info = valueAt(event, "info");
         if (!info) throw DecodeError("field 'info' is missing");
-        settings::DecodedSettings decoded = settingsOf(*info);
-        Router router(decoded.settings, seed);
-        instances_[instance] = std::make_unique<Instance>(Instance{std::move(router), std::move(decoded)});
+        settings::DecodedSettings decodedSettings = settingsOf(*info);
+        Router router(decodedSettings.settings, seed);
+        instances_[instance] =
+            std::make_unique<Instance>(Instance{std::move(router), std::move(decodedSettings)});
         instances_[instance]->router.start(now_, actions_);
         writeActions(instance);
     }
@@ -340,19 +341,19 @@
         list.whole = form != 0;
         for (const ListedHost& listed : lists_[static_cast<std::size_t>(number)]) {
             HostEntry entry = listed.entry;
-            entry.role = to.decoded.roleOf(listed.shape);
-            entry.zone = to.decoded.zoneOf(listed.zone);
+            entry.role = to.decodedSettings.roleOf(listed.shape);
+            entry.zone = to.decodedSettings.zoneOf(listed.zone);
             list.entries.push_back(std::move(entry));
         }
         to.router.handle(now_, list, actions_);
     }
 
-    static Request requestOf(const settings::DecodedSettings& decoded, element event) {
+    static Request requestOf(const settings::DecodedSettings& decodedSettings, element event) {
         Request request;
         request.id = requestId(event);
         const std::string profile(requireText(event, "profile"));
-        const auto known = decoded.classes.find(profile);
-        if (known == decoded.classes.end()) throw DecodeError("unknown class '" + profile + "'");
+        const auto known = decodedSettings.classes.find(profile);
+        if (known == decodedSettings.classes.end()) throw DecodeError("unknown class '" + profile + "'");
         request.classIndex = known->second;
         const std::string_view object = textOr(event, "object", "");
         request.object = object.empty() ? 0 : fingerprint(object);
--- a/src/core/decision_facade.hpp
+++ b/src/core/decision_facade.hpp
@@ -48,13 +48,13 @@
     std::string source;  // host that a miss is filled from; empty: no fill
     int keepRank = 0;
     int localKeepRank = 0;  // rank of a local copy; zero: none is kept
-    Micros maxAge{};        // zero: the class's freshness lifetime
+    Micros maxCopyAge{};    // zero: the class's freshness lifetime
     // Time of the latest remembered purge of the object or its group, by the clock that dates purges and
     // copies; copies made before it must not be served. Zero: no purge is remembered.
     std::int64_t lastPurgeMs = 0;
-    bool maxAgeFromPurge = false;  // `maxAge` results from that purge
-    bool joinFill = false;
-    bool onlyIfCached = false;
+    bool maxCopyAgeFromPurge = false;  // `maxCopyAge` results from that purge
+    bool coalesceFill = false;
+    bool sourceOnlyIfCached = false;
     bool staleWhileRevalidate = false;
     Micros timeout{};
     Micros pickedAt{};
@@ -66,7 +66,7 @@
     int attempt = 0;
     Outcome outcome = Outcome::error;
     Micros elapsed{};
-    CacheStatus note = CacheStatus::none;
+    CacheStatus cacheStatus = CacheStatus::none;
     bool ignoreForHealth = false;
     std::size_t bytes = 0;  // bytes served
     bool unchanged = false;
@@ -78,12 +78,12 @@
 public:
     // `unixClockOffset` is the Unix clock minus the monotonic clock; it stays fixed for the life of the
     // process.
-    DecisionFacade(settings::DecodedSettings vocabulary, std::uint64_t seed, Micros now,
+    DecisionFacade(settings::DecodedSettings decodedSettings, std::uint64_t seed, Micros now,
                    Micros unixClockOffset);
 
-    const settings::DecodedSettings& vocabulary() const { return vocabulary_; }
+    const settings::DecodedSettings& decodedSettings() const { return decodedSettings_; }
     // Replaces the settings. The new ones must continue the old ones (settings::mergeReloaded).
-    void reconfigure(settings::DecodedSettings vocabulary);
+    void reconfigure(settings::DecodedSettings decodedSettings);
     // Sets the number of processes that together form this gateway; each takes its share of the limits.
     void setProcessCount(int processes);
     // State for a successor process on this machine, as JSON. A successor keeps the entries whose names it
@@ -124,7 +124,7 @@
 private:
     struct ReceivedPurge {
         Micros receivedAt{};
-        std::int64_t purgeUnixMs = 0;  // date that the event carries
+        std::int64_t purgedMs = 0;  // date that the event carries
     };
 
     // Empty if none is remembered.
@@ -140,8 +140,8 @@
     // has a time above zero (zero stands for "long ago").
     static constexpr std::chrono::hours kRouterClockOffset{24 * 365};
 
-    settings::DecodedSettings vocabulary_;
-    int processes_ = 1;
+    settings::DecodedSettings decodedSettings_;
+    int processCount_ = 1;
     Router router_;
     Micros unixClockOffset_;
     Actions actions_;
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -14,15 +14,15 @@
 }
 
 const char* nameOf(GiveUpReason why) {
-    constexpr std::array<const char*, kGiveUpCount> names{"no_time", "most_attempts", "no_route",
-                                                          "no_allowance", "cancelled"};
+    constexpr std::array<const char*, kGiveUpReasonCount> names{"no_time", "most_attempts", "no_route",
+                                                                "no_allowance", "cancelled"};
     return names[static_cast<std::size_t>(why)];
 }
 
 namespace {
 
 bool mayHaveRun(Outcome outcome) {
-    return outcome != Outcome::notTaken && outcome != Outcome::noConnection && outcome != Outcome::notSent &&
+    return outcome != Outcome::rejected && outcome != Outcome::noConnection && outcome != Outcome::notSent &&
            outcome != Outcome::noCopy;
 }
 
@@ -33,10 +33,10 @@
     RequestState& state = states_[id];
     state.request = std::move(request);
     state.classSettings =
-        decisions_.vocabulary().settings.classes[static_cast<std::size_t>(state.request.classIndex)];
+        decisions_.decodedSettings().settings.classes[static_cast<std::size_t>(state.request.classIndex)];
     state.answer = std::move(answer);
     ++openCount_;
-    ++counters_.taken;
+    ++counters_.submitted;
     if (Trace::on())
         Trace::write("take", {{"request", state.request.traceId},
                               {"class", state.request.className},
@@ -77,7 +77,7 @@
         report.servedLocally = true;
         ++counters_.servedLocally;
     }
-    report.note = result.note;
+    report.cacheStatus = result.cacheStatus;
     report.ignoreForHealth = result.ignoreForHealth;
     report.bytes = result.payload.body.size();
     report.unchanged = result.payload.unchanged;
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -22,7 +22,7 @@
     std::string body;
     bool unchanged = false;  // the client's own copy is still valid: no body
     std::vector<std::pair<std::string, std::string>> metadata;
-    std::int64_t mintedMs = 0;  // Unix milliseconds; the content is of this time or later; zero: not known
+    std::int64_t createdMs = 0;  // Unix milliseconds; the content is of this time or later; zero: not known
 };
 
 // Final answer to a request.
@@ -39,7 +39,7 @@
     RequestId request = 0;
     int attempt = 0;
     Outcome outcome = Outcome::error;
-    CacheStatus note = CacheStatus::none;
+    CacheStatus cacheStatus = CacheStatus::none;
     bool ignoreForHealth = false;  // tells nothing new about the host's health
     bool servedLocally = false;    // from a local copy: no host was asked
     Payload payload;
@@ -56,18 +56,18 @@
 };
 
 inline constexpr std::size_t kOutcomeCount = 9;
-inline constexpr std::size_t kGiveUpCount = 5;
+inline constexpr std::size_t kGiveUpReasonCount = 5;
 const char* nameOf(Outcome outcome);
 const char* nameOf(GiveUpReason why);
 
 struct Counters {
-    std::uint64_t taken = 0, served = 0, unchanged = 0, refused = 0, failed = 0, clientsGone = 0,
+    std::uint64_t submitted = 0, served = 0, unchanged = 0, refused = 0, failed = 0, clientsGone = 0,
                   deadlineExceeded = 0;
     std::uint64_t servedLocally = 0;  // from a local copy
     std::uint64_t sent = 0, cancelled = 0;
     std::array<std::uint64_t, kOutcomeCount> outcomes{};  // indexed by Outcome
-    // Refused or failed without an answer, indexed by GiveUp.
-    std::array<std::uint64_t, kGiveUpCount> gaveUp{};
+    // Refused or failed without an answer, indexed by GiveUpReason.
+    std::array<std::uint64_t, kGiveUpReasonCount> gaveUp{};
 };
 
 // Executes the decisions for the open requests and answers each of them once.
--- a/src/disk/caching_carrier.cpp
+++ b/src/disk/caching_transport.cpp
@@ -1,4 +1,4 @@
-#include "caching_carrier.hpp"
+#include "caching_transport.hpp"
 
 #include <algorithm>
 
@@ -8,8 +8,8 @@
 
 std::int64_t msOf(core::Micros t) { return std::chrono::duration_cast<std::chrono::milliseconds>(t).count(); }
 
-std::string factOf(const Facts& facts, std::string_view name) {
-    for (const auto& [key, value] : facts)
+std::string findMetadata(const Metadata& metadata, std::string_view name) {
+    for (const auto& [key, value] : metadata)
         if (key == name) return value;
     return {};
 }
@@ -26,39 +26,43 @@
     options.catalog.maxParts = static_cast<std::size_t>(s.maxParts);
     options.catalog.probationShare = s.probationShare;
     options.catalog.rewriteShare = s.rewriteShare;
-    options.catalog.admissionHistory = s.admission == Settings::Admission::ghost    ? AdmissionHistory::ghost
-                                       : s.admission == Settings::Admission::sketch ? AdmissionHistory::sketch
-                                                                                    : AdmissionHistory::none;
+    options.catalog.admissionHistory =
+        s.admissionHistory == Settings::AdmissionHistory::ghost    ? AdmissionHistory::ghost
+        : s.admissionHistory == Settings::AdmissionHistory::sketch ? AdmissionHistory::sketch
+                                                                   : AdmissionHistory::none;
     options.worker.queueBytes = megabytes(s.queueMb);
     options.worker.maxQueuedReads = static_cast<std::size_t>(s.maxQueuedReads);
-    options.worker.sync = s.sync == Settings::Sync::never    ? SyncPolicy::never
-                          : s.sync == Settings::Sync::sealed ? SyncPolicy::sealed
-                                                             : SyncPolicy::each;
+    options.worker.sync = s.sync == Settings::SyncPolicy::never    ? SyncPolicy::never
+                          : s.sync == Settings::SyncPolicy::sealed ? SyncPolicy::sealed
+                                                                   : SyncPolicy::each;
     options.worker.tables = s.tables;
-    options.maxPurgeEntries = static_cast<std::size_t>(s.maxPurgeEntries);
-    options.purgeClockSkewMs = s.purgeSlackMs;
-    options.purges = {bus, s.busKeepsPositions, s.busSilenceMs};
+    options.maxTombstones = static_cast<std::size_t>(s.maxPurgeEntries);
+    options.purgeClockSkewMs = s.purgeClockSkewMs;
+    options.purges = {bus, s.busKeepsPositions, s.maxBusSilenceMs};
     return options;
 }
 
-void CachingCarrier::attachTier(Tier* tier, const settings::DiskSettings& settings, const LinkPacer& pacer) {
+void CachingTransport::attachTier(Tier* tier, const settings::DiskSettings& settings,
+                                  const LinkPacer& pacer) {
     tier_ = tier;
-    readTimeout_ = std::chrono::milliseconds{settings.readWaitMs};
+    readTimeout_ = std::chrono::milliseconds{settings.readTimeoutMs};
     pacer_ = pacer;
 }
 
-void CachingCarrier::reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t variant,
-                                 const LinkPacer& pacer) {
+void CachingTransport::reconfigure(const std::vector<ClassSettings>* classes, std::uint64_t variant,
+                                   const LinkPacer& pacer) {
     classes_ = classes;
     keyVariant_ = variant;
     pacer_ = pacer;
 }
 
-ClockReading CachingCarrier::clockReadingAt(Micros now) const { return {msOf(now), msOf(now + unixAhead_)}; }
+ClockReading CachingTransport::clockReadingAt(Micros now) const {
+    return {msOf(now), msOf(now + unixAhead_)};
+}
 
 // Only requests for a named object, without a body and without side effects, whose class allows stored
 // copies.
-bool CachingCarrier::isCacheable(const core::Request& request) const {
+bool CachingTransport::isCacheable(const core::Request& request) const {
     if (tier_ == nullptr || classes_ == nullptr || request.object.empty() || !request.body.empty())
         return false;
     const ClassSettings& c = classes_->at(static_cast<std::size_t>(request.classIndex));
@@ -67,38 +71,39 @@
 
 // The age limits are rounded down to milliseconds, so that a copy within the rounded limit is also within the
 // exact one.
-std::int64_t CachingCarrier::maxAgeMs(const core::Request& request, const core::Decision& send) const {
+std::int64_t CachingTransport::maxCopyAgeMs(const core::Request& request, const core::Decision& send) const {
     const ClassSettings& c = classes_->at(static_cast<std::size_t>(request.classIndex));
-    std::int64_t maxAge = msOf(std::chrono::duration_cast<Micros>(c.freshFor));
-    if (send.maxAge.count() > 0) {
-        const std::int64_t wanted = std::max<std::int64_t>(1, msOf(send.maxAge));
-        maxAge = maxAge > 0 ? std::min(maxAge, wanted) : wanted;
+    std::int64_t limitMs = msOf(std::chrono::duration_cast<Micros>(c.freshFor));
+    if (send.maxCopyAge.count() > 0) {
+        const std::int64_t requestedMs = std::max<std::int64_t>(1, msOf(send.maxCopyAge));
+        limitMs = limitMs > 0 ? std::min(limitMs, requestedMs) : requestedMs;
     }
-    return maxAge;
+    return limitMs;
 }
 
-void CachingCarrier::send(Micros now, const core::Request& request, const core::Decision& send) {
+void CachingTransport::send(Micros now, const core::Request& request, const core::Decision& send) {
     if (!isCacheable(request)) return inner_.send(now, request, send);
     now_ = now;
     const bool inParts = classes_->at(static_cast<std::size_t>(request.classIndex)).inParts;
     Key key{request.object, request.className, request.group, request.part, inParts ? keyVariant_ : 0};
-    ++counters_.asked;
+    ++counters_.lookups;
     const RequestId id = request.id;
-    const std::uint64_t ticket =
-        tier_->lookUp(clockReadingAt(now), key, maxAgeMs(request, send),
+    const std::uint64_t lookupId =
+        tier_->lookUp(clockReadingAt(now), key, maxCopyAgeMs(request, send),
                       [this, id](std::optional<Copy> copy) { lookupDone(id, std::move(copy)); });
-    if (ticket == 0) return forward(now, request, send, std::move(key));
+    if (lookupId == 0) return forward(now, request, send, std::move(key));
     const Micros deadline = now + readTimeout_;
     lookupDeadlines_.emplace(deadline, id);
-    lookups_.insert_or_assign(id, PendingLookup{&request, send, std::move(key), ticket, deadline});
+    lookups_.insert_or_assign(id, PendingLookup{&request, send, std::move(key), lookupId, deadline});
 }
 
-void CachingCarrier::forward(Micros now, const core::Request& request, const core::Decision& send, Key key) {
+void CachingTransport::forward(Micros now, const core::Request& request, const core::Decision& send,
+                               Key key) {
     fetches_.insert_or_assign(request.id, PendingFetch{std::move(key), send.attempt, send.localKeepRank});
     inner_.send(now, request, send);
 }
 
-void CachingCarrier::lookupDone(RequestId id, std::optional<Copy> copy) {
+void CachingTransport::lookupDone(RequestId id, std::optional<Copy> copy) {
     const auto at = lookups_.find(id);
     if (at == lookups_.end()) return;
     PendingLookup lookup = std::move(at->second);
@@ -108,7 +113,8 @@
     end.request = id;
     end.attempt = lookup.send.attempt;
     if (copy) {
-        const std::string tag = traits_.tagFact ? factOf(copy->facts, traits_.tagFact) : std::string{};
+        const std::string tag =
+            traits_.tagMetadataName ? findMetadata(copy->metadata, traits_.tagMetadataName) : std::string{};
         end.payload.unchanged = !tag.empty() && tag == request.knownTag;
         // An answer that only confirms the client's tag costs a twentieth of the bytes on the link.
         const std::size_t bytes = end.payload.unchanged ? copy->body.size() / 20 : copy->body.size();
@@ -127,17 +133,17 @@
     if (end.payload.unchanged) ++counters_.unchanged;
     end.servedLocally = true;
     end.outcome = Outcome::served;
-    end.note = CacheStatus::hit;
-    end.payload.mintedMs = copy->createdMs;
-    end.payload.metadata = std::move(copy->facts);
+    end.cacheStatus = CacheStatus::hit;
+    end.payload.createdMs = copy->createdMs;
+    end.payload.metadata = std::move(copy->metadata);
     if (!end.payload.unchanged) end.payload.body = std::move(copy->body);
     ended_(std::move(end));
 }
 
-bool CachingCarrier::cancel(Micros now, RequestId request, int attempt) {
+bool CachingTransport::cancel(Micros now, RequestId request, int attempt) {
     const auto lookup = lookups_.find(request);
     if (lookup != lookups_.end() && lookup->second.send.attempt == attempt) {
-        tier_->cancelLookup(lookup->second.ticket);
+        tier_->cancelLookup(lookup->second.lookupId);
         lookups_.erase(lookup);
         return true;
     }
@@ -146,7 +152,7 @@
     return inner_.cancel(now, request, attempt);
 }
 
-void CachingCarrier::ended(Micros now, core::AttemptResult end) {
+void CachingTransport::ended(Micros now, core::AttemptResult end) {
     now_ = now;
     const auto at = fetches_.find(end.request);
     if (at != fetches_.end() && at->second.attempt == end.attempt) {
@@ -156,16 +162,16 @@
         if (fetched && traits_.storable(fetch.key, end.payload)) {
             // The payload is moved into the copy and back: most offers are rejected, and copying it each time
             // would be wasted.
-            Copy copy{end.payload.mintedMs, std::move(end.payload.metadata), std::move(end.payload.body)};
+            Copy copy{end.payload.createdMs, std::move(end.payload.metadata), std::move(end.payload.body)};
             tier_->offer(clockReadingAt(now), fetch.key, fetch.rank, copy);
-            end.payload.metadata = std::move(copy.facts);
+            end.payload.metadata = std::move(copy.metadata);
             end.payload.body = std::move(copy.body);
         }
     }
     ended_(std::move(end));
 }
 
-void CachingCarrier::turn(Micros now) {
+void CachingTransport::turn(Micros now) {
     now_ = now;
     while (!lookupDeadlines_.empty() && lookupDeadlines_.begin()->first <= now) {
         const auto [deadline, id] = *lookupDeadlines_.begin();
@@ -173,7 +179,7 @@
         const auto at = lookups_.find(id);
         if (at == lookups_.end() || at->second.deadline != deadline) continue;
         ++counters_.slowReads;
-        tier_->cancelLookup(at->second.ticket);
+        tier_->cancelLookup(at->second.lookupId);
         const PendingLookup lookup = std::move(at->second);
         lookups_.erase(at);
         forward(now, *lookup.request, lookup.send, lookup.key);
@@ -181,7 +187,7 @@
     if (tier_ != nullptr) tier_->turn(clockReadingAt(now));
 }
 
-core::Micros CachingCarrier::nextTurn() const {
+core::Micros CachingTransport::nextTurn() const {
     if (tier_ != nullptr && tier_->hasMoreWork()) return now_;
     return lookupDeadlines_.empty() ? Micros::max() : lookupDeadlines_.begin()->first;
 }
--- a/src/disk/caching_carrier.hpp
+++ b/src/disk/caching_transport.hpp
@@ -1,4 +1,4 @@
-// A carrier that wraps another one and caches on disk: it answers an attempt from the disk tier where a
+// A transport that wraps another one and caches on disk: it answers an attempt from the disk tier where a
 // usable copy is held, forwards it otherwise, and offers the answers that it receives to the tier. Without a
 // tier it forwards everything. Runs on the event loop's thread.
 #pragma once
@@ -22,22 +22,22 @@
 // How a front's payloads are cached.
 struct PayloadTraits {
     std::function<bool(const Key&, const core::Payload&)>
-        storable;                                        // whether the payload may be cached at all
-    std::function<std::uint64_t(const Facts&)> version;  // as Tier::Callbacks::version
-    const char* tagFact = nullptr;  // name of the fact that is compared with `Request::knownTag`; null: the
-                                    // front compares by itself
+        storable;                                           // whether the payload may be cached at all
+    std::function<std::uint64_t(const Metadata&)> version;  // as Tier::Callbacks::version
+    const char* tagMetadataName = nullptr;  // name of the metadata entry that is compared with
+                                            // `Request::knownTag`; null: the front compares by itself
     bool datedByGatewayClock =
         false;  // copies carry the date of this gateway's wall clock, not of their origin's
 };
 
-class CachingCarrier : public core::AttemptTransport {
+class CachingTransport : public core::AttemptTransport {
 public:
     using Micros = core::Micros;
     struct Counters {
-        std::uint64_t asked = 0, served = 0, unchanged = 0, slowReads = 0, linkFull = 0;
+        std::uint64_t lookups = 0, served = 0, unchanged = 0, slowReads = 0, linkFull = 0;
     };
 
-    CachingCarrier(core::AttemptTransport& inner, Micros unixAhead, PayloadTraits traits)
+    CachingTransport(core::AttemptTransport& inner, Micros unixAhead, PayloadTraits traits)
         : inner_(inner), unixAhead_(unixAhead), traits_(std::move(traits)) {}
 
     void listen(std::function<void(core::AttemptResult)> ended) { ended_ = std::move(ended); }
@@ -49,7 +49,7 @@
 
     void send(Micros now, const core::Request& request, const core::Decision& send) override;
     bool cancel(Micros now, RequestId request, int attempt) override;
-    // Called with each result of the inner carrier.
+    // Called with each result of the inner transport.
     void ended(Micros now, core::AttemptResult end);
 
     void turn(Micros now);  // gives up disk reads that exceed the read timeout and forwards their attempts
@@ -63,7 +63,7 @@
         const core::Request* request;  // outlives the attempt
         core::Decision send;
         Key key;
-        std::uint64_t ticket = 0;
+        std::uint64_t lookupId = 0;
         Micros deadline{};
     };
     struct PendingFetch {
@@ -73,7 +73,7 @@
     };
 
     bool isCacheable(const core::Request& request) const;
-    std::int64_t maxAgeMs(const core::Request& request, const core::Decision& send) const;
+    std::int64_t maxCopyAgeMs(const core::Request& request, const core::Decision& send) const;
     void forward(Micros now, const core::Request& request, const core::Decision& send, Key key);
     void lookupDone(RequestId id, std::optional<Copy> copy);
 
--- a/src/disk/io_worker.cpp
+++ b/src/disk/io_worker.cpp
@@ -196,7 +196,7 @@
     FolderOpened result;
     auto opened = folder_.open(Folder::Access::write);
     result.problem = std::move(opened.problem);
-    result.busy = opened.busy;
+    result.lockHeld = opened.lockHeld;
     result.retryable = opened.retryable();
     if (result.problem.empty()) {
         PurgeLog::LoadResult log = log_.load(Folder::Access::write);
@@ -239,7 +239,7 @@
         result.parts = std::move(found.parts);
         result.bytes = found.fileBytes;
         result.fromTable = found.fromTable;
-        result.torn = found.bytes < found.fileBytes;
+        result.tornTail = found.bytes < found.fileBytes;
         result.problem = std::move(found.problem);
         post(std::move(result));
     }
@@ -403,7 +403,7 @@
 }
 
 ReadDone IoWorker::readOne(const ReadJob& job) {
-    ReadDone done{job.ticket, job.fingerprint, job.location, {}, false, {}};
+    ReadDone done{job.lookupId, job.fingerprint, job.location, {}, false, {}};
     const std::shared_ptr<File> file = files_.get(job.location.segment);
     // Reused between reads: zeroing a new buffer costs as much as the checksum.
     if (readBuffer_.size() < job.location.bytes) readBuffer_.resize(job.location.bytes);
@@ -414,10 +414,10 @@
         done.problem = describeError(
             "read", folder_.path() + " segment " + std::to_string(job.location.segment), read.error);
     } else if (read.bytes != record.size()) {
-        done.torn = true;
+        done.damaged = true;
     } else {
         done.record = decodeRecord(record);
-        done.torn = !done.record;
+        done.damaged = !done.record;
     }
     return done;
 }
--- a/src/disk/io_worker.hpp
+++ b/src/disk/io_worker.hpp
@@ -49,7 +49,7 @@
     std::uint32_t segment = 0;
 };
 struct ReadJob {
-    std::uint64_t ticket = 0;
+    std::uint64_t lookupId = 0;
     std::uint64_t fingerprint = 0;
     RecordLocation location;
 };
@@ -58,7 +58,7 @@
 
 struct FolderOpened {  // the first completion, and one for each further attempt to open the folder
     Problem problem;
-    bool busy = false;       // another process holds the lock
+    bool lockHeld = false;   // another process holds the lock
     bool retryable = false;  // the lock is held, or the error may go away by itself
     std::vector<PurgeEntry> entries;
     std::optional<std::int64_t> busPosition;
@@ -69,7 +69,7 @@
     SegmentName name;
     std::vector<Part> parts;
     std::uint64_t bytes = 0;
-    bool fromTable = false, torn = false;
+    bool fromTable = false, tornTail = false;
     Problem problem;
 };
 struct LoadFinished {};
@@ -106,10 +106,10 @@
     Problem problem;
 };
 struct ReadDone {
-    std::uint64_t ticket = 0, fingerprint = 0;
+    std::uint64_t lookupId = 0, fingerprint = 0;
     RecordLocation location;
     std::optional<std::pair<Key, Copy>> record;
-    bool torn = false;  // the record was read, but it is incomplete or damaged
+    bool damaged = false;  // the record was read, but it is incomplete or damaged
     Problem problem;
 };
 using Completion =
--- a/src/disk/tier.cpp
+++ b/src/disk/tier.cpp
@@ -19,7 +19,7 @@
     : options_(options),
       callbacks_(std::move(callbacks)),
       catalog_(options.catalog),
-      tombstones_(options.maxPurgeEntries, options.purgeClockSkewMs),
+      tombstones_(options.maxTombstones, options.purgeClockSkewMs),
       versions_(kMaxTrackedVersions),
       worker_(calls, options.folder, [&] {
           IoWorkerOptions worker = options.worker;
@@ -64,7 +64,7 @@
     state_ = State::closed;
     worker_.beginClose();
     auto pending = std::exchange(lookups_, {});
-    for (auto& [ticket, lookup] : pending) lookup.callback({});
+    for (auto& [lookupId, lookup] : pending) lookup.callback({});
 }
 
 void Tier::reconfigure(const TierOptions& options) {
@@ -77,9 +77,9 @@
 // ----- reading -----
 
 // Whether a copy of this creation time may be served now. All such decisions are made here.
-bool Tier::isServable(ClockReading now, const Key& key, std::int64_t maxAgeMs, std::int64_t createdMs) {
+bool Tier::isServable(ClockReading now, const Key& key, std::int64_t maxCopyAgeMs, std::int64_t createdMs) {
     if (purgeLogFailing_ || !purgeFeed_.isCurrent(now.monotonicMs)) {
-        ++counters_.unproved;
+        ++counters_.unprovable;
         return false;
     }
     if (tombstones_.covers(key.objectFingerprint(), key.group, createdMs)) {
@@ -87,30 +87,31 @@
         return false;
     }
     const std::int64_t age = now.unixMs - createdMs;
-    if (age < -options_.purgeClockSkewMs || (maxAgeMs > 0 && age > maxAgeMs)) {
+    if (age < -options_.purgeClockSkewMs || (maxCopyAgeMs > 0 && age > maxCopyAgeMs)) {
         ++counters_.expired;
         return false;
     }
     return true;
 }
 
-std::uint64_t Tier::lookUp(ClockReading now, const Key& key, std::int64_t maxAgeMs, LookupCallback callback) {
+std::uint64_t Tier::lookUp(ClockReading now, const Key& key, std::int64_t maxCopyAgeMs,
+                           LookupCallback callback) {
     if (!holdsFolder()) return 0;
     const std::uint64_t fingerprint = key.fingerprint();
     catalog_.recordRequest(fingerprint);
     const auto part = catalog_.findForRead(fingerprint);
-    if (!part || !isServable(now, key, maxAgeMs, part->createdMs)) {
+    if (!part || !isServable(now, key, maxCopyAgeMs, part->createdMs)) {
         ++counters_.misses;
         return 0;
     }
-    const std::uint64_t ticket = nextTicket_++;
-    if (!worker_.read({ticket, fingerprint, part->location})) {
-        ++counters_.busy;
+    const std::uint64_t lookupId = nextLookupId_++;
+    if (!worker_.read({lookupId, fingerprint, part->location})) {
+        ++counters_.readQueueFull;
         ++counters_.misses;
         return 0;
     }
-    lookups_.emplace(ticket, PendingLookup{key, maxAgeMs, std::move(callback)});
-    return ticket;
+    lookups_.emplace(lookupId, PendingLookup{key, maxCopyAgeMs, std::move(callback)});
+    return lookupId;
 }
 
 void Tier::handle(ClockReading now, ReadDone& done) {
@@ -119,20 +120,20 @@
         ++counters_.readErrors;
         log("disk tier: " + done.problem);
     }
-    if (done.torn) {
-        ++counters_.torn;
+    if (done.damaged) {
+        ++counters_.damagedRecords;
         log("disk tier: a record in segment " + std::to_string(done.location.segment) + " at byte " +
             std::to_string(done.location.offset) + " is not as it was written, dropped");
     }
     // A part that was moved meanwhile has another location and is kept.
     if (!good) catalog_.partLost(done.fingerprint, done.location);
-    const auto at = lookups_.find(done.ticket);
+    const auto at = lookups_.find(done.lookupId);
     if (at == lookups_.end()) return;
     PendingLookup lookup = std::move(at->second);
     lookups_.erase(at);
     // Two keys may share a fingerprint, and a purge may have arrived during the read.
     const bool same = good && done.record->first == lookup.key;
-    if (!same || !isServable(now, lookup.key, lookup.maxAgeMs, done.record->second.createdMs) ||
+    if (!same || !isServable(now, lookup.key, lookup.maxCopyAgeMs, done.record->second.createdMs) ||
         !isLatest(lookup.key, done.record->second)) {
         ++counters_.misses;
         return lookup.callback({});
@@ -163,24 +164,24 @@
     if (!purgeFeed_.isCurrent(now.monotonicMs) && catalog_.contains(fingerprint)) return;
     const std::uint64_t bytes = recordBytes(key, copy);
     if (pendingWriteBytes_ + bytes > options_.worker.queueBytes) {
-        ++counters_.queueFull;
+        ++counters_.writeQueueFull;
         return;
     }
     const auto queue = catalog_.admit(fingerprint, rank, bytes, pendingWriteBytes_);
     if (!queue) return;
     AppendJob job{key, std::make_shared<const Copy>(copy), *queue, rank, bytes};
     if (!worker_.append(std::move(job))) {
-        ++counters_.queueFull;
+        ++counters_.writeQueueFull;
         return;
     }
     pendingWriteBytes_ += bytes;
-    noteCreated(copy.createdMs);
+    trackLatestCreated(copy.createdMs);
 }
 
 // Parts of two versions must not be combined in one download: when a second version of an object is seen, the
 // parts of the older one are purged.
 bool Tier::isLatest(const Key& key, const Copy& copy) {
-    const std::uint64_t version = callbacks_.version(copy.facts);
+    const std::uint64_t version = callbacks_.version(copy.metadata);
     if (version == 0) return true;
     const std::uint64_t object = key.objectFingerprint();
     auto [known, had] = versions_.touch(object);
@@ -259,7 +260,7 @@
 
 void Tier::addPurge(const PurgeEntry& entry) {
     tombstones_.add(entry);
-    ++counters_.marks;
+    ++counters_.purgesAdded;
     (sweeping_ ? sweepAgain_ : sweeping_) = true;
     persist({entry});
 }
@@ -302,14 +303,16 @@
 }
 
 void Tier::raiseWatermark(ClockReading now, const char* why) {
-    ++counters_.floors;
+    ++counters_.watermarksRaised;
     log(std::string("disk tier: what is held can't be proved newer than every purge (") + why + "), dropped");
     // Copies may carry a later time than this machine's clock, which may be behind.
     dropLoadingParts_ = dropLoadingParts_ || state_ == State::loading;
     addPurge({PurgeEntry::Kind::watermark, 0, std::max(now.unixMs, latestCreatedMs_)});
 }
 
-void Tier::noteCreated(std::int64_t createdMs) { latestCreatedMs_ = std::max(latestCreatedMs_, createdMs); }
+void Tier::trackLatestCreated(std::int64_t createdMs) {
+    latestCreatedMs_ = std::max(latestCreatedMs_, createdMs);
+}
 
 void Tier::handle(ClockReading, PurgesPersisted& done) {
     const bool failed = !done.problem.empty();
@@ -356,11 +359,11 @@
         ++counters_.readErrors;
         log("disk tier: " + done.problem);
     }
-    if (done.torn) {
-        ++counters_.truncatedTails;
+    if (done.tornTail) {
+        ++counters_.tornTails;
         log("disk tier: " + segmentFile(done.name) + " ends in the middle of a record, which is dropped");
     }
-    for (const Part& part : done.parts) noteCreated(part.createdMs);
+    for (const Part& part : done.parts) trackLatestCreated(part.createdMs);
     if (dropLoadingParts_ && latestCreatedMs_ > tombstones_.watermarkMs())
         addPurge({PurgeEntry::Kind::watermark, 0, latestCreatedMs_});
     // If the index is full, the remaining parts are garbage and are removed with their segment.
--- a/src/disk/tier.hpp
+++ b/src/disk/tier.hpp
@@ -30,7 +30,7 @@
     std::string folder;
     SegmentCatalogOptions catalog;
     IoWorkerOptions worker;
-    std::size_t maxPurgeEntries = 65536;  // purged objects that are held one by one, and as many groups
+    std::size_t maxTombstones = 65536;  // purged objects that are held one by one, and as many groups
     std::int64_t purgeClockSkewMs = 1000;
     PurgeFeedTracker::Options purges;
 };
@@ -39,9 +39,10 @@
 public:
     enum class State { opening, waiting, loading, ready, off, closed };
     struct Counters {
-        std::uint64_t hits = 0, misses = 0, purged = 0, expired = 0, unproved = 0, torn = 0, readErrors = 0,
-                      busy = 0, offered = 0, queueFull = 0, paused = 0, writeErrors = 0, marks = 0,
-                      floors = 0, superseded = 0, logErrors = 0, truncatedTails = 0;
+        std::uint64_t hits = 0, misses = 0, purged = 0, expired = 0, unprovable = 0, damagedRecords = 0,
+                      readErrors = 0, readQueueFull = 0, offered = 0, writeQueueFull = 0, paused = 0,
+                      writeErrors = 0, purgesAdded = 0, watermarksRaised = 0, superseded = 0, logErrors = 0,
+                      tornTails = 0;
         std::uint64_t hitBytes = 0;
     };
     struct Callbacks {
@@ -50,7 +51,7 @@
             resumeBusFrom;  // makes the bus reader go back to this event number
         // A number that is equal for all parts of one version of an object; zero if its parts carry no
         // version.
-        std::function<std::uint64_t(const Facts&)> version;
+        std::function<std::uint64_t(const Metadata&)> version;
     };
     // Receives the copy, or none when it may not be served.
     using LookupCallback = std::function<void(std::optional<Copy>)>;
@@ -70,11 +71,12 @@
     // about every second.
     void retryOpen();
 
-    // Returns zero for a miss. Otherwise returns a ticket, and a later turn() calls `callback`, unless the
-    // lookup is cancelled before. `maxAgeMs`: the largest acceptable age; zero accepts any age.
-    [[nodiscard]] std::uint64_t lookUp(ClockReading now, const Key& key, std::int64_t maxAgeMs,
+    // Returns zero for a miss. Otherwise returns the id of the lookup, and a later turn() calls `callback`,
+    // unless the lookup is cancelled before. `maxCopyAgeMs`: the largest acceptable age; zero accepts any
+    // age.
+    [[nodiscard]] std::uint64_t lookUp(ClockReading now, const Key& key, std::int64_t maxCopyAgeMs,
                                        LookupCallback callback);
-    void cancelLookup(std::uint64_t ticket) { lookups_.erase(ticket); }
+    void cancelLookup(std::uint64_t lookupId) { lookups_.erase(lookupId); }
     // Offers a fetched copy. `rank` comes from the decision module; zero means that the copy is not to be
     // kept.
     void offer(ClockReading now, const Key& key, int rank, const Copy& copy);
@@ -111,7 +113,7 @@
 private:
     struct PendingLookup {
         Key key;
-        std::int64_t maxAgeMs = 0;
+        std::int64_t maxCopyAgeMs = 0;
         LookupCallback callback;
     };
     struct Version {
@@ -132,11 +134,11 @@
     void handle(ClockReading now, ReadDone& done);
 
     bool holdsFolder() const { return state_ == State::loading || state_ == State::ready; }
-    bool isServable(ClockReading now, const Key& key, std::int64_t maxAgeMs, std::int64_t createdMs);
+    bool isServable(ClockReading now, const Key& key, std::int64_t maxCopyAgeMs, std::int64_t createdMs);
     void addPurge(const PurgeEntry& entry);
     void persist(std::vector<PurgeEntry> entries);
     void raiseWatermark(ClockReading now, const char* why);
-    void noteCreated(std::int64_t createdMs);
+    void trackLatestCreated(std::int64_t createdMs);
     bool isLatest(const Key& key, const Copy& copy);
     void submitBusPosition(ClockReading now);
     void reclaim();
@@ -153,7 +155,7 @@
     PurgeFeedTracker purgeFeed_;
     State state_ = State::opening;
     std::string lastProblem_;  // the last one that was logged
-    std::uint64_t nextTicket_ = 1;
+    std::uint64_t nextLookupId_ = 1;
     std::unordered_map<std::uint64_t, PendingLookup> lookups_;
     LruMap<std::uint64_t, Version> versions_;
     std::uint64_t pendingWriteBytes_ = 0;
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -56,9 +56,9 @@
     // Whether the process may exit: nothing of a request is here, and none is expected right now.
     bool isQuiescent() const {
         if (!idle() || (!closing_ && !stream_.nothingUnread())) return false;
-        const Micros still = owner_.loop_.now() - lastByteAt_;
-        return closing_ || (hasSentMessage_ ? !inPartialMessage() || still >= kPartialMessageShutdownGrace
-                                            : still >= kSilentGrace);
+        const Micros silence = owner_.loop_.now() - lastByteAt_;
+        return closing_ || (hasSentMessage_ ? !inPartialMessage() || silence >= kPartialMessageShutdownGrace
+                                            : silence >= kSilentGrace);
     }
     void failAndClose() {
         failOpenCalls();
@@ -106,7 +106,7 @@
     struct Call {
         RequestId id = 0;
         std::string traceId;
-        Micros takenAt{};
+        Micros acceptedAt{};
     };
 
     // ----- input -----
@@ -114,7 +114,7 @@
     bool streamData(std::string_view data) override {
         lastByteAt_ = owner_.loop_.now();
         if (!hasSentMessage_) lastUsed_ = lastByteAt_;
-        input_.append(data, lastByteAt_ - waitedUnread());
+        input_.append(data, lastByteAt_ - unreadDuration());
         handleMessagesOnceAllRead();
         return true;
     }
@@ -131,7 +131,7 @@
     }
 
     // Input may have been sent while this process was delayed, or before it listened.
-    Micros waitedUnread() const {
+    Micros unreadDuration() const {
         const bool fromBeforeTheStart = owner_.loop_.now() - owner_.openedAt_ < kStartupBacklogWindow;
         const bool mayBeOld =
             fromBeforeTheStart || owner_.loop_.recentlyStalled() || stream_.readBacklogged();
@@ -149,14 +149,15 @@
             input_.extractCancellations([this](const std::string& tag) { return open_.count(tag) > 0; });
         for (const std::string& tag : cancellations.openTags) cancelCall(tag);
         for (int i = 0; i < cancellations.droppedCalls; ++i) countUselessMessage();
-        bool fits = true;
-        for (int i = 0; i < kMaxMessagesPerTurn && fits && input_.hasMessage() && !closing_ && !backlogged();
+        bool wellFormed = true;
+        for (int i = 0;
+             i < kMaxMessagesPerTurn && wellFormed && input_.hasMessage() && !closing_ && !backlogged();
              ++i) {
             ClientMessages::Message message = input_.takeFirst();
-            fits = handleMessage(std::move(message.elements), message.arrivedAt);
+            wellFormed = handleMessage(std::move(message.elements), message.arrivedAt);
         }
         if (stream_.closed() || closing_) return;
-        if (!fits || (input_.malformed() && !input_.hasMessage())) return closeMalformed();
+        if (!wellFormed || (input_.malformed() && !input_.hasMessage())) return closeMalformed();
         closeIfAnswered();
         updateMessageTimer();
         updateFlowControl();
@@ -198,7 +199,7 @@
     // After a run of useless messages the connection is closed.
     void countUselessMessage() {
         if (++uselessMessages_ < kMaxUselessMessages || refusesNewCalls_) return;
-        ++owner_.counters_.retired;
+        ++owner_.counters_.closedAsUseless;
         refuseMore();
     }
 
@@ -233,7 +234,7 @@
             }
             if (!input_.empty() || backlogged())
                 return armMessageTimer(kMessageTimeout);  // input waits for us, not for the client
-            ++(hasSentMessage_ ? owner_.counters_.halfMessages : owner_.counters_.silent);
+            ++(hasSentMessage_ ? owner_.counters_.closedMidMessage : owner_.counters_.closedSilent);
             refusesNewCalls_ = true;
             failOpenCalls();
             closeIfAnswered();
@@ -268,7 +269,7 @@
         const Call call = found->second;
         release(tag);
         owner_.requests_.clientGone(owner_.loop_.now(), call.id);
-        if (owner_.loop_.now() - call.takenAt < kImmediateCancel) countUselessMessage();
+        if (owner_.loop_.now() - call.acceptedAt < kImmediateCancel) countUselessMessage();
     }
 
     bool handleCall(std::vector<std::string>& elements, Micros arrivedAt) {
@@ -276,7 +277,7 @@
         const std::string tag = elements[1];
         if (open_.count(tag) > 0) {
             // An answer under this tag would be taken for that of the open request, which is unrelated.
-            ++owner_.counters_.unusable;
+            ++owner_.counters_.invalidCalls;
             refuseMore();
             return true;
         }
@@ -298,7 +299,7 @@
         // A second request under an open id would look like a second attempt in flight to the stores.
         if (known == classes.end() || !isValidCall(fields, request) ||
             owner_.openTraceIds_.count(request.traceId) > 0) {
-            ++owner_.counters_.unusable;
+            ++owner_.counters_.invalidCalls;
             sendAnswer(tag, "ERR", "-", {});
             countUselessMessage();
             return true;
@@ -314,10 +315,10 @@
         request.part = fields.integer("block").value_or(0);
         const Micros now = owner_.loop_.now();
         const auto patience = fields.integer("patience");
-        const auto giveUp =
+        const auto clientTimeout =
             owner_.settings_.settings.classes[static_cast<std::size_t>(known->second)].clientTimeout;
         const Micros wait = patience ? Micros{std::chrono::milliseconds{*patience}}
-                                     : std::chrono::duration_cast<Micros>(giveUp);
+                                     : std::chrono::duration_cast<Micros>(clientTimeout);
         request.deadline = arrivedAt + std::max(Micros{1ms}, wait - kAnswerTransitTime);
         open_[tag] = {request.id, request.traceId, now};
         if (Trace::on())
@@ -344,13 +345,13 @@
     void refuse(const std::string& tag, core::Denial denial) {
         using core::Denial;
         const bool useless = denial == Denial::connectionClosing || denial == Denial::tooManyOpen;
-        ++(useless                      ? owner_.counters_.beyondBound
-           : denial == Denial::noMemory ? owner_.counters_.noRoom
+        ++(useless                      ? owner_.counters_.refusedOverLimit
+           : denial == Denial::noMemory ? owner_.counters_.refusedNoMemory
                                         : owner_.counters_.drainRefused);
         if (Trace::on())
             Trace::write("refuse",
                          {{"client", std::to_string(traceNumber_)}, {"tag", tag}, {"why", nameOf(denial)}});
-        sendAnswer(tag, "SHED", owner_.noMemoryFields(), {});
+        sendAnswer(tag, "SHED", owner_.refusalFields(), {});
         if (useless) countUselessMessage();
     }
 
@@ -371,7 +372,7 @@
             if (reply.payload.unchanged) {
                 sendAnswer(tag, "SERVED", "keep=1", {});
             } else if (owner_.heldBytes_ + reply.payload.body.size() > owner_.heldBytesLimit(countedBytes_)) {
-                ++owner_.counters_.dropped;
+                ++owner_.counters_.droppedAnswers;
                 sendAnswer(tag, "ERR", "-", {});
             } else
                 sendAnswer(tag, "SERVED", "-", std::move(reply.payload.body));
@@ -447,7 +448,7 @@
 }
 
 void Front::applyLimits() {
-    const auto processes = static_cast<std::size_t>(processes_);
+    const auto processes = static_cast<std::size_t>(processCount_);
     maxClients_ = static_cast<std::size_t>(limits_.sockets) / 3 / processes;  // the rest is for stores
     const std::size_t all = static_cast<std::size_t>(limits_.memoryMb) * 1024 * 1024;
     maxHeldBytes_ = (all - std::min(all / 2, kProcessBaseBytes * processes)) / processes * 3 / 4;
@@ -490,7 +491,7 @@
 bool Front::reportsLeaving() const { return shuttingDown_ || (drainingSince_ && !successorServes_); }
 
 void Front::setProcessCount(int processes) {
-    processes_ = processes;
+    processCount_ = processes;
     applyLimits();
 }
 
@@ -530,7 +531,7 @@
 
 void Front::accept(net::Descriptor fd) {
     if (clients_.size() >= maxClients_ && !evictClient()) {
-        ++counters_.turnedAway;
+        ++counters_.rejectedConnections;
         return;
     }
     ++counters_.connections;
@@ -560,8 +561,8 @@
     // A request may have arrived since the choice; then the next candidate is tried.
     if (!requests_.checks().allows(core::mayClose(victim->closeFacts()))) return evictClient();
     ++(victim == idle               ? counters_.closedIdle
-       : victim->inPartialMessage() ? counters_.halfMessages
-                                    : counters_.silent);
+       : victim->inPartialMessage() ? counters_.closedMidMessage
+                                    : counters_.closedSilent);
     victim->abortConnection();
     removeClient(victim);
     return true;
@@ -571,19 +572,20 @@
 // margin, and one answer of the largest size. A slow reader may use only half of the limit.
 bool Front::hasRoomForCall(std::size_t backlog) const {
     const auto open = static_cast<double>(requests_.openCount() + 1);
-    const double coming = open * answerBytes_.mean +
-                          kAnswerSizeDeviations * std::sqrt(open) * answerBytes_.deviation + kMaxAnswerBytes;
-    return coming + static_cast<double>(heldBytes_) <= static_cast<double>(heldBytesLimit(backlog));
+    const double expectedBytes = open * answerBytes_.mean +
+                                 kAnswerSizeDeviations * std::sqrt(open) * answerBytes_.deviation +
+                                 kMaxAnswerBytes;
+    return expectedBytes + static_cast<double>(heldBytes_) <= static_cast<double>(heldBytesLimit(backlog));
 }
 
 std::size_t Front::heldBytesLimit(std::size_t backlog) const {
     return backlog > kSlowReaderBytes ? maxHeldBytes_ / 2 : maxHeldBytes_;
 }
 
-std::string Front::noMemoryFields() const {
+std::string Front::refusalFields() const {
     const Settings& s = settings_.settings;
-    const Micros most = std::chrono::duration_cast<Micros>(s.maxRetryHint);
-    return retryAfterFields(s.retryHints ? std::min(kNoMemoryRetryAfter, most) : Micros{0});
+    const Micros maxRetryAfter = std::chrono::duration_cast<Micros>(s.maxRetryAfter);
+    return retryAfterFields(s.retryAfterSupported ? std::min(kRefusalRetryAfter, maxRetryAfter) : Micros{0});
 }
 
 std::size_t Front::maxClientBacklog() const {
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -21,9 +21,10 @@
 class Front {
 public:
     struct Counters {
-        std::uint64_t connections = 0, turnedAway = 0, closedIdle = 0, silent = 0, halfMessages = 0,
-                      malformed = 0, unusable = 0, beyondBound = 0, retired = 0, noRoom = 0, dropped = 0,
-                      checks = 0, drained = 0, drainRefused = 0, endedByClient = 0, reset = 0;
+        std::uint64_t connections = 0, rejectedConnections = 0, closedIdle = 0, closedSilent = 0,
+                      closedMidMessage = 0, malformed = 0, invalidCalls = 0, refusedOverLimit = 0,
+                      closedAsUseless = 0, refusedNoMemory = 0, droppedAnswers = 0, checks = 0, drained = 0,
+                      drainRefused = 0, endedByClient = 0, reset = 0;
     };
 
     Front(net::Loop& loop, core::RequestDispatcher& requests, const settings::Configuration& configuration);
@@ -64,7 +65,8 @@
     bool hasRoomForCall(std::size_t backlog) const;
     // Limit of the held bytes, for a client with this many unread bytes.
     std::size_t heldBytesLimit(std::size_t backlog) const;
-    std::string noMemoryFields() const;  // fields of a refusal here, with a retry hint if allowed
+    // Fields of a refusal by this front, with a retry-after time if the settings support it.
+    std::string refusalFields() const;
     void removeClient(Client* client);
     std::size_t maxClientBacklog() const;
     void sweepForDrain();
@@ -78,7 +80,7 @@
     const settings::DecodedSettings& settings_;
     settings::Endpoint address_;
     settings::Limits limits_;
-    int processes_ = 1;
+    int processCount_ = 1;
     net::Descriptor inherited_;
     std::size_t maxClients_ = 0;
     std::size_t maxHeldBytes_ = 0;
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -4,8 +4,8 @@
 
 Service::Service(net::Loop& loop, Source source, const std::string& listening)
     : FrontService(loop, std::move(source), "serving", core::RequestDispatcher::PurgeDuringFetch::serve,
-                   {[](const disk::Key&, const core::Payload& payload) { return payload.mintedMs > 0; },
-                    [](const disk::Facts&) { return std::uint64_t{0}; }, "tag", false}) {
+                   {[](const disk::Key&, const core::Payload& payload) { return payload.createdMs > 0; },
+                    [](const disk::Metadata&) { return std::uint64_t{0}; }, "tag", false}) {
     if (listening.empty()) return;
     try {
         front_.inherit(net::adoptListeningSocket(listening, configuration_.listen));
@@ -19,16 +19,16 @@
     const auto& s = transport_.counters();
     core::printCounterLine(name, "front",
                            {{"connections", f.connections},
-                            {"turned_away", f.turnedAway},
+                            {"turned_away", f.rejectedConnections},
                             {"closed_idle", f.closedIdle},
-                            {"silent", f.silent},
-                            {"half_messages", f.halfMessages},
+                            {"silent", f.closedSilent},
+                            {"half_messages", f.closedMidMessage},
                             {"malformed", f.malformed},
-                            {"unusable", f.unusable},
-                            {"beyond_bound", f.beyondBound},
-                            {"retired", f.retired},
-                            {"no_room", f.noRoom},
-                            {"dropped", f.dropped},
+                            {"unusable", f.invalidCalls},
+                            {"beyond_bound", f.refusedOverLimit},
+                            {"retired", f.closedAsUseless},
+                            {"no_room", f.refusedNoMemory},
+                            {"dropped", f.droppedAnswers},
                             {"checks", f.checks},
                             {"drained", f.drained},
                             {"drain_refused", f.drainRefused},
@@ -45,10 +45,10 @@
                             {"stalled", s.stalled},
                             {"echoes", s.echoes},
                             {"stuck", s.stuck},
-                            {"moved_on", s.movedOn},
+                            {"moved_on", s.requeued},
                             {"too_old", s.tooOld},
                             {"late_answers", s.lateAnswers},
-                            {"held_back", s.heldBack},
+                            {"held_back", s.notBegun},
                             {"no_descriptor", s.noDescriptor},
                             {"connections", transport_.connectionCount()},
                             {"known", transport_.storeCount()}});
--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -130,7 +130,7 @@
         owner_.removeConnection(host_, this);
         for (const QueuedAttempt& w : unsent) {
             if (requeue && w.reassignments < kMaxReassignments) {
-                ++owner_.counters_.movedOn;
+                ++owner_.counters_.requeued;
                 auto shared = std::make_shared<QueuedAttempt>(w);
                 ++shared->reassignments;
                 const auto location = owner_.locations_.find(w.send.request);
@@ -184,11 +184,11 @@
     bool streamData(std::string_view data) override {
         lastByteAt_ = owner_.loop_.now();
         hasReceived_ = true;
-        const bool fits = handleMessages(data);
+        const bool wellFormed = handleMessages(data);
         stop(stallTimer_);
-        if (!fits || ended_ || !parser_.midMessage()) {
+        if (!wellFormed || ended_ || !parser_.midMessage()) {
             answerBegunAt_.reset();
-            return fits;
+            return wellFormed;
         }
         if (!answerBegunAt_) answerBegunAt_ = lastByteAt_;
         const Micros wait =
@@ -258,7 +258,7 @@
         result.request = found->second.request;
         result.attempt = found->second.attempt;
         result.outcome = *outcome;
-        result.note = cacheStatusOf(fields.text("remark"));
+        result.cacheStatus = cacheStatusOf(fields.text("remark"));
         if (const auto minted = fields.integer("minted"))
             owner_.copyAgeCheck_.learn(owner_.loop_.now(), *minted);
         if (*outcome == Outcome::served && fields.integer("minted").value_or(found->second.oldestAllowedMs) <
@@ -269,11 +269,11 @@
         }
         if (result.outcome == Outcome::served) {
             result.payload.unchanged = elements[1] == "current";
-            result.payload.mintedMs = fields.integer("minted").value_or(0);
+            result.payload.createdMs = fields.integer("minted").value_or(0);
             if (!fields.text("tag").empty()) result.payload.metadata.emplace_back("tag", fields.text("tag"));
             if (elements.size() > 3) result.payload.body = std::move(elements[3]);
         }
-        owner_.noteAnswered(host_, found->second.writtenAt);
+        owner_.recordAnsweredWrite(host_, found->second.writtenAt);
         owner_.silenceTimeout_.learn(owner_.loop_.now() - std::max(lastAnswerAt_, waitingSince_));
         lastAnswerAt_ = owner_.loop_.now();
         // A duplicate answer would be taken for the answer to a later attempt of the same request.
@@ -307,7 +307,7 @@
             const Micros now = owner_.loop_.now();
             const Micros waited = now - next.send.pickedAt;
             if (waited.count() > 0 && !owner_.callbacks_.mayBegin(next.send.request, next.send.attempt)) {
-                ++owner_.counters_.heldBack;
+                ++owner_.counters_.notBegun;
                 reportOutcome(next.send.request, next.send.attempt, Outcome::notSent);
                 queue_.pop_front();
                 continue;
@@ -422,7 +422,7 @@
     if (decoded.idleTimeout.count() > 0)
         idleTimeout_ = std::chrono::duration_cast<Micros>(decoded.idleTimeout) * 9 / 10;
     socketLimit_ = static_cast<std::size_t>(configuration.limits.sockets);
-    setProcessCount(processes_);
+    setProcessCount(processCount_);
     const Micros longest = core::longestClientTimeout(decoded.settings);
     silenceTimeout_.setUpperBound(longest / 2);
     maxAnswerTime_ = std::min(kMaxAnswerTime, longest / 2);
@@ -435,10 +435,11 @@
 
 // What remains beside the third for clients, less what the process needs for itself and for operators.
 void StoreConnections::setProcessCount(int processes) {
-    processes_ = processes;
-    const std::size_t rest = socketLimit_ - socketLimit_ / 3;
-    const std::size_t own = std::min<std::size_t>(64, rest / 4);
-    maxConnections_ = std::max<std::size_t>(8, (rest - own) / static_cast<std::size_t>(processes));
+    processCount_ = processes;
+    const std::size_t upstreamSockets = socketLimit_ - socketLimit_ / 3;
+    const std::size_t reservedSockets = std::min<std::size_t>(64, upstreamSockets / 4);
+    maxConnections_ =
+        std::max<std::size_t>(8, (upstreamSockets - reservedSockets) / static_cast<std::size_t>(processes));
 }
 
 StoreConnections::~StoreConnections() = default;
@@ -546,7 +547,7 @@
     }
 }
 
-void StoreConnections::noteAnswered(const std::string& host, Micros writtenAt) {
+void StoreConnections::recordAnsweredWrite(const std::string& host, Micros writtenAt) {
     const auto found = stores_.find(host);
     if (found != stores_.end())
         found->second.latestAnsweredWriteAt = std::max(found->second.latestAnsweredWriteAt, writtenAt);
--- a/src/platform/store_connections.hpp
+++ b/src/platform/store_connections.hpp
@@ -25,7 +25,7 @@
     };
     struct Counters {
         std::uint64_t connects = 0, connectFailures = 0, resets = 0, malformed = 0, stalled = 0, echoes = 0,
-                      stuck = 0, movedOn = 0, tooOld = 0, lateAnswers = 0, heldBack = 0, noDescriptor = 0;
+                      stuck = 0, requeued = 0, tooOld = 0, lateAnswers = 0, notBegun = 0, noDescriptor = 0;
     };
 
     StoreConnections(net::Loop& loop, const settings::Configuration& configuration);
@@ -66,7 +66,7 @@
     std::shared_ptr<Connection> connectionFor(const std::string& host, const std::string& traceId);
     void dispatch(QueuedAttempt queued);
     void closeStuck(Store& store);
-    void noteAnswered(const std::string& host, core::Micros writtenAt);
+    void recordAnsweredWrite(const std::string& host, core::Micros writtenAt);
     void reportResult(core::AttemptResult result);
     void clearReusedAddress(const std::string& address, const settings::BusEvent& event);
     void removeConnection(const std::string& host, Connection* connection);
@@ -81,7 +81,7 @@
     core::Micros maxAnswerTime_{};  // from an answer's first byte to its last
     std::vector<bool> repeatable_;  // by class: an attempt that ran may run again
     std::size_t socketLimit_ = 0, maxConnections_ = 0;
-    int processes_ = 1;
+    int processCount_ = 1;
     bool mayProbe_ = false;
     // With attempts in flight and no byte for longer than this, the machine may be gone or an answer may
     // block the connection: it is probed with ECHO, and new attempts use another connection.
--- a/src/platform/store_protocol.hpp
+++ b/src/platform/store_protocol.hpp
@@ -15,7 +15,7 @@
 namespace lotuslead::platform {
 
 inline CacheStatus cacheStatusOf(std::string_view remark) {
-    constexpr std::array<std::pair<std::string_view, CacheStatus>, 10> notes{
+    constexpr std::array<std::pair<std::string_view, CacheStatus>, 10> cacheStatuses{
         {{"local", CacheStatus::hit},
          {"pulled", CacheStatus::filled},
          {"pulled_far", CacheStatus::filledByOrigin},
@@ -26,7 +26,7 @@
          {"not_there", CacheStatus::sourceLacks},
          {"no_place", CacheStatus::noFillPlace},
          {"far_fault", CacheStatus::originFailed}}};
-    for (const auto& [name, cacheStatus] : notes)
+    for (const auto& [name, cacheStatus] : cacheStatuses)
         if (name == remark) return cacheStatus;
     return CacheStatus::none;
 }
@@ -34,7 +34,7 @@
 inline std::optional<Outcome> outcomeOf(std::string_view status) {
     if (status == "ok" || status == "current") return Outcome::served;
     if (status == "nothing") return Outcome::noCopy;
-    if (status == "refused") return Outcome::notTaken;
+    if (status == "refused") return Outcome::rejected;
     if (status == "error") return Outcome::error;
     if (status == "stale") return Outcome::notSent;
     return std::nullopt;
@@ -51,13 +51,13 @@
     if (!send.source.empty()) fields.add("via", send.source);
     if (send.keepRank > 0) fields.add("tier", send.keepRank);
     // Rounded down, so that no copy from before a purge passes; 0 would mean "any age".
-    if (send.maxAge.count() > 0) fields.add("fresh", std::max<std::int64_t>(1, ms(send.maxAge)));
+    if (send.maxCopyAge.count() > 0) fields.add("fresh", std::max<std::int64_t>(1, ms(send.maxCopyAge)));
     std::string options;
     const auto option = [&](bool on, const char* optionName) {
         if (on) options += (options.empty() ? "" : "+") + std::string(optionName);
     };
-    option(send.joinFill, "share");
-    option(send.onlyIfCached, "peek");
+    option(send.coalesceFill, "share");
+    option(send.sourceOnlyIfCached, "peek");
     option(send.staleWhileRevalidate, "swr");
     if (!options.empty()) fields.add("opts", options);
     if (!request.knownTag.empty()) fields.add("known", request.knownTag);
--- a/src/repository/front.cpp
+++ b/src/repository/front.cpp
@@ -56,7 +56,7 @@
     }
 }
 
-std::string findFact(const core::Payload& payload, std::string_view name) {
+std::string findMetadata(const core::Payload& payload, std::string_view name) {
     for (const auto& [key, value] : payload.metadata)
         if (key == name) return value;
     return {};
@@ -259,9 +259,10 @@
     void handleReply(Reply&& reply) {
         if (reply.kind != Reply::Kind::served) return handleFailure(reply);
         const core::Payload& payload = reply.payload;
-        const std::uint64_t status = parseNumber(findFact(payload, kStatus));
-        const std::string tag = findFact(payload, "etag"), modified = findFact(payload, "last-modified");
-        const std::uint64_t total = parseNumber(findFact(payload, kTotal));
+        const std::uint64_t status = parseNumber(findMetadata(payload, kStatus));
+        const std::string tag = findMetadata(payload, "etag"),
+                          modified = findMetadata(payload, "last-modified");
+        const std::uint64_t total = parseNumber(findMetadata(payload, kTotal));
         if (current_->headSent) {
             if ((status != 200 && status != 206) || tag != current_->etag || total != current_->fileBytes)
                 return abortTransfer("the file has changed");
@@ -290,7 +291,7 @@
         }
         current_->nextByte = span.begin;
         current_->endByte = span.end;
-        const std::uint64_t first = parseNumber(findFact(payload, kFirst));
+        const std::uint64_t first = parseNumber(findMetadata(payload, kFirst));
         const bool holdsIt = span.begin >= first && span.begin < first + payload.body.size();
         if (!holdsIt && !current_->isHead && span.begin < span.end) {
             if (!current_->isFile || ++refetches_ > 2) return sendPlain(502);
@@ -308,7 +309,7 @@
     }
 
     void sendPart(const core::Payload& payload) {
-        const std::uint64_t first = parseNumber(findFact(payload, kFirst));
+        const std::uint64_t first = parseNumber(findMetadata(payload, kFirst));
         const std::uint64_t upTo = std::min(current_->endByte, first + payload.body.size());
         if (current_->nextByte < first || current_->nextByte >= upTo)
             return abortTransfer("the upstream sent a different part");
@@ -359,7 +360,7 @@
 
     // Closes the connection before the announced length, so that the client sees an incomplete response.
     void abortTransfer(const char* why) {
-        ++owner_.counters_.brokenOff;
+        ++owner_.counters_.truncatedResponses;
         std::fprintf(stderr, "repository: %s broken off at byte %llu of %llu: %s\n", current_->path.c_str(),
                      static_cast<unsigned long long>(current_->nextByte),
                      static_cast<unsigned long long>(current_->endByte), why);
@@ -382,7 +383,7 @@
     void sendHead(int status, std::uint64_t length, const core::Payload& payload,
                   const std::string& extra = {}) {
         std::string response = statusLine(status);
-        const std::string type = findFact(payload, "content-type");
+        const std::string type = findMetadata(payload, "content-type");
         response += "Content-Type: " + (type.empty() ? "application/octet-stream" : type) + "\r\n";
         response += "Content-Length: " + std::to_string(length) + "\r\nAccept-Ranges: bytes\r\n";
         if (!current_->etag.empty()) response += "ETag: " + current_->etag + "\r\n";
@@ -452,7 +453,7 @@
             timer_.reset();
             // Also for requests whose bytes arrive slowly: they must not occupy a connection.
             if (requestPending && parser_.midMessage() && !closing_) {
-                ++owner_.counters_.halfRequests;
+                ++owner_.counters_.closedMidRequest;
                 return rejectAndClose(408);
             }
             // An open fetch is bounded by its own deadline.
@@ -492,12 +493,12 @@
     const auto sockets = static_cast<std::size_t>(limits.sockets);
     maxClients_ = std::min(sockets / 3, sockets - std::min(sockets / 2, kMaxReservedDescriptors));
     maxBufferedBytes_ = static_cast<std::size_t>(limits.memoryMb) * 1024 * 1024 / 2;
-    maxClients_ /= static_cast<std::size_t>(processes_);
-    maxBufferedBytes_ /= static_cast<std::size_t>(processes_);
+    maxClients_ /= static_cast<std::size_t>(processCount_);
+    maxBufferedBytes_ /= static_cast<std::size_t>(processCount_);
 }
 
 void Front::setProcessCount(int processes) {
-    processes_ = processes;
+    processCount_ = processes;
     applyLimits(configuration_.base.limits);
 }
 
@@ -545,7 +546,7 @@
 
 void Front::accept(net::Descriptor fd) {
     if (clients_.size() >= maxClients_ && !makeRoom()) {
-        ++counters_.turnedAway;
+        ++counters_.rejectedConnections;
         return;
     }
     ++counters_.connections;
--- a/src/repository/front.hpp
+++ b/src/repository/front.hpp
@@ -18,9 +18,9 @@
 class Front {
 public:
     struct Counters {
-        std::uint64_t connections = 0, turnedAway = 0, indexes = 0, files = 0, badRequests = 0, notFound = 0,
-                      refused = 0, upstreamFailed = 0, late = 0, brokenOff = 0, drained = 0, closedIdle = 0,
-                      halfRequests = 0;
+        std::uint64_t connections = 0, rejectedConnections = 0, indexes = 0, files = 0, badRequests = 0,
+                      notFound = 0, refused = 0, upstreamFailed = 0, late = 0, truncatedResponses = 0,
+                      drained = 0, closedIdle = 0, closedMidRequest = 0;
     };
 
     Front(net::Loop& loop, core::RequestDispatcher& requests,
@@ -64,7 +64,7 @@
     core::RequestDispatcher& requests_;
     const settings::RepositoryConfiguration& configuration_;
     std::size_t maxClients_ = 0;
-    int processes_ = 1;
+    int processCount_ = 1;
     std::size_t maxBufferedBytes_ = 0;
     std::size_t unsentBytes_ = 0;    // of answers, not yet sent to clients
     std::size_t reservedBytes_ = 0;  // that open fetches may still deliver
--- a/src/repository/upstreams.cpp
+++ b/src/repository/upstreams.cpp
@@ -84,7 +84,7 @@
         if (attempt_) owner_.report(*attempt_, outcome);
         attempt_.reset();
         owner_.loop_.destroyAfterTurn(self);
-        owner_.removeConnection(host_, this, blameless_);
+        owner_.removeConnection(host_, this, ignoreForHealth_);
     }
     // Closes the connection, since HTTP/1.1 has no other way to cancel a request.
     void abort() {
@@ -124,7 +124,7 @@
             std::fprintf(stderr, "repository server %s: malformed answer, connection closed\n",
                          host_.c_str());
         }
-        blameless_ = why == End::localShortage;
+        ignoreForHealth_ = why == End::localShortage;
         fail(cameUp ? Outcome::broken : Outcome::noConnection);
     }
 
@@ -143,20 +143,20 @@
         end.request = attempt.send.request;
         end.attempt = attempt.send.attempt;
         end.outcome = Outcome::served;
-        auto& facts = end.payload.metadata;
+        auto& metadata = end.payload.metadata;
         for (const char* name : {"etag", "last-modified", "content-type"})
-            if (const std::string* value = head.field(name)) facts.emplace_back(name, *value);
+            if (const std::string* value = head.field(name)) metadata.emplace_back(name, *value);
         int status = head.status;
         const ContentRange range = parseContentRange(head.field("content-range"));
         if (status == 200) {
-            facts.emplace_back(kTotal, std::to_string(parser_.body().size()));
-            facts.emplace_back(kFirst, "0");
+            metadata.emplace_back(kTotal, std::to_string(parser_.body().size()));
+            metadata.emplace_back(kFirst, "0");
         } else if (status == 206) {
             const bool fits = range.first && range.last && range.total && *range.last >= *range.first &&
                               *range.last - *range.first + 1 == parser_.body().size();
             if (!fits) end.outcome = Outcome::error;
-            facts.emplace_back(kTotal, std::to_string(range.total.value_or(0)));
-            facts.emplace_back(kFirst, std::to_string(range.first.value_or(0)));
+            metadata.emplace_back(kTotal, std::to_string(range.total.value_or(0)));
+            metadata.emplace_back(kFirst, std::to_string(range.first.value_or(0)));
         } else if (status == 304) {
             // Valid only for the copy that the client named.
             const std::string& known = attempt.request->knownTag;
@@ -164,14 +164,14 @@
             end.payload.unchanged = !known.empty() && (!tag || matchesIfNoneMatch(known, *tag));
             if (!end.payload.unchanged) end.outcome = Outcome::error;
         } else if (status == 416 && range.total) {
-            facts.emplace_back(kTotal, std::to_string(*range.total));
+            metadata.emplace_back(kTotal, std::to_string(*range.total));
         } else if (status == 410 || status == 404) {
             status = 404;
         } else if (status == 504) {  // also the answer to only-if-cached (RFC 9111, 5.2.1.7)
-            const bool held = attempt.send.source.empty() || attempt.send.onlyIfCached;
+            const bool held = attempt.send.source.empty() || attempt.send.sourceOnlyIfCached;
             end.outcome = held ? Outcome::noCopy : Outcome::error;
         } else if (status == 503 || status == 429) {
-            end.outcome = Outcome::notTaken;
+            end.outcome = Outcome::rejected;
         } else {
             end.outcome = Outcome::error;
         }
@@ -180,19 +180,19 @@
         constexpr std::uint64_t kTenYears = 315'360'000;  // in seconds; prevents overflow
         const auto age =
             field ? static_cast<std::int64_t>(std::min(parseInteger(*field).value_or(0), kTenYears)) : 0;
-        if (end.outcome == Outcome::served && field && attempt.send.maxAge >= kMinAgeLimit &&
-            age + 1 > toSeconds(attempt.send.maxAge)) {
+        if (end.outcome == Outcome::served && field && attempt.send.maxCopyAge >= kMinAgeLimit &&
+            age + 1 > toSeconds(attempt.send.maxCopyAge)) {
             ++owner_.counters_.tooOld;
             end.outcome = Outcome::noCopy;
         }
-        end.note = age > 0 ? CacheStatus::hit : CacheStatus::none;
+        end.cacheStatus = age > 0 ? CacheStatus::hit : CacheStatus::none;
         // An upper bound of the copy's age: Age is computed after the request was sent and truncates less
         // than a second (RFC 9111, 4.2.3).
         const Micros held = field ? std::chrono::seconds{age + 1} : Micros{0};
-        end.payload.mintedMs = std::chrono::duration_cast<std::chrono::milliseconds>(
-                                   attempt.send.pickedAt + owner_.unixClockOffset_ - held)
-                                   .count();
-        facts.emplace_back(kStatus, std::to_string(status));
+        end.payload.createdMs = std::chrono::duration_cast<std::chrono::milliseconds>(
+                                    attempt.send.pickedAt + owner_.unixClockOffset_ - held)
+                                    .count();
+        metadata.emplace_back(kStatus, std::to_string(status));
         if (end.outcome == Outcome::served && (status == 200 || status == 206))
             end.payload.body = std::move(parser_.body());
         return end;
@@ -217,7 +217,7 @@
     std::optional<QueuedAttempt> attempt_;
     std::optional<net::Loop::TimerKey> timer_;
     bool ended_ = false;
-    bool blameless_ = false;  // its failure does not count against the server
+    bool ignoreForHealth_ = false;  // its failure does not count against the server
     net::Stream stream_;
 };
 
@@ -265,13 +265,13 @@
     for (const auto& connection : connections) connection->fail(Outcome::broken);
 }
 
-void Upstreams::removeConnection(const std::string& host, Connection* connection, bool blameless) {
+void Upstreams::removeConnection(const std::string& host, Connection* connection, bool ignoreForHealth) {
     Server& server = servers_[host];
     std::erase_if(server.connections, [&](const auto& held) { return held.get() == connection; });
     // Attempts that waited for this connection fail with it.
     if (server.connections.empty())
         for (const QueuedAttempt& w : std::exchange(server.queue, {}))
-            report(w, Outcome::noConnection, blameless);
+            report(w, Outcome::noConnection, ignoreForHealth);
 }
 
 void Upstreams::send(Micros, const core::Request& request, const core::Decision& send) {
@@ -289,7 +289,7 @@
         const QueuedAttempt next = server.queue.front();
         if (loop_.now() > next.send.pickedAt && !callbacks_.mayBegin(next.send.request, next.send.attempt)) {
             server.queue.pop_front();
-            ++counters_.heldBack;
+            ++counters_.notBegun;
             report(next, Outcome::notSent);
             continue;
         }
@@ -342,11 +342,11 @@
     const auto add = [&](const std::string& directive) {
         control += (control.empty() ? "" : ", ") + directive;
     };
-    if (send.maxAge.count() > 0)
-        add(send.maxAge < kMinAgeLimit ? "no-cache"
-                                       : "max-age=" + std::to_string(toSeconds(send.maxAge) - 1));
+    if (send.maxCopyAge.count() > 0)
+        add(send.maxCopyAge < kMinAgeLimit ? "no-cache"
+                                           : "max-age=" + std::to_string(toSeconds(send.maxCopyAge) - 1));
     if (!server.origin) {
-        if (send.source.empty() || send.onlyIfCached) add("only-if-cached");
+        if (send.source.empty() || send.sourceOnlyIfCached) add("only-if-cached");
         if (send.keepRank == 0) add("no-store");
         // Caches that support this field fill a miss from that source; others use their own configuration.
         if (!send.source.empty()) text += "Lotuslead-Source: " + servers_[send.source].address + "\r\n";
@@ -355,9 +355,9 @@
     return text + "\r\n";
 }
 
-void Upstreams::report(const QueuedAttempt& attempt, Outcome outcome, bool blameless) {
+void Upstreams::report(const QueuedAttempt& attempt, Outcome outcome, bool ignoreForHealth) {
     AttemptResult end;
-    end.ignoreForHealth = blameless;
+    end.ignoreForHealth = ignoreForHealth;
     end.request = attempt.send.request;
     end.attempt = attempt.send.attempt;
     end.outcome = outcome;
--- a/src/repository/upstreams.hpp
+++ b/src/repository/upstreams.hpp
@@ -15,7 +15,7 @@
 
 namespace lotuslead::repository {
 
-// Names of the facts that come with a payload.
+// Names of the metadata entries of a payload.
 inline constexpr const char* kStatus = "status";
 inline constexpr const char* kTotal = "total";  // bytes of the whole file
 inline constexpr const char* kFirst = "first";  // offset of the payload's first byte in the file
@@ -27,7 +27,7 @@
         std::function<void(core::AttemptResult)> ended;
     };
     struct Counters {
-        std::uint64_t connects = 0, connectFailures = 0, resets = 0, malformed = 0, tooOld = 0, heldBack = 0;
+        std::uint64_t connects = 0, connectFailures = 0, resets = 0, malformed = 0, tooOld = 0, notBegun = 0;
     };
 
     Upstreams(net::Loop& loop, const settings::RepositoryConfiguration& configuration);
@@ -59,8 +59,8 @@
     void serveQueue(const std::string& host);
     std::string requestText(const core::Request& request, const core::Decision& send);
     void report(core::AttemptResult end);
-    void report(const QueuedAttempt& attempt, Outcome outcome, bool blameless = false);
-    void removeConnection(const std::string& host, Connection* connection, bool blameless);
+    void report(const QueuedAttempt& attempt, Outcome outcome, bool ignoreForHealth = false);
+    void removeConnection(const std::string& host, Connection* connection, bool ignoreForHealth);
     void closeConnections(Server& server);
 
     net::Loop& loop_;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -21,21 +21,21 @@
     throw DecodeError("unknown effect '" + text + "'");
 }
 
-DeduplicationScope parseRepeatGroup(const std::string& text) {
+DeduplicationScope parseDeduplicationScope(const std::string& text) {
     if (text == "all") return DeduplicationScope::all;
     if (text == "zone") return DeduplicationScope::zone;
     if (text == "cell") return DeduplicationScope::cell;
     throw DecodeError("unknown group '" + text + "'");
 }
 
-WeightMeaning parseWeights(const std::string& text) {
+WeightMeaning parseWeightMeaning(const std::string& text) {
     if (text == "nominal") return WeightMeaning::nominal;
     if (text == "rough") return WeightMeaning::rough;
     if (text == "live") return WeightMeaning::live;
     return WeightMeaning::none;
 }
 
-SiblingSources parseSiblings(const std::string& text) {
+SiblingSources parseSiblingSources(const std::string& text) {
     if (text == "any") return SiblingSources::any;
     if (text == "location") return SiblingSources::zone;
     return SiblingSources::none;
@@ -58,7 +58,7 @@
     result.value = numberOr(entry, "value", 1);
     result.lateValueShare = numberOr(entry, "lateValue", 0);
     result.effect = parseEffect(requireString(entry, "effect"));
-    result.deduplicationScope = parseRepeatGroup(stringOr(entry, "group", "all"));
+    result.deduplicationScope = parseDeduplicationScope(stringOr(entry, "group", "all"));
     result.deduplicationWindow = timeOr(entry, "window");
     if (result.effect == Effect::keyed) requirePositive(entry, "window");
     result.streamed = boolOr(entry, "stream", false);
@@ -86,7 +86,7 @@
     settings.directUpstream = boolOr(extra, "direct", false);
     settings.fillCoalescing = boolOr(extra, "joins", false);
     settings.maxFlowKbPerSecond = numberOr(extra, "flowKbPerS", 0);
-    settings.siblings = parseSiblings(stringOr(extra, "siblings", "silent"));
+    settings.siblings = parseSiblingSources(stringOr(extra, "siblings", "silent"));
     settings.cacheStatusReported = stringOr(extra, "noteLevel", "silent") == "all";
     settings.purgeGrace = timeOr(extra, "obeyAfter");
     settings.purgeSettleTime = timeOr(extra, "purgeSettles");
@@ -186,17 +186,17 @@
     }
     settings.zone = decoded.zoneOf(stringOr(info, "zone", ""));
     settings.routers = static_cast<int>(integerOr(info, "balancers", 1));
-    settings.weights = parseWeights(stringOr(info, "weights", "silent"));
+    settings.weights = parseWeightMeaning(stringOr(info, "weights", "silent"));
     settings.mustSubscribeToList = stringOr(info, "discovery", "pushed") == "on_request";
 
     const json& allowed = objectOrEmpty(info, "allowed");
     settings.mayHedge = boolOr(allowed, "secondCopies", false);
     settings.mayCancel = boolOr(allowed, "mayCancel", false);
     settings.mayProbe = boolOr(allowed, "mayProbe", false);
-    settings.retryHints = boolOr(allowed, "retryAfter", false);
+    settings.retryAfterSupported = boolOr(allowed, "retryAfter", false);
     settings.maxAttempts =
         static_cast<int>(std::min<std::int64_t>(requirePositive(allowed, "mostTries"), 1000));
-    settings.maxRetryHint = timeOr(allowed, "maxRetryAfter");
+    settings.maxRetryAfter = timeOr(allowed, "maxRetryAfter");
     decoded.connectTimeout = timeOr(allowed, "connectTimeout");
     decoded.idleTimeout = timeOr(allowed, "keepalive");
     decoded.streamsPerConnection = static_cast<int>(integerOr(allowed, "streamsPerConn", 0));
--- a/tests/audit_disk.cpp
+++ b/tests/audit_disk.cpp
@@ -162,14 +162,14 @@
         options.catalog.maxParts = 4096;
         options.worker.queueBytes = 512 << 10;
         options.worker.sync = SyncPolicy::never;
-        options.maxPurgeEntries = 40;  // few, so that the watermark is raised now and then
+        options.maxTombstones = 40;  // few, so that the watermark is raised now and then
         options.purgeClockSkewMs = 0;
         options.purges = {true, true, 2000};
         return options;
     }
     Tier::Callbacks callbacks() {
         return {[](const std::string&) {}, [this](std::int64_t position) { busPosition_ = position; },
-                [](const Facts&) { return std::uint64_t{0}; }};
+                [](const Metadata&) { return std::uint64_t{0}; }};
     }
     static ClockReading now() { return {monotonicMs(), unixMs()}; }
     void report(const std::string& line) {
@@ -206,7 +206,7 @@
 
     void lookUp(int object, int part, bool scan) {
         const auto requestedMs = unixMs();
-        const auto ticket =
+        const auto lookupId =
             tier_.lookUp(now(), auditKey(object, part), 0, [=, this](std::optional<Copy> copy) {
                 --pendingLookups_;
                 if (copy) {
@@ -218,8 +218,8 @@
                     fetch(object, part);
                 }
             });
-        pendingLookups_ += ticket != 0;
-        if (ticket == 0 && !scan) fetch(object, part);
+        pendingLookups_ += lookupId != 0;
+        if (lookupId == 0 && !scan) fetch(object, part);
     }
     void fetch(int object, int part) {
         const std::int64_t createdMs = unixMs();
--- a/tests/disk_tier_harness.hpp
+++ b/tests/disk_tier_harness.hpp
@@ -169,7 +169,7 @@
         : tier(calls ? *calls : realFiles_, options,
                {[this](const std::string& line) { logLines.push_back(line); },
                 [this](std::int64_t position) { resumeBusFrom = position; },
-                [](const Facts&) { return std::uint64_t{0}; }}) {
+                [](const Metadata&) { return std::uint64_t{0}; }}) {
         if (awaitReady) turnUntil([&] { return tier.state() == Tier::State::ready; });
     }
     bool turnUntil(const std::function<bool()>& done) {
@@ -188,14 +188,14 @@
                turnUntil([&] { return tier.queuedBytes() == 0; }) &&
                tier.catalog().contains(keyOf(i).fingerprint());
     }
-    std::optional<Copy> load(int i, std::int64_t maxAgeMs = 0) {
+    std::optional<Copy> load(int i, std::int64_t maxCopyAgeMs = 0) {
         std::optional<Copy> result;
         bool completed = false;
-        const auto ticket = tier.lookUp(now, keyOf(i), maxAgeMs, [&](std::optional<Copy> copy) {
+        const auto lookupId = tier.lookUp(now, keyOf(i), maxCopyAgeMs, [&](std::optional<Copy> copy) {
             completed = true;
             result = std::move(copy);
         });
-        if (ticket != 0) turnUntil([&] { return completed; });
+        if (lookupId != 0) turnUntil([&] { return completed; });
         return result;
     }
     // Whether the tier serves this copy with the same bytes.
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -39,9 +39,9 @@
     s.fillCoalescing = true;
     s.mayHedge = true;
     s.mayCancel = true;
-    s.retryHints = true;
+    s.retryAfterSupported = true;
     s.maxAttempts = 6;
-    s.maxRetryHint = 1s;
+    s.maxRetryAfter = 1s;
     s.answerGrace = 8ms;
     s.coldStartShare = 0.2;
     s.warmUpTime = 16s;
@@ -101,16 +101,16 @@
         return r.id;
     }
 
-    void end(RequestId id, int attempt, Outcome outcome, CacheStatus note = CacheStatus::none,
-             std::optional<double> linkFill = std::nullopt, bool blameless = false, double sizeKb = 0) {
+    void end(RequestId id, int attempt, Outcome outcome, CacheStatus cacheStatus = CacheStatus::none,
+             std::optional<double> linkFill = std::nullopt, bool ignoreForHealth = false, double sizeKb = 0) {
         AttemptEnded e;
         e.sizeKb = sizeKb;
-        e.blameless = blameless;
+        e.ignoreForHealth = ignoreForHealth;
         e.request = id;
         e.attempt = attempt;
         e.outcome = outcome;
         e.requestClosed = outcome == Outcome::served;
-        e.cacheStatus = note;
+        e.cacheStatus = cacheStatus;
         e.elapsed = attemptTime;
         e.load.linkUtilization = linkFill;
         last.clear();
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -202,7 +202,7 @@
     h.addToAdmissionFilter("a");
     for (int i = 0; i < 40; ++i) {  // refused fetches: the origin's limiter restricts from here on
         const RequestId id = h.ask("b" + std::to_string(i));
-        for (int attempt = 0; !h.all<Send>().empty(); ++attempt) h.end(id, attempt, Outcome::notTaken);
+        for (int attempt = 0; !h.all<Send>().empty(); ++attempt) h.end(id, attempt, Outcome::rejected);
         h.now += 20ms;
     }
     int compared = 0;
@@ -216,7 +216,7 @@
             EXPECT_EQ(second->source, first->source);
             ++compared;
         }
-        for (int k = 1; !h.all<Send>().empty(); ++k) h.end(id, k, Outcome::notTaken);
+        for (int k = 1; !h.all<Send>().empty(); ++k) h.end(id, k, Outcome::rejected);
         h.now += 50ms;
     }
     EXPECT_EQ(compared, 1);
@@ -299,7 +299,7 @@
         return toOrigin;
     };
     EXPECT_GT(served(Outcome::served), 150);
-    EXPECT_LT(served(Outcome::notTaken), 60);
+    EXPECT_LT(served(Outcome::rejected), 60);
 }
 
 // A full cache gets no request that it cannot answer in time; an answer at full pace proves free capacity.
@@ -343,7 +343,7 @@
     h.addToAdmissionFilter("a");
     const RequestId id = h.ask("a");
     EXPECT_EQ(h.one<Send>()->maxCopyAge, 8s);
-    EXPECT_TRUE(h.one<Send>()->refreshInBackground);
+    EXPECT_TRUE(h.one<Send>()->staleWhileRevalidate);
     h.end(id, 0, Outcome::error, CacheStatus::sourceUnreached);
     ASSERT_TRUE(h.one<Send>());
     EXPECT_EQ(h.one<Send>()->maxCopyAge, 18s);
@@ -503,7 +503,7 @@
             std::size_t sent = h.all<Send>().size();
             for (std::size_t k = 0; k < sent; ++k) {
                 const bool good = (i + static_cast<int>(k)) % 3 == 0;
-                h.end(id, static_cast<int>(k), good ? Outcome::served : Outcome::notTaken);
+                h.end(id, static_cast<int>(k), good ? Outcome::served : Outcome::rejected);
                 if (good) {
                     ++answers;
                     break;
@@ -528,8 +528,9 @@
                                          s.weights = WeightMeaning::none;
                                          s.routersByZone.clear();
                                      }},
-                      DeploymentCase{"no cancel, no second copy",
-                                     [](Settings& s) { s.mayCancel = s.mayHedge = s.retryHints = false; }},
+                      DeploymentCase{
+                          "no cancel, no second copy",
+                          [](Settings& s) { s.mayCancel = s.mayHedge = s.retryAfterSupported = false; }},
                       DeploymentCase{"one try", [](Settings& s) { s.maxAttempts = 1; }},
                       DeploymentCase{"keyed by cell",
                                      [](Settings& s) {
