--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -138,7 +138,7 @@
     Host() { ejectionTime = kInitialBackoff; }
     HostEntry entry;
     std::uint64_t hash = 0;
-    bool listed = false;
+    bool ready = false;
     int attemptsInFlight = 0;
     int trialSuccesses = 0;
     double reportedInFlight = 0;
@@ -239,7 +239,7 @@
         for (auto* group : {&caches_, &parents_, &origins_}) group->clear();
         for (HostIndex i = 0; i < hosts_.size(); ++i) {
             const HostEntry& entry = hosts_[i].entry;
-            if (!hosts_[i].listed) continue;
+            if (!hosts_[i].ready) continue;
             if (entry.role == Role::parent) parents_.push_back(i);
             if (entry.role == Role::origin) origins_.push_back(i);
             if (entry.role == Role::cache && entry.zone == settings_->zone) caches_.push_back(i);
@@ -352,7 +352,7 @@
         LearnedState known{startedAt_, meanSendSeconds_, {}, {}};
         filter_.fromOldest([&](auto name, auto& record) { known.objects.emplace_back(name, record); });
         for (Host& h : hosts_)
-            if (h.listed)
+            if (h.ready)
                 known.hosts.push_back(
                     {h, h.entry.name, h.coldSendSeconds.over(now, settings_->coldLoadWindow)});
         return known;
@@ -376,7 +376,7 @@
     void markGone(Time now, Host& host) {
         if (host.entry.readiness != Readiness::gone) host.goneAt = now;
         host.entry.readiness = Readiness::gone;
-        host.listed = false;
+        host.ready = false;
     }
 
     // Reuses the slot of a host that has been gone for some time and that no pending request refers to;
@@ -418,7 +418,7 @@
         std::string name = isNew ? entry.name : std::move(host.entry.name);
         host.entry = entry;
         host.entry.name = std::move(name);  // keeps the string's storage, since actions hold views of it
-        host.listed = entry.readiness == Readiness::ready;
+        host.ready = entry.readiness == Readiness::ready;
     }
 
     // ----- filter and learned sizes -----
@@ -578,7 +578,7 @@
 
     bool usable(Time now, HostIndex i, const Pending& p, bool ignoreHealth) {
         Host& host = hosts_[i];
-        if (!host.listed || std::count(p.excludedHosts.begin(), p.excludedHosts.end(), i) > 0) return false;
+        if (!host.ready || std::count(p.excludedHosts.begin(), p.excludedHosts.end(), i) > 0) return false;
         if (!ignoreHealth && !healthy(now, host)) return false;
         return hostMeetsTarget(now, p, host) && withinColdBudget(now, host, coldCharge(host, p)) &&
                repeatAllowed(now, p, host);
