--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -175,7 +175,7 @@
     double sendSeconds = 0;  // seconds of sending time
     bool inFilter = false, hot = false;
     int keepRank = 0;
-    bool answered = false, streaming = false, retryAfterCancel = false;
+    bool finished = false, streaming = false, retryAfterCancel = false;
     bool acceptStale = false;  // an attempt failed, or no fill is possible
     std::vector<Attempt> attempts;
     std::vector<HostIndex> excludedHosts;
@@ -285,8 +285,8 @@
         if (e.outcome == Outcome::served) learnFromAnswer(p, a, e);
         updateLimiters(now, p, a, e);
         updateHealth(now, p, a, e);
-        if (e.requestClosed) markAnswered(p, out);
-        if (!p.answered && p.attemptsInFlight() == 0) {
+        if (e.requestClosed) markFinished(p, out);
+        if (!p.finished && p.attemptsInFlight() == 0) {
             if (a.highestTier != Tier::origin && e.outcome == Outcome::noCopy)
                 sendOrGiveUp(now, p, out);  // now it is known that a fill is needed
             else if (e.outcome != Outcome::cancelled || p.retryAfterCancel)
@@ -307,7 +307,7 @@
     void clientGone(RequestId id, Actions& out) {
         const auto it = pending_.find(id);
         if (it == pending_.end()) return;
-        markAnswered(it->second, out);
+        markFinished(it->second, out);
         eraseIfDone(id);
     }
 
@@ -321,7 +321,7 @@
         if (found == pending_.end()) return;
         Pending& p = found->second;
         Attempt& a = p.attempts[static_cast<std::size_t>(attempt)];
-        if (p.answered || p.streaming || !a.inFlight) return;
+        if (p.finished || p.streaming || !a.inFlight) return;
         late ? attemptIsLate(now, p, a) : attemptIsSlow(now, p, a, attempt, out);
     }
 
@@ -979,12 +979,12 @@
         const Time hint = p.settings->retryHints ? std::min(kRetryAfter, p.settings->maxRetryHint) : Time{0};
         refusalAllowed(p) ? out.push_back(Refuse{p.request.id, hint, why})
                           : out.push_back(Fail{p.request.id, why});
-        markAnswered(p, out);
+        markFinished(p, out);
         eraseIfDone(p.request.id);
     }
 
-    void markAnswered(Pending& p, Actions& out) {
-        p.answered = true;
+    void markFinished(Pending& p, Actions& out) {
+        p.finished = true;
         cancelOthers(p, -1, out);
     }
 
@@ -998,7 +998,7 @@
     // A request is kept until all its attempts have ended, since their outcomes still update host health.
     void eraseIfDone(RequestId id) {
         const auto it = pending_.find(id);
-        if (it != pending_.end() && it->second.answered && it->second.attemptsInFlight() == 0)
+        if (it != pending_.end() && it->second.finished && it->second.attemptsInFlight() == 0)
             pending_.erase(it);
     }
 
