--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -171,7 +171,7 @@
     Request request;
     std::shared_ptr<const Settings> settings;  // in force on arrival; kept until the request ends
     Time arrived{};
-    Time targetTime{};       // an answer after this earns less than its full value
+    Time targetAt{};         // an answer after this earns less than its full value
     double sendSeconds = 0;  // seconds of sending time
     bool inFilter = false, hot = false;
     int keepRank = 0;
@@ -264,7 +264,7 @@
         if (request.sizeKb > 0 && settings_->maxFlowKbPerSecond > 0)
             learnSendSeconds(request.classIndex, request.sizeKb / settings_->maxFlowKbPerSecond);
         p.sendSeconds = estimateSendSeconds(request);
-        setTargetTime(p);
+        setTargetAt(p);
         if (!c.uncacheable && !request.write && request.object != 0) lookUpInFilter(now, p, c);
         sendOrGiveUp(now, p, out);
     }
@@ -436,10 +436,10 @@
         mean = mean > 0 ? mean + 0.02 * (sendSeconds - mean) : sendSeconds;
     }
 
-    void setTargetTime(Pending& p) const {
+    void setTargetAt(Pending& p) const {
         const ClassSettings& c = p.classSettings();
-        p.targetTime = std::min(p.request.deadline, p.arrived + c.latencyTarget +
-                                                        fromSeconds(c.latencyTargetStretch * p.sendSeconds));
+        p.targetAt = std::min(p.request.deadline, p.arrived + c.latencyTarget +
+                                                      fromSeconds(c.latencyTargetStretch * p.sendSeconds));
     }
 
     // Where requests carry no size it is learned from answers: from their bytes, or from the time of a hit on
@@ -455,7 +455,7 @@
         if (p.request.object != 0 && p.inFilter)
             filter_.touch(p.request.object).first.sendSeconds = sendSeconds;
         p.sendSeconds = sendSeconds;
-        setTargetTime(p);
+        setTargetAt(p);
     }
 
     // Learns a lower bound of a host's link from the transfers that it serves at a time, assuming that every
@@ -473,7 +473,7 @@
         auto [record, found] = filter_.touch(p.request.object);
         if (found && record.sendSeconds > 0 && p.request.sizeKb <= 0) {
             p.sendSeconds = record.sendSeconds;
-            setTargetTime(p);
+            setTargetAt(p);
         }
         // One viewer requests the parts in order, so that a repeated or earlier part comes from a second
         // viewer.
@@ -661,7 +661,7 @@
 
     bool canMeetTarget(Time now, const Pending& p, double utilization) const {
         return utilization <= 1 ||
-               now + fromSeconds(p.sendSeconds * utilization) + overheadTime(p) <= p.targetTime;
+               now + fromSeconds(p.sendSeconds * utilization) + overheadTime(p) <= p.targetAt;
     }
 
     // A full link that admits every request serves none in time. It is left to requests that can still meet
@@ -769,7 +769,7 @@
         // Late answers are not attributed to a tier while the zone's own link is full.
         // Measured from the start of this attempt: time that the request lost before is not this tier's
         // fault.
-        const bool inTime = e.elapsed <= p.targetTime - p.arrived || zoneLinkUtilization(now) > 1;
+        const bool inTime = e.elapsed <= p.targetAt - p.arrived || zoneLinkUtilization(now) > 1;
         // A prompt error is a fault of the host itself, and a cancelled attempt was not late yet.
         const bool prompt = e.outcome == Outcome::error && e.cacheStatus != CacheStatus::originFailed;
         if (inTime && (prompt || e.outcome == Outcome::cancelled)) return;
@@ -780,7 +780,7 @@
 
         const double bad = good ? 0 : silent ? kUnansweredFailureWeight : 1;
         // Answers well in time raise the limit by more than those just in time.
-        const double spare = 1 - seconds(e.elapsed) / std::max(1e-3, seconds(p.targetTime - p.arrived));
+        const double spare = 1 - seconds(e.elapsed) / std::max(1e-3, seconds(p.targetAt - p.arrived));
         if (good || atParent) recordOutcome(now, limiters_[0], p, a, bad, spare);
         if (!atParent) recordOutcome(now, limiters_[1], p, a, bad, spare);
     }
@@ -882,11 +882,11 @@
     // attempt is late.
     void setTimers(Time now, const Pending& p, int attempt, Actions& out) {
         const Time needed = fromSeconds(kOverdueSendTimeMultiple * p.sendSeconds) + overheadTime(p);
-        const Time at = std::max(now + needed, p.targetTime - needed);
+        const Time at = std::max(now + needed, p.targetAt - needed);
         if ((p.settings->mayHedge || p.settings->mayCancel) && at + needed < p.request.deadline)
             setTimer(at - now, p, attempt, false, out);
         if (p.attempts.back().highestTier != Tier::caches)
-            setTimer(p.targetTime - p.arrived + kMinTimerDelay, p, attempt, true, out);
+            setTimer(p.targetAt - p.arrived + kMinTimerDelay, p, attempt, true, out);
     }
 
     void setTimer(Time delay, const Pending& p, int attempt, bool late, Actions& out) {
