--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -35,7 +35,7 @@
 // Averaging time of an object's transfers.
 constexpr Time kHotObjectAveragingTime = 4s;
 // Keep the hash of the caches and that of the parents independent.
-constexpr std::uint64_t kCacheHashSalt = 1, kParentHashSalt = 2;
+constexpr std::uint64_t kCacheHashSalt = 1, kUpstreamHashSalt = 2;
 
 // Outlier ejection: a host is ejected after some failures in a row or a high share of them, and is reinstated
 // after successful trial requests.
@@ -622,11 +622,11 @@
     // router. Cost: the first fill of a part may be fetched twice.
     HostIndex pickParent(Time now, const Pending& p) {
         const auto part = p.hot ? static_cast<std::uint64_t>(p.request.part) : 0;
-        return pick(now, parents_, combine(p.request.object + part, kParentHashSalt), p, false);
+        return pick(now, parents_, combine(p.request.object + part, kUpstreamHashSalt), p, false);
     }
 
     HostIndex pickOrigin(Time now, const Pending& p) {
-        const HostIndex i = pick(now, origins_, kParentHashSalt, p, false);
+        const HostIndex i = pick(now, origins_, kUpstreamHashSalt, p, false);
         return i == kNoHost || hosts_[i].ejected ? kNoHost : i;
     }
 
