--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -121,7 +121,7 @@
 // Where nothing has been learned: deliberately low.
 constexpr double kDefaultLinkTransfers = 2;
 // Least link that the load of a host is measured by: a lower value moves keys to other hosts too often.
-constexpr double kMinLoadLinkTransfers = 4;
+constexpr double kMinLinkTransfersForLoad = 4;
 // Averaging time of the transfers that a host serves at a time.
 constexpr Time kServedAveragingTime = 2s;
 // Share of the transfers served that counts as proven: the figure fluctuates and its maximum is kept.
@@ -683,7 +683,7 @@
         const bool recent = now - host.reportedAt < kLoadReportLifetime;
         const double guessed = own * routersSharing(host);
         return (recent ? std::max(own, host.reportedInFlight) : guessed) /
-               std::max(kMinLoadLinkTransfers, linkTransfersOf(host));
+               std::max(kMinLinkTransfersForLoad, linkTransfersOf(host));
     }
 
     // Whether the host can still answer in time. A host that admits more serves all of them late, so the rest
