--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -638,22 +638,22 @@
             host.reportedAt = now;
         }
         if (host.entry.role != Role::cache || !load.linkUtilization) return;
-        const bool fresh = now - linkReportAt_ < kLoadReportLifetime;
-        linkUtilization_ =
-            fresh ? linkUtilization_ + kLoadReportWeight * (*load.linkUtilization - linkUtilization_)
+        const bool fresh = now - zoneLinkReportAt_ < kLoadReportLifetime;
+        zoneLinkUtilization_ =
+            fresh ? zoneLinkUtilization_ + kLoadReportWeight * (*load.linkUtilization - zoneLinkUtilization_)
                   : *load.linkUtilization;
-        linkReportAt_ = now;
+        zoneLinkReportAt_ = now;
     }
 
     // As reported. Without a recent report, and where the link's capacity is configured, it is estimated on
     // the assumption that all routers of the zone fetch as much as this one. The larger of the current number
     // of fills and its mean is used, since the current number fluctuates and admits too much when it is low.
     double zoneLinkUtilization(Time now) const {
-        if (now - linkReportAt_ < kLoadReportLifetime) return linkUtilization_;
+        if (now - zoneLinkReportAt_ < kLoadReportLifetime) return zoneLinkUtilization_;
         const auto zone = static_cast<std::size_t>(settings_->zone);
         const bool isKnown = settings_->zone >= 0 && zone < settings_->zoneLinkKbPerSecond.size() &&
                              settings_->zoneLinkKbPerSecond[zone] > 0;
-        if (!isKnown || now - linkFullPaceAt_ < kFullPaceLifetime) return 0;
+        if (!isKnown || now - zoneLinkFullPaceAt_ < kFullPaceLifetime) return 0;
         const double fills =
             std::max<double>(limiters_[0].inFlight, meanFillsInFlight_.mean(now, kFillsAveragingTime));
         return fills * routersInZone() * settings_->maxFlowKbPerSecond / settings_->zoneLinkKbPerSecond[zone];
@@ -1017,7 +1017,7 @@
                 if (p.sendSeconds > seconds(overhead) &&
                     seconds(e.elapsed - overhead) < kOverdueSendTimeMultiple * p.sendSeconds) {
                     hosts_[a.host].fullPaceAt = now;
-                    if (fetched) linkFullPaceAt_ = now;
+                    if (fetched) zoneLinkFullPaceAt_ = now;
                 }
                 if (hasSource && fetched) recordSuccess(a.source);
                 if (e.sizeKb < 0) return;
@@ -1109,10 +1109,10 @@
     Time startedAt_{};
     TimerId nextTimer_ = 1;
     TimerId watchTimer_ = 0;
-    double linkUtilization_ = 0;  // transfers divided by those that fit at full pace
-    Time linkReportAt_ = -kLoadReportLifetime;
-    DecayingMean meanFillsInFlight_;            // of this router
-    Time linkFullPaceAt_ = -kFullPaceLifetime;  // of the last fill at full pace
+    double zoneLinkUtilization_ = 0;  // transfers divided by those that fit at full pace
+    Time zoneLinkReportAt_ = -kLoadReportLifetime;
+    DecayingMean meanFillsInFlight_;                // of this router
+    Time zoneLinkFullPaceAt_ = -kFullPaceLifetime;  // of the last fill at full pace
 };
 
 Router::Router(Settings settings, std::uint64_t seed)
