--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -46,7 +46,7 @@
 constexpr double kEjectionFailureShare = 0.45;
 // A host is ejected only if its share exceeds the mean of its peers by this: a fault that hits all of them is
 // not its own.
-constexpr double kEjectionShareAbovePeers = 0.25;
+constexpr double kEjectionMarginOverPeers = 0.25;
 // At this share hardly any answer comes back: the host is ejected whatever the share of its peers.
 constexpr double kLostHostFailureShare = 0.8;
 // Weight of an attempt that is slow; one that failed weighs 1.
@@ -1066,7 +1066,7 @@
             host.ejectedUntil = now + host.ejectionTime;
         } else if (host.failureShare > kEjectionFailureShare &&
                    host.failureShare >
-                       std::min(kLostHostFailureShare, meanPeerFailureShare(i) + kEjectionShareAbovePeers)) {
+                       std::min(kLostHostFailureShare, meanPeerFailureShare(i) + kEjectionMarginOverPeers)) {
             host.ejected = true;
             host.ejectedUntil = now + host.ejectionTime;
         }
