--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -125,7 +125,7 @@
 // Averaging time of the transfers that a host serves at a time.
 constexpr Time kServedAveragingTime = 2s;
 // Share of the transfers served that counts as proven: the figure fluctuates and its maximum is kept.
-constexpr double kServedLinkShare = 0.75;
+constexpr double kProvenServedShare = 0.75;
 
 constexpr Time kMinTimerDelay = 1ms;
 // After this the slot of a host that has gone may be used for another host.
@@ -463,7 +463,7 @@
     // link proves anything.
     void learnLinkTransfers(Time now, Host& host, double sendSeconds) {
         host.servedTransfers.add(now, kServedAveragingTime, sendSeconds);
-        const double all = kServedLinkShare * host.servedTransfers.perSecond(now, kServedAveragingTime) *
+        const double all = kProvenServedShare * host.servedTransfers.perSecond(now, kServedAveragingTime) *
                            routersSharing(host);
         const double known = isCold(now, host) ? linkTransfersOf(host) : host.linkTransfers;
         if (now - startedAt_ > kServedAveragingTime && all > known) host.linkTransfers = all;
