--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -69,7 +69,7 @@
 
 // Timing.
 // An answer is overdue when it takes longer than this multiple of its sending time at full pace.
-constexpr double kOverdueSendTimeMultiple = 1.6;
+constexpr double kSlowSendTimeMultiple = 1.6;
 // Share of the latency target for all but the sending: network, queue and a parent's lookup.
 constexpr double kOverheadLatencyTargetShare = 0.15;
 // Short: the client's latency target keeps running, and congestion clears within fractions of a second.
@@ -881,7 +881,7 @@
     // Sets one timer for when another attempt must start to meet the latency target, and one for when this
     // attempt is late.
     void setTimers(Time now, const Pending& p, int attempt, Actions& out) {
-        const Time needed = fromSeconds(kOverdueSendTimeMultiple * p.sendSeconds) + overheadTime(p);
+        const Time needed = fromSeconds(kSlowSendTimeMultiple * p.sendSeconds) + overheadTime(p);
         const Time at = std::max(now + needed, p.targetAt - needed);
         if ((p.settings->mayHedge || p.settings->mayCancel) && at + needed < p.request.deadline)
             setTimer(at - now, p, attempt, false, out);
@@ -1015,7 +1015,7 @@
                                      e.cacheStatus == CacheStatus::joined;
                 const Time overhead = overheadTime(p);
                 if (p.sendSeconds > seconds(overhead) &&
-                    seconds(e.elapsed - overhead) < kOverdueSendTimeMultiple * p.sendSeconds) {
+                    seconds(e.elapsed - overhead) < kSlowSendTimeMultiple * p.sendSeconds) {
                     hosts_[a.host].fullPaceAt = now;
                     if (fetched) zoneLinkFullPaceAt_ = now;
                 }
