--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -162,7 +162,7 @@
     bool inFlight = true;
     bool mayHaveRun = false;
     Tier highestTier = Tier::caches;
-    bool countedSlow = false;  // recorded with the health of its host
+    bool wasSlow = false;      // recorded with the health of its host
     bool hostHadRoom = false;  // at full pace, as far as known
     bool countedLate = false;  // recorded with the concurrency limiters
 };
@@ -910,7 +910,7 @@
     void attemptIsSlow(Time now, Pending& p, Attempt& a, int number, Actions& out) {
         // If the host answers other requests, its fill is slow, and a new fill would be slower still.
         const bool alive = answeredSince(a);
-        a.countedSlow = true;
+        a.wasSlow = true;
         if (!alive) recordFailure(now, a.host, kSlowAttemptFailureWeight);
         if (a.source != kNoHost && a.source != a.host)
             recordFailure(now, a.source, kSlowAttemptFailureWeight);
@@ -1040,7 +1040,7 @@
             default:
                 break;
         }
-        const double weight = e.blameless ? 0 : a.countedSlow ? 1 - kSlowAttemptFailureWeight : 1;
+        const double weight = e.blameless ? 0 : a.wasSlow ? 1 - kSlowAttemptFailureWeight : 1;
         // This value and the later ones tell why a fill failed.
         if (e.cacheStatus >= CacheStatus::sourceRefused) {
             const bool atSource = hasSource && e.cacheStatus != CacheStatus::noFillPlace;
