--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -45,14 +45,14 @@
           lastByteAt_(owner.loop_.now()),
           stream_(owner.loop_, to, *this) {
         ++owner_.counters_.connects;
-        timer_ = owner_.loop_.after(owner_.connectTimeout_, [this] {
-            timerArmed_ = false;
+        connectOrIdleTimer_ = owner_.loop_.after(owner_.connectTimeout_, [this] {
+            connectOrIdleTimerArmed_ = false;
             fail(Outcome::noConnection, HealthReport::failure);
         });
-        timerArmed_ = true;
+        connectOrIdleTimerArmed_ = true;
     }
     ~Connection() override {
-        stopTimer();
+        stopConnectOrIdleTimer();
         stop(stallTimer_);
         stop(silenceTimer_);
     }
@@ -116,7 +116,7 @@
     enum class HealthReport { none, failure };
     void fail(Outcome outcomeIfWritten, HealthReport healthReport, bool requeue = false) {
         if (std::exchange(ended_, true)) return;
-        stopTimer();
+        stopConnectOrIdleTimer();
         stop(stallTimer_);
         stop(silenceTimer_);
         stream_.close();
@@ -157,7 +157,7 @@
 
     void streamOpened() override {
         openedAt_ = owner_.loop_.now();
-        stopTimer();
+        stopConnectOrIdleTimer();
         flushOnceInputRead();
         startIdleTimer();
     }
@@ -363,11 +363,11 @@
 
     // Closes before the store's own idle timeout would: a PULL that crosses its close would count as broken.
     void startIdleTimer() {
-        if (ended_ || !stream_.opened() || load() > 0 || timerArmed_) return;
-        timerArmed_ = true;
+        if (ended_ || !stream_.opened() || load() > 0 || connectOrIdleTimerArmed_) return;
+        connectOrIdleTimerArmed_ = true;
         const Micros wait = noNewAttempts_ ? Micros{0} : owner_.idleTimeout_;
-        timer_ = owner_.loop_.after(wait, [this] {
-            timerArmed_ = false;
+        connectOrIdleTimer_ = owner_.loop_.after(wait, [this] {
+            connectOrIdleTimerArmed_ = false;
             fail(Outcome::broken, HealthReport::none, true);
         });
     }
@@ -376,10 +376,10 @@
         timer.reset();
     }
     void stopIdleTimer() {
-        if (stream_.opened()) stopTimer();
+        if (stream_.opened()) stopConnectOrIdleTimer();
     }
-    void stopTimer() {
-        if (std::exchange(timerArmed_, false)) owner_.loop_.cancel(timer_);
+    void stopConnectOrIdleTimer() {
+        if (std::exchange(connectOrIdleTimerArmed_, false)) owner_.loop_.cancel(connectOrIdleTimer_);
     }
 
     StoreConnections& owner_;
@@ -396,11 +396,11 @@
     std::vector<std::uint64_t> answeredTraceIds_;  // fingerprints of the last ones
     std::size_t nextAnswered_ = 0;
     int unmatchedAnswers_ = 0, pendingEchoes_ = 0;
-    net::Loop::TimerKey timer_{};
+    net::Loop::TimerKey connectOrIdleTimer_{};
     std::optional<net::Loop::TimerKey> stallTimer_, silenceTimer_;
     std::optional<Micros> answerBegunAt_;  // first byte of the answer being received
     Micros echoSentAt_{};                  // last ECHO
-    bool timerArmed_ = false;
+    bool connectOrIdleTimerArmed_ = false;
     bool ended_ = false;
     bool noNewAttempts_ = false;  // silent for too long: gets no new attempts
     net::Stream stream_;
