--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -29,7 +29,7 @@
 // Consecutive answers that match no attempt in flight; abandoned attempts cause fewer.
 constexpr int kMaxUnmatchedAnswers = 1000;
 constexpr std::size_t kAnsweredTraceIdsKept = 64;  // to recognise duplicate answers
-constexpr std::size_t kMaxAnswerBytes = 240'000;
+constexpr std::size_t kMaxBodyBytes = 240'000;
 constexpr int kMaxReassignments = 2;
 
 }  // namespace
@@ -287,7 +287,7 @@
 
     // Validates an answer before it is passed on: one whose body or date was damaged is no answer.
     static bool isWellFormed(const std::vector<std::string>& words, const Fields& fields, const Sent& sent) {
-        if (words.size() < 4 || words[3].size() > kMaxAnswerBytes) return false;
+        if (words.size() < 4 || words[3].size() > kMaxBodyBytes) return false;
         if (words[1] == "current" && (sent.knownTag.empty() || !words[3].empty())) return false;
         const std::string_view tag = fields.text("tag"), minted = fields.text("minted");
         // It must name the client's copy, or it does not confirm that one.
