--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -25,7 +25,7 @@
 constexpr Micros kStuckTimeout = 500ms;
 constexpr Micros kStalledAnswerTimeout = 300ms;  // within an answer: stores send answers whole
 constexpr Micros kMaxAnswerTime = 3s;            // from an answer's first byte to its last
-constexpr std::size_t kMaxConnectionsPerStore = 6;
+constexpr std::size_t kConnectionsBeforeSilentReuse = 6;
 // Consecutive answers that match no attempt in flight; abandoned attempts cause fewer.
 constexpr int kMaxUnmatchedAnswers = 1000;
 constexpr std::size_t kAnsweredTraceIdsKept = 64;  // to recognise duplicate answers
@@ -525,7 +525,7 @@
     }
     if (best) return best;
     const bool full = connectionCount() >= maxConnections_;
-    if (silent && (full || store.connections.size() >= kMaxConnectionsPerStore)) return silent;
+    if (silent && (full || store.connections.size() >= kConnectionsBeforeSilentReuse)) return silent;
     if (full) return nullptr;
     best = std::make_shared<Connection>(*this, host, settings::readEndpoint(store.address, "address"));
     store.connections.push_back(best);
