--- a/src/disk/purge_tombstones.cpp
+++ b/src/disk/purge_tombstones.cpp
@@ -86,7 +86,7 @@
     if (!options.bus) {
         result.raiseWatermark =
             loggedPosition.has_value();  // a bus that is no longer configured may have published purges
-    } else if (!options.keepsPositions || !loggedPosition) {
+    } else if (!options.eventNumbersPersist || !loggedPosition) {
         result.raiseWatermark = true;
     } else if (!position_ || *position_ != *loggedPosition) {
         resumeFrom_ = loggedPosition;
--- a/src/disk/purge_tombstones.hpp
+++ b/src/disk/purge_tombstones.hpp
@@ -73,9 +73,9 @@
 class PurgeFeedTracker {
 public:
     struct Options {
-        bool bus = false;               // an event bus is configured
-        bool keepsPositions = false;    // event numbers remain valid across restarts of the gateway
-        std::int64_t maxSilenceMs = 0;  // after a longer silence of the bus, purges may have been missed
+        bool bus = false;                  // an event bus is configured
+        bool eventNumbersPersist = false;  // event numbers remain valid across restarts of the gateway
+        std::int64_t maxSilenceMs = 0;     // after a longer silence of the bus, purges may have been missed
     };
     struct StartResult {
         bool raiseWatermark = false;             // the copies on disk may have missed purges
