--- a/src/agent/consensus.hpp
+++ b/src/agent/consensus.hpp
@@ -57,7 +57,9 @@
 
     bool isLeader();
     // False: proposals are refused, because this agent cannot write its log.
-    bool acceptsProposals() const { return !node_->storage().failing() && !node_->storage().backlogFull(); }
+    bool acceptsProposals() const {
+        return !node_->storage().failingOrVotePending() && !node_->storage().backlogFull();
+    }
     std::uint64_t leader();  // 0: unknown
     std::uint64_t lastAppliedIndex();
     // How long writes of this agent's log have been failing; zero if they succeed. Proposals are refused
--- a/src/agent/raft_storage.cpp
+++ b/src/agent/raft_storage.cpp
@@ -373,7 +373,7 @@
     const bool asksForVotes = message->type == RAFT_IO_REQUEST_VOTE;
     // A reply to a former leader, which libraft has forgotten while its entries were being written.
     const bool noRecipient = message->server_address == nullptr;
-    const bool withheld = noRecipient || termAndVotePending_ || (asksForVotes && failing());
+    const bool withheld = noRecipient || termAndVotePending_ || (asksForVotes && failingOrVotePending());
     if (!withheld) return transportSend_(&io_->guarded.io, request, message, done);
     withheldSends_.push_back({request, done});  // to the core this looks like a lost message
     if (closing_) return 0;                     // close() cancels it with all others
@@ -391,7 +391,7 @@
 }
 
 void RaftStorage::receive(raft_message* message) {
-    if (message->type == RAFT_IO_TIMEOUT_NOW && failing()) return;
+    if (message->type == RAFT_IO_TIMEOUT_NOW && failingOrVotePending()) return;
     if (message->type == RAFT_IO_APPEND_ENTRIES && backlogFull())
         AppendEntriesGuard::dropEntries(message->append_entries, message->append_entries.n_entries);
     receive_(&io_->guarded.io, message);
--- a/src/agent/raft_storage.hpp
+++ b/src/agent/raft_storage.hpp
@@ -56,7 +56,7 @@
 
     // Time since the first of the current series of failed writes; zero if writes succeed.
     std::chrono::milliseconds failingFor() const;
-    bool failing() const { return failingSince_ != 0 || termAndVotePending_; }
+    bool failingOrVotePending() const { return failingSince_ != 0 || termAndVotePending_; }
     // More data is queued than allowed.
     bool backlogFull() const { return unwrittenBytes_ > kMaxUnwrittenBytes; }
     const Counters& counters() const { return counters_; }
