--- a/src/agent/raft_storage.cpp
+++ b/src/agent/raft_storage.cpp
@@ -80,8 +80,8 @@
     : loop_(loop), folder_(folder), log_(folder), content_(log_.open()), termAndVote_(content_.termAndVote) {
     nextIndex_ = content_.firstIndex + content_.entries.size();
     uv_timer_init(&loop_, &retryTimer_);
-    uv_timer_init(&loop_, &withheldTimer_);
-    work_.data = retryTimer_.data = withheldTimer_.data = this;
+    uv_timer_init(&loop_, &droppedSendsTimer_);
+    work_.data = retryTimer_.data = droppedSendsTimer_.data = this;
 }
 
 void RaftStorage::attach(StorageIo& stored) {
@@ -373,21 +373,21 @@
     const bool asksForVotes = message->type == RAFT_IO_REQUEST_VOTE;
     // A reply to a former leader, which libraft has forgotten while its entries were being written.
     const bool noRecipient = message->server_address == nullptr;
-    const bool withheld = noRecipient || termAndVotePending_ || (asksForVotes && failingOrVotePending());
-    if (!withheld) return transportSend_(&io_->guarded.io, request, message, done);
-    withheldSends_.push_back({request, done});  // to the core this looks like a lost message
-    if (closing_) return 0;                     // close() cancels it with all others
+    const bool dropped = noRecipient || termAndVotePending_ || (asksForVotes && failingOrVotePending());
+    if (!dropped) return transportSend_(&io_->guarded.io, request, message, done);
+    droppedSends_.push_back({request, done});  // to the core this looks like a lost message
+    if (closing_) return 0;                    // close() cancels it with all others
     uv_timer_start(
-        &withheldTimer_,
+        &droppedSendsTimer_,
         [](uv_timer_t* timer) {
-            static_cast<RaftStorage*>(timer->data)->dropWithheldSends(RAFT_NOCONNECTION);
+            static_cast<RaftStorage*>(timer->data)->failDroppedSends(RAFT_NOCONNECTION);
         },
         0, 0);
     return 0;
 }
 
-void RaftStorage::dropWithheldSends(int status) {
-    for (const WithheldSend& send : std::exchange(withheldSends_, {})) send.done(send.request, status);
+void RaftStorage::failDroppedSends(int status) {
+    for (const DroppedSend& send : std::exchange(droppedSends_, {})) send.done(send.request, status);
 }
 
 void RaftStorage::receive(raft_message* message) {
@@ -402,7 +402,7 @@
 void RaftStorage::close(raft_io_close_cb done) {
     closing_ = true;
     closed_ = done;
-    for (uv_timer_t* timer : {&retryTimer_, &withheldTimer_})
+    for (uv_timer_t* timer : {&retryTimer_, &droppedSendsTimer_})
         uv_close(reinterpret_cast<uv_handle_t*>(timer), [](uv_handle_t* handle) {
             auto& self = *static_cast<RaftStorage*>(handle->data);
             --self.openTimers_;
@@ -415,7 +415,7 @@
     // Newest first: each cancelled append removes its entries from the end of the core's log.
     for (; !queue_.empty(); queue_.pop_back()) complete(queue_.back(), RAFT_CANCELED);
     for (; !batch_.empty(); batch_.pop_back()) complete(batch_.back(), RAFT_CANCELED);
-    dropWithheldSends(RAFT_CANCELED);
+    failDroppedSends(RAFT_CANCELED);
     transportClose_(&io_->guarded.io, std::exchange(closed_, nullptr));
 }
 
--- a/src/agent/raft_storage.hpp
+++ b/src/agent/raft_storage.hpp
@@ -80,7 +80,7 @@
         std::uint64_t keepFrom = 0;
     };
     struct SnapshotRead;
-    struct WithheldSend {
+    struct DroppedSend {
         raft_io_send* request;
         raft_io_send_cb done;
     };
@@ -111,7 +111,7 @@
     void recordFailure(const std::string& what);
     void recordSuccess();
     void scheduleRetry();
-    void dropWithheldSends(int status);
+    void failDroppedSends(int status);
     void closeTransportOnceIdle();
 
     uv_loop_t& loop_;
@@ -129,8 +129,8 @@
     std::string writeError_;  // of the current attempt; empty on success
     uv_work_t work_{};
     uv_timer_t retryTimer_{};
-    uv_timer_t withheldTimer_{};
-    std::vector<WithheldSend> withheldSends_;
+    uv_timer_t droppedSendsTimer_{};
+    std::vector<DroppedSend> droppedSends_;
     int snapshotReads_ = 0;           // in progress
     std::uint64_t failingSince_ = 0;  // loop time in ms; zero: not failing
     Counters counters_;
