--- a/src/gateway/handover.cpp
+++ b/src/gateway/handover.cpp
@@ -17,9 +17,9 @@
 
 // The protocol version is part of the socket's name and of the first message, so that processes with
 // different versions ignore each other.
-constexpr const char* kSocketName = "/lotuslead-1.sock";
+constexpr const char* kSocketPathSuffix = "/lotuslead-1.sock";
 constexpr const char* kProtocolVersion = "1";
-constexpr net::RespParser::Limits kLimits{2, 2 * 1024 * 1024, 2 * 1024 * 1024};
+constexpr net::RespParser::Limits kMessageLimits{2, 2 * 1024 * 1024, 2 * 1024 * 1024};
 constexpr net::Micros kStateTimeout = 700ms;  // then it starts cold; the platform waits 6 s in all
 
 bool setPath(const std::string& path, sockaddr_un& address) {
@@ -60,7 +60,7 @@
     void streamEnded(net::Stream::CloseReason) override { owner_.onPeerClosed(*this); }
 
     HandoverChannel& owner_;
-    net::RespParser parser_{kLimits};
+    net::RespParser parser_{kMessageLimits};
     net::Stream stream_;
 };
 
@@ -70,7 +70,7 @@
 
 void HandoverChannel::open(const char* folder) {
     if (!folder) return;
-    const std::string path = std::string(folder) + kSocketName;
+    const std::string path = std::string(folder) + kSocketPathSuffix;
     connect(path);
     listen(folder, path);
 }
