--- a/src/agent/raft_storage.hpp
+++ b/src/agent/raft_storage.hpp
@@ -2,9 +2,10 @@
 // reports a failed write to the core: an append, a snapshot or a vote that cannot be written is kept and
 // retried.
 //
-// libraft 0.15 does not survive a failed write. After a failed append its files are unusable until the
-// process restarts, and the leader's log is shorter than what it counts as sent, so that it tries to send a
-// snapshot that does not exist (a null pointer). After a failed vote the core stays unavailable.
+// libraft 0.15 does not survive a failed write. After a failed append it cannot use its files until the
+// process restarts. The leader's log then ends before entries that the leader has recorded as sent, so that
+// it tries to send a snapshot that does not exist (a null pointer). After a failed vote the core stays
+// unavailable.
 //
 // Guarantees towards the core:
 //   - An append or a snapshot is completed when it is durable. Until then it is queued, in order.
@@ -31,7 +32,7 @@
 
 class RaftStorage;
 
-// The core passes the address of `guarded.io`, from which the storage is recovered.
+// The core passes the address of `guarded.io`, from which fromIo() finds the storage.
 struct StorageIo {
     AppendEntriesGuard guarded{};
     RaftStorage* storage = nullptr;
@@ -56,16 +57,20 @@
 
     // Time since the first of the current series of failed writes; zero if writes succeed.
     std::chrono::milliseconds failingFor() const;
+    // Also true while a term or a vote is not durable yet, without a failure.
     bool failingOrVotePending() const { return failingSince_ != 0 || termAndVotePending_; }
-    // More data is queued than allowed.
+    // More bytes of entries than kMaxUnwrittenBytes are not durable yet. Then entries received from a leader
+    // are dropped, and Consensus accepts no proposals.
     bool backlogFull() const { return unwrittenBytes_ > kMaxUnwrittenBytes; }
     const Counters& counters() const { return counters_; }
 
 private:
+    // Of the data of appended entries; snapshots are not counted.
     static constexpr std::size_t kMaxUnwrittenBytes = std::size_t{64} << 20;
 
     // An append or a snapshot whose completion the core waits for.
     struct PendingWrite {
+        // `snapshot`: taken by this agent. `install`: received from the leader; it replaces all entries.
         enum class Kind { append, snapshot, install };
         Kind kind = Kind::append;
         raft_io_append* append = nullptr;
@@ -73,13 +78,15 @@
         const raft_entry* entries = nullptr;  // owned by the core until the append completes
         unsigned count = 0;
         std::uint64_t firstIndex = 0;
-        std::size_t bytes = 0;
+        std::size_t bytes = 0;  // of the entries' data; zero for a snapshot
         raft_io_snapshot_put* put = nullptr;
         raft_io_snapshot_put_cb stored = nullptr;
         LogSnapshot snapshot;
-        std::uint64_t keepFrom = 0;
+        std::uint64_t keepFrom = 0;  // entries before this index may be removed; used for `snapshot` only
     };
-    struct SnapshotRead;
+    struct SnapshotRead;  // a read of the stored snapshot for the core, on libuv's thread pool
+    // A message that is not sent. Only its callback is kept, to be called with an error: to the core the
+    // message was lost.
     struct DroppedSend {
         raft_io_send* request;
         raft_io_send_cb done;
