--- a/src/gateway/handover.cpp
+++ b/src/gateway/handover.cpp
@@ -16,11 +16,15 @@
 namespace {
 
 // The protocol version is part of the socket's name and of the first message, so that processes with
-// different versions ignore each other.
+// different versions do not meet. A HELLO of another version on this socket is not answered, but its sender
+// stays connected and is included when processes are next counted.
 constexpr const char* kSocketPathSuffix = "/lotuslead-1.sock";
 constexpr const char* kProtocolVersion = "1";
+// Elements of a message, bytes of one element, and bytes of all elements together.
 constexpr net::RespParser::Limits kMessageLimits{2, 2 * 1024 * 1024, 2 * 1024 * 1024};
-constexpr net::Micros kStateTimeout = 700ms;  // then it starts cold; the platform waits 6 s in all
+// Without the predecessor's state by then, this process starts cold: the platform waits 6 s for the whole
+// start.
+constexpr net::Micros kStateTimeout = 700ms;
 
 bool setPath(const std::string& path, sockaddr_un& address) {
     address = {};
