--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -19,17 +19,25 @@
 constexpr Micros kDefaultConnectTimeout = 400ms;  // if the settings give none
 constexpr Micros kDefaultIdleTimeout = 30s;
 constexpr std::size_t kDefaultAttemptsPerConnection = 100;
-// A store answers ECHO out of order, so a working connection carries it within this time.
+// A store answers ECHO without waiting for earlier answers, so that on a working connection the reply arrives
+// within this time.
 constexpr Micros kEchoTimeout = 200ms;
-// Beyond the silence timeout: attempts in flight are given up if the store has answered later ones elsewhere.
+// Added to the silence timeout: a connection that is silent for longer is closed if the store has answered,
+// on other connections, attempts that were written later.
 constexpr Micros kStuckTimeout = 500ms;
-constexpr Micros kStalledAnswerTimeout = 300ms;  // within an answer: stores send answers whole
+constexpr Micros kStalledAnswerTimeout = 300ms;  // without a byte within an answer: stores send answers whole
 constexpr Micros kMaxAnswerTime = 3s;            // from an answer's first byte to its last
+// With this many connections to a store, an attempt uses a silent one, if there is one that accepts it,
+// before another is opened. Not a maximum: without such a connection another one is opened.
 constexpr std::size_t kConnectionsBeforeSilentReuse = 6;
 // Consecutive answers that match no attempt in flight; abandoned attempts cause fewer.
 constexpr int kMaxUnmatchedAnswers = 1000;
-constexpr std::size_t kAnsweredTraceIdsKept = 64;  // to recognise duplicate answers
+// Per connection. A new attempt with one of these trace ids uses another connection, where a duplicate of the
+// earlier answer can't be taken for its own.
+constexpr std::size_t kAnsweredTraceIdsKept = 64;
 constexpr std::size_t kMaxBodyBytes = 240'000;
+// How often an attempt of which nothing was written is moved to another connection, before it is reported as
+// not connected.
 constexpr int kMaxReassignments = 2;
 
 }  // namespace
@@ -110,9 +118,12 @@
         return false;
     }
 
-    // Attempts that were written may have run. The others are requeued to another connection if this one had
-    // opened and the store is not gone. The end of a connection counts once against the health of its store,
-    // however many attempts it ends, and not at all if the connection was new or idle.
+    // Closes the connection. Attempts that were written may have run and end with `outcomeIfWritten`. The
+    // others move to another connection if `requeue` is set and kMaxReassignments allows it; otherwise they
+    // end with noConnection. The first reported outcome counts against the health of the store, and no
+    // further one, however many attempts end; with HealthReport::none not even the first. Callers pass none
+    // if the connection was new or idle, and requeue only if it had opened and the store is neither gone nor
+    // moved.
     enum class HealthReport { none, failure };
     void fail(Outcome outcomeIfWritten, HealthReport healthReport, bool requeue = false) {
         if (std::exchange(ended_, true)) return;
@@ -162,7 +173,7 @@
         startIdleTimer();
     }
     void streamFlushed() override { flushOnceInputRead(); }
-    // The client may have left in this very turn.
+    // Deferred until all input of this turn is read, since a client may have left in this turn.
     void flushOnceInputRead() {
         if (queue_.empty()) return;
         owner_.loop_.atEndOfTurn([self = weak_from_this()] {
@@ -259,6 +270,7 @@
         result.attempt = found->second.attempt;
         result.outcome = *outcome;
         result.note = noteOf(fields.text("remark"));
+        // `minted` is the Unix time in ms that the store gives for the content, which is of then or later.
         if (const auto minted = fields.whole("minted"))
             owner_.copyAgeCheck_.learn(owner_.loop_.now(), *minted);
         if (*outcome == Outcome::served &&
@@ -276,7 +288,8 @@
         owner_.noteAnswered(host_, found->second.writtenAt);
         owner_.silenceTimeout_.learn(owner_.loop_.now() - std::max(lastAnswerAt_, waitingSince_));
         lastAnswerAt_ = owner_.loop_.now();
-        // A duplicate answer would be taken for the answer to a later attempt of the same request.
+        // If a later attempt of the same request used this connection, a duplicate of this answer would be
+        // taken for its answer; see hasSeen().
         if (answeredTraceIds_.size() < kAnsweredTraceIdsKept) answeredTraceIds_.push_back(0);
         answeredTraceIds_[nextAnswered_++ % kAnsweredTraceIdsKept] = fingerprint(words[0]);
         inFlight_.erase(found);
@@ -361,7 +374,9 @@
         owner_.reportResult(std::move(result));
     }
 
-    // Closes before the store's own idle timeout would: a PULL that crosses its close would count as broken.
+    // Closes the connection once it has been idle for idleTimeout_, or at once if it takes no new attempts. A
+    // configured timeout is shortened to 9/10 (see reconfigure()), so that this side closes before the store:
+    // a PULL that crosses the store's close would count as broken. The default is used unshortened.
     void startIdleTimer() {
         if (ended_ || !stream_.opened() || load() > 0 || connectOrIdleTimerArmed_) return;
         connectOrIdleTimerArmed_ = true;
@@ -432,7 +447,8 @@
         maxAttemptsPerConnection_ = static_cast<std::size_t>(words.streamsPerConnection);
 }
 
-// What remains beside the third for clients, less what the process needs for itself and for operators.
+// Of the descriptors, a third is for clients. Of the rest, a quarter but at most 64 is for the process itself
+// and for operators, and the remainder is divided among the processes; each gets at least 8.
 void StoreConnections::setProcessCount(int processes) {
     processes_ = processes;
     const std::size_t rest = socketLimit_ - socketLimit_ / 3;
@@ -532,7 +548,8 @@
     return best;
 }
 
-// The store answers later requests on other connections: this one is blocked by an answer for good.
+// Closes each connection that has been silent for too long although the store has answered, on other
+// connections, attempts that were written later: an answer that never arrives blocks it.
 void StoreConnections::closeStuck(Store& store) {
     const auto connections = store.connections;
     for (const auto& connection : connections) {
