--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -2,9 +2,9 @@
 //
 // A bounded LRU filter remembers the names of recently requested objects. A request whose name is in the
 // filter goes to an edge cache of the router's own zone, which keeps a copy. Any other request goes straight
-// to the object's parent, and no edge cache keeps a copy. All other code handles failures, overload and the
-// five rules: one answer in time, no effect twice, nothing to or through draining hosts, budgets for cold
-// hosts, and purges.
+// to the object's parent, and no edge cache keeps a copy. All other code handles failures and overload and
+// enforces five rules: a request gets one answer in time, no effect runs twice, nothing is sent to or through
+// draining hosts, cold hosts stay within their budgets, and copies from before a purge are not accepted.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -28,26 +28,29 @@
 // Routing.
 // Object names remembered per router.
 constexpr std::size_t kFilterCapacity = 4096;
-// After a start the popular names have not all been asked for again.
+// For this time after a start, the first attempt for an object that is not in the filter still goes through
+// its cache: the filter does not yet hold all popular names.
 constexpr Time kFilterWarmUpTime = 8s;
-// Share of one cache's link. An object that needs more is spread over two caches.
+// Share of the mean link of the zone's caches. An object with several viewers whose transfers in the zone
+// need more is hot: it is spread over two caches, and its parts over the parents.
 constexpr double kHotObjectLinkShare = 0.25;
 // Averaging time of an object's transfers.
 constexpr Time kHotObjectAveragingTime = 4s;
-// Keep the hash of the caches and that of the parents independent.
+// Keep the hash that picks a cache independent of the one that picks a parent or an origin host.
 constexpr std::uint64_t kCacheHashSalt = 1, kUpstreamHashSalt = 2;
 
 // Outlier ejection: a host is ejected after some failures in a row or a high share of them, and is reinstated
 // after successful trial requests.
 // Weight of one outcome in the moving average of failures: covers about the last five outcomes.
 constexpr double kOutcomeWeight = 0.2;
-// A healthy host passes this at its third failure in a row. A host that fails a third of its requests stays
-// near it.
+// The moving average of a healthy host passes this at its third failure in a row. That of a host that fails a
+// third of its requests fluctuates around 0.33, close to this.
 constexpr double kEjectionFailureShare = 0.45;
-// A host is ejected only if its share exceeds the mean of its peers by this: a fault that hits all of them is
-// not its own.
+// A host is ejected only if its failure share also exceeds the mean of its peers by this, or exceeds
+// kLostHostFailureShare: a fault that hits all of them is not its own.
 constexpr double kEjectionMarginOverPeers = 0.25;
-// At this share hardly any answer comes back: the host is ejected whatever the share of its peers.
+// Above this share nearly all attempts fail, by error answers and refusals or without an answer: the host is
+// ejected whatever the share of its peers.
 constexpr double kLostHostFailureShare = 0.8;
 // Weight of an attempt that is slow; one that failed weighs 1.
 constexpr double kSlowAttemptFailureWeight = 0.5;
@@ -57,22 +60,29 @@
 constexpr int kTrialSuccessesToReinstate = 3;
 
 // Retry and origin budgets.
-// Keeps retries from multiplying an overload.
+// Added to the retry budget for each request. Keeps retries from multiplying an overload.
 constexpr double kRetriesPerRequest = 0.1;
-// The bursts of all routers add up, and a dead host costs a few retries at each router.
+// Capacity and initial content of the retry budget. The bursts of all routers add up, and a dead host costs a
+// few retries at each router.
 constexpr double kRetryBurst = 6;
-// Requests sent to the origin past the parents.
+// Added for each request to the origin budget, which limits the attempts that are sent to the origin, or to a
+// cache with the origin as its source, because no parent can be used.
 constexpr double kOriginSendsPerRequest = 0.15;
+// Capacity and initial content of the origin budget.
 constexpr double kOriginSendBurst = 4;
+// Added to the origin budget for each answer in time, and each noCopy, of an attempt whose source, or whose
+// host if it has no source, is an origin host; not for hits at a cache, but for writes through a parent.
 // Above 1, so that the origin's share grows for as long as it answers in time.
 constexpr double kOriginSendsPerSuccess = 1.2;
 
 // Timing.
-// An answer is overdue when it takes longer than this multiple of its sending time at full pace.
+// An attempt is expected to need the overhead below plus this multiple of its sending time at full pace. An
+// answer counts as at full pace only within that time, and an attempt counts as slow only after it.
 constexpr double kSlowSendTimeMultiple = 1.6;
 // Share of the latency target for all but the sending: network, queue and a parent's lookup.
 constexpr double kOverheadLatencyTargetShare = 0.15;
-// Short: the client's latency target keeps running, and congestion clears within fractions of a second.
+// Retry hint in a refusal, unless the settings limit it to less. Short: the client's latency target keeps
+// running, and congestion clears within fractions of a second.
 constexpr Time kRetryAfter = 100ms;
 
 // Load of links. Above full utilization every transfer slows down in proportion.
@@ -80,53 +90,66 @@
 constexpr double kLoadReportWeight = 0.25;
 // How long an answer at full pace proves free capacity: about as long as load reports lag.
 constexpr Time kFullPaceLifetime = 400ms;
-// About the time of one fill on a full link: the current number of fills fluctuates.
+// Averaging time of the number of fills in flight, which fluctuates: about the time of one fill on a full
+// link.
 constexpr Time kFillsAveragingTime = 1s;
-// Load of a transfer that leaves no copy: it crosses the link again when it is next asked for.
+// Multiplies the utilization of the zone's link for a request that leaves no copy: the object crosses the
+// link again when it is next asked for.
 constexpr double kUncachedTransferWeight = 2;
-// Without a newer report a link is taken to be free.
+// Without a newer report the utilization of a link is estimated from this router's own attempts. A zone's
+// link is taken to be free if its capacity is not configured.
 constexpr Time kLoadReportLifetime = 2s;
 
-// Concurrency limiters before the parents and the origin: additive increase, multiplicative decrease.
-// Covers a few dozen fills and is short compared with an outage.
+// Concurrency limiters before the parents and the origin. Each success adds up to a constant, so that it can
+// double per round trip; too many failures multiply it by kLimiterDecreaseFactor. Covers a few dozen fills
+// and is short compared with an outage. Also the time after a decrease during which isLimiting() is true.
 constexpr Time kLimiterAveragingTime = 3s;
 // Share of the outcomes: about twice the share that is late by chance.
 constexpr double kLimiterFailureShare = 0.1;
 // Weighted failures: a single late answer proves nothing.
 constexpr double kLimiterMinFailures = 1.5;
-// Weight of a missing answer; a late answer or a refusal weighs 1. Answers also get lost.
+// Weight of a missing answer; a late answer or a refusal weighs 1. Less than 1, since answers can also be
+// lost on the way.
 constexpr double kUnansweredFailureWeight = 0.3;
 // Applied once for all attempts that were in flight at the time.
 constexpr double kLimiterDecreaseFactor = 0.5;
-// Reduced by the share of its time that the success took. Opens a limiter of any size quickly.
+// Added to the limit for each success, reduced by the share of the target time that the success took. Opens a
+// limiter of any size quickly.
 constexpr double kLimiterIncreasePerSuccess = 1;
 // Below one attempt at a time there are pauses in between, after which an attempt probes the tier.
 constexpr double kMinConcurrencyLimit = 0.25;
 constexpr double kUnlimitedConcurrency = 1e9;
 
-// Cold hosts get less than would slow them down, which is far less than would overload them.
-// Multiple of the least capacity that the host can have at its age; most hosts have more.
+// A cold host's budget is a multiple of the least capacity that it can have at its age: the lower of the two
+// limits below. It is meant not to slow the host down, and is far less than would overload it.
+// First limit, as a multiple of that least capacity. Above 1, since most hosts have more capacity than that.
 constexpr double kColdLoadCapacityMultiple = 1.2;
-// Share of the multiple of its capacity at which a cold host is overloaded.
+// Second limit, as a share of the setting coldOverloadMultiple (parentColdOverloadMultiple for a parent), the
+// multiple of its capacity at which a cold host is overloaded.
 constexpr double kColdLoadOverloadShare = 0.6;
 
 // With many routers, one router's part of a cold host's budget is less than one request: a random draw then
 // lets single requests through.
 // Share of the budget that the draws use, since several routers may draw at the same time by chance.
 constexpr double kLotteryBudgetShare = 0.5;
-// Requests that the whole budget must hold, since chance has too much weight in a smaller one.
+// Requests that the budget of all routers must hold for draws to be made. Of fewer, the number that chance
+// lets through varies too much.
 constexpr double kLotteryMinBudgetRequests = 8;
 
 // Learned links, in transfers at a time at full pace.
 // Where nothing has been learned: deliberately low.
 constexpr double kDefaultLinkTransfers = 2;
-// Least link that the load of a host is measured by: a lower value moves keys to other hosts too often.
+// Lower bound of the link by which linkUtilizationOf() divides: a lower value moves keys to other hosts too
+// often.
 constexpr double kMinLinkTransfersForLoad = 4;
-// Averaging time of the transfers that a host serves at a time.
+// Averaging time of the transfers that a host serves at a time. Links are learned only after the router has
+// run for longer than this.
 constexpr Time kServedAveragingTime = 2s;
-// Share of the transfers served that counts as proven: the figure fluctuates and its maximum is kept.
+// Share of the estimated transfers at a time that counts as proven for a host's link: the estimate fluctuates
+// and its maximum is kept.
 constexpr double kProvenServedShare = 0.75;
 
+// Least delay of a request's timers. Also added to the time after which an attempt counts as late.
 constexpr Time kMinTimerDelay = 1ms;
 // After this the slot of a host that has gone may be used for another host.
 constexpr Time kHostSlotReuseDelay = 5s;
@@ -162,19 +185,25 @@
     bool inFlight = true;
     bool mayHaveRun = false;
     Tier highestTier = Tier::caches;
-    bool wasSlow = false;      // recorded with the health of its host
-    bool hostHadRoom = false;  // at full pace, as far as known
+    bool wasSlow = false;      // attemptIsSlow() was called for it
+    bool hostHadRoom = false;  // linkUtilizationOf() the host was below 1 when it was sent
     bool countedLate = false;  // recorded with the concurrency limiters
 };
 
 struct Pending {
     Request request;
-    std::shared_ptr<const Settings> settings;  // in force on arrival; kept until the request ends
+    // Those in force on arrival, for its class, its number of attempts, hedging, cancelling and retry hints.
+    // Routing uses the newest.
+    std::shared_ptr<const Settings> settings;
     Time arrived{};
-    Time targetAt{};         // an answer after this earns less than its full value
+    // Arrival plus latency target and stretch, at most the deadline. An answer after it is late.
+    Time targetAt{};
     double sendSeconds = 0;  // seconds of sending time
     bool inFilter = false, hot = false;
+    // Of the copy to keep. 0: none is kept; 1: part; 2: part with several viewers, or whole object;
+    // 3: whole object with several viewers.
     int keepRank = 0;
+    // `finished`: answered, refused or failed, or the client has left.
     bool finished = false, streaming = false, retryAfterCancel = false;
     bool acceptStale = false;  // an attempt failed, or no fill is possible
     std::vector<Attempt> attempts;
@@ -185,6 +214,8 @@
     }
 };
 
+// Where to send an attempt, and where the host fills a miss from. Without a source of its own, a cache does
+// not fill and a parent fills from the first origin host.
 struct Route {
     HostIndex host = kNoHost, source = kNoHost;
     int keepRank = 0;
@@ -617,7 +648,8 @@
         return pick(now, caches_, key, p, p.hot && p.attempts.empty());
     }
 
-    // All zones fill an object from one parent, which the viewers of a hot object in forty zones overload.
+    // All zones fill an object from one parent, which the fills of a hot object overload if there are many
+    // zones, for example forty.
     // The parts of a hot object are therefore spread over parents, with the same parent per part at every
     // router. Cost: the first fill of a part may be fetched twice.
     HostIndex pickParent(Time now, const Pending& p) {
@@ -751,9 +783,9 @@
 
     // Attributes an outcome to the highest tier that was used, as far as known. Guards, without a need to
     // tell them apart, against an origin that is slow, refuses or has stopped, against parents that are
-    // overloaded, cold or down, and against refills after a purge. Missing answers weigh little while others
-    // arrive. Cost: when many answers are late by chance, the limits shrink a little. Hits at the caches are
-    // not limited.
+    // overloaded, cold or down, and against refills after a purge. A missing answer weighs less than a late
+    // one (kUnansweredFailureWeight). Cost: when many answers are late by chance, the limits shrink a little.
+    // Hits at the caches are not limited.
     void updateLimiters(Time now, const Pending& p, const Attempt& a, const AttemptEnded& e) {
         if (a.highestTier == Tier::caches || a.countedLate || e.outcome == Outcome::notSent || e.blameless)
             return;
@@ -766,9 +798,9 @@
         const bool silent = e.outcome == Outcome::timedOut || e.outcome == Outcome::cancelled ||
                             e.outcome == Outcome::broken || e.outcome == Outcome::noConnection;
         const bool served = e.outcome == Outcome::served;
-        // Late answers are not attributed to a tier while the zone's own link is full.
-        // Measured from the start of this attempt: time that the request lost before is not this tier's
-        // fault.
+        // The elapsed time is that of this attempt: time that the request lost before is not this tier's
+        // fault. While the zone's own link is full, all answers count as in time, since a late one may be the
+        // fault of that link and not of a tier.
         const bool inTime = e.elapsed <= p.targetAt - p.arrived || zoneLinkUtilization(now) > 1;
         // A prompt error is a fault of the host itself, and a cancelled attempt was not late yet.
         const bool prompt = e.outcome == Outcome::error && e.cacheStatus != CacheStatus::originFailed;
@@ -897,8 +929,8 @@
     bool answeredSince(const Attempt& a) const { return hosts_[a.host].lastAnswerAt > a.sentAt; }
 
     // Recorded when the attempt becomes late, not when it ends: under congestion that is seconds later, and
-    // all that is sent meanwhile adds to the congestion. If the host answers other requests, the fill is
-    // slow.
+    // all that is sent meanwhile adds to the congestion. If the host has answered other requests since this
+    // one was sent, its fill is slow, which weighs 1; otherwise it weighs as much as a missing answer.
     void attemptIsLate(Time now, const Pending& p, Attempt& a) {
         if (zoneLinkUtilization(now) > 1) return;
         a.countedLate = true;
@@ -1072,7 +1104,8 @@
         }
     }
 
-    // Mean failure share of the other hosts of its group.
+    // Mean failure share of the other parents for a parent, otherwise of the other caches, also for an origin
+    // host.
     double meanPeerFailureShare(HostIndex i) const {
         const auto& group = hosts_[i].entry.role == Role::parent ? parents_ : caches_;
         double sum = 0;
