--- a/src/platform/store_connections.cpp
+++ b/src/platform/store_connections.cpp
@@ -23,7 +23,7 @@
 // within this time.
 constexpr Micros kEchoTimeout = 200ms;
 // Added to the silence timeout: a connection that is silent for longer is closed if the store has answered,
-// on other connections, attempts that were written later.
+// on other connections, attempts that were written later. Checked before each attempt to the store is sent.
 constexpr Micros kStuckTimeout = 500ms;
 constexpr Micros kStalledAnswerTimeout = 300ms;  // without a byte within an answer: stores send answers whole
 constexpr Micros kMaxAnswerTime = 3s;            // from an answer's first byte to its last
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -100,9 +100,11 @@
 // link is taken to be free if its capacity is not configured.
 constexpr Time kLoadReportLifetime = 2s;
 
-// Concurrency limiters before the parents and the origin. Each success adds up to a constant, so that it can
-// double per round trip; too many failures multiply it by kLimiterDecreaseFactor. Covers a few dozen fills
-// and is short compared with an outage. Also the time after a decrease during which isLimiting() is true.
+// Concurrency limiters before the parents and the origin. Each success adds up to a constant to the limit,
+// which can double it per round trip; too many failures multiply it by kLimiterDecreaseFactor.
+
+// Averaging time of successes and failures: covers a few dozen fills and is short compared with an outage.
+// Also the time after a decrease during which isLimiting() is true.
 constexpr Time kLimiterAveragingTime = 3s;
 // Share of the outcomes: about twice the share that is late by chance.
 constexpr double kLimiterFailureShare = 0.1;
@@ -122,6 +124,7 @@
 
 // A cold host's budget is a multiple of the least capacity that it can have at its age: the lower of the two
 // limits below. It is meant not to slow the host down, and is far less than would overload it.
+
 // First limit, as a multiple of that least capacity. Above 1, since most hosts have more capacity than that.
 constexpr double kColdLoadCapacityMultiple = 1.2;
 // Second limit, as a share of the setting coldOverloadMultiple (parentColdOverloadMultiple for a parent), the
