--- a/src/gateway/handover.cpp
+++ b/src/gateway/handover.cpp
@@ -16,11 +16,15 @@
 namespace {
 
 // The protocol version is part of the socket's name and of the first message, so that processes with
-// different versions ignore each other.
-constexpr const char* kSocketName = "/lotuslead-1.sock";
+// different versions do not meet. A HELLO of another version on this socket is not answered, but its sender
+// stays connected and is included when processes are next counted.
+constexpr const char* kSocketPathSuffix = "/lotuslead-1.sock";
 constexpr const char* kProtocolVersion = "1";
-constexpr net::RespParser::Limits kLimits{2, 2 * 1024 * 1024, 2 * 1024 * 1024};
-constexpr net::Micros kStateTimeout = 700ms;  // then it starts cold; the platform waits 6 s in all
+// Elements of a message, bytes of one element, and bytes of all elements together.
+constexpr net::RespParser::Limits kMessageLimits{2, 2 * 1024 * 1024, 2 * 1024 * 1024};
+// Without the predecessor's state by then, this process starts cold: the platform waits 6 s for the whole
+// start.
+constexpr net::Micros kStateTimeout = 700ms;
 
 bool setPath(const std::string& path, sockaddr_un& address) {
     address = {};
@@ -60,7 +64,7 @@
     void streamEnded(net::Stream::CloseReason) override { owner_.onPeerClosed(*this); }
 
     HandoverChannel& owner_;
-    net::RespParser parser_{kLimits};
+    net::RespParser parser_{kMessageLimits};
     net::Stream stream_;
 };
 
@@ -70,7 +74,7 @@
 
 void HandoverChannel::open(const char* folder) {
     if (!folder) return;
-    const std::string path = std::string(folder) + kSocketName;
+    const std::string path = std::string(folder) + kSocketPathSuffix;
     connect(path);
     listen(folder, path);
 }
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -2,9 +2,9 @@
 //
 // A bounded LRU filter remembers the names of recently requested objects. A request whose name is in the
 // filter goes to an edge cache of the router's own zone, which keeps a copy. Any other request goes straight
-// to the object's parent, and no edge cache keeps a copy. All other code handles failures, overload and the
-// five rules: one answer in time, no effect twice, nothing to or through draining hosts, budgets for cold
-// hosts, and purges.
+// to the object's parent, and no edge cache keeps a copy. All other code handles failures and overload and
+// enforces five rules: a request gets one answer in time, no effect runs twice, nothing is sent to or through
+// draining hosts, cold hosts stay within their budgets, and copies from before a purge are not accepted.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -28,26 +28,29 @@
 // Routing.
 // Object names remembered per router: the default of the published design.
 constexpr std::size_t kFilterCapacity = 4096;
-// After a start the popular names have not all been asked for again.
+// For this time after a start, the first attempt for an object that is not in the filter still goes through
+// its cache: the filter does not yet hold all popular names.
 constexpr Time kFilterWarmUpTime = 8s;
-// Share of one cache's link. An object that needs more is spread over two caches.
+// Share of the mean link of the zone's caches. An object with several viewers whose transfers in the zone
+// need more is hot: it is spread over two caches, and its parts over the parents.
 constexpr double kHotObjectLinkShare = 0.25;
 // Averaging time of an object's transfers.
 constexpr Time kHotObjectAveragingTime = 4s;
-// Keep the hash of the caches and that of the parents independent.
-constexpr std::uint64_t kCacheHashSalt = 1, kParentHashSalt = 2;
+// Keep the hash that picks a cache independent of the one that picks a parent or an origin host.
+constexpr std::uint64_t kCacheHashSalt = 1, kUpstreamHashSalt = 2;
 
 // Outlier ejection: a host is ejected after some failures in a row or a high share of them, and is reinstated
 // after successful trial requests.
 // Weight of one outcome in the moving average of failures: covers about the last five outcomes.
 constexpr double kOutcomeWeight = 0.2;
-// A healthy host passes this at its third failure in a row. A host that fails a third of its requests stays
-// near it.
+// The moving average of a healthy host passes this at its third failure in a row. That of a host that fails a
+// third of its requests fluctuates around 0.33, close to this.
 constexpr double kEjectionFailureShare = 0.45;
-// A host is ejected only if its share exceeds the mean of its peers by this: a fault that hits all of them is
-// not its own.
-constexpr double kEjectionShareAbovePeers = 0.25;
-// At this share hardly any answer comes back: the host is ejected whatever the share of its peers.
+// A host is ejected only if its failure share also exceeds the mean of its peers by this, or exceeds
+// kLostHostFailureShare: a fault that hits all of them is not its own.
+constexpr double kEjectionMarginOverPeers = 0.25;
+// Above this share nearly all attempts fail, by error answers and refusals or without an answer: the host is
+// ejected whatever the share of its peers.
 constexpr double kLostHostFailureShare = 0.8;
 // Weight of an attempt that is slow; one that failed weighs 1.
 constexpr double kSlowAttemptFailureWeight = 0.5;
@@ -57,22 +60,29 @@
 constexpr int kTrialSuccessesToReinstate = 3;
 
 // Retry and origin budgets.
-// Keeps retries from multiplying an overload.
+// Added to the retry budget for each request. Keeps retries from multiplying an overload.
 constexpr double kRetriesPerRequest = 0.1;
-// The bursts of all routers add up, and a dead host costs a few retries at each router.
+// Capacity and initial content of the retry budget. The bursts of all routers add up, and a dead host costs a
+// few retries at each router.
 constexpr double kRetryBurst = 6;
-// Requests sent to the origin past the parents.
+// Added for each request to the origin budget, which limits the attempts that are sent to the origin, or to a
+// cache with the origin as its source, because no parent can be used.
 constexpr double kOriginSendsPerRequest = 0.15;
+// Capacity and initial content of the origin budget.
 constexpr double kOriginSendBurst = 4;
+// Added to the origin budget for each answer in time, and each noCopy, of an attempt whose source, or whose
+// host if it has no source, is an origin host; not for hits at a cache, but for writes through a parent.
 // Above 1, so that the origin's share grows for as long as it answers in time.
 constexpr double kOriginSendsPerSuccess = 1.2;
 
 // Timing.
-// An answer is overdue when it takes longer than this multiple of its sending time at full pace.
-constexpr double kOverdueSendTimeMultiple = 1.6;
+// An attempt is expected to need the overhead below plus this multiple of its sending time at full pace. An
+// answer counts as at full pace only within that time, and an attempt counts as slow only after it.
+constexpr double kSlowSendTimeMultiple = 1.6;
 // Share of the latency target for all but the sending: network, queue and a parent's lookup.
 constexpr double kOverheadLatencyTargetShare = 0.15;
-// Short: the client's latency target keeps running, and congestion clears within fractions of a second.
+// Retry hint in a refusal, unless the settings limit it to less. Short: the client's latency target keeps
+// running, and congestion clears within fractions of a second.
 constexpr Time kRetryAfter = 100ms;
 
 // Load of links. Above full utilization every transfer slows down in proportion.
@@ -80,53 +90,69 @@
 constexpr double kLoadReportWeight = 0.25;
 // How long an answer at full pace proves free capacity: about as long as load reports lag.
 constexpr Time kFullPaceLifetime = 400ms;
-// About the time of one fill on a full link: the current number of fills fluctuates.
+// Averaging time of the number of fills in flight, which fluctuates: about the time of one fill on a full
+// link.
 constexpr Time kFillsAveragingTime = 1s;
-// Load of a transfer that leaves no copy: it crosses the link again when it is next asked for.
+// Multiplies the utilization of the zone's link for a request that leaves no copy: the object crosses the
+// link again when it is next asked for.
 constexpr double kUncachedTransferWeight = 2;
-// Without a newer report a link is taken to be free.
+// Without a newer report the utilization of a link is estimated from this router's own attempts. A zone's
+// link is taken to be free if its capacity is not configured.
 constexpr Time kLoadReportLifetime = 2s;
 
-// Concurrency limiters before the parents and the origin: additive increase, multiplicative decrease.
-// Covers a few dozen fills and is short compared with an outage.
+// Concurrency limiters before the parents and the origin. Each success adds up to a constant to the limit,
+// which can double it per round trip; too many failures multiply it by kLimiterDecreaseFactor.
+
+// Averaging time of successes and failures: covers a few dozen fills and is short compared with an outage.
+// Also the time after a decrease during which isLimiting() is true.
 constexpr Time kLimiterAveragingTime = 3s;
 // Share of the outcomes: about twice the share that is late by chance.
 constexpr double kLimiterFailureShare = 0.1;
 // Weighted failures: a single late answer proves nothing.
 constexpr double kLimiterMinFailures = 1.5;
-// Weight of a missing answer; a late answer or a refusal weighs 1. Answers also get lost.
+// Weight of a missing answer; a late answer or a refusal weighs 1. Less than 1, since answers can also be
+// lost on the way.
 constexpr double kUnansweredFailureWeight = 0.3;
 // Applied once for all attempts that were in flight at the time.
 constexpr double kLimiterDecreaseFactor = 0.5;
-// Reduced by the share of its time that the success took. Opens a limiter of any size quickly.
+// Added to the limit for each success, reduced by the share of the target time that the success took. Opens a
+// limiter of any size quickly.
 constexpr double kLimiterIncreasePerSuccess = 1;
 // Below one attempt at a time there are pauses in between, after which an attempt probes the tier.
 constexpr double kMinConcurrencyLimit = 0.25;
 constexpr double kUnlimitedConcurrency = 1e9;
 
-// Cold hosts get less than would slow them down, which is far less than would overload them.
-// Multiple of the least capacity that the host can have at its age; most hosts have more.
+// A cold host's budget is a multiple of the least capacity that it can have at its age: the lower of the two
+// limits below. It is meant not to slow the host down, and is far less than would overload it.
+
+// First limit, as a multiple of that least capacity. Above 1, since most hosts have more capacity than that.
 constexpr double kColdLoadCapacityMultiple = 1.2;
-// Share of the multiple of its capacity at which a cold host is overloaded.
+// Second limit, as a share of the setting coldOverloadMultiple (parentColdOverloadMultiple for a parent), the
+// multiple of its capacity at which a cold host is overloaded.
 constexpr double kColdLoadOverloadShare = 0.6;
 
 // With many routers, one router's part of a cold host's budget is less than one request: a random draw then
 // lets single requests through.
 // Share of the budget that the draws use, since several routers may draw at the same time by chance.
 constexpr double kRandomAdmissionBudgetShare = 0.5;
-// Requests that the whole budget must hold, since chance has too much weight in a smaller one.
+// Requests that the budget of all routers must hold for draws to be made. Of fewer, the number that chance
+// lets through varies too much.
 constexpr double kRandomAdmissionMinBudgetRequests = 8;
 
 // Learned links, in transfers at a time at full pace.
 // Where nothing has been learned: deliberately low.
 constexpr double kDefaultLinkTransfers = 2;
-// Least link that the load of a host is measured by: a lower value moves keys to other hosts too often.
-constexpr double kMinLoadLinkTransfers = 4;
-// Averaging time of the transfers that a host serves at a time.
+// Lower bound of the link by which linkUtilizationOf() divides: a lower value moves keys to other hosts too
+// often.
+constexpr double kMinLinkTransfersForLoad = 4;
+// Averaging time of the transfers that a host serves at a time. Links are learned only after the router has
+// run for longer than this.
 constexpr Time kServedAveragingTime = 2s;
-// Share of the transfers served that counts as proven: the figure fluctuates and its maximum is kept.
-constexpr double kServedLinkShare = 0.75;
+// Share of the estimated transfers at a time that counts as proven for a host's link: the estimate fluctuates
+// and its maximum is kept.
+constexpr double kProvenServedShare = 0.75;
 
+// Least delay of a request's timers. Also added to the time after which an attempt counts as late.
 constexpr Time kMinTimerDelay = 1ms;
 // After this the slot of a host that has gone may be used for another host.
 constexpr Time kHostSlotReuseDelay = 5s;
@@ -138,7 +164,7 @@
     Host() { ejectionTime = kInitialBackoff; }
     HostEntry entry;
     std::uint64_t hash = 0;
-    bool listed = false;
+    bool ready = false;
     int attemptsInFlight = 0;
     int trialSuccesses = 0;
     double reportedInFlight = 0;
@@ -162,20 +188,26 @@
     bool inFlight = true;
     bool mayHaveRun = false;
     Tier highestTier = Tier::caches;
-    bool countedSlow = false;  // recorded with the health of its host
-    bool hostHadRoom = false;  // at full pace, as far as known
+    bool wasSlow = false;      // attemptIsSlow() was called for it
+    bool hostHadRoom = false;  // linkUtilizationOf() the host was below 1 when it was sent
     bool countedLate = false;  // recorded with the concurrency limiters
 };
 
 struct Pending {
     Request request;
-    std::shared_ptr<const Settings> settings;  // in force on arrival; kept until the request ends
+    // Those in force on arrival, for its class, its number of attempts, hedging, cancelling and retry hints.
+    // Routing uses the newest.
+    std::shared_ptr<const Settings> settings;
     Time arrived{};
-    Time targetTime{};       // an answer after this earns less than its full value
+    // Arrival plus latency target and stretch, at most the deadline. An answer after it is late.
+    Time targetAt{};
     double sendSeconds = 0;  // seconds of sending time
     bool inFilter = false, hot = false;
+    // Of the copy to keep. 0: none is kept; 1: part; 2: part with several viewers, or whole object;
+    // 3: whole object with several viewers.
     int keepRank = 0;
-    bool answered = false, streaming = false, retryAfterCancel = false;
+    // `finished`: answered, refused or failed, or the client has left.
+    bool finished = false, streaming = false, retryAfterCancel = false;
     bool acceptStale = false;  // an attempt failed, or no fill is possible
     std::vector<Attempt> attempts;
     std::vector<HostIndex> excludedHosts;
@@ -185,6 +217,8 @@
     }
 };
 
+// Where to send an attempt, and where the host fills a miss from. Without a source of its own, a cache does
+// not fill and a parent fills from the first origin host.
 struct Route {
     HostIndex host = kNoHost, source = kNoHost;
     int keepRank = 0;
@@ -239,7 +273,7 @@
         for (auto* group : {&caches_, &parents_, &origins_}) group->clear();
         for (HostIndex i = 0; i < hosts_.size(); ++i) {
             const HostEntry& entry = hosts_[i].entry;
-            if (!hosts_[i].listed) continue;
+            if (!hosts_[i].ready) continue;
             if (entry.role == Role::parent) parents_.push_back(i);
             if (entry.role == Role::origin) origins_.push_back(i);
             if (entry.role == Role::cache && entry.zone == settings_->zone) caches_.push_back(i);
@@ -264,7 +298,7 @@
         if (request.sizeKb > 0 && settings_->maxFlowKbPerSecond > 0)
             learnSendSeconds(request.classIndex, request.sizeKb / settings_->maxFlowKbPerSecond);
         p.sendSeconds = estimateSendSeconds(request);
-        setTargetTime(p);
+        setTargetAt(p);
         if (!c.uncacheable && !request.write && request.object != 0) lookUpInFilter(now, p, c);
         sendOrGiveUp(now, p, out);
     }
@@ -285,8 +319,8 @@
         if (e.outcome == Outcome::served) learnFromAnswer(p, a, e);
         updateLimiters(now, p, a, e);
         updateHealth(now, p, a, e);
-        if (e.requestClosed) markAnswered(p, out);
-        if (!p.answered && p.attemptsInFlight() == 0) {
+        if (e.requestClosed) markFinished(p, out);
+        if (!p.finished && p.attemptsInFlight() == 0) {
             if (a.highestTier != Tier::origin && e.outcome == Outcome::noCopy)
                 sendOrGiveUp(now, p, out);  // now it is known that a fill is needed
             else if (e.outcome != Outcome::cancelled || p.retryAfterCancel)
@@ -307,7 +341,7 @@
     void clientGone(RequestId id, Actions& out) {
         const auto it = pending_.find(id);
         if (it == pending_.end()) return;
-        markAnswered(it->second, out);
+        markFinished(it->second, out);
         eraseIfDone(id);
     }
 
@@ -321,7 +355,7 @@
         if (found == pending_.end()) return;
         Pending& p = found->second;
         Attempt& a = p.attempts[static_cast<std::size_t>(attempt)];
-        if (p.answered || p.streaming || !a.inFlight) return;
+        if (p.finished || p.streaming || !a.inFlight) return;
         late ? attemptIsLate(now, p, a) : attemptIsSlow(now, p, a, attempt, out);
     }
 
@@ -352,7 +386,7 @@
         LearnedState known{startedAt_, meanSendSeconds_, {}, {}};
         filter_.fromOldest([&](auto name, auto& record) { known.objects.emplace_back(name, record); });
         for (Host& h : hosts_)
-            if (h.listed)
+            if (h.ready)
                 known.hosts.push_back(
                     {h, h.entry.name, h.coldSendSeconds.over(now, settings_->coldLoadWindow)});
         return known;
@@ -376,7 +410,7 @@
     void markGone(Time now, Host& host) {
         if (host.entry.readiness != Readiness::gone) host.goneAt = now;
         host.entry.readiness = Readiness::gone;
-        host.listed = false;
+        host.ready = false;
     }
 
     // Reuses the slot of a host that has been gone for some time and that no pending request refers to;
@@ -418,7 +452,7 @@
         std::string name = isNew ? entry.name : std::move(host.entry.name);
         host.entry = entry;
         host.entry.name = std::move(name);  // keeps the string's storage, since actions hold views of it
-        host.listed = entry.readiness == Readiness::ready;
+        host.ready = entry.readiness == Readiness::ready;
     }
 
     // ----- filter and learned sizes -----
@@ -436,10 +470,10 @@
         mean = mean > 0 ? mean + 0.02 * (sendSeconds - mean) : sendSeconds;
     }
 
-    void setTargetTime(Pending& p) const {
+    void setTargetAt(Pending& p) const {
         const ClassSettings& c = p.classSettings();
-        p.targetTime = std::min(p.request.deadline, p.arrived + c.latencyTarget +
-                                                        fromSeconds(c.latencyTargetStretch * p.sendSeconds));
+        p.targetAt = std::min(p.request.deadline, p.arrived + c.latencyTarget +
+                                                      fromSeconds(c.latencyTargetStretch * p.sendSeconds));
     }
 
     // Where requests carry no size it is learned from answers: from their bytes, or from the time of a hit on
@@ -455,7 +489,7 @@
         if (p.request.object != 0 && p.inFilter)
             filter_.touch(p.request.object).first.sendSeconds = sendSeconds;
         p.sendSeconds = sendSeconds;
-        setTargetTime(p);
+        setTargetAt(p);
     }
 
     // Learns a lower bound of a host's link from the transfers that it serves at a time, assuming that every
@@ -463,7 +497,7 @@
     // link proves anything.
     void learnLinkTransfers(Time now, Host& host, double sendSeconds) {
         host.servedTransfers.add(now, kServedAveragingTime, sendSeconds);
-        const double all = kServedLinkShare * host.servedTransfers.perSecond(now, kServedAveragingTime) *
+        const double all = kProvenServedShare * host.servedTransfers.perSecond(now, kServedAveragingTime) *
                            routersSharing(host);
         const double known = isCold(now, host) ? linkTransfersOf(host) : host.linkTransfers;
         if (now - startedAt_ > kServedAveragingTime && all > known) host.linkTransfers = all;
@@ -473,7 +507,7 @@
         auto [record, found] = filter_.touch(p.request.object);
         if (found && record.sendSeconds > 0 && p.request.sizeKb <= 0) {
             p.sendSeconds = record.sendSeconds;
-            setTargetTime(p);
+            setTargetAt(p);
         }
         // One viewer requests the parts in order, so that a repeated or earlier part comes from a second
         // viewer.
@@ -581,7 +615,7 @@
 
     bool usable(Time now, HostIndex i, const Pending& p, bool ignoreHealth) {
         Host& host = hosts_[i];
-        if (!host.listed || std::count(p.excludedHosts.begin(), p.excludedHosts.end(), i) > 0) return false;
+        if (!host.ready || std::count(p.excludedHosts.begin(), p.excludedHosts.end(), i) > 0) return false;
         if (!ignoreHealth && !healthy(now, host)) return false;
         return hostMeetsTarget(now, p, host) && withinColdBudget(now, host, coldCharge(host, p)) &&
                repeatAllowed(now, p, host);
@@ -620,16 +654,17 @@
         return pick(now, caches_, key, p, p.hot && p.attempts.empty());
     }
 
-    // All zones fill an object from one parent, which the viewers of a hot object in forty zones overload.
+    // All zones fill an object from one parent, which the fills of a hot object overload if there are many
+    // zones, for example forty.
     // The parts of a hot object are therefore spread over parents, with the same parent per part at every
     // router. Cost: the first fill of a part may be fetched twice.
     HostIndex pickParent(Time now, const Pending& p) {
         const auto part = p.hot ? static_cast<std::uint64_t>(p.request.part) : 0;
-        return pick(now, parents_, combine(p.request.object + part, kParentHashSalt), p, false);
+        return pick(now, parents_, combine(p.request.object + part, kUpstreamHashSalt), p, false);
     }
 
     HostIndex pickOrigin(Time now, const Pending& p) {
-        const HostIndex i = pick(now, origins_, kParentHashSalt, p, false);
+        const HostIndex i = pick(now, origins_, kUpstreamHashSalt, p, false);
         return i == kNoHost || hosts_[i].ejected ? kNoHost : i;
     }
 
@@ -641,22 +676,22 @@
             host.reportedAt = now;
         }
         if (host.entry.role != Role::cache || !load.linkUtilization) return;
-        const bool fresh = now - linkReportAt_ < kLoadReportLifetime;
-        linkUtilization_ =
-            fresh ? linkUtilization_ + kLoadReportWeight * (*load.linkUtilization - linkUtilization_)
+        const bool fresh = now - zoneLinkReportAt_ < kLoadReportLifetime;
+        zoneLinkUtilization_ =
+            fresh ? zoneLinkUtilization_ + kLoadReportWeight * (*load.linkUtilization - zoneLinkUtilization_)
                   : *load.linkUtilization;
-        linkReportAt_ = now;
+        zoneLinkReportAt_ = now;
     }
 
     // As reported. Without a recent report, and where the link's capacity is configured, it is estimated on
     // the assumption that all routers of the zone fetch as much as this one. The larger of the current number
     // of fills and its mean is used, since the current number fluctuates and admits too much when it is low.
     double zoneLinkUtilization(Time now) const {
-        if (now - linkReportAt_ < kLoadReportLifetime) return linkUtilization_;
+        if (now - zoneLinkReportAt_ < kLoadReportLifetime) return zoneLinkUtilization_;
         const auto zone = static_cast<std::size_t>(settings_->zone);
         const bool isKnown = settings_->zone >= 0 && zone < settings_->zoneLinkKbPerSecond.size() &&
                              settings_->zoneLinkKbPerSecond[zone] > 0;
-        if (!isKnown || now - linkFullPaceAt_ < kFullPaceLifetime) return 0;
+        if (!isKnown || now - zoneLinkFullPaceAt_ < kFullPaceLifetime) return 0;
         const double fills =
             std::max<double>(limiters_[0].inFlight, meanFillsInFlight_.mean(now, kFillsAveragingTime));
         return fills * routersInZone() * settings_->maxFlowKbPerSecond / settings_->zoneLinkKbPerSecond[zone];
@@ -664,7 +699,7 @@
 
     bool canMeetTarget(Time now, const Pending& p, double utilization) const {
         return utilization <= 1 ||
-               now + fromSeconds(p.sendSeconds * utilization) + overheadTime(p) <= p.targetTime;
+               now + fromSeconds(p.sendSeconds * utilization) + overheadTime(p) <= p.targetAt;
     }
 
     // A full link that admits every request serves none in time. It is left to requests that can still meet
@@ -686,7 +721,7 @@
         const bool recent = now - host.reportedAt < kLoadReportLifetime;
         const double estimated = own * routersSharing(host);
         return (recent ? std::max(own, host.reportedInFlight) : estimated) /
-               std::max(kMinLoadLinkTransfers, linkTransfersOf(host));
+               std::max(kMinLinkTransfersForLoad, linkTransfersOf(host));
     }
 
     // Whether the host can still answer in time. A host that admits more serves all of them late, so the rest
@@ -755,9 +790,9 @@
 
     // Attributes an outcome to the highest tier that was used, as far as known. Guards, without a need to
     // tell them apart, against an origin that is slow, refuses or has stopped, against parents that are
-    // overloaded, cold or down, and against refills after a purge. Missing answers weigh little while others
-    // arrive. Cost: when many answers are late by chance, the limits shrink a little. Hits at the caches are
-    // not limited.
+    // overloaded, cold or down, and against refills after a purge. A missing answer weighs less than a late
+    // one (kUnansweredFailureWeight). Cost: when many answers are late by chance, the limits shrink a little.
+    // Hits at the caches are not limited.
     void updateLimiters(Time now, const Pending& p, const Attempt& a, const AttemptEnded& e) {
         if (a.highestTier == Tier::caches || a.countedLate || e.outcome == Outcome::notSent ||
             e.ignoreForHealth)
@@ -771,10 +806,10 @@
         const bool silent = e.outcome == Outcome::timedOut || e.outcome == Outcome::cancelled ||
                             e.outcome == Outcome::broken || e.outcome == Outcome::noConnection;
         const bool served = e.outcome == Outcome::served;
-        // Late answers are not attributed to a tier while the zone's own link is full.
-        // Measured from the start of this attempt: time that the request lost before is not this tier's
-        // fault.
-        const bool inTime = e.elapsed <= p.targetTime - p.arrived || zoneLinkUtilization(now) > 1;
+        // The elapsed time is that of this attempt: time that the request lost before is not this tier's
+        // fault. While the zone's own link is full, all answers count as in time, since a late one may be the
+        // fault of that link and not of a tier.
+        const bool inTime = e.elapsed <= p.targetAt - p.arrived || zoneLinkUtilization(now) > 1;
         // A prompt error is a fault of the host itself, and a cancelled attempt was not late yet.
         const bool prompt = e.outcome == Outcome::error && e.cacheStatus != CacheStatus::originFailed;
         if (inTime && (prompt || e.outcome == Outcome::cancelled)) return;
@@ -786,7 +821,7 @@
 
         const double failureWeight = good ? 0 : silent ? kUnansweredFailureWeight : 1;
         // Answers well in time raise the limit by more than those just in time.
-        const double spare = 1 - seconds(e.elapsed) / std::max(1e-3, seconds(p.targetTime - p.arrived));
+        const double spare = 1 - seconds(e.elapsed) / std::max(1e-3, seconds(p.targetAt - p.arrived));
         if (good || attributedToParents) recordOutcome(now, limiters_[0], p, a, failureWeight, spare);
         if (!attributedToParents) recordOutcome(now, limiters_[1], p, a, failureWeight, spare);
     }
@@ -888,12 +923,12 @@
     // Sets one timer for when another attempt must start to meet the latency target, and one for when this
     // attempt is late.
     void setTimers(Time now, const Pending& p, int attempt, Actions& out) {
-        const Time needed = fromSeconds(kOverdueSendTimeMultiple * p.sendSeconds) + overheadTime(p);
-        const Time at = std::max(now + needed, p.targetTime - needed);
+        const Time needed = fromSeconds(kSlowSendTimeMultiple * p.sendSeconds) + overheadTime(p);
+        const Time at = std::max(now + needed, p.targetAt - needed);
         if ((p.settings->mayHedge || p.settings->mayCancel) && at + needed < p.request.deadline)
             setTimer(at - now, p, attempt, false, out);
         if (p.attempts.back().highestTier != Tier::caches)
-            setTimer(p.targetTime - p.arrived + kMinTimerDelay, p, attempt, true, out);
+            setTimer(p.targetAt - p.arrived + kMinTimerDelay, p, attempt, true, out);
     }
 
     void setTimer(Time delay, const Pending& p, int attempt, bool late, Actions& out) {
@@ -904,8 +939,8 @@
     bool answeredSince(const Attempt& a) const { return hosts_[a.host].lastAnswerAt > a.sentAt; }
 
     // Recorded when the attempt becomes late, not when it ends: under congestion that is seconds later, and
-    // all that is sent meanwhile adds to the congestion. If the host answers other requests, the fill is
-    // slow.
+    // all that is sent meanwhile adds to the congestion. If the host has answered other requests since this
+    // one was sent, its fill is slow, which weighs 1; otherwise it weighs as much as a missing answer.
     void attemptIsLate(Time now, const Pending& p, Attempt& a) {
         if (zoneLinkUtilization(now) > 1) return;
         a.countedLate = true;
@@ -917,7 +952,7 @@
     void attemptIsSlow(Time now, Pending& p, Attempt& a, int number, Actions& out) {
         // If the host answers other requests, its fill is slow, and a new fill would be slower still.
         const bool hostAnswers = answeredSince(a);
-        a.countedSlow = true;
+        a.wasSlow = true;
         if (!hostAnswers) recordFailure(now, a.host, kSlowAttemptFailureWeight);
         if (a.source != kNoHost && a.source != a.host)
             recordFailure(now, a.source, kSlowAttemptFailureWeight);
@@ -987,12 +1022,12 @@
             p.settings->retryAfterSupported ? std::min(kRetryAfter, p.settings->maxRetryAfter) : Time{0};
         refusalAllowed(p) ? out.push_back(Refuse{p.request.id, retryAfter, why})
                           : out.push_back(Fail{p.request.id, why});
-        markAnswered(p, out);
+        markFinished(p, out);
         eraseIfDone(p.request.id);
     }
 
-    void markAnswered(Pending& p, Actions& out) {
-        p.answered = true;
+    void markFinished(Pending& p, Actions& out) {
+        p.finished = true;
         cancelOthers(p, -1, out);
     }
 
@@ -1006,7 +1041,7 @@
     // A request is kept until all its attempts have ended, since their outcomes still update host health.
     void eraseIfDone(RequestId id) {
         const auto it = pending_.find(id);
-        if (it != pending_.end() && it->second.answered && it->second.attemptsInFlight() == 0)
+        if (it != pending_.end() && it->second.finished && it->second.attemptsInFlight() == 0)
             pending_.erase(it);
     }
 
@@ -1023,9 +1058,9 @@
                                      e.cacheStatus == CacheStatus::joined;
                 const Time overhead = overheadTime(p);
                 if (p.sendSeconds > seconds(overhead) &&
-                    seconds(e.elapsed - overhead) < kOverdueSendTimeMultiple * p.sendSeconds) {
+                    seconds(e.elapsed - overhead) < kSlowSendTimeMultiple * p.sendSeconds) {
                     hosts_[a.host].fullPaceAt = now;
-                    if (fetched) linkFullPaceAt_ = now;
+                    if (fetched) zoneLinkFullPaceAt_ = now;
                 }
                 if (hasSource && fetched) recordSuccess(a.source);
                 if (e.sizeKb < 0) return;
@@ -1048,7 +1083,7 @@
             default:
                 break;
         }
-        const double weight = e.ignoreForHealth ? 0 : a.countedSlow ? 1 - kSlowAttemptFailureWeight : 1;
+        const double weight = e.ignoreForHealth ? 0 : a.wasSlow ? 1 - kSlowAttemptFailureWeight : 1;
         // This value and the later ones tell why a fill failed.
         if (e.cacheStatus >= CacheStatus::sourceRefused) {
             const bool atSource = hasSource && e.cacheStatus != CacheStatus::noFillPlace;
@@ -1074,13 +1109,14 @@
             host.ejectedUntil = now + host.ejectionTime;
         } else if (host.failureShare > kEjectionFailureShare &&
                    host.failureShare >
-                       std::min(kLostHostFailureShare, meanPeerFailureShare(i) + kEjectionShareAbovePeers)) {
+                       std::min(kLostHostFailureShare, meanPeerFailureShare(i) + kEjectionMarginOverPeers)) {
             host.ejected = true;
             host.ejectedUntil = now + host.ejectionTime;
         }
     }
 
-    // Mean failure share of the other hosts of its group.
+    // Mean failure share of the other parents for a parent, otherwise of the other caches, also for an origin
+    // host.
     double meanPeerFailureShare(HostIndex i) const {
         const auto& group = hosts_[i].entry.role == Role::parent ? parents_ : caches_;
         double sum = 0;
@@ -1117,10 +1153,10 @@
     Time startedAt_{};
     TimerId nextTimer_ = 1;
     TimerId watchTimer_ = 0;
-    double linkUtilization_ = 0;  // transfers divided by those that fit at full pace
-    Time linkReportAt_ = -kLoadReportLifetime;
-    DecayingMean meanFillsInFlight_;            // of this router
-    Time linkFullPaceAt_ = -kFullPaceLifetime;  // of the last fill at full pace
+    double zoneLinkUtilization_ = 0;  // transfers divided by those that fit at full pace
+    Time zoneLinkReportAt_ = -kLoadReportLifetime;
+    DecayingMean meanFillsInFlight_;                // of this router
+    Time zoneLinkFullPaceAt_ = -kFullPaceLifetime;  // of the last fill at full pace
 };
 
 Router::Router(Settings settings, std::uint64_t seed)
